--- a/example/toy_server.cpp
+++ b/example/toy_server.cpp
@@ -14,8 +14,8 @@
 #include <vector>
 
 #include "net/clock.h"
-#include "net/loop.h"
 #include "net/kernel.h"
+#include "net/loop.h"
 
 namespace {
 
@@ -79,9 +79,7 @@
         if (at->second.tunnel) --open_[at->second.door];
         lines_.erase(at);
     }
-    static bool say(Line& to, std::string_view text) {
-        return to.socket.write(text).bytes == text.size();
-    }
+    static bool say(Line& to, std::string_view text) { return to.socket.write(text).bytes == text.size(); }
     bool heard(Line& from, const std::string& line) {
         if (from.door == 0) {
             if (line.substr(0, 4) != "GET ") return true;  // the call's other head lines
--- a/src/account/costs.cpp
+++ b/src/account/costs.cpp
@@ -21,7 +21,8 @@
     for (std::size_t i = 0; i < reasons; ++i)
         write("because_" + std::string(name_of(static_cast<Reason>(i))), now.because[i], before.because[i]);
     for (std::size_t i = 0; i < rules; ++i)
-        write("violated_" + std::string(name_of(static_cast<Rule>(i))), now.violations[i], before.violations[i]);
+        write("violated_" + std::string(name_of(static_cast<Rule>(i))), now.violations[i],
+              before.violations[i]);
     write("probes", now.probes, before.probes);
     write("probe_lines", now.probe_lines, before.probe_lines);
     write("calls", now.calls, before.calls);
--- a/src/account/costs.h
+++ b/src/account/costs.h
@@ -14,14 +14,15 @@
 namespace lemonstair::account {
 
 struct Costs {
-    std::uint64_t datagrams = 0;  // to one node each
-    peer::Sizes peer_bytes{};     // by kind, once for each node that is to hear them
+    std::uint64_t datagrams = 0;                // to one node each
+    peer::Sizes peer_bytes{};                   // by kind, once for each node that is to hear them
     std::uint64_t probes = 0, probe_lines = 0;  // asked; connections opened for them
     std::uint64_t calls = 0, calls_failed = 0;  // to discovery
     std::uint64_t call_waited_ms = 0;           // for its answers
     std::uint64_t setups = 0;
-    std::array<std::uint64_t, endings> ended{};    // setups; opened is one of them
-    std::array<std::uint64_t, reasons> because{};  // final answers that open nothing, and attempts not written
+    std::array<std::uint64_t, endings> ended{};  // setups; opened is one of them
+    std::array<std::uint64_t, reasons>
+        because{};  // final answers that open nothing, and attempts not written
     Violations violations{};
     std::uint64_t processor_us = 0;
 
--- a/src/backoff/backoff.h
+++ b/src/backoff/backoff.h
@@ -1,5 +1,5 @@
-// When discovery is called again after a call or a watch was lost: capped exponential backoff with jitter, and
-// the bound that it keeps. No I/O; chance and clock are the caller's. Times are whole tenths of a ms.
+// When discovery is called again after a call or a watch was lost: capped exponential backoff with jitter,
+// and the bound that it keeps. No I/O; chance and clock are the caller's. Times are whole tenths of a ms.
 #pragma once
 #include <algorithm>
 #include <cstddef>
@@ -33,8 +33,8 @@
   public:
     // `first`: the longest pause after one failure; each further one doubles it, up to longest_pause.
     explicit Backoff(Tenths first = 2500) : first_(std::clamp<Tenths>(first, 1, longest_pause)) {}
-    // The pause before the next call; `chance` is drawn evenly from 0 to 1, so that nodes that failed together
-    // come again apart.
+    // The pause before the next call; `chance` is drawn evenly from 0 to 1, so that nodes that failed
+    // together come again apart.
     Tenths failed(double chance) {
         const Tenths cap = std::min(longest_pause, first_ << std::min(failures_, 8));
         ++failures_;
--- a/src/balance/balance.cpp
+++ b/src/balance/balance.cpp
@@ -525,7 +525,8 @@
     // worse than the others. `by`: the node whose setup it was; only one's own say that an ep is out of
     // reach.
     void judge(Ep& e, Ending ending, bool by_probe, std::uint32_t by) {
-        if (ending == Ending::called_off || ending == Ending::full || says_nothing_of_endpoint(ending)) return;
+        if (ending == Ending::called_off || ending == Ending::full || says_nothing_of_endpoint(ending))
+            return;
         const bool own = by == terms.me;
         // Setups may share a store that probes do without, so a setup's time-out says less of the ep.
         e.outcomes.count(ending != Ending::ok, ending == Ending::timed_out && !by_probe, lately, now);
@@ -1129,8 +1130,8 @@
             // Is it back? Once it answers probes a trial tells, and probes no more than of others.
             const bool unanswered = e.silent && e.probe_good_at <= e.bad_at;
             const Tenths wait = unanswered ? probe_every
-                                : mine   ? pause * (alone ? 1 : 1 + 4 * e.rank)
-                                         : 8 * tell_pause;
+                                : mine     ? pause * (alone ? 1 : 1 + 4 * e.rank)
+                                           : 8 * tell_pause;
             if (now - std::max(e.probed_at, mine ? -never : e.x_at) < wait) continue;
             look(e);
         }
--- a/src/balance/balance.h
+++ b/src/balance/balance.h
@@ -21,7 +21,8 @@
 enum class Life : std::uint8_t { in_service, draining, gone };
 // elsewhere: it is kept by another service now, from which nothing was heard yet.
 enum class ListKind : std::uint8_t { changes, whole, remembered, failed, elsewhere };
-// withdrawn: it was never written, since its time, its endpoint or its client had gone; the endpoint is not to blame.
+// withdrawn: it was never written, since its time, its endpoint or its client had gone; the endpoint is not
+// to blame.
 enum class Ending : std::uint8_t {
     ok,
     error,
@@ -161,8 +162,8 @@
     virtual void ended(std::uint64_t tun, int setup, std::uint32_t ep, Ending ending, Tenths took,
                        bool settled) = 0;
     virtual void client_left(std::uint64_t tun) = 0;
-    // Whether the attempt that is out for a tunnel may still be written, where that may take until `reserve` from
-    // now. Asked before its first byte; and after it, without reserve, to check that no rule was broken.
+    // Whether the attempt that is out for a tunnel may still be written, where that may take until `reserve`
+    // from now. Asked before its first byte; and after it, without reserve, to check that no rule was broken.
     virtual Reason may_write(std::uint64_t tun, Tenths reserve) const = 0;
     // The node will not be there for longer: no tunnel that waits now may wait past this.
     virtual void answer_by(Tenths when) = 0;
--- a/src/balance/loads.h
+++ b/src/balance/loads.h
@@ -9,8 +9,8 @@
 
 constexpr Tenths report_every = second;
 constexpr Tenths refresh_every = 10 * second;  // of records
-constexpr double group_copy = 3;     // of a group, in mean connections: not told, a guess
-constexpr double first_load = 0.05;  // a connection's load before any is known, in cores
+constexpr double group_copy = 3;               // of a group, in mean connections: not told, a guess
+constexpr double first_load = 0.05;            // a connection's load before any is known, in cores
 constexpr Tenths report_old = 10 * second;
 constexpr double blind_load = 0.5, shed_load = 1.1, shed_lasts = 15;  // loads; s
 constexpr double most_piled = 2;                                      // seconds of work
@@ -31,8 +31,8 @@
         return !sums_known && !talks() && (std::isnan(e.x) || now - e.x_at > report_old);
     }
     // The ep's report is known, and nothing of what other nodes have placed there since. Guards against all
-    // nodes crowding the ep that its report shows as the lightest: it counts as half full, as the others do that
-    // nothing tells of, and the part that is free only makes it the likelier.
+    // nodes crowding the ep that its report shows as the lightest: it counts as half full, as the others do
+    // that nothing tells of, and the part that is free only makes it the likelier.
     bool unheard_of(const Ep& e) const { return !sums_known && !talks() && !blind(e); }
     double guessed(const Ep& e) const {
         const double usual = blind_load + (shed_load - blind_load) * std::min(1.0, 2 * soon_cut_part());
@@ -47,7 +47,7 @@
     double filled(const Ep& e) const {
         return cold(e) ? static_cast<double>(now - e.started) / static_cast<double>(terms.rules.cold) : 1;
     }
-    double asked(const Ep& e) const {  // of an ep, by all nodes
+    double asked(const Ep& e) const {               // of an ep, by all nodes
         if (blind(e)) return guessed(e) * room(e);  // with its own few tunnels a node would be apart
         if (!sums_known) return e.pending + std::max(0.0, e.drift + reported_or_usual(e) * room(e));
         const double copies = terms.groups ? group_copy * records.groups().groups_on(e.id) : 0;
@@ -96,8 +96,8 @@
         if (!sums_known && sum > 0.05 * size) learn_room(sum * listed / size);
     }
     // A report grows old: the other nodes have read it too, and choose by it as this one would, whose chances
-    // `weights` are. What it favours fills meanwhile and what it shuns empties, up to what all carry on average.
-    // Guards against a herd: all nodes at the few eps that were light when they were last reported.
+    // `weights` are. What it favours fills meanwhile and what it shuns empties, up to what all carry on
+    // average. Guards against a herd: all nodes at the few eps that were light when they were last reported.
     void expect_others(double load, const std::vector<double>& weights) {
         double all = 0, rooms = 0;
         for (std::size_t i = 0; i < eps.size(); ++i) {
@@ -115,8 +115,8 @@
             e.fresh_drift += step;
         }
     }
-    // What a unit of size can do, of which all reported together use `used` units. The records of tunnels that
-    // stood before this node started come as they are refreshed; of these it has at least that part.
+    // What a unit of size can do, of which all reported together use `used` units. The records of tunnels
+    // that stood before this node started come as they are refreshed; of these it has at least that part.
     void learn_room(double used) {
         const Tenths age = now - born;
         if (age < second || sampled.load <= 0) return;
--- a/src/balance/record_table.h
+++ b/src/balance/record_table.h
@@ -60,8 +60,9 @@
     }
     GroupTable& groups() { return groups_; }
     const GroupTable& groups() const { return groups_; }
-    // Loads of the tunnels whose records are held as the carrier or on the chain, and of those of them that were
-    // placed before `born`. Only what was heard of since counts: the records of what has ended stay for long.
+    // Loads of the tunnels whose records are held as the carrier or on the chain, and of those of them that
+    // were placed before `born`. Only what was heard of since counts: the records of what has ended stay for
+    // long.
     struct Sampled {
         double load = 0, older = 0;
     };
@@ -76,9 +77,7 @@
     }
 
   private:
-    void count(const Record& r, int by) {
-        groups_.add(r.group, r.ep, by);
-    }
+    void count(const Record& r, int by) { groups_.add(r.group, r.ep, by); }
     IdIndex index_;
     Slab<Record> records_;
     std::size_t size_ = 0;
--- a/src/balance/state.h
+++ b/src/balance/state.h
@@ -26,10 +26,10 @@
 constexpr Tenths never = std::numeric_limits<Tenths>::max() / 4;
 constexpr std::uint32_t none = IdIndex::none;
 constexpr std::size_t chain_length = 2;
-constexpr double usual_life = 60;  // of a tunnel, in s, before any has ended
+constexpr double usual_life = 60;                        // of a tunnel, in s, before any has ended
 constexpr Tenths record_refreshed_within = 12 * second;  // once in 10 s, while its tunnel stands
 constexpr Tenths stamps_apart = 48 * 3600 * second;      // a stamp further ahead is no time
-constexpr int few_loads = 8;       // fewer tell little of what tunnels weigh
+constexpr int few_loads = 8;                             // fewer tell little of what tunnels weigh
 
 enum class State : std::uint8_t { idle, looking_up, holding, setting_up, standing, leaving, answered };
 
@@ -188,8 +188,8 @@
     }
     bool talks() const { return terms.limits.peers && peers.size() > 1; }
     double nodes() const { return static_cast<double>(peers.size()); }
-    // Each record is held at three nodes, or where nodes may not talk at one: the placements of all for one that
-    // a node sees.
+    // Each record is held at three nodes, or where nodes may not talk at one: the placements of all for one
+    // that a node sees.
     double tunnels_a_sample() const { return nodes() / (talks() ? std::min(3.0, nodes()) : 1.0); }
     double warmth(const Ep& e) const {
         const Tenths age = now - e.started;
@@ -254,15 +254,17 @@
         }
         return n;
     }
-    // The tunnel was placed in an earlier life of the ep, by half a second at least: clocks differ. They may differ by
-    // hours: one that was heard of long after that life began belongs to it, whatever its stamp says.
+    // The tunnel was placed in an earlier life of the ep, by half a second at least: clocks differ. They may
+    // differ by hours: one that was heard of long after that life began belongs to it, whatever its stamp
+    // says.
     bool placed_before(std::uint64_t key, const Ep& e) const {
         const Record* r = records.find(key);
-        if (r == nullptr || r->ep != e.id || r->heard > e.listed_start + record_refreshed_within) return false;
+        if (r == nullptr || r->ep != e.id || r->heard > e.listed_start + record_refreshed_within)
+            return false;
         return r->stamp + second / 2 < e.listed_start;
     }
-    // Stamps of records are a hybrid logical clock: the wall clock, but never behind a stamp that was heard. Guards
-    // against placements of a node whose clock is behind, which would lose to older ones.
+    // Stamps of records are a hybrid logical clock: the wall clock, but never behind a stamp that was heard.
+    // Guards against placements of a node whose clock is behind, which would lose to older ones.
     Tenths next_stamp() { return stamp_floor >= now ? ++stamp_floor : now; }
     void heard_stamp(Tenths stamp) {
         if (stamp - now < stamps_apart) stamp_floor = std::max(stamp_floor, stamp);
@@ -303,7 +305,7 @@
     Tenths report_pause = second, tell_pause = second;
     double opened_lately = 0, ended_lately = 0, placed_lately = 0;
     double stood_lately = 0, cut_lately = 0;  // of what opened; of that, what was soon cut off
-    witness::Sums lately;  // of the outcomes on all eps
+    witness::Sums lately;                     // of the outcomes on all eps
     double mean_credit = 0, moves_left = 2;
     Tenths stamp_floor = 0;
     RecordTable::Sampled sampled;  // as of the last scan
--- a/src/config/launch.h
+++ b/src/config/launch.h
@@ -29,8 +29,8 @@
     std::string nearby;                 // where the process that this one replaces is found; empty: nowhere
     std::vector<net::Address> peers;    // in the order of the nodes' numbers, this one's own among them
     Tenths connect_timeout = 0;
-    std::size_t sockets = 0;    // descriptors that the node may hold
-    bool reports = false;       // hosts tell their load when probed
+    std::size_t sockets = 0;  // descriptors that the node may hold
+    bool reports = false;     // hosts tell their load when probed
 };
 
 // What the environment tells beside the file; what it names goes before the file's keys.
--- a/src/config/source.h
+++ b/src/config/source.h
@@ -18,7 +18,8 @@
   public:
     Source(net::System& system, std::string path, const Surroundings& around = {})
         : system_(system), path_(std::move(path)), around_(around) {}
-    // Throws json::Malformed, which names the file or the faulty key, and Unreadable where the system was at fault.
+    // Throws json::Malformed, which names the file or the faulty key, and Unreadable where the system was at
+    // fault.
     Launch read();
     // The list of hosts in the file as last read.
     json::Value known() const { return file_.root().inner("known"); }
--- a/src/discovery/hosts.cpp
+++ b/src/discovery/hosts.cpp
@@ -135,12 +135,12 @@
 
 void Hosts::tell(const Host& host, Balancer& balancer) const {
     const auto zone = std::find(zones_.begin(), zones_.end(), host.zone);
-    balancer.listed(host.ep, static_cast<std::uint32_t>(zone - zones_.begin()), host.cell, host.life, host.size,
-                    host.started_at);
+    balancer.listed(host.ep, static_cast<std::uint32_t>(zone - zones_.begin()), host.cell, host.life,
+                    host.size, host.started_at);
 }
 
-// Guards against endpoints that were listed when this process began, and were taken for old by a clock that has
-// turned out to be ahead.
+// Guards against endpoints that were listed when this process began, and were taken for old by a clock that
+// has turned out to be ahead.
 void Hosts::correct_starts(Balancer& balancer, Tenths offset_before) {
     if (starts_.offset() - offset_before <= StartTimes::longest_notice) return;
     log_.info() << "the clock of the list is " << starts_.offset() / 10 << " ms behind: starts are told anew";
--- a/src/discovery/start_times.h
+++ b/src/discovery/start_times.h
@@ -16,8 +16,8 @@
     // Discovery knows of a start after this at the latest, while it is heard at all.
     static constexpr Tenths longest_notice = 100000;
 
-    // No endpoint has started in a time to come. One that would have, by some seconds, is left so: it counts as too
-    // young then, which is safe, where to correct a clock by it would make the others too old.
+    // No endpoint has started in a time to come. One that would have, by some seconds, is left so: it counts
+    // as too young then, which is safe, where to correct a clock by it would make the others too old.
     void bound(Tenths listed, Tenths now) {
         if (listed <= 0 || now - listed >= offset_ - longest_notice) return;
         offset_ = now - listed;
--- a/src/handover/packets.h
+++ b/src/handover/packets.h
@@ -15,9 +15,9 @@
 constexpr std::size_t longest_state = 64U << 20;
 
 enum class Kind : std::uint8_t {
-    greet = 1,    // the new one: who it is (text: the node's name), what it holds
-    refuse,       // the old one: not now (yes: later perhaps), or the new one: I go on without you
-    list_part,    // the old one: its list of hosts (text); number: what its clock is ahead of the monotonic one
+    greet = 1,  // the new one: who it is (text: the node's name), what it holds
+    refuse,     // the old one: not now (yes: later perhaps), or the new one: I go on without you
+    list_part,  // the old one: its list of hosts (text); number: what its clock is ahead of the monotonic one
     memory_part,  // and what its module remembers (text)
     told,         // all of it was told; number: its bytes
     ready,        // the new one answers for the node from now on
--- a/src/lab/day.cpp
+++ b/src/lab/day.cpp
@@ -390,9 +390,7 @@
         f.span("told_after_s", d.told_after, second, 0, 60 * second);
         f.span("pass_takes_ms", d.pass_takes, ms, 1, second);
     });
-    read_table(name, t, "bounds", [&](Table& f) {
-        f.number("of_budget", d.most_of_budget, 0, 1000);
-    });
+    read_table(name, t, "bounds", [&](Table& f) { f.number("of_budget", d.most_of_budget, 0, 1000); });
     read_table(name, t, "traffic", [&](Table& f) {
         f.number("load", d.load, 0, 10);
         f.span("arrive_within_s", d.arrive_within, second, 0, longest_day);
@@ -455,20 +453,20 @@
     out.precision(17);
     const auto flag = [](bool b) { return b ? "true" : "false"; };
     out << "seed = " << d.seed << "\nspan_s = " << s(d.span) << "\n\n[fleet]\nnodes = " << d.nodes
-        << "\nhosts = " << d.hosts << "\nmembers = " << d.members
-        << "\ncold_hosts = " << d.cold_hosts << "\nalike = " << flag(d.alike)
-        << "\nmust_ask = " << flag(d.must_ask) << "\nprobe_price = " << d.probe_price
-        << "\npeer_price = " << d.peer_price << "\npackets_pass = " << flag(d.packets_pass) << "\npeers = " << flag(d.peers)
+        << "\nhosts = " << d.hosts << "\nmembers = " << d.members << "\ncold_hosts = " << d.cold_hosts
+        << "\nalike = " << flag(d.alike) << "\nmust_ask = " << flag(d.must_ask)
+        << "\nprobe_price = " << d.probe_price << "\npeer_price = " << d.peer_price
+        << "\npackets_pass = " << flag(d.packets_pass) << "\npeers = " << flag(d.peers)
         << "\nprobing = " << flag(d.probing) << "\ngroups = " << flag(d.groups)
         << "\noperated = " << flag(d.operated) << "\nsockets = " << d.sockets
         << "\nmax_setups = " << d.max_setups << "\nknown = " << d.known
         << "\nclocks_apart_s = " << s(d.clocks_apart) << "\nnotices_after_s = " << s(d.notices_after)
         << "\ntold_after_s = " << s(d.told_after) << "\npass_takes_ms = " << in_ms(d.pass_takes)
-        << "\n\n[bounds]\nof_budget = " << d.most_of_budget
-        << "\n\n[traffic]\nload = " << d.load << "\narrive_within_s = " << s(d.arrive_within)
-        << "\nleast_life_s = " << s(d.least_life) << "\nmore_life_s = " << s(d.more_life)
-        << "\ntunnel_load = " << d.tunnel_load << "\nimpatient = " << d.manners.impatient
-        << "\nslow_readers = " << d.manners.slow_readers << "\nmost_tries = " << d.manners.most_tries
+        << "\n\n[bounds]\nof_budget = " << d.most_of_budget << "\n\n[traffic]\nload = " << d.load
+        << "\narrive_within_s = " << s(d.arrive_within) << "\nleast_life_s = " << s(d.least_life)
+        << "\nmore_life_s = " << s(d.more_life) << "\ntunnel_load = " << d.tunnel_load
+        << "\nimpatient = " << d.manners.impatient << "\nslow_readers = " << d.manners.slow_readers
+        << "\nmost_tries = " << d.manners.most_tries
         << "\n\n[network]\nleast_delay_ms = " << in_ms(d.weather.least_delay)
         << "\nmost_delay_ms = " << in_ms(d.weather.most_delay) << "\ncut_reads = " << d.weather.cut_reads
         << "\ncut_writes = " << d.weather.cut_writes << "\nwindow = " << d.weather.window
@@ -479,8 +477,7 @@
         << "\npush_bytes = " << d.host.push_bytes << "\ncold_s = " << s(d.host.cold)
         << "\ncold_from = " << d.host.cold_from << "\ntip_multiple = " << d.host.tip_multiple
         << "\nreport_every_s = " << s(d.host.report_every) << "\nreport_noise = " << d.host.report_noise
-        << "\nreports_always = " << d.host.reports_always
-        << '\n';
+        << "\nreports_always = " << d.host.reports_always << '\n';
     for (const Fault& f : d.faults) {
         const FaultRow& row = row_of(f.kind);
         out << "\n[[fault]]\nkind = \"" << row.name << "\"\nat_s = " << s(f.at) << '\n';
--- a/src/lab/day.h
+++ b/src/lab/day.h
@@ -89,9 +89,9 @@
     std::uint64_t seed = 1;
     Tenths span = 200000;
     std::uint32_t nodes = 3, hosts = 5, members = 100;
-    std::uint32_t cold_hosts = 0;  // the last of them have just started at dawn
-    bool alike = false;            // hosts and tunnels are of one size
-    bool must_ask = false;         // membership_mode "ask"
+    std::uint32_t cold_hosts = 0;                      // the last of them have just started at dawn
+    bool alike = false;                                // hosts and tunnels are of one size
+    bool must_ask = false;                             // membership_mode "ask"
     double probe_price = 0.0016, peer_price = 0.0001;  // in credits; a datagram of 256 bytes
 
     bool packets_pass = true, peers = true, probing = true, groups = true;
@@ -103,8 +103,8 @@
     Tenths notices_after = 20000;  // the front, that a node has died
     Tenths told_after = 5000;      // discovery, that a host has changed
     Tenths pass_takes = 1;
-    double load = 0.4;             // of all hosts, by all members together
-    Tenths arrive_within = 80000;  // members come evenly within this span
+    double load = 0.4;                              // of all hosts, by all members together
+    Tenths arrive_within = 80000;                   // members come evenly within this span
     Tenths least_life = 20000, more_life = 120000;  // of a tunnel: at least, and a mean beyond that
     double tunnel_load = 0;                         // mean of a tunnel, in cores; 0: from `load`
     simnet::Weather weather;
@@ -112,8 +112,8 @@
     stand::HostTraits host;  // what hosts have in common; sizes are drawn around it
     // Of each cold host's budget, in any window of host.fall, judged from the wire at the end; 0: not judged.
     double most_of_budget = 0;
-    // Of the soak: a process may be held up for so long between reading its clock and writing; an answer counts as
-    // missing so long after its time; the bound on what a cold host is sent is judged.
+    // Of the soak: a process may be held up for so long between reading its clock and writing; an answer
+    // counts as missing so long after its time; the bound on what a cold host is sent is judged.
     Tenths held_up = 0, answer_slack = 500;
     bool slow_start_judged = false;
     std::vector<Fault> faults;
--- a/src/lab/ledger.h
+++ b/src/lab/ledger.h
@@ -27,8 +27,8 @@
     std::size_t most_within(std::uint32_t host, Tenths window) const;
     // The most of its budget that came within one window of such a length; 0: none came while it had one.
     double most_of_budget(std::uint32_t host, Tenths window) const;
-    // How many more came within one window, from nodes that were told, than chance allows beyond the budget then;
-    // at most 0: never more.
+    // How many more came within one window, from nodes that were told, than chance allows beyond the budget
+    // then; at most 0: never more.
     double most_over_allowance(std::uint32_t host, Tenths window) const;
     std::uint64_t declined() const { return declined_; }
     std::uint64_t declined_idle() const { return declined_idle_; }
--- a/src/lab/rules.cpp
+++ b/src/lab/rules.cpp
@@ -49,7 +49,8 @@
         {"crash", "no node ends unasked"},
         {"self_check", "no node finds at run time that it did what its own policy forbids"},
         {"late_attempt", "no attempt begins later than 0.1 s after its client has left"},
-        {"slow_start", "a cold host is sent no more than N and 2 root of N + 2 (N under 30: N + 3 root of N + 3)"},
+        {"slow_start",
+         "a cold host is sent no more than N and 2 root of N + 2 (N under 30: N + 3 root of N + 3)"},
         {"budget", "all nodes together send a cold host no more of its budget than the day's bound"},
     };
     return rows;
@@ -83,7 +84,8 @@
             broke("budget", who + " was sent " + std::to_string(spent) + " of its budget");
         const double over = ledger_.most_over_allowance(h, day_.host.fall);
         if (day_.slow_start_judged && over > 0)
-            broke("slow_start", who + " was sent " + std::to_string(over) + " over what a cold host is allowed");
+            broke("slow_start",
+                  who + " was sent " + std::to_string(over) + " over what a cold host is allowed");
     }
 }
 
--- a/src/lab/rules.h
+++ b/src/lab/rules.h
@@ -122,7 +122,7 @@
         std::vector<Life> lives;
         std::vector<std::pair<Tenths, Tenths>> stalls;
         Tenths drained_since = 0;            // 0: it is not
-        std::vector<Tenths> told_at;  // by host: when it was last told of it; 0: not yet
+        std::vector<Tenths> told_at;         // by host: when it was last told of it; 0: not yet
         std::vector<Tenths> not_in_service;  // by host: since when it is told so; 0: it is in service
     };
     struct Host {
--- a/src/lab/world.cpp
+++ b/src/lab/world.cpp
@@ -7,9 +7,9 @@
 #include <utility>
 
 #include "config/source.h"
+#include "lab/stage.h"
 #include "simnet/nearby.h"
 #include "simnet/process.h"
-#include "lab/stage.h"
 #include "stand/operators.h"
 
 namespace lemonstair::lab {
@@ -64,7 +64,8 @@
     std::size_t take(std::string_view text) override {
         town_.note("log", node_, 0, text.substr(0, text.size() - (text.empty() ? 0 : 1)));
         if (const auto at = text.find(account::violation_mark); at != std::string_view::npos)
-            rules_.broke("self_check", "node " + std::to_string(node_) + ": " + std::string(text.substr(at, 100)));
+            rules_.broke("self_check",
+                         "node " + std::to_string(node_) + ": " + std::string(text.substr(at, 100)));
         return text.size();
     }
 
@@ -174,7 +175,8 @@
     if (day_.operated) {
         operators_ = std::make_unique<stand::Operators>(stage_->town(), network_.add_machine());
         for (std::uint32_t n = 0; n < day_.nodes; ++n) {
-            seats_[n].listener = std::make_unique<simnet::SharedListener>(network_, network_.place(n, client_port), backlog);
+            seats_[n].listener =
+                std::make_unique<simnet::SharedListener>(network_, network_.place(n, client_port), backlog);
             seats_[n].nearby = std::make_unique<simnet::Nearby>(network_);
             agenda_.at(agenda_.dawn() + figures_every, *this, token(ask_figures, n));
         }
--- a/src/net/kernel.h
+++ b/src/net/kernel.h
@@ -1,4 +1,5 @@
-// The kernel's side of the system: TCP and UDP on IPv4 and Unix packets, none of which blocks, poll(2), signalfd(2).
+// The kernel's side of the system: TCP and UDP on IPv4 and Unix packets, none of which blocks, poll(2),
+// signalfd(2).
 #pragma once
 
 #include "net/clock.h"
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -59,8 +59,8 @@
     }
 }
 
-// Guards against an end of the process, with tunnels open, for want of memory that is over in a moment. Timers
-// go on meanwhile, and a short rest keeps the loop from spinning.
+// Guards against an end of the process, with tunnels open, for want of memory that is over in a moment.
+// Timers go on meanwhile, and a short rest keeps the loop from spinning.
 void Loop::poll_failed(int error) {
     if (error == EINTR) return;
     if (error != ENOMEM && error != EAGAIN) throw std::system_error(error, std::generic_category(), "poll");
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -52,9 +52,10 @@
         lemonstair::log::Descriptor errors(2);
         lemonstair::log::Log log(log_level(), errors);
         lemonstair::net::Kernel kernel;
-        lemonstair::config::Source source(kernel, path, {.admin_addr = std::getenv("NODE_ADMIN_ADDR"),
-                                                             .inherited_fd = std::getenv("NODE_INHERITED_FD"),
-                                                             .tmpdir = std::getenv("TMPDIR")});
+        lemonstair::config::Source source(kernel, path,
+                                          {.admin_addr = std::getenv("NODE_ADMIN_ADDR"),
+                                           .inherited_fd = std::getenv("NODE_INHERITED_FD"),
+                                           .tmpdir = std::getenv("TMPDIR")});
         auto launch = read_patiently(source);
         lemonstair::node::Node node(kernel, std::move(launch), source.known(), log,
                                     [&] { return source.read(); });
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -19,7 +19,15 @@
 // After SIGHUP the new discovery counts as heard 4 s later: its call needs a part of that.
 constexpr Tenths renew_pause = 2500, renew_for = 25000;
 
-enum Timer : std::uint64_t { look_over_timer, tally_timer, list_timer, costs_timer, empty_timer, renew_timer, peers_timer };
+enum Timer : std::uint64_t {
+    look_over_timer,
+    tally_timer,
+    list_timer,
+    costs_timer,
+    empty_timer,
+    renew_timer,
+    peers_timer
+};
 
 // Guards against a start that ends for want of descriptors or memory that is over in a moment.
 constexpr int most_tries = 20;
@@ -115,8 +123,8 @@
     stages_.take_in.open(true);
 }
 
-// Guards against an end of the process, with tunnels open, where it becomes the node again and has no descriptor
-// just then. Until it has one it hears of no other node, as if it were cut off from them.
+// Guards against an end of the process, with tunnels open, where it becomes the node again and has no
+// descriptor just then. Until it has one it hears of no other node, as if it were cut off from them.
 void Node::open_peers() {
     try {
         peers_.open();
@@ -310,7 +318,8 @@
     if (!read_again(true)) renew_later();
 }
 
-// Guards against a file that cannot be read in just this moment, or is half written: what it tells is due soon.
+// Guards against a file that cannot be read in just this moment, or is half written: what it tells is due
+// soon.
 void Node::renew_later() {
     renew_at_ = loop_.now() + renew_pause;
     if (renew_at_ <= renew_until_) loop_.at(renew_at_, *this, renew_timer);
@@ -330,8 +339,8 @@
     return true;
 }
 
-// Discovery that has moved is called at once, whatever failures the old one had, and what it says first is new;
-// until then the last list stands.
+// Discovery that has moved is called at once, whatever failures the old one had, and what it says first is
+// new; until then the last list stands.
 void Node::take_renewed(const std::string& kept) {
     if (!kept.empty()) log_.error() << "not changed before the next start: " << kept;
     stages_.floor.mind().retold(launch_.terms);
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -119,7 +119,7 @@
     Phase phase_ = Phase::starting;
     Departure departure_ = Departure::on_drain();
     Tenths emptying_since_ = 0, empty_at_ = 0;  // drained or leaving; when it is looked after next
-    backoff::Backoff backoff_;  // of the watch, where it comes back by itself
+    backoff::Backoff backoff_;                  // of the watch, where it comes back by itself
     bool renew_at_begin_ = false;
     Tenths renew_at_ = 0, renew_until_ = 0;  // the next try of a new configuration, and the last
 };
--- a/src/peer/codec.cpp
+++ b/src/peer/codec.cpp
@@ -23,11 +23,12 @@
     kinds_end
 };
 constexpr std::array<std::size_t, kinds_end> body{
-    0, 24, 8, 19, 0, seen_bytes - 1, 4, 5, report_bytes - 1, home_bytes - 1, 8, 6, 8, 8, 12};  // bytes after the kind byte
+    0, 24, 8, 19, 0, seen_bytes - 1, 4, 5, report_bytes - 1, home_bytes - 1,
+    8, 6,  8, 8,  12};  // bytes after the kind byte
 static_assert(kinds == kinds_end);
-constexpr std::array<std::string_view, kinds_end> names{
-    "sign", "record", "ask", "answer", "hello", "seen", "lost", "outcome", "report", "home", "crossed",
-    "claim", "want", "lend", "dead"};
+constexpr std::array<std::string_view, kinds_end> names{"sign",    "record", "ask",     "answer", "hello",
+                                                        "seen",    "lost",   "outcome", "report", "home",
+                                                        "crossed", "claim",  "want",    "lend",   "dead"};
 constexpr double load_steps = 1000;
 
 std::uint64_t get(const std::uint8_t* p, int width) {
--- a/src/rig/field.cpp
+++ b/src/rig/field.cpp
@@ -117,10 +117,9 @@
     s.leaving = s.stalled = false;
     s.before = {};
     rules_.node_started(node);
-    s.process = std::make_unique<Process>(wish_.program, std::string(1, 'n').append(std::to_string(node)),
-                                          s.file, wish_.log_folder,
-                                          wish_.environment ? wish_.environment(node, s.life)
-                                                            : std::vector<std::string>{});
+    s.process = std::make_unique<Process>(
+        wish_.program, std::string(1, 'n').append(std::to_string(node)), s.file, wish_.log_folder,
+        wish_.environment ? wish_.environment(node, s.life) : std::vector<std::string>{});
 }
 
 void Field::end_node(std::uint32_t node, lab::Rules::NodeEnd how) {
--- a/src/simnet/network.cpp
+++ b/src/simnet/network.cpp
@@ -212,8 +212,8 @@
         s.retry = 0;
         const Segment next = std::move(s.under_way.front());
         s.under_way.pop_front();
-        trace_.note(agenda_.now() - agenda_.dawn(), next.end ? "end" : "bytes", end.number(), next.bytes.size(),
-                    next.bytes);
+        trace_.note(agenda_.now() - agenda_.dawn(), next.end ? "end" : "bytes", end.number(),
+                    next.bytes.size(), next.bytes);
         if (!there.open || there.forgotten) {
             if (next.end && next.bytes.empty() && !there.forgotten) continue;  // both have closed
             s.under_way.clear();
@@ -333,7 +333,9 @@
         kept.push_back({from, to, {bytes.begin(), bytes.end()}});
         if (kept.size() > 64) kept.pop_front();
     }
-    const int copies = chance_.odds(datagram_faults_.lost) ? 0 : chance_.odds(datagram_faults_.doubled) ? 2 : 1;
+    const int copies = chance_.odds(datagram_faults_.lost)      ? 0
+                       : chance_.odds(datagram_faults_.doubled) ? 2
+                                                                : 1;
     for (int i = 0; i < copies; ++i) {
         if (free_datagrams_.empty()) {
             free_datagrams_.push_back(static_cast<std::uint32_t>(datagrams_.size()));
--- a/src/stand/host.h
+++ b/src/stand/host.h
@@ -21,7 +21,7 @@
     std::size_t most_connections = 200;
     double setup_work_ms = 5, line_work_ms = 0.2;
     std::uint32_t push_bytes = 1;  // of what its own lines carry, at most 4000
-    double group_load = 0;  // that each group held costs once
+    double group_load = 0;         // that each group held costs once
     Tenths report_every = 5000;
     double report_noise = 0.05;
     double reports_always = 0;  // a load, whatever it holds; 0: what is so, with noise
--- a/src/tunnel/floor.cpp
+++ b/src/tunnel/floor.cpp
@@ -58,9 +58,7 @@
                 << ": " << detail;
 }
 
-bool Floor::client_is_gone(const Tunnel& t) const {
-    return !t.client.open() || t.client.hung_up();
-}
+bool Floor::client_is_gone(const Tunnel& t) const { return !t.client.open() || t.client.hung_up(); }
 
 // A connection that ends without last words: its client must have gone, or never have begun to speak.
 void Floor::check_ending(Id id, const Tunnel& t, State to) {
--- a/src/tunnel/send.cpp
+++ b/src/tunnel/send.cpp
@@ -93,8 +93,8 @@
     if (t.state == State::awaiting_answer) return read_answer(id);
 }
 
-// Asked in the instant before the first byte, by the clock of just now: the connection may have taken long to come
-// up, or the process been held up. False where the attempt is withdrawn, or its client has left.
+// Asked in the instant before the first byte, by the clock of just now: the connection may have taken long to
+// come up, or the process been held up. False where the attempt is withdrawn, or its client has left.
 bool Send::may_write(Id id) {
     const Tunnel& t = *floor_.find(id);
     if (floor_.client_is_gone(t)) return book_.client_left(id), false;
@@ -227,8 +227,9 @@
     }
     if (t.state == State::awaiting_answer) return failed(id, Ending::timed_out);
     // Guards against blame for an endpoint that had no time to answer, since its client had next to none.
-    const Tenths fair = std::min(floor_.launch.connect_timeout,
-                                 attempt_policy::fair_wait(floor_.launch.terms.profiles[t.profile].setup_goal));
+    const Tenths fair =
+        std::min(floor_.launch.connect_timeout,
+                 attempt_policy::fair_wait(floor_.launch.terms.profiles[t.profile].setup_goal));
     const bool had_time = floor_.loop.now() - t.setup_from >= fair;
     failed(id, had_time ? Ending::unreachable : Ending::withdrawn);
 }
--- a/src/tunnel/take_in.cpp
+++ b/src/tunnel/take_in.cpp
@@ -39,7 +39,8 @@
 
 void TakeIn::wait() { listener_.wait_for(open_ && !resting_ ? POLLIN : 0); }
 
-// True where the system said that no client waits; false where some may, whatever kept them from being accepted.
+// True where the system said that no client waits; false where some may, whatever kept them from being
+// accepted.
 bool TakeIn::accept_waiting() {
     for (int i = 0; i < accepts_a_pass && open_; ++i) {
         // Each pass of the loop costs as much as there are connections: the silent have a part of them.
@@ -131,8 +132,8 @@
     if (t.opening.empty()) t.opening.give_back();
 }
 
-// What has come since the last pass still counts; who has said nothing whole by now is sent away with an answer
-// that is true for whatever is on its way.
+// What has come since the last pass still counts; who has said nothing whole by now is sent away with an
+// answer that is true for whatever is on its way.
 void TakeIn::tunnel_due(Id id) {
     if (floor_.loop.now() < floor_.find(id)->due) return;
     tunnel_ready(id, Side::client, POLLIN);
--- a/tests/backoff.cpp
+++ b/tests/backoff.cpp
@@ -1,10 +1,11 @@
 // Stories of the calls to discovery: how soon after a failure, and the bound that all phases share.
+#include "backoff/backoff.h"
+
 #include <doctest/doctest.h>
 
 #include <algorithm>
 #include <random>
 
-#include "backoff/backoff.h"
 #include "fake.h"
 
 using namespace lemonstair;
@@ -34,7 +35,8 @@
 
 TEST_CASE("whatever a call hangs in when discovery returns, the next one is out with time for its answer") {
     // What is left of each phase, at the worst, and then the longest pause.
-    const Tenths phases[] = {0, backoff::patience_connecting, backoff::patience_asking, backoff::patience_standing};
+    const Tenths phases[] = {0, backoff::patience_connecting, backoff::patience_asking,
+                             backoff::patience_standing};
     for (const Tenths left : phases) {
         for (int failures = 0; failures < 40; ++failures) {
             Backoff b;
@@ -58,7 +60,8 @@
     CHECK(b.failed(0) == 250);
 }
 
-TEST_CASE("300 nodes that find discovery down do not call it in one instant, nor more than twice a second each") {
+TEST_CASE(
+    "300 nodes that find discovery down do not call it in one instant, nor more than twice a second each") {
     std::minstd_rand rng(7);
     std::vector<Tenths> next(300);
     std::vector<Backoff> backoffs(300);
@@ -73,7 +76,8 @@
     CHECK(last <= 300 * 2 * 4);
 }
 
-TEST_CASE("a process that starts asks for the list soon, however many nodes there are and whatever they may wait") {
+TEST_CASE(
+    "a process that starts asks for the list soon, however many nodes there are and whatever they may wait") {
     for (const std::uint32_t nodes : {1U, 3U, 30U, 300U, 1024U})
         for (const std::uint32_t seed : {1U, 77777777U, 1234567890U}) {
             Terms t = asking(nodes);
--- a/tests/fake.h
+++ b/tests/fake.h
@@ -251,9 +251,9 @@
         bool probing = false;
         int log = -1;
         bool operators = false;
-        bool inherits = false;      // the platform holds the clients' listener
-        std::string timeout = "3";  // of clients, in s
-        std::string grace = "3";    // of a drain, in s
+        bool inherits = false;        // the platform holds the clients' listener
+        std::string timeout = "3";    // of clients, in s
+        std::string grace = "3";      // of a drain, in s
         std::string slow_start = "";  // further keys of the rules
     };
     Door a, b, discovery;
@@ -271,7 +271,8 @@
     int unreadable = 0;  // so many times the configuration cannot be read again
 
     Town() : Town(Terms{}) {}
-    explicit Town(const Terms& t, Tenths clock_ahead = 0, Shared::Failing listens = {}) : drain(t.log), log(log::Level::error, drain) {
+    explicit Town(const Terms& t, Tenths clock_ahead = 0, Shared::Failing listens = {})
+        : drain(t.log), log(log::Level::error, drain) {
         kernel.clock_ahead = clock_ahead;
         kernel.listens = listens;
         text = R"({"name":"n0","listen":")" + name + R"(","discovery":")" + discovery.name() +
@@ -282,9 +283,9 @@
                R"("membership_mode":"push","domain":{"mode":")" + t.mode +
                R"("},"limits":{"max_setups":3,"connect_timeout":0.25,"probing":)" +
                (t.probing ? "true" : "false") +
-               R"(},"report":{"via":"probe","columns":["x0"]},"rules":{"stop_sending_within":)" + t.grace + t.slow_start + R"(},)" +
-               R"("profiles":[{"name":"chat","setup_goal":0.3,"client_timeout":)" + t.timeout +
-               R"(,"credit":1,)" + R"("effect":"read_like","stream":true}]}})";
+               R"(},"report":{"via":"probe","columns":["x0"]},"rules":{"stop_sending_within":)" + t.grace +
+               t.slow_start + R"(},)" + R"("profiles":[{"name":"chat","setup_goal":0.3,"client_timeout":)" +
+               t.timeout + R"(,"credit":1,)" + R"("effect":"read_like","stream":true}]}})";
         file.parse(text);
         if (t.inherits) {
             listener = net::listen_on(*net::parse_address(name));
--- a/tests/lab.cpp
+++ b/tests/lab.cpp
@@ -300,8 +300,9 @@
 }
 
 TEST_CASE("what all nodes send a cold host stays within its budget, whatever they hear of each other") {
-    for (const char* day : {"cold_hosts", "cold_hosts_deaf", "deaf_then_heard", "heard_one_way", "zone_cut_off_cold",
-                            "stopped_and_woken", "half_restarted", "lossy_and_doubled", "one_cut_from_all_hosts"}) {
+    for (const char* day :
+         {"cold_hosts", "cold_hosts_deaf", "deaf_then_heard", "heard_one_way", "zone_cut_off_cold",
+          "stopped_and_woken", "half_restarted", "lossy_and_doubled", "one_cut_from_all_hosts"}) {
         const Verdict v = play_file(day);
         INFO(day);
         CHECK(v.broken.empty());
@@ -329,7 +330,8 @@
 TEST_CASE("where half of the nodes reach only half of the hosts, few believe the others") {
     std::string trace;
     CHECK(play_file("two_sides_see_other_hosts", &trace).broken.empty());
-    CHECK(count(trace, "found dead by others") <= 24);  // 96 could: 12 nodes of each side, 4 hosts of the other
+    CHECK(count(trace, "found dead by others") <=
+          24);  // 96 could: 12 nodes of each side, 4 hosts of the other
 }
 
 TEST_CASE("a drain notice races a placement") { CHECK(play_file("drain_races_placement").tally.raced > 0); }
--- a/tests/sizes.cpp
+++ b/tests/sizes.cpp
@@ -38,9 +38,8 @@
         told += net::write_some(watch.fd.get(), std::string_view(answer).substr(told)).bytes;
         return told == answer.size();
     }));
-    REQUIRE(town.until([&] {
-        return town.get("/stats").find("\"registry_entries\":1100") != std::string::npos;
-    }));
+    REQUIRE(town.until(
+        [&] { return town.get("/stats").find("\"registry_entries\":1100") != std::string::npos; }));
     for (int i = 0; i < 20; ++i) {
         End c = town.client(town.line()), h = town.setup();
         h.say("UP r\r\n");
@@ -48,7 +47,8 @@
     }
 }
 
-TEST_CASE("nodes 0 and 1,099 of 1,100 place by the reports of 1,100 eps; their records go all over the ring") {
+TEST_CASE(
+    "nodes 0 and 1,099 of 1,100 place by the reports of 1,100 eps; their records go all over the ring") {
     Node first(Node::usual(0, many)), last(Node::usual(many - 1, many));
     std::vector<std::uint32_t> eps;
     for (std::uint32_t i = 0; i < many; ++i) eps.push_back(ep_number(i));
@@ -64,7 +64,9 @@
         to.b->told(1, m.bytes());
     };
     for (auto* n : {&first, &last})
-        tell(*n, [&](peer::Message& m, std::uint32_t ep) { return m.report(ep, true, ep == eps.back() ? 0.1 : 0.5); });
+        tell(*n, [&](peer::Message& m, std::uint32_t ep) {
+            return m.report(ep, true, ep == eps.back() ? 0.1 : 0.5);
+        });
     // The lightest, the last of the list, draws the first tunnel at both ends of the fleet.
     std::set<std::uint32_t> used, heard_by;
     for (std::uint64_t t = 1; t <= 400; ++t)
--- a/tests/stories.cpp
+++ b/tests/stories.cpp
@@ -796,7 +796,9 @@
     CHECK(std::any_of(a.sent.begin(), a.sent.end(), [](const Sent& x) { return x.ep == 7; }));
 }
 
-TEST_CASE("the first calls of many nodes for the list are spread, within the second and a half that the rule leaves") {
+TEST_CASE(
+    "the first calls of many nodes for the list are spread, within the second and a half that the rule "
+    "leaves") {
     std::vector<Tenths> at;
     for (std::uint32_t n = 0; n < 100; ++n) {
         auto terms = Node::usual(n, 100);
@@ -810,7 +812,8 @@
     }
     std::sort(at.begin(), at.end());
     CHECK(at[90] - at[10] > 1 * s);
-    for (std::size_t i = 0; i + 20 < at.size(); ++i) CHECK(at[i + 20] > at[i]);  // never a fifth at one instant
+    for (std::size_t i = 0; i + 20 < at.size(); ++i)
+        CHECK(at[i + 20] > at[i]);  // never a fifth at one instant
 }
 
 TEST_CASE("a keeper tells homes of its own groups, and of no others, before any report has come") {
@@ -975,7 +978,8 @@
         n.open(t);
         // Another node finds it by its key and its group.
         Node& other = nodes[(t + 1) % 3];
-        other.b->arrive(1000 + t, {.key = key, .group = group, .give_up_at = n.now + 3 * s, .mid_flow = true});
+        other.b->arrive(1000 + t,
+                        {.key = key, .group = group, .give_up_at = n.now + 3 * s, .mid_flow = true});
         CHECK(other.last().ep == n.last().ep);
         other.open(1000 + t);
         other.end(1000 + t, Ending::ok, true);
@@ -1011,7 +1015,8 @@
     CHECK(cold_ones < 200);
 }
 
-TEST_CASE("where all that opens is soon cut off, a blind node holds back, uses cold eps, and takes up again") {
+TEST_CASE(
+    "where all that opens is soon cut off, a blind node holds back, uses cold eps, and takes up again") {
     auto terms = mute_groups(0);
     terms.rules.cold = 20 * s;
     terms.rules.cold_from = 0.2;
@@ -1031,8 +1036,10 @@
                 n.open(t);
                 const bool old = n.last().ep <= 30;
                 n.pass(100 * ms);
-                if (old && cut) n.end(t, Ending::broken, true);
-                else n.pass(100 * ms);
+                if (old && cut)
+                    n.end(t, Ending::broken, true);
+                else
+                    n.pass(100 * ms);
             }
             n.pass(100 * ms);
         }
