--- a/example/toy_server.cpp
+++ b/example/example_server.cpp
@@ -1,5 +1,5 @@
 // A toy for trying a node: plays discovery and any number of hosts in one process.
-//     lemonstair_toy DISCOVERY HOST [HOST ...]        each an address and a port
+//     lemonstair_example_server DISCOVERY HOST [HOST ...]        each an address and a port
 // A host opens every tunnel, echoes its lines, and tells as its load how many it holds of ten.
 #include <poll.h>
 #include <sys/socket.h>
@@ -113,7 +113,7 @@
 
 int main(int argc, char** argv) {
     if (argc < 3) {
-        std::cerr << "usage: lemonstair_toy DISCOVERY HOST [HOST ...]\n";
+        std::cerr << "usage: lemonstair_example_server DISCOVERY HOST [HOST ...]\n";
         return 2;
     }
     try {
@@ -122,7 +122,7 @@
         Toy toy(loop, {argv + 1, argv + argc});
         for (;;) loop.turn([] {});
     } catch (const std::exception& e) {
-        std::cerr << "lemonstair_toy: " << e.what() << '\n';
+        std::cerr << "lemonstair_example_server: " << e.what() << '\n';
         return 1;
     }
 }
--- a/src/operators/desk.cpp
+++ b/src/admin/admin_server.cpp
@@ -1,4 +1,4 @@
-#include "operators/desk.h"
+#include "admin/admin_server.h"
 
 #include <poll.h>
 
--- a/src/operators/desk.h
+++ b/src/admin/admin_server.h
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
+#include "admin/routes.h"
 #include "http/request.h"
 #include "log/log.h"
 #include "net/loop.h"
-#include "operators/calls.h"
 
 namespace lemonstair::operators {
 
--- a/src/operators/figures.cpp
+++ b/src/admin/metrics_page.cpp
@@ -1,4 +1,4 @@
-#include "operators/figures.h"
+#include "admin/metrics_page.h"
 
 #include <string_view>
 
--- a/src/operators/figures.h
+++ b/src/admin/metrics_page.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "account/outcomes.h"
+#include "metrics/tunnel_counters.h"
 
 namespace lemonstair::operators {
 
--- a/src/operators/calls.cpp
+++ b/src/admin/routes.cpp
@@ -1,4 +1,4 @@
-#include "operators/calls.h"
+#include "admin/routes.h"
 
 #include <array>
 #include <utility>
--- a/src/balance/balance.cpp
+++ b/src/balance/balance.cpp
@@ -8,7 +8,7 @@
 #include <cmath>
 
 #include "balance/attempt_policy.h"
-#include "balance/carry.h"
+#include "balance/state_codec.h"
 #include "balance/talk.h"
 
 namespace lemonstair {
--- a/src/balance/state.h
+++ b/src/balance/state.h
@@ -16,9 +16,9 @@
 #include "balance/record_table.h"
 #include "balance/ring.h"
 #include "balance/slab.h"
-#include "budget/dealing.h"
-#include "witness/outcomes.h"
-#include "witness/words.h"
+#include "failure_detector/failure_likelihood.h"
+#include "failure_detector/observations.h"
+#include "quota/quota_schedule.h"
 
 namespace lemonstair {
 
--- a/src/balance/carry.h
+++ b/src/balance/state_codec.h
@@ -8,7 +8,7 @@
 #include <string_view>
 
 #include "balance/state.h"
-#include "bytes/bytes.h"
+#include "serialization/binary.h"
 
 namespace lemonstair::carry {
 
--- a/src/config/launch.cpp
+++ b/src/config/node_config.cpp
@@ -1,9 +1,9 @@
-#include "config/launch.h"
+#include "config/node_config.h"
 
 #include <algorithm>
 #include <charconv>
 
-#include "config/terms.h"
+#include "config/settings.h"
 
 namespace lemonstair::config {
 
--- a/src/config/terms.cpp
+++ b/src/config/settings.cpp
@@ -1,4 +1,4 @@
-#include "config/terms.h"
+#include "config/settings.h"
 
 namespace lemonstair::config {
 
--- a/src/config/source.h
+++ b/src/config/source.h
@@ -3,7 +3,7 @@
 
 #include <string>
 
-#include "config/launch.h"
+#include "config/node_config.h"
 #include "json/json.h"
 #include "net/system.h"
 
--- a/src/discovery/http_lines.cpp
+++ b/src/discovery/http_lines.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <charconv>
 
-#include "http/words.h"
+#include "http/headers.h"
 
 namespace lemonstair::discovery {
 
--- a/src/discovery/watch.h
+++ b/src/discovery/watch.h
@@ -5,10 +5,10 @@
 #include <string>
 #include <string_view>
 
-#include "account/costs.h"
 #include "discovery/http_lines.h"
 #include "json/json.h"
 #include "log/log.h"
+#include "metrics/resource_counters.h"
 #include "net/buffer_pool.h"
 #include "net/loop.h"
 #include "net/transfer.h"
--- a/src/witness/words.cpp
+++ b/src/failure_detector/observations.cpp
@@ -1,4 +1,4 @@
-#include "witness/words.h"
+#include "failure_detector/observations.h"
 
 #include <algorithm>
 
--- a/src/stand/operators.cpp
+++ b/src/fakes/admin_client.cpp
@@ -1,4 +1,4 @@
-#include "stand/operators.h"
+#include "fakes/admin_client.h"
 
 #include <utility>
 
--- a/src/stand/operators.h
+++ b/src/fakes/admin_client.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <unordered_map>
 
-#include "stand/town.h"
+#include "fakes/environment.h"
 
 namespace lemonstair::stand {
 
--- a/src/stand/clients.cpp
+++ b/src/fakes/clients.cpp
@@ -1,4 +1,4 @@
-#include "stand/clients.h"
+#include "fakes/clients.h"
 
 #include <algorithm>
 #include <cerrno>
--- a/src/stand/discovery.cpp
+++ b/src/fakes/discovery.cpp
@@ -1,4 +1,4 @@
-#include "stand/discovery.h"
+#include "fakes/discovery.h"
 
 #include <array>
 #include <cstdio>
--- a/src/stand/discovery.h
+++ b/src/fakes/discovery.h
@@ -7,9 +7,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "simnet/chance.h"
-#include "stand/host.h"
-#include "stand/town.h"
+#include "fakes/environment.h"
+#include "fakes/server.h"
+#include "simnet/random_source.h"
 
 namespace lemonstair::stand {
 
--- a/src/stand/town.h
+++ b/src/fakes/environment.h
@@ -7,10 +7,10 @@
 #include <string_view>
 #include <vector>
 
-#include "simnet/agenda.h"
+#include "fakes/execution_log.h"
+#include "simnet/event_queue.h"
 #include "simnet/streams.h"
 #include "simnet/trace.h"
-#include "stand/witness.h"
 
 namespace lemonstair::stand {
 
--- a/src/stand/host.cpp
+++ b/src/fakes/server.cpp
@@ -1,4 +1,4 @@
-#include "stand/host.h"
+#include "fakes/server.h"
 
 #include <algorithm>
 #include <cstdio>
--- a/src/stand/host.h
+++ b/src/fakes/server.h
@@ -9,8 +9,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "simnet/chance.h"
-#include "stand/town.h"
+#include "fakes/environment.h"
+#include "simnet/random_source.h"
 
 namespace lemonstair::stand {
 
--- a/src/probe/prober.cpp
+++ b/src/health_check/health_checker.cpp
@@ -1,4 +1,4 @@
-#include "probe/prober.h"
+#include "health_check/health_checker.h"
 
 #include <poll.h>
 
@@ -7,7 +7,7 @@
 #include <cmath>
 #include <utility>
 
-#include "config/terms.h"
+#include "config/settings.h"
 #include "net/lines.h"
 #include "net/transfer.h"
 
--- a/src/probe/prober.h
+++ b/src/health_check/health_checker.h
@@ -7,10 +7,10 @@
 #include <string_view>
 #include <vector>
 
-#include "account/costs.h"
 #include "balance/balance.h"
-#include "config/launch.h"
+#include "config/node_config.h"
 #include "discovery/hosts.h"
+#include "metrics/resource_counters.h"
 #include "net/buffer_pool.h"
 #include "net/loop.h"
 
--- a/src/handover/line.cpp
+++ b/src/hot_restart/packet_channel.cpp
@@ -1,11 +1,11 @@
-#include "handover/line.h"
+#include "hot_restart/packet_channel.h"
 
 #include <poll.h>
 
 #include <cerrno>
 #include <utility>
 
-#include "handover/packets.h"
+#include "hot_restart/packets.h"
 
 namespace lemonstair::handover {
 
--- a/src/handover/packets.cpp
+++ b/src/hot_restart/packets.cpp
@@ -1,6 +1,6 @@
-#include "handover/packets.h"
+#include "hot_restart/packets.h"
 
-#include "bytes/bytes.h"
+#include "serialization/binary.h"
 
 namespace lemonstair::handover {
 
--- a/src/handover/succession.cpp
+++ b/src/hot_restart/session.cpp
@@ -1,4 +1,4 @@
-#include "handover/succession.h"
+#include "hot_restart/session.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/handover/succession.h
+++ b/src/hot_restart/session.h
@@ -8,9 +8,9 @@
 #include <string_view>
 #include <vector>
 
-#include "handover/course.h"
-#include "handover/line.h"
-#include "handover/packets.h"
+#include "hot_restart/packet_channel.h"
+#include "hot_restart/packets.h"
+#include "hot_restart/state_machine.h"
 #include "log/log.h"
 #include "net/loop.h"
 
--- a/src/handover/course.cpp
+++ b/src/hot_restart/state_machine.cpp
@@ -1,4 +1,4 @@
-#include "handover/course.h"
+#include "hot_restart/state_machine.h"
 
 #include <array>
 
--- a/src/http/words.cpp
+++ b/src/http/headers.cpp
@@ -1,4 +1,4 @@
-#include "http/words.h"
+#include "http/headers.h"
 
 #include <algorithm>
 #include <cctype>
--- a/src/account/costs.cpp
+++ b/src/metrics/resource_counters.cpp
@@ -1,4 +1,4 @@
-#include "account/costs.h"
+#include "metrics/resource_counters.h"
 
 #include <string>
 #include <string_view>
--- a/src/account/costs.h
+++ b/src/metrics/resource_counters.h
@@ -7,8 +7,8 @@
 #include <ostream>
 #include <span>
 
-#include "account/violations.h"
 #include "balance/balance.h"
+#include "metrics/violations.h"
 #include "peer/codec.h"
 
 namespace lemonstair::account {
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -8,7 +8,7 @@
 #include <sstream>
 #include <system_error>
 
-#include "operators/figures.h"
+#include "admin/metrics_page.h"
 
 namespace lemonstair::node {
 
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -7,20 +7,20 @@
 #include <random>
 #include <string_view>
 
-#include "account/costs.h"
+#include "admin/admin_server.h"
 #include "backoff/backoff.h"
 #include "balance/balance.h"
-#include "config/launch.h"
+#include "config/node_config.h"
 #include "discovery/hosts.h"
 #include "discovery/watch.h"
-#include "handover/succession.h"
+#include "health_check/health_checker.h"
+#include "hot_restart/session.h"
 #include "log/log.h"
+#include "metrics/resource_counters.h"
 #include "net/loop.h"
-#include "node/departure.h"
-#include "node/orders.h"
+#include "node/deferred_actions.h"
+#include "node/drain_schedule.h"
 #include "node/peer_link.h"
-#include "operators/desk.h"
-#include "probe/prober.h"
 #include "tunnel/stages.h"
 
 namespace lemonstair::node {
--- a/src/node/peer_link.h
+++ b/src/node/peer_link.h
@@ -5,8 +5,8 @@
 #include <functional>
 #include <span>
 
-#include "account/costs.h"
-#include "config/launch.h"
+#include "config/node_config.h"
+#include "metrics/resource_counters.h"
 #include "net/loop.h"
 
 namespace lemonstair::node {
--- a/src/rig/places.cpp
+++ b/src/process_harness/address_plan.cpp
@@ -1,4 +1,4 @@
-#include "rig/places.h"
+#include "process_harness/address_plan.h"
 
 #include <sys/socket.h>
 #include <unistd.h>
--- a/src/rig/post.cpp
+++ b/src/process_harness/datagram_proxy.cpp
@@ -1,4 +1,4 @@
-#include "rig/post.h"
+#include "process_harness/datagram_proxy.h"
 
 #include <sys/epoll.h>
 #include <sys/socket.h>
--- a/src/rig/post.h
+++ b/src/process_harness/datagram_proxy.h
@@ -7,9 +7,9 @@
 #include <functional>
 #include <vector>
 
-#include "rig/wires.h"
-#include "simnet/chance.h"
+#include "process_harness/stream_proxy.h"
 #include "simnet/datagram_faults.h"
+#include "simnet/random_source.h"
 
 namespace lemonstair::rig {
 
--- a/src/rig/main.cpp
+++ b/src/process_harness/main.cpp
@@ -1,4 +1,4 @@
-// lemonstair_rig: many real processes of the program on the loopback, with faults between them.
+// lemonstair_process_harness: many real processes of the program on the loopback, with faults between them.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <fstream>
@@ -6,8 +6,8 @@
 #include <iostream>
 #include <string>
 
-#include "lab/runner.h"
-#include "rig/field.h"
+#include "process_harness/process_harness.h"
+#include "simulation/runner.h"
 
 namespace {
 
@@ -58,7 +58,7 @@
     std::ofstream json;
     if (!wish.json.empty()) json.open(wish.json, std::ios::app);
     if (!wish.json.empty() && !json) {
-        std::cerr << "lemonstair_rig: '" << wish.json << "' cannot be written\n";
+        std::cerr << "lemonstair_process_harness: '" << wish.json << "' cannot be written\n";
         return wrong_use;
     }
     int worst = kept;
@@ -69,7 +69,7 @@
         if (json.is_open()) json << rig::json_of(o) << std::flush;
         tell(wish, o);
         if (!o.broken.empty()) {
-            std::cout << "  again: lemonstair_rig run --day " << wish.day << " --seeds " << seed
+            std::cout << "  again: lemonstair_process_harness run --day " << wish.day << " --seeds " << seed
                       << " --nodes " << day.nodes << " --program " << wish.program << '\n';
             worst = std::max(worst, o.can_tell() ? broken : worst == broken ? broken : too_busy);
             if (o.can_tell()) worst = broken;
@@ -87,7 +87,7 @@
     CLI::App app{"Plays days on many real processes of the program, with faults between them."};
     app.footer(
         "Exit status: 0 all rules kept; 1 a rule broken; 2 wrong use; 3 the machine was too busy to tell.\n"
-        "  lemonstair_rig run --day tests/days/cold_hosts.toml --program build/lemonstair --nodes 60");
+        "  lemonstair_process_harness run --day tests/scenarios/cold_hosts.toml --program build/lemonstair --nodes 60");
     app.require_subcommand(1);
     Options wish;
     auto* command = app.add_subcommand("run", "Plays a day in real time");
@@ -111,10 +111,10 @@
     } catch (const CLI::ParseError& e) {
         return app.exit(e) == 0 ? kept : wrong_use;
     } catch (const lab::BadDay& e) {
-        std::cerr << "lemonstair_rig: " << e.what() << '\n';
+        std::cerr << "lemonstair_process_harness: " << e.what() << '\n';
         return wrong_use;
     } catch (const std::exception& e) {
-        std::cerr << "lemonstair_rig: " << e.what() << '\n';
+        std::cerr << "lemonstair_process_harness: " << e.what() << '\n';
         return wrong_use;
     }
 }
--- a/src/rig/process.cpp
+++ b/src/process_harness/process.cpp
@@ -1,4 +1,4 @@
-#include "rig/process.h"
+#include "process_harness/process.h"
 
 #include <fcntl.h>
 #include <signal.h>
--- a/src/rig/field.cpp
+++ b/src/process_harness/process_harness.cpp
@@ -1,4 +1,4 @@
-#include "rig/field.h"
+#include "process_harness/process_harness.h"
 
 #include <sys/resource.h>
 
@@ -7,10 +7,10 @@
 #include <memory>
 #include <sstream>
 
-#include "lab/stage.h"
-#include "rig/post.h"
-#include "rig/process.h"
-#include "rig/wires.h"
+#include "process_harness/datagram_proxy.h"
+#include "process_harness/process.h"
+#include "process_harness/stream_proxy.h"
+#include "simulation/fixture.h"
 
 namespace lemonstair::rig {
 
--- a/src/rig/field.h
+++ b/src/process_harness/process_harness.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "lab/day.h"
-#include "lab/rules.h"
-#include "stand/clients.h"
+#include "fakes/clients.h"
+#include "simulation/invariants.h"
+#include "simulation/scenario.h"
 
 namespace lemonstair::rig {
 
--- a/src/rig/wires.cpp
+++ b/src/process_harness/stream_proxy.cpp
@@ -1,4 +1,4 @@
-#include "rig/wires.h"
+#include "process_harness/stream_proxy.h"
 
 #include <poll.h>
 #include <sys/socket.h>
--- a/src/rig/wires.h
+++ b/src/process_harness/stream_proxy.h
@@ -15,7 +15,7 @@
 #include <vector>
 
 #include "net/kernel.h"
-#include "rig/places.h"
+#include "process_harness/address_plan.h"
 #include "simnet/streams.h"
 
 namespace lemonstair::rig {
--- a/src/budget/dealing.cpp
+++ b/src/quota/quota_schedule.cpp
@@ -1,4 +1,4 @@
-#include "budget/dealing.h"
+#include "quota/quota_schedule.h"
 
 #include <algorithm>
 
--- a/src/simnet/nearby.cpp
+++ b/src/simnet/local_socket.cpp
@@ -1,4 +1,4 @@
-#include "simnet/nearby.h"
+#include "simnet/local_socket.h"
 
 #include <utility>
 
--- a/src/simnet/network.h
+++ b/src/simnet/network.h
@@ -14,9 +14,9 @@
 #include <vector>
 
 #include "net/transfer.h"
-#include "simnet/agenda.h"
-#include "simnet/chance.h"
 #include "simnet/datagram_faults.h"
+#include "simnet/event_queue.h"
+#include "simnet/random_source.h"
 #include "simnet/streams.h"
 #include "simnet/trace.h"
 
--- a/src/simnet/process.h
+++ b/src/simnet/process.h
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "net/system.h"
-#include "simnet/nearby.h"
+#include "simnet/local_socket.h"
 #include "simnet/network.h"
 
 namespace lemonstair::simnet {
--- a/src/simnet/streams.h
+++ b/src/simnet/streams.h
@@ -8,7 +8,7 @@
 #include <string_view>
 
 #include "net/transfer.h"
-#include "simnet/agenda.h"
+#include "simnet/event_queue.h"
 
 namespace lemonstair::simnet {
 
--- a/src/lab/stage.cpp
+++ b/src/simulation/fixture.cpp
@@ -1,4 +1,4 @@
-#include "lab/stage.h"
+#include "simulation/fixture.h"
 
 #include <algorithm>
 
--- a/src/lab/stage.h
+++ b/src/simulation/fixture.h
@@ -6,10 +6,10 @@
 #include <string>
 #include <vector>
 
-#include "lab/day.h"
-#include "lab/rules.h"
+#include "fakes/discovery.h"
 #include "simnet/datagram_faults.h"
-#include "stand/discovery.h"
+#include "simulation/invariants.h"
+#include "simulation/scenario.h"
 
 namespace lemonstair::lab {
 
--- a/src/lab/rules.cpp
+++ b/src/simulation/invariants.cpp
@@ -1,4 +1,4 @@
-#include "lab/rules.h"
+#include "simulation/invariants.h"
 
 #include <algorithm>
 #include <charconv>
--- a/src/lab/rules.h
+++ b/src/simulation/invariants.h
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "lab/day.h"
-#include "lab/ledger.h"
-#include "stand/town.h"
+#include "fakes/environment.h"
+#include "simulation/ledger.h"
+#include "simulation/scenario.h"
 
 namespace lemonstair::lab {
 
--- a/src/lab/ledger.cpp
+++ b/src/simulation/ledger.cpp
@@ -1,4 +1,4 @@
-#include "lab/ledger.h"
+#include "simulation/ledger.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/lab/ledger.h
+++ b/src/simulation/ledger.h
@@ -5,7 +5,7 @@
 #include <cstdint>
 #include <vector>
 
-#include "simnet/agenda.h"
+#include "simnet/event_queue.h"
 
 namespace lemonstair::lab {
 
--- a/src/lab/main.cpp
+++ b/src/simulation/main.cpp
@@ -1,4 +1,4 @@
-// lemonstair_lab: the node on simulated machines, against faults drawn from a seed or written as a day.
+// lemonstair_simulation: the node on simulated machines, against faults drawn from a seed or written as a day.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -12,8 +12,8 @@
 #include <string>
 #include <thread>
 
-#include "lab/runner.h"
-#include "lab/shrink.h"
+#include "simulation/runner.h"
+#include "simulation/shrink.h"
 
 namespace {
 
@@ -81,7 +81,7 @@
     std::ofstream json;
     if (!wish.json.empty()) json.open(wish.json);
     if (!wish.json.empty() && !json) {
-        std::cerr << "lemonstair_lab: '" << wish.json << "' cannot be written\n";
+        std::cerr << "lemonstair_simulation: '" << wish.json << "' cannot be written\n";
         return wrong_use;
     }
     const auto begin = std::chrono::steady_clock::now();
@@ -121,7 +121,7 @@
     for (const auto& [rule, row] : rules)
         std::cout << rule << ": broken first in " << row.first << " days, seeds" << row.second
                   << (row.first > 8 ? " ..." : "") << '\n';
-    std::cout << "next: lemonstair_lab shrink SEED, or lemonstair_lab replay SEED --trace FILE\n";
+    std::cout << "next: lemonstair_simulation shrink SEED, or lemonstair_simulation replay SEED --trace FILE\n";
     return broken;
 }
 
@@ -137,7 +137,7 @@
     std::ofstream trace;
     if (!wish.trace.empty()) trace.open(wish.trace);
     if (!wish.trace.empty() && !trace) {
-        std::cerr << "lemonstair_lab: '" << wish.trace << "' cannot be written\n";
+        std::cerr << "lemonstair_simulation: '" << wish.trace << "' cannot be written\n";
         return wrong_use;
     }
     const Verdict v = lab::play(day, wish.trace.empty() ? nullptr : &trace);
@@ -176,12 +176,12 @@
         std::ofstream file(out);
         file << text;
         if (!file.flush()) {
-            std::cerr << "lemonstair_lab: '" << out << "' cannot be written\n";
+            std::cerr << "lemonstair_simulation: '" << out << "' cannot be written\n";
             return wrong_use;
         }
         std::cout << "'" << v.rule() << "' still breaks with " << small.day.faults.size() << " of "
                   << day.faults.size() << " faults and " << small.day.members << " members; the day is in "
-                  << out << "\nnext: lemonstair_lab replay --day " << out << " --trace FILE\n";
+                  << out << "\nnext: lemonstair_simulation replay --day " << out << " --trace FILE\n";
     }
     return broken;
 }
@@ -201,7 +201,7 @@
     std::cout << "\nRules:\n";
     for (const auto& r : lab::rule_rows())
         std::cout << "  " << std::left << std::setw(14) << r.name << r.says << '\n';
-    std::cout << "\nA day with all its keys (lemonstair_lab list --day prints the one of a seed):\n";
+    std::cout << "\nA day with all its keys (lemonstair_simulation list --day prints the one of a seed):\n";
     return kept;
 }
 
@@ -212,9 +212,9 @@
         "Plays days of simulated faults on the product's own node, and judges its rules on the wire."};
     app.footer(
         "Exit status: 0 all rules kept; 1 a rule broken, named with its seeds; 2 wrong use.\n"
-        "  lemonstair_lab run --seeds 1..10000\n"
-        "  lemonstair_lab replay 42 --trace day42.txt\n"
-        "  lemonstair_lab shrink 42 --out small.toml && lemonstair_lab replay --day small.toml");
+        "  lemonstair_simulation run --seeds 1..10000\n"
+        "  lemonstair_simulation replay 42 --trace day42.txt\n"
+        "  lemonstair_simulation shrink 42 --out small.toml && lemonstair_simulation replay --day small.toml");
     app.require_subcommand(1);
     RunWish run_wish;
     ReplayWish one;
@@ -266,7 +266,7 @@
     } catch (const CLI::ParseError& e) {
         return app.exit(e) == 0 ? kept : wrong_use;
     } catch (const std::exception& e) {
-        std::cerr << "lemonstair_lab: " << e.what() << '\n';
+        std::cerr << "lemonstair_simulation: " << e.what() << '\n';
         return wrong_use;
     }
 }
--- a/src/lab/runner.cpp
+++ b/src/simulation/runner.cpp
@@ -1,4 +1,4 @@
-#include "lab/runner.h"
+#include "simulation/runner.h"
 
 #include <atomic>
 #include <charconv>
--- a/src/lab/runner.h
+++ b/src/simulation/runner.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/world.h"
+#include "simulation/simulation.h"
 
 namespace lemonstair::lab {
 
--- a/src/lab/day.cpp
+++ b/src/simulation/scenario.cpp
@@ -1,4 +1,4 @@
-#include "lab/day.h"
+#include "simulation/scenario.h"
 
 #include <toml++/toml.h>
 
@@ -7,7 +7,7 @@
 #include <fstream>
 #include <sstream>
 
-#include "simnet/chance.h"
+#include "simnet/random_source.h"
 
 namespace lemonstair::lab {
 
--- a/src/lab/day.h
+++ b/src/simulation/scenario.h
@@ -8,9 +8,9 @@
 #include <string_view>
 #include <vector>
 
+#include "fakes/clients.h"
+#include "fakes/server.h"
 #include "simnet/network.h"
-#include "stand/clients.h"
-#include "stand/host.h"
 
 namespace lemonstair::lab {
 
--- a/src/lab/shrink.cpp
+++ b/src/simulation/shrink.cpp
@@ -1,4 +1,4 @@
-#include "lab/shrink.h"
+#include "simulation/shrink.h"
 
 #include <algorithm>
 #include <vector>
--- a/src/lab/shrink.h
+++ b/src/simulation/shrink.h
@@ -4,7 +4,7 @@
 #include <functional>
 #include <string>
 
-#include "lab/world.h"
+#include "simulation/simulation.h"
 
 namespace lemonstair::lab {
 
--- a/src/lab/world.cpp
+++ b/src/simulation/simulation.cpp
@@ -1,4 +1,4 @@
-#include "lab/world.h"
+#include "simulation/simulation.h"
 
 #include <algorithm>
 #include <csignal>
@@ -7,10 +7,10 @@
 #include <utility>
 
 #include "config/source.h"
-#include "lab/stage.h"
-#include "simnet/nearby.h"
+#include "fakes/admin_client.h"
+#include "simnet/local_socket.h"
 #include "simnet/process.h"
-#include "stand/operators.h"
+#include "simulation/fixture.h"
 
 namespace lemonstair::lab {
 
--- a/src/simhost/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "balance/balance.h"
-#include "config/terms.h"
+#include "config/settings.h"
 #include "json/json.h"
 
 namespace {
@@ -304,7 +304,7 @@
         if (end > 0) throw Malformed("input ends within a line");
         if (adapter.in_batch()) throw Malformed("input ends within a batch");
     } catch (const std::exception& e) {
-        std::fprintf(stderr, "lemonstair_simhost: line %zu: %s\n", number, e.what());
+        std::fprintf(stderr, "lemonstair_simulator_adapter: line %zu: %s\n", number, e.what());
         return 1;
     }
     return 0;
--- a/src/soak/main.cpp
+++ b/src/soak/main.cpp
@@ -11,10 +11,10 @@
 #include <map>
 #include <string>
 
-#include "account/violations.h"
-#include "lab/runner.h"
-#include "rig/field.h"
-#include "soak/soak_day.h"
+#include "metrics/violations.h"
+#include "process_harness/process_harness.h"
+#include "simulation/runner.h"
+#include "soak/soak_scenario.h"
 
 namespace {
 
--- a/src/soak/soak_day.cpp
+++ b/src/soak/soak_scenario.cpp
@@ -1,9 +1,9 @@
-#include "soak/soak_day.h"
+#include "soak/soak_scenario.h"
 
 #include <algorithm>
 #include <array>
 
-#include "simnet/chance.h"
+#include "simnet/random_source.h"
 
 namespace lemonstair::soak {
 
--- a/src/soak/soak_day.h
+++ b/src/soak/soak_scenario.h
@@ -4,7 +4,7 @@
 
 #include <cstdint>
 
-#include "lab/day.h"
+#include "simulation/scenario.h"
 #include "soak/fault_plan.h"
 
 namespace lemonstair::soak {
--- a/src/tunnel/take_in.cpp
+++ b/src/tunnel/acceptor.cpp
@@ -1,4 +1,4 @@
-#include "tunnel/take_in.h"
+#include "tunnel/acceptor.h"
 
 #include <poll.h>
 
@@ -9,7 +9,7 @@
 
 #include "net/lines.h"
 #include "net/transfer.h"
-#include "tunnel/opening.h"
+#include "tunnel/request_line.h"
 
 namespace lemonstair::tunnel {
 
--- a/src/tunnel/take_in.h
+++ b/src/tunnel/acceptor.h
@@ -4,9 +4,9 @@
 #include <string_view>
 
 #include "balance/attempt_policy.h"
-#include "tunnel/admit.h"
-#include "tunnel/book.h"
-#include "tunnel/floor.h"
+#include "tunnel/admission.h"
+#include "tunnel/completion.h"
+#include "tunnel/tunnel_registry.h"
 
 namespace lemonstair::tunnel {
 
--- a/src/tunnel/admit.cpp
+++ b/src/tunnel/admission.cpp
@@ -1,10 +1,10 @@
-#include "tunnel/admit.h"
+#include "tunnel/admission.h"
 
 #include <poll.h>
 
 #include <algorithm>
 
-#include "probe/prober.h"
+#include "health_check/health_checker.h"
 
 namespace lemonstair::tunnel {
 
--- a/src/tunnel/admit.h
+++ b/src/tunnel/admission.h
@@ -3,9 +3,9 @@
 
 #include <string_view>
 
-#include "tunnel/book.h"
-#include "tunnel/floor.h"
-#include "tunnel/route.h"
+#include "tunnel/completion.h"
+#include "tunnel/dispatcher.h"
+#include "tunnel/tunnel_registry.h"
 
 namespace lemonstair::tunnel {
 
--- a/src/tunnel/send.cpp
+++ b/src/tunnel/attempt.cpp
@@ -1,4 +1,4 @@
-#include "tunnel/send.h"
+#include "tunnel/attempt.h"
 
 #include <poll.h>
 
@@ -9,7 +9,7 @@
 #include "balance/attempt_policy.h"
 #include "net/lines.h"
 #include "net/transfer.h"
-#include "tunnel/opening.h"
+#include "tunnel/request_line.h"
 
 namespace lemonstair::tunnel {
 
--- a/src/tunnel/book.cpp
+++ b/src/tunnel/completion.cpp
@@ -1,4 +1,4 @@
-#include "tunnel/book.h"
+#include "tunnel/completion.h"
 
 #include <poll.h>
 
--- a/src/tunnel/book.h
+++ b/src/tunnel/completion.h
@@ -3,7 +3,7 @@
 
 #include <string_view>
 
-#include "tunnel/floor.h"
+#include "tunnel/tunnel_registry.h"
 
 namespace lemonstair::tunnel {
 
--- a/src/tunnel/route.cpp
+++ b/src/tunnel/dispatcher.cpp
@@ -1,4 +1,4 @@
-#include "tunnel/route.h"
+#include "tunnel/dispatcher.h"
 
 namespace lemonstair::tunnel {
 
--- a/src/tunnel/route.h
+++ b/src/tunnel/dispatcher.h
@@ -1,10 +1,10 @@
 // Route: carries the module's word to the next stage: a setup at a host, a final answer, a move.
 #pragma once
 
-#include "tunnel/book.h"
-#include "tunnel/floor.h"
+#include "tunnel/attempt.h"
+#include "tunnel/completion.h"
 #include "tunnel/relay.h"
-#include "tunnel/send.h"
+#include "tunnel/tunnel_registry.h"
 
 namespace lemonstair::tunnel {
 
--- a/src/tunnel/relay.h
+++ b/src/tunnel/relay.h
@@ -5,8 +5,8 @@
 #include <string_view>
 #include <vector>
 
-#include "tunnel/book.h"
-#include "tunnel/floor.h"
+#include "tunnel/completion.h"
+#include "tunnel/tunnel_registry.h"
 
 namespace lemonstair::tunnel {
 
--- a/src/tunnel/opening.cpp
+++ b/src/tunnel/request_line.cpp
@@ -1,4 +1,4 @@
-#include "tunnel/opening.h"
+#include "tunnel/request_line.h"
 
 #include <algorithm>
 #include <array>
--- a/src/tunnel/stages.h
+++ b/src/tunnel/stages.h
@@ -2,14 +2,14 @@
 // tunnel's sockets and timers goes to the stage that its state names.
 #pragma once
 
-#include "tunnel/admit.h"
-#include "tunnel/book.h"
-#include "tunnel/carry.h"
-#include "tunnel/floor.h"
+#include "tunnel/acceptor.h"
+#include "tunnel/admission.h"
+#include "tunnel/attempt.h"
+#include "tunnel/completion.h"
+#include "tunnel/dispatcher.h"
 #include "tunnel/relay.h"
-#include "tunnel/route.h"
-#include "tunnel/send.h"
-#include "tunnel/take_in.h"
+#include "tunnel/transfer.h"
+#include "tunnel/tunnel_registry.h"
 
 namespace lemonstair::tunnel {
 
--- a/src/tunnel/carry.cpp
+++ b/src/tunnel/transfer.cpp
@@ -1,8 +1,8 @@
-#include "tunnel/carry.h"
+#include "tunnel/transfer.h"
 
 #include <utility>
 
-#include "bytes/bytes.h"
+#include "serialization/binary.h"
 
 namespace lemonstair::tunnel {
 
--- a/src/tunnel/carry.h
+++ b/src/tunnel/transfer.h
@@ -5,8 +5,8 @@
 #include <string>
 #include <string_view>
 
-#include "tunnel/floor.h"
 #include "tunnel/relay.h"
+#include "tunnel/tunnel_registry.h"
 
 namespace lemonstair::tunnel {
 
--- a/src/tunnel/tunnel.h
+++ b/src/tunnel/tunnel.h
@@ -5,8 +5,8 @@
 #include <cstdint>
 #include <string_view>
 
-#include "account/outcomes.h"
 #include "balance/balance.h"
+#include "metrics/tunnel_counters.h"
 #include "net/buffer_pool.h"
 #include "net/loop.h"
 
--- a/src/tunnel/floor.cpp
+++ b/src/tunnel/tunnel_registry.cpp
@@ -1,4 +1,4 @@
-#include "tunnel/floor.h"
+#include "tunnel/tunnel_registry.h"
 
 #include <array>
 
--- a/src/tunnel/floor.h
+++ b/src/tunnel/tunnel_registry.h
@@ -6,14 +6,14 @@
 #include <cstdint>
 #include <limits>
 
-#include "account/costs.h"
-#include "account/outcomes.h"
 #include "balance/balance.h"
 #include "balance/id_index.h"
 #include "balance/slab.h"
-#include "config/launch.h"
+#include "config/node_config.h"
 #include "discovery/hosts.h"
 #include "log/log.h"
+#include "metrics/resource_counters.h"
+#include "metrics/tunnel_counters.h"
 #include "net/buffer_pool.h"
 #include "net/loop.h"
 #include "tunnel/tunnel.h"
--- a/tests/codec.cpp
+++ b/tests/codec.cpp
@@ -5,7 +5,7 @@
 #include <sstream>
 #include <vector>
 
-#include "account/costs.h"
+#include "metrics/resource_counters.h"
 
 namespace {
 struct Heard final : lemonstair::peer::Listener {
--- a/tests/dealing.cpp
+++ b/tests/dealing.cpp
@@ -1,5 +1,5 @@
 // Budgets dealt out in slots: stories of one share, and a checker that explores the dealing whole.
-#include "budget/dealing.h"
+#include "quota/quota_schedule.h"
 
 #define XXH_INLINE_ALL
 #include <doctest/doctest.h>
--- a/tests/fake.h
+++ b/tests/fake.h
@@ -21,7 +21,7 @@
 #include <vector>
 
 #include "balance/balance.h"
-#include "config/launch.h"
+#include "config/node_config.h"
 #include "json/json.h"
 #include "log/log.h"
 #include "net/fd.h"
--- a/tests/handover.cpp
+++ b/tests/handover.cpp
@@ -5,8 +5,8 @@
 #include <csignal>
 
 #include "fake.h"
-#include "handover/course.h"
-#include "handover/packets.h"
+#include "hot_restart/packets.h"
+#include "hot_restart/state_machine.h"
 
 using namespace fake;
 using handover::Event;
--- a/tests/lab.cpp
+++ b/tests/lab.cpp
@@ -1,5 +1,5 @@
 // Stories of the lab: its network, its days, its rules. The days of the failures that operators fear are in
-// tests/days/; each is played here, and the story says that what it is about did happen.
+// tests/scenarios/; each is played here, and the story says that what it is about did happen.
 #include <doctest/doctest.h>
 
 #include <cerrno>
@@ -7,9 +7,9 @@
 #include <fstream>
 #include <sstream>
 
-#include "lab/runner.h"
-#include "lab/shrink.h"
 #include "simnet/process.h"
+#include "simulation/runner.h"
+#include "simulation/shrink.h"
 #include "spoilt.h"
 
 using namespace lemonstair;
@@ -63,7 +63,7 @@
 
 Verdict play_file(const std::string& name, std::string* trace = nullptr) {
     std::ostringstream out;
-    const Verdict v = lab::play(lab::read_day(std::string(LEMONSTAIR_DAYS) + "/" + name + ".toml"), &out);
+    const Verdict v = lab::play(lab::read_day(std::string(LEMONSTAIR_SCENARIOS) + "/" + name + ".toml"), &out);
     for (const auto& b : v.broken) MESSAGE(name << " " << b.at << ": " << b.rule << ": " << b.what);
     CHECK(v.broken.empty());
     CHECK(v.tally.opened > 0);
--- a/tests/operators.cpp
+++ b/tests/operators.cpp
@@ -5,9 +5,9 @@
 #include <chrono>
 #include <csignal>
 
+#include "admin/routes.h"
 #include "fake.h"
 #include "http/request.h"
-#include "operators/calls.h"
 
 using namespace fake;
 
--- a/tests/parsers.cpp
+++ b/tests/parsers.cpp
@@ -1,12 +1,12 @@
 // The project's own parsers: cut at every byte, and on what they must refuse.
 #include <doctest/doctest.h>
 
-#include "config/launch.h"
+#include "config/node_config.h"
 #include "discovery/hosts.h"
 #include "discovery/http_lines.h"
 #include "fake.h"
-#include "probe/prober.h"
-#include "tunnel/opening.h"
+#include "health_check/health_checker.h"
+#include "tunnel/request_line.h"
 
 using namespace fake;
 
--- a/tests/spoilt.h
+++ b/tests/spoilt.h
@@ -10,9 +10,9 @@
 #include <utility>
 #include <vector>
 
-#include "handover/packets.h"
-#include "lab/world.h"
+#include "hot_restart/packets.h"
 #include "peer/codec.h"
+#include "simulation/simulation.h"
 
 namespace spoilt {
 
--- a/tests/witness.cpp
+++ b/tests/witness.cpp
@@ -5,10 +5,10 @@
 #include <numeric>
 #include <random>
 
+#include "failure_detector/failure_likelihood.h"
+#include "failure_detector/observations.h"
 #include "fake.h"
 #include "peer/codec.h"
-#include "witness/outcomes.h"
-#include "witness/words.h"
 
 using namespace fake;
 using witness::nobody;
--- a/tools/upgrades.py
+++ b/tools/upgrades.py
@@ -3,7 +3,7 @@
 
 Plays the platform: holds the clients' listening socket, starts `lemonstair` with it as descriptor 5, and again and
 again a new process beside the old one, which has SIGTERM once the new one says yes and SIGKILL 3.7 s later. Clients
-come all the time, open tunnels through `lemonstair_toy`, and talk. Counts what an upgrade must not bring: connections
+come all the time, open tunnels through `lemonstair_example_server`, and talk. Counts what an upgrade must not bring: connections
 refused, reset, or left without an answer, and lines lost. Bounded in time; binds to 127.0.0.0/8 alone; ends what it
 started. Exit status: 0 none noticed, 1 some did, 2 wrong use.
 
@@ -71,7 +71,7 @@
 
     def start_toy(self):
         addresses = [f"{self.ports.host}:{p}" for p in self.toy_ports]
-        toy = self.run([os.path.join(self.build, "lemonstair_toy")] + addresses)
+        toy = self.run([os.path.join(self.build, "lemonstair_example_server")] + addresses)
         begun = time.monotonic()
         while True:
             try:
@@ -79,7 +79,7 @@
                 return
             except OSError:
                 if toy.poll() is not None or time.monotonic() - begun > 6:
-                    sys.exit("lemonstair_toy does not listen; its log is above")
+                    sys.exit("lemonstair_example_server does not listen; its log is above")
                 time.sleep(0.01)
 
     def start_node(self):
@@ -212,7 +212,7 @@
 
 def main():
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    parser.add_argument("build", help="the folder with lemonstair and lemonstair_toy")
+    parser.add_argument("build", help="the folder with lemonstair and lemonstair_example_server")
     parser.add_argument("--upgrades", type=int, default=10)
     parser.add_argument("--rate", type=float, default=100, help="clients a second")
     parser.add_argument("--pause", type=float, default=0.3, help="seconds between upgrades")
