--- a/example/example_server.cpp
+++ b/example/example_server.cpp
@@ -22,9 +22,9 @@
 using lemonstair::net::Address;
 namespace net = lemonstair::net;
 
-class Toy final : public net::Waiter {
+class Toy final : public net::EventHandler {
   public:
-    Toy(net::Loop& loop, const std::vector<std::string>& names) : loop_(loop), open_(names.size()) {
+    Toy(net::EventLoop& loop, const std::vector<std::string>& names) : loop_(loop), open_(names.size()) {
         for (const auto& name : names) {
             const auto at = net::parse_address(name);
             if (!at) throw std::invalid_argument("'" + name + "' is not an address and a port");
@@ -60,7 +60,7 @@
     }
 
   private:
-    static constexpr net::Tenths sign_every = 20000;
+    static constexpr net::Ticks sign_every = 20000;
     struct Line {
         net::Socket socket;
         std::size_t door = 0;
@@ -101,7 +101,7 @@
         std::cout << "toy-" << from.door << " opens " << line << std::flush;
         return say(from, "UP toy-" + std::to_string(from.door) + "\r\n");
     }
-    net::Loop& loop_;
+    net::EventLoop& loop_;
     std::vector<int> open_;  // tunnels, by door
     std::vector<net::Socket> doors_;
     std::string members_;
@@ -118,7 +118,7 @@
     }
     try {
         net::Kernel kernel;
-        net::Loop loop(kernel);
+        net::EventLoop loop(kernel);
         Toy toy(loop, {argv + 1, argv + argc});
         for (;;) loop.turn([] {});
     } catch (const std::exception& e) {
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -7,34 +7,35 @@
 #include <cerrno>
 #include <utility>
 
-namespace lemonstair::operators {
+namespace lemonstair::admin {
 
 namespace {
 
-using net::Tenths;
+using net::Ticks;
 
 // Who has not said its call, taken its answer or ended by then goes; looked after in such steps.
-constexpr Tenths longest_call = 20000, longest_answer = 20000, longest_leaving = 5000, look_every = 2500;
-constexpr Tenths moment_to_log = 100000, rest_for = 200, moment_to_speak = 200, moment_to_go_on = 50;
+constexpr Ticks longest_call = 20000, longest_answer = 20000, longest_leaving = 5000, look_every = 2500;
+constexpr Ticks moment_to_log = 100000, rest_for = 200, moment_to_speak = 200, moment_to_go_on = 50;
 // Of who came before there was a crowd: the network may be slow for it.
-constexpr Tenths moment_before_crowd = 600;
+constexpr Ticks moment_before_crowd = 600;
 enum Timer : std::uint64_t { look_timer, rest_timer };
 constexpr int accepts_a_pass = 64, reads_a_pass = 4;
 constexpr std::uint64_t listener_token = ~std::uint64_t{0};
 
 }  // namespace
 
-void Desk::open(const net::Address& at, std::size_t callers) {
+void AdminServer::open(const net::Address& at, std::size_t callers) {
     callers_.resize(callers);
     net::Fd listener = loop_.system().listen_on(at);
     loop_.system().will_hear_only_who_speaks(listener.get());
-    listener_ = net::Socket(loop_, std::move(listener), POLLIN, *this, listener_token, net::Turn::first);
+    listener_ =
+        net::Socket(loop_, std::move(listener), POLLIN, *this, listener_token, net::EventPriority::first);
     loop_.set_aside(callers);
 }
 
-void Desk::ready(std::uint64_t token, short) {
+void AdminServer::ready(std::uint64_t token, short) {
     if (token == listener_token) return accept();
-    Caller& caller = callers_[static_cast<std::uint32_t>(token)];
+    Connection& caller = callers_[static_cast<std::uint32_t>(token)];
     switch (caller.state) {
         case State::away:
             return;
@@ -48,7 +49,7 @@
 }
 
 // One function for all changes of a caller's state.
-void Desk::go(Caller& caller, State to) {
+void AdminServer::go(Connection& caller, State to) {
     const bool was_here = caller.state != State::away, is_here = to != State::away;
     if (is_here != was_here) {
         here_ += is_here ? 1 : std::size_t{0} - 1;
@@ -63,15 +64,16 @@
     caller.answer.clear();
 }
 
-void Desk::accept() {
+void AdminServer::accept() {
     for (int i = 0; i < accepts_a_pass; ++i) {
         if (here_ == callers_.size() && !make_room()) return;
         net::Fd fd = listener_.accept();
         if (!fd.open()) return net::none_left(errno) ? rest(rest_for) : void();
         const auto place = std::find_if(callers_.begin(), callers_.end(),
-                                        [](const Caller& c) { return c.state == State::away; });
-        place->socket = net::Socket(loop_, std::move(fd), POLLIN, *this,
-                                    static_cast<std::uint64_t>(place - callers_.begin()), net::Turn::first);
+                                        [](const Connection& c) { return c.state == State::away; });
+        place->socket =
+            net::Socket(loop_, std::move(fd), POLLIN, *this,
+                        static_cast<std::uint64_t>(place - callers_.begin()), net::EventPriority::first);
         place->before_crowd = 2 * here_ < callers_.size();
         go(*place, State::calling);
         if (!std::exchange(watched_, true)) loop_.at(loop_.now() + look_every, *this, look_timer);
@@ -80,7 +82,7 @@
 }
 
 // Guards against spinning on a caller for whom the system has no descriptor.
-void Desk::rest(Tenths span) {
+void AdminServer::rest(Ticks span) {
     listener_.wait_for(0);
     loop_.at(loop_.now() + span, *this, rest_timer);
 }
@@ -88,20 +90,20 @@
 // Guards against callers that come by thousands and say nothing, or half a call: who has been here longest
 // goes; first who has had its answer, then who has said half a call, then who has said nothing, each after a
 // moment in which the rest may be on its way: until then the next ones wait. Who takes its answer goes last.
-bool Desk::make_room() {
-    const auto rank = [](const Caller& c) {
+bool AdminServer::make_room() {
+    const auto rank = [](const Connection& c) {
         return c.state == State::leaving ? 0 : c.state == State::told ? 3 : c.request.untouched() ? 2 : 1;
     };
-    const auto moment_of = [&](const Caller& c) -> Tenths {
+    const auto moment_of = [&](const Connection& c) -> Ticks {
         if (rank(c) >= 2) return c.before_crowd ? moment_before_crowd : moment_to_speak;
         return rank(c) == 1 ? moment_to_go_on : 0;
     };
-    const auto gives_way = [&](const Caller& a, const Caller& b) {
+    const auto gives_way = [&](const Connection& a, const Connection& b) {
         return rank(a) != rank(b) ? rank(a) < rank(b) : a.since + moment_of(a) < b.since + moment_of(b);
     };
-    Caller& oldest = *std::min_element(callers_.begin(), callers_.end(), gives_way);
-    const Tenths age = loop_.now() - oldest.since;
-    const Tenths moment = moment_of(oldest);
+    Connection& oldest = *std::min_element(callers_.begin(), callers_.end(), gives_way);
+    const Ticks age = loop_.now() - oldest.since;
+    const Ticks moment = moment_of(oldest);
     if (age < moment) return rest(moment - age), false;
     ++turned_away_;
     if (loop_.now() - logged_at_ > moment_to_log) {
@@ -113,7 +115,7 @@
     return true;
 }
 
-void Desk::hear(Caller& caller) {
+void AdminServer::hear(Connection& caller) {
     std::array<char, 4096> bytes;
     for (int i = 0; i < reads_a_pass; ++i) {
         const auto got = caller.socket.read(bytes);
@@ -126,13 +128,13 @@
     }
 }
 
-void Desk::tell(Caller& caller, std::string&& text) {
+void AdminServer::tell(Connection& caller, std::string&& text) {
     caller.answer = std::move(text);
     go(caller, State::told);
     write(caller);
 }
 
-void Desk::write(Caller& caller) {
+void AdminServer::write(Connection& caller) {
     const auto sent = caller.socket.write(caller.answer);
     if (sent.error != 0) return go(caller, State::away);
     caller.answer.erase(0, sent.bytes);
@@ -143,17 +145,17 @@
     go(caller, State::leaving);
 }
 
-void Desk::discard(Caller& caller) {
+void AdminServer::discard(Connection& caller) {
     const auto got = caller.socket.discard();
     if (got.ended || got.error != 0) go(caller, State::away);
 }
 
-void Desk::due(std::uint64_t token) {
+void AdminServer::due(std::uint64_t token) {
     if (token == rest_timer) {
         return listener_.wait_for(POLLIN);
     }
-    for (Caller& caller : callers_) {
-        const Tenths age = loop_.now() - caller.since;
+    for (Connection& caller : callers_) {
+        const Ticks age = loop_.now() - caller.since;
         if (caller.state == State::calling && age >= longest_call) {
             if (caller.request.untouched())
                 go(caller, State::away);
@@ -168,4 +170,4 @@
     if (watched_) loop_.at(loop_.now() + look_every, *this, look_timer);
 }
 
-}  // namespace lemonstair::operators
+}  // namespace lemonstair::admin
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -11,11 +11,12 @@
 #include "log/log.h"
 #include "net/loop.h"
 
-namespace lemonstair::operators {
+namespace lemonstair::admin {
 
-class Desk final : public net::Waiter {
+class AdminServer final : public net::EventHandler {
   public:
-    Desk(net::Loop& loop, Staffed& node, log::Log& log) : loop_(loop), node_(node), log_(log) {}
+    AdminServer(net::EventLoop& loop, AdminHandler& node, log::Log& log)
+        : loop_(loop), node_(node), log_(log) {}
     // At most so many callers at a time. Throws std::system_error where the address cannot be had.
     void open(const net::Address& at, std::size_t callers);
     std::size_t callers() const { return here_; }
@@ -26,32 +27,32 @@
   private:
     // Away; its call is awaited; its answer goes out; what it still says is thrown away until it ends.
     enum class State : std::uint8_t { away, calling, told, leaving };
-    struct Caller {
+    struct Connection {
         net::Socket socket;
         http::Request request;
         std::string answer;
-        net::Tenths since = 0;
+        net::Ticks since = 0;
         bool before_crowd = false;  // it came while most places were free
         State state = State::away;
     };
     void accept();
-    void rest(net::Tenths span);
+    void rest(net::Ticks span);
     bool make_room();
-    void go(Caller& caller, State to);
-    void hear(Caller& caller);
-    void tell(Caller& caller, std::string&& text);
-    void write(Caller& caller);
-    void discard(Caller& caller);
-
-    net::Loop& loop_;
-    Staffed& node_;
+    void go(Connection& caller, State to);
+    void hear(Connection& caller);
+    void tell(Connection& caller, std::string&& text);
+    void write(Connection& caller);
+    void discard(Connection& caller);
+
+    net::EventLoop& loop_;
+    AdminHandler& node_;
     log::Log& log_;
     net::Socket listener_;
-    std::vector<Caller> callers_;  // places, as many as there may be
+    std::vector<Connection> callers_;  // places, as many as there may be
     std::size_t here_ = 0;
     bool watched_ = false;  // the timer that looks after slow callers runs
     std::uint64_t turned_away_ = 0;
-    net::Tenths logged_at_ = 0;
+    net::Ticks logged_at_ = 0;
 };
 
-}  // namespace lemonstair::operators
+}  // namespace lemonstair::admin
--- a/src/admin/metrics_page.cpp
+++ b/src/admin/metrics_page.cpp
@@ -4,9 +4,9 @@
 
 #include "json/text.h"
 
-namespace lemonstair::operators {
+namespace lemonstair::admin {
 
-std::string write_figures(const Figures& f) {
+std::string write_figures(const MetricsSnapshot& f) {
     std::string out = R"({"operations":{)";
     const auto figure = [&](std::string_view name, std::uint64_t n, std::string_view behind) {
         out.append("\"").append(name).append("\":").append(std::to_string(n)).append(behind);
@@ -25,8 +25,8 @@
     figure("relayed", written, ",");
     figure("open_requests", f.open, ",");
     figure("registry_entries", f.listed, ",");
-    figure("out_of_rotation", f.avoided, "}");
+    figure("out_of_rotation", f.excluded, "}");
     return out;
 }
 
-}  // namespace lemonstair::operators
+}  // namespace lemonstair::admin
--- a/src/admin/metrics_page.h
+++ b/src/admin/metrics_page.h
@@ -8,15 +8,15 @@
 
 #include "metrics/tunnel_counters.h"
 
-namespace lemonstair::operators {
+namespace lemonstair::admin {
 
-struct Figures {
+struct MetricsSnapshot {
     const std::vector<std::string>& profiles;
-    const account::Outcomes& outcomes;
-    std::size_t open = 0;                   // tunnels taken and not ended
-    std::uint32_t listed = 0, avoided = 0;  // hosts
+    const metrics::TunnelCounters& outcomes;
+    std::size_t open = 0;                    // tunnels taken and not ended
+    std::uint32_t listed = 0, excluded = 0;  // hosts
 };
 
-std::string write_figures(const Figures& figures);
+std::string write_figures(const MetricsSnapshot& figures);
 
-}  // namespace lemonstair::operators
+}  // namespace lemonstair::admin
--- a/src/admin/routes.cpp
+++ b/src/admin/routes.cpp
@@ -5,18 +5,18 @@
 
 #include "json/text.h"
 
-namespace lemonstair::operators {
+namespace lemonstair::admin {
 
 namespace {
 
 struct Row {
     std::string_view method, path;
-    Call call;
+    Route call;
 };
-constexpr std::array<Row, 4> calls{{{"GET", "/healthcheck", Call::health},
-                                    {"GET", "/stats", Call::figures},
-                                    {"POST", "/healthcheck/fail", Call::drain},
-                                    {"POST", "/healthcheck/ok", Call::take_again}}};
+constexpr std::array<Row, 4> calls{{{"GET", "/healthcheck", Route::health},
+                                    {"GET", "/stats", Route::figures},
+                                    {"POST", "/healthcheck/fail", Route::drain},
+                                    {"POST", "/healthcheck/ok", Route::take_again}}};
 
 std::string_view reason(int status) {
     constexpr std::array<std::pair<int, std::string_view>, 10> reasons{
@@ -43,13 +43,13 @@
     return out.append("\r\nConnection: close\r\n\r\n").append(body);
 }
 
-std::string state(bool yes, const Staffed& node) {
+std::string state(bool yes, const AdminHandler& node) {
     return written(yes ? 200 : 503, R"({"state":)" + json::quoted(node.phase()) + "}");
 }
 
 }  // namespace
 
-std::string answer(const http::Request& request, Staffed& node) {
+std::string answer(const http::Request& request, AdminHandler& node) {
     if (request.fault() != http::Fault::none) {
         const int status = static_cast<int>(request.fault());
         return written(status, R"({"error":)" + json::quoted(reason(status)) + "}");
@@ -60,13 +60,13 @@
         allow = row.method;
         if (row.method != request.method()) continue;
         switch (row.call) {
-            case Call::health:
+            case Route::health:
                 return state(node.ready(), node);
-            case Call::figures:
+            case Route::figures:
                 return written(200, node.figures());
-            case Call::drain:
+            case Route::drain:
                 return state(node.drain(), node);
-            case Call::take_again:
+            case Route::take_again:
                 return state(node.take_again(), node);
         }
     }
@@ -76,4 +76,4 @@
 
 std::string answer_to_half() { return written(408, R"({"error":"the call was not said whole"})"); }
 
-}  // namespace lemonstair::operators
+}  // namespace lemonstair::admin
--- a/src/admin/routes.h
+++ b/src/admin/routes.h
@@ -7,17 +7,17 @@
 
 #include "http/request.h"
 
-namespace lemonstair::operators {
+namespace lemonstair::admin {
 
-enum class Call : std::uint8_t { health, figures, drain, take_again };
+enum class Route : std::uint8_t { health, figures, drain, take_again };
 
 // What the node does when it is called. The desk knows nothing of it but this.
-class Staffed {
+class AdminHandler {
   public:
-    Staffed() = default;
-    Staffed(const Staffed&) = delete;
-    Staffed& operator=(const Staffed&) = delete;
-    virtual ~Staffed() = default;
+    AdminHandler() = default;
+    AdminHandler(const AdminHandler&) = delete;
+    AdminHandler& operator=(const AdminHandler&) = delete;
+    virtual ~AdminHandler() = default;
     virtual bool ready() const = 0;
     virtual std::string_view phase() const = 0;
     virtual std::string figures() const = 0;
@@ -27,8 +27,8 @@
 };
 
 // The whole answer, as it goes out. The request is whole or has a fault.
-std::string answer(const http::Request& request, Staffed& node);
+std::string answer(const http::Request& request, AdminHandler& node);
 // To a caller who has said a part of a call only.
 std::string answer_to_half();
 
-}  // namespace lemonstair::operators
+}  // namespace lemonstair::admin
--- a/src/balance/attempt_policy.cpp
+++ b/src/balance/attempt_policy.cpp
@@ -5,42 +5,43 @@
 namespace {
 
 // With less time than this an attempt could not end before its client gives up.
-constexpr Tenths fewest_ticks = 4;
+constexpr Ticks fewest_ticks = 4;
 
-Reason mark_still_known(const Allowance& allowance, const History& history, Tenths now, Tenths reserve) {
-    if (!history.may_have_run || allowance.effect == Effect::repeatable) return Reason::allowed;
-    if (allowance.effect == Effect::once_only) return Reason::may_have_run;
-    const bool known = now + reserve < history.may_have_run_since + allowance.window;
+Reason mark_still_known(const Allowance& allowance, const History& history, Ticks now, Ticks reserve) {
+    if (!history.may_have_run || allowance.idempotency == Idempotency::idempotent) return Reason::allowed;
+    if (allowance.idempotency == Idempotency::non_idempotent) return Reason::may_have_run;
+    const bool known = now + reserve < history.may_have_run_since + allowance.deduplication_window;
     return known ? Reason::allowed : Reason::window_over;
 }
 
 }  // namespace
 
-Reason may_send_to(const EndpointPhase& endpoint, Tenths drain_grace, Tenths now, Tenths reserve) {
-    if (endpoint.life == Life::in_service) return Reason::allowed;
+Reason may_send_to(const EndpointPhase& endpoint, Ticks drain_grace, Ticks now, Ticks reserve) {
+    if (endpoint.life == EndpointState::active) return Reason::allowed;
     const bool in_grace = now + reserve < endpoint.drain_told_at + drain_grace;
     return in_grace ? Reason::allowed : Reason::endpoint_draining;
 }
 
-Reason may_repeat(const Allowance& allowance, const History& history, Ending last, Tenths now) {
+Reason may_repeat(const Allowance& allowance, const History& history, Outcome last, Ticks now) {
     if (history.attempts >= allowance.max_attempts) return Reason::attempts_used;
-    if (allowance.give_up_at - now <= fewest_ticks * allowance.tick) return Reason::no_time_left;
-    if (last == Ending::not_sent) return Reason::local_failure;
-    return mark_still_known(allowance, history, now, allowance.tick);
+    if (allowance.deadline - now <= fewest_ticks * allowance.clock_resolution) return Reason::no_time_left;
+    if (last == Outcome::not_sent) return Reason::local_failure;
+    return mark_still_known(allowance, history, now, allowance.clock_resolution);
 }
 
 Reason may_write(const Allowance& allowance, const History& before, const EndpointPhase& endpoint,
-                 Tenths drain_grace, Tenths now, Tenths reserve) {
-    if (now >= allowance.give_up_at) return Reason::no_time_left;
+                 Ticks drain_grace, Ticks now, Ticks reserve) {
+    if (now >= allowance.deadline) return Reason::no_time_left;
     const Reason phase = may_send_to(endpoint, drain_grace, now, reserve);
     if (phase != Reason::allowed) return phase;
     return mark_still_known(allowance, before, now, reserve);
 }
 
-bool may_promise_no_effect(const Allowance& allowance, const History& history, Tenths now) {
-    if (!history.may_have_run || allowance.effect == Effect::repeatable) return true;
-    return allowance.effect == Effect::referenced && allowance.scope == Scope::all &&
-           now < history.may_have_run_since + allowance.window;
+bool may_promise_no_effect(const Allowance& allowance, const History& history, Ticks now) {
+    if (!history.may_have_run || allowance.idempotency == Idempotency::idempotent) return true;
+    return allowance.idempotency == Idempotency::idempotent_with_key &&
+           allowance.deduplication_scope == DeduplicationScope::all &&
+           now < history.may_have_run_since + allowance.deduplication_window;
 }
 
 Reason may_close_unanswered(const PendingInput& input) {
--- a/src/balance/attempt_policy.h
+++ b/src/balance/attempt_policy.h
@@ -13,46 +13,46 @@
 namespace lemonstair::attempt_policy {
 
 // For so long at most a process may be held up between reading its clock and writing (STANDING).
-constexpr Tenths longest_hold_up = 1500;
+constexpr Ticks longest_hold_up = 1500;
 
 // An attempt at an endpoint that leaves service is allowed until the grace of its drain is over.
 struct EndpointPhase {
-    Life life = Life::in_service;
-    Tenths drain_told_at = 0;
+    EndpointState life = EndpointState::active;
+    Ticks drain_told_at = 0;
 };
 // `reserve`: the time that may pass until it is written.
-Reason may_send_to(const EndpointPhase& endpoint, Tenths drain_grace, Tenths now,
-                   Tenths reserve = longest_hold_up);
+Reason may_send_to(const EndpointPhase& endpoint, Ticks drain_grace, Ticks now,
+                   Ticks reserve = longest_hold_up);
 
 // What has been tried for one tunnel.
 struct History {
     int attempts = 0;
     bool may_have_run = false;
-    Tenths may_have_run_since = 0;  // when the first attempt that may have run was sent
+    Ticks may_have_run_since = 0;  // when the first attempt that may have run was sent
 };
 
 // What the tunnel's settings allow.
 struct Allowance {
-    Effect effect = Effect::once_only;
-    Scope scope = Scope::cell;
-    Tenths window = 0;  // how long endpoints remember the mark of a referenced tunnel
+    Idempotency idempotency = Idempotency::non_idempotent;
+    DeduplicationScope deduplication_scope = DeduplicationScope::cell;
+    Ticks deduplication_window = 0;  // how long endpoints remember the mark of a referenced tunnel
     int max_attempts = 1;
-    Tenths give_up_at = 0;
-    Tenths tick = 0;
+    Ticks deadline = 0;
+    Ticks clock_resolution = 0;
 };
 
 // Whether a further attempt may be chosen after one that ended so.
-Reason may_repeat(const Allowance& allowance, const History& history, Ending last, Tenths now);
+Reason may_repeat(const Allowance& allowance, const History& history, Outcome last, Ticks now);
 
 // An endpoint that was given less than this before its time was up is not judged by it.
-constexpr Tenths fair_wait(Tenths setup_goal) { return setup_goal / 2; }
+constexpr Ticks fair_wait(Ticks latency_objective) { return latency_objective / 2; }
 
 // Whether the line of an attempt that was chosen may still be written.
 Reason may_write(const Allowance& allowance, const History& before, const EndpointPhase& endpoint,
-                 Tenths drain_grace, Tenths now, Tenths reserve = longest_hold_up);
+                 Ticks drain_grace, Ticks now, Ticks reserve = longest_hold_up);
 
 // Whether a tunnel that is given up may be told that trying again is harmless.
-bool may_promise_no_effect(const Allowance& allowance, const History& history, Tenths now);
+bool may_promise_no_effect(const Allowance& allowance, const History& history, Ticks now);
 
 // What a connection that awaits its first line holds when it would be closed without an answer.
 struct PendingInput {
--- a/src/balance/balance.cpp
+++ b/src/balance/balance.cpp
@@ -16,42 +16,42 @@
 
 // The mechanism's figures (docs/design.md gives the source of each).
 constexpr std::size_t near_tail = 5;
-constexpr Tenths tail_wait = second / 5;
-constexpr Tenths forget_after = 4 * refresh_every;  // after three missed
-constexpr Tenths sweep_every = second / 10, probe_every = second;
-constexpr Tenths report_lag = 2 * second;  // what is placed or moved shows in reports by then
+constexpr Ticks tail_wait = second / 5;
+constexpr Ticks forget_after = 4 * refresh_every;  // after three missed
+constexpr Ticks sweep_every = second / 10, probe_every = second;
+constexpr Ticks report_lag = 2 * second;  // what is placed or moved shows in reports by then
 constexpr double drift_decay = 1 - static_cast<double>(sweep_every) / report_lag;
-constexpr Tenths silent_peer = 5 * second / 2, trial_pause = 2 * second;
-constexpr Tenths unheard_limit = second;
+constexpr Ticks silent_peer = 5 * second / 2, trial_pause = 2 * second;
+constexpr Ticks unheard_limit = second;
 // The gate looks back about 3 s; its floor lets about one setup a second find out whether the jam is over.
-constexpr double gate_decay = witness::fades_to, gate_floor = 4;
+constexpr double gate_decay = failure_detector::fades_to, gate_floor = 4;
 
 // The part of an ep's messages that come late at load x is taken as exp(-late_slope * (1 - x)).
 constexpr double late_slope = 8, harm_steps = 256, most_load = 3;
 constexpr double unsure = 0.29;  // the standard deviation of a load that may be any from none to full
 
-constexpr double weight_floor = 1e-9;       // no weight and no total reaches zero
-constexpr Tenths handover = 5 * second;     // what was open before a start comes in by then
-constexpr Tenths soon_cut = 3 * second;     // as far as the gate looks back
-constexpr int blind_homes = 4;              // of a group, where nothing tells of their room
-constexpr double home_full = 0.65;          // load from which a group is given another home
-constexpr Tenths home_lasts = 60 * second;  // after its keeper's last word
-constexpr double cold_part = 0.8;           // of a cold ep's budget: what is known of it is reckoned
-constexpr double unit_gain = 0.02;          // what waiting for a unit must win, in connections
-constexpr Tenths unit_wait = second / 50;   // for another node's answer, where the tunnel could go elsewhere
-constexpr int lenders = 2;                  // asked at once
+constexpr double weight_floor = 1e-9;      // no weight and no total reaches zero
+constexpr Ticks handover = 5 * second;     // what was open before a start comes in by then
+constexpr Ticks soon_cut = 3 * second;     // as far as the gate looks back
+constexpr int blind_homes = 4;             // of a group, where nothing tells of their room
+constexpr double home_full = 0.65;         // load from which a group is given another home
+constexpr Ticks home_lasts = 60 * second;  // after its keeper's last word
+constexpr double cold_part = 0.8;          // of a cold ep's budget: what is known of it is reckoned
+constexpr double unit_gain = 0.02;         // what waiting for a unit must win, in connections
+constexpr Ticks unit_wait = second / 50;   // for another node's answer, where the tunnel could go elsewhere
+constexpr int lenders = 2;                 // asked at once
 constexpr double shed_at = 1.5, moves_a_tunnel = 5;
 constexpr double move_from = 0.8;  // load from which tunnels are moved off an ep
 constexpr double move_gain = 0.5;  // what a move must win, in connections served instead of late
 
-struct Mind final : Balancer, peer::Listener, Talk {
-    Mind(Terms given, Host& to, Tenths at) : Talk(std::move(given), to, at) {
+struct Mind final : Balancer, peer::MessageHandler, Talk {
+    Mind(BalancerConfig given, BalancerDelegate& to, Ticks at) : Talk(std::move(given), to, at) {
         ask_list_at = now + draw_span(backoff::first_call_within(peers.size()));
         list_calls = backoff::Backoff(std::max(second / 4, backoff::first_call_within(peers.size())));
         last_report = now - draw_span(report_every);
         for (double x = 0; x <= most_load; x += 1 / harm_steps)
             harms.push_back((1 + late_slope * x) * std::exp(-late_slope * (1 - x)));
-        host.wake(now + sweep_every, 0);
+        host.set_timer(now + sweep_every, 0);
     }
 
     void greet() {  // a node that has just started holds no records: the others send what it should hold
@@ -64,14 +64,14 @@
     }
 
     // ---- the list of eps
-    void at(Tenths clock) override { now = clock; }
-    void retold(Terms given) override { take_terms(std::move(given)); }
-    void list_begin(ListKind kind) override {
+    void set_time(Ticks clock) override { now = clock; }
+    void update_config(BalancerConfig given) override { take_terms(std::move(given)); }
+    void begin_endpoint_list(EndpointListKind kind) override {
         list_kind = kind;
         for (auto& e : eps) e.in_list = false;
     }
-    void listed(std::uint32_t id, std::uint32_t zone, std::uint32_t cell, Life life, double size,
-                Tenths started) override {
+    void add_endpoint(std::uint32_t id, std::uint32_t zone, std::uint32_t cell, EndpointState life,
+                      double size, Ticks started) override {
         std::uint32_t at = ep_index.find(id);
         if (at == none) {
             at = static_cast<std::uint32_t>(eps.size());
@@ -82,32 +82,32 @@
             eps[at].others.assign(peers.size(), 0);
             eps[at].probed_at = now - draw_span(probe_every);
         }
-        Ep& e = eps[at];
+        Endpoint& e = eps[at];
         if (started > e.listed_start) e.begin_life(started);
         set_life(e, life);
         e.zone = zone;
         e.cell = cell;
-        e.size = terms.sized && size > 0 ? size : 1;
+        e.size = terms.endpoint_sizes_differ && size > 0 ? size : 1;
         e.in_list = true;
     }
     // The grace of a drain runs from the first word of it, whatever follows.
-    void set_life(Ep& e, Life life) {
-        if (e.life == Life::in_service && life != Life::in_service) e.told_at = now;
+    void set_life(Endpoint& e, EndpointState life) {
+        if (e.life == EndpointState::active && life != EndpointState::active) e.told_at = now;
         e.life = life;
     }
-    void list_end() override {
-        if (list_kind == ListKind::failed || list_kind == ListKind::elsewhere) {
+    void end_endpoint_list() override {
+        if (list_kind == EndpointListKind::failed || list_kind == EndpointListKind::moved) {
             watching = false;  // what the old place failed is not held against the new one
-            if (list_kind == ListKind::elsewhere) list_calls.answered();
-            ask_list_at = now + (list_kind == ListKind::failed ? list_calls.failed(draw()) : 0);
+            if (list_kind == EndpointListKind::moved) list_calls.answered();
+            ask_list_at = now + (list_kind == EndpointListKind::failed ? list_calls.failed(draw()) : 0);
             say("list lost, failures %d", list_calls.failures());
             return keep_list();
         }
-        if (list_kind == ListKind::whole || list_kind == ListKind::remembered)
+        if (list_kind == EndpointListKind::complete || list_kind == EndpointListKind::cached)
             for (auto& e : eps)
-                if (!e.in_list) set_life(e, Life::gone);
+                if (!e.in_list) set_life(e, EndpointState::removed);
         find_reporters();
-        if (list_kind == ListKind::remembered) return open_account();
+        if (list_kind == EndpointListKind::cached) return open_account();
         if (list_calls.failures() > 0) say("list back after %d failures", list_calls.failures());
         list_calls.answered();
         watching = true;
@@ -124,25 +124,25 @@
         weigh_fleet();
     }
     void keep_list() {
-        if (!terms.must_ask || watching || now < ask_list_at) return;
-        ask_list_at = now + std::max(second, terms.rules.ask_within / 2);
-        host.watch_list();
+        if (!terms.must_poll || watching || now < ask_list_at) return;
+        ask_list_at = now + std::max(second, terms.rules.poll_interval / 2);
+        host.request_endpoint_list();
     }
 
     // ---- the ring, the records
     // Down the chain from its head, each member towards the tail.
-    void pass_down(std::uint64_t key, std::uint32_t ep, Tenths stamp, std::uint32_t group, double load,
+    void pass_down(std::uint64_t key, std::uint32_t ep, Ticks stamp, std::uint32_t group, double load,
                    bool first) {
         Ring::Chain nodes{};
         const std::size_t n = chain(key, nodes);
-        const std::size_t me =
-            static_cast<std::size_t>(std::find(nodes.begin(), nodes.begin() + n, terms.me) - nodes.begin());
+        const std::size_t me = static_cast<std::size_t>(
+            std::find(nodes.begin(), nodes.begin() + n, terms.own_node) - nodes.begin());
         if (!first && me == n) return;
         const std::size_t to = first && me + 1 != n ? n : me;
         if (to == 0) return;
         post(nodes[to - 1], [&](peer::Message& m) { return m.record(key, ep, stamp, group, load); });
     }
-    void publish(Tun& t, bool first = false) {
+    void publish(TrackedTunnel& t, bool first = false) {
         if (!t.keyed) return;
         const std::uint32_t ep = eps[t.ep].id;
         records.put({t.key, t.stamp, now, ep, t.group, t.load, true});
@@ -151,16 +151,16 @@
         if (sums_known || t.group == 0) return;
         const bool far = first && eps[t.ep].zone != terms.zone;
         const std::uint32_t to = keeper(t.group);
-        if (far && to == terms.me) crossed(t.group, terms.zone);
+        if (far && to == terms.own_node) crossed(t.group, terms.zone);
         if (far) post(to, [&](peer::Message& m) { return m.crossed(t.group, terms.zone); });
-        if (to == terms.me || on_chain(t.key, to)) return keep_homes(t.group);
+        if (to == terms.own_node || on_chain(t.key, to)) return keep_homes(t.group);
         post(to, [&](peer::Message& m) { return m.record(t.key, ep, t.stamp, t.group, t.load); });
     }
 
     // ---- what other nodes say
-    void told(std::uint32_t node, std::span<const std::uint8_t> bytes) override {
+    void on_gossip(std::uint32_t node, std::span<const std::uint8_t> bytes) override {
         const peer::Delivery delivery(outbox);
-        if (node >= peers.size() || node == terms.me) return;
+        if (node >= peers.size() || node == terms.own_node) return;
         from = node;
         peers[node].heard = now;
         if (!peers[node].lives) {
@@ -175,7 +175,7 @@
         heard_stamp(stamp);
         const Record* known = records.find(key);
         const bool fresh = known == nullptr || known->stamp != stamp;
-        const bool sampled = on_chain(key, terms.me);
+        const bool sampled = on_chain(key, terms.own_node);
         if (!records.put({key, stamp, now, ep, group, load, sampled})) return;  // the newest stamp wins
         pass_down(key, ep, stamp, group, load, false);
         const std::uint32_t at = ep_index.find(ep);
@@ -193,7 +193,7 @@
     void answer(std::uint64_t key, bool known, std::uint32_t ep, std::int64_t stamp) override {
         const std::uint32_t at = asking.find(key);
         if (at == none) return;
-        Tun& t = tuns[at];
+        TrackedTunnel& t = tuns[at];
         if (known) {
             heard_stamp(stamp);
             records.put({key, stamp, now, ep, t.group, t.load, true});
@@ -209,16 +209,16 @@
     }
     // Its neighbour tells that a node fell silent; one that still runs says so itself.
     void lost(std::uint32_t node) override {
-        if (node == terms.me) return now - hello_at > second ? say_hello() : void();
+        if (node == terms.own_node) return now - hello_at > second ? say_hello() : void();
         if (node < peers.size() && peers[node].lives) lose_peer(node);
     }
     void outcome(std::uint32_t ep, std::uint8_t ending) override {
-        if (ending > static_cast<std::uint8_t>(Ending::not_sent)) return;
-        if (Ep* e = ep_of(ep)) judge(*e, static_cast<Ending>(ending), false, from);
+        if (ending > static_cast<std::uint8_t>(Outcome::not_sent)) return;
+        if (Endpoint* e = ep_of(ep)) judge(*e, static_cast<Outcome>(ending), false, from);
     }
     void report(std::uint32_t ep, bool good, double load) override {
         if (ep_of(ep) == nullptr) return;
-        Ep& e = *ep_of(ep);
+        Endpoint& e = *ep_of(ep);
         e.reported(load, now);
         e.x_told = load;
         e.x_told_at = now;
@@ -226,50 +226,52 @@
     }
     void seen(std::uint32_t ep, bool good, double load) override {
         if (ep_of(ep) == nullptr) return;
-        Ep& e = *ep_of(ep);
+        Endpoint& e = *ep_of(ep);
         e.carried_by(from, load);
         peers[from].summed = now;
         if (good) hear_good(e, "another node");
     }
     // What a node finds itself goes before what it hears: one that it found dead has to answer it first.
-    void hear_good(Ep& e, const char* who) {
-        const bool sight = e.silent && e.hearsay_until == 0 && terms.limits.probing;
+    void hear_good(Endpoint& e, const char* who) {
+        const bool sight = e.silent && e.hearsay_until == 0 && terms.limits.health_checks_enabled;
         if (!e.aside || now - e.aside_at <= second || (sight && e.probe_good_at <= e.aside_at)) return;
         come_back(e, who);
     }
     // One or two nodes found an ep dead. Who reports of it looks for itself.
     void dead(std::uint32_t ep, std::uint32_t when, std::uint32_t first, std::uint32_t other) override {
-        Ep* const e = ep_of(ep);
-        const bool both = other != witness::nobody;
+        Endpoint* const e = ep_of(ep);
+        const bool both = other != failure_detector::nobody;
         if (e == nullptr || first >= peers.size() || (both && other >= peers.size())) return;
-        if (!e->found_dead.found(first, other, witness::whole_time(when, now), now)) return;
+        if (!e->found_dead.found(first, other, failure_detector::whole_time(when, now), now)) return;
         if (both) e->bad_told = true, e->bad_told_at = now;
         if (e->found_dead.dead(now)) return believe(*e);
         if (e->rank != not_reporting && !e->aside) suspect(*e);
     }
     // Guards against words of many that are wrong together: whoever has just had an answer does not believe
     // them, and of most of a zone or a cell a node wants to find one dead itself.
-    void believe(Ep& e) {
-        if (e.aside && e.hearsay_until != 0) e.hearsay_until = now + witness::word_lasts;
+    void believe(Endpoint& e) {
+        if (e.aside && e.hearsay_until != 0) e.hearsay_until = now + failure_detector::word_lasts;
         if (e.aside || now - e.good_at <= second) return;
-        if (hearsay_may(e)) return set_aside(e, "found dead by others", witness::enough, true);
+        if (hearsay_may(e)) return set_aside(e, "found dead by others", failure_detector::enough, true);
         suspect(e);
     }
-    void suspect(Ep& e) {  // a failure of its own is enough now
-        e.outcomes.doubt = std::max(e.outcomes.doubt, witness::doubt_limit / 2);
+    void suspect(Endpoint& e) {  // a failure of its own is enough now
+        e.outcomes.doubt = std::max(e.outcomes.doubt, failure_detector::doubt_limit / 2);
         look(e);
     }
     // What it found dead itself, a node tells those who report of it, once any other ep has answered it
     // since. Guards against a node that is cut off from the eps and tells everyone that they are dead.
-    void bear_witness(Ep& e) {
+    void report_failure(Endpoint& e) {
         if (!e.aside || !e.silent || e.hearsay_until != 0 || sums_known || !talks()) return;
-        if (e.bad_at < e.witnessed_at + (e.rank == not_reporting ? never : witness::renewed_after)) return;
+        if (e.bad_at < e.witnessed_at + (e.rank == not_reporting ? never : failure_detector::renewed_after))
+            return;
         if (answered_at <= e.bad_at) return look_elsewhere();
         if (e.bad_at < alone_until + unheard_limit) return;  // found while no line came from anywhere
         e.witnessed_at = now;
-        static_cast<void>(e.found_dead.found(terms.me, e.bad_at, now));
+        static_cast<void>(e.found_dead.found(terms.own_node, e.bad_at, now));
         for (const auto n : e.reporters)
-            post(n, [&](auto& m) { return m.dead(e.id, e.bad_at, terms.me, witness::nobody); });
+            post(n,
+                 [&](auto& m) { return m.dead(e.id, e.bad_at, terms.own_node, failure_detector::nobody); });
     }
     void look_elsewhere() {
         if (alone_since <= answered_at) alone_since = now;
@@ -278,15 +280,15 @@
         if (now - looked_at < second / 2) return;
         looked_at = now;
         for (std::size_t i = 0; i < eps.size(); ++i) {
-            Ep& e = eps[(sweeps + i) % eps.size()];
-            if (e.life == Life::in_service && !e.aside) return look(e);
+            Endpoint& e = eps[(sweeps + i) % eps.size()];
+            if (e.life == EndpointState::active && !e.aside) return look(e);
         }
     }
-    void look(Ep& e) {
-        if (e.probing || !terms.limits.probing || e.life != Life::in_service) return;
+    void look(Endpoint& e) {
+        if (e.probing || !terms.limits.health_checks_enabled || e.life != EndpointState::active) return;
         e.probing = true;
         e.probed_at = now;
-        host.probe(e.id);
+        host.check_health(e.id);
     }
     void answered() {
         answered_at = now;
@@ -318,7 +320,7 @@
         if (now - last_sign >= second && news_pays(4)) {
             last_sign = now;
             for (const auto n : next_living(1))
-                if (n != none) host.tell(n, peer::Message().bytes());
+                if (n != none) host.send_gossip(n, peer::Message().bytes());
         }
         const Two before = next_living(peers.size() - 1);
         for (const auto n : before) {
@@ -348,13 +350,13 @@
     }
     // The marginal cost of a load of this group on an ep.
     double cost(std::uint32_t at, double load, std::uint32_t group) const {
-        const Ep& e = eps[at];
+        const Endpoint& e = eps[at];
         double copy = 0;
         if (group != 0 && held_at[at] == 0 && !(cold(e) && fleet_load > 0.6 && !sums_known)) {
             if (sums_known) load += group_copy * mean_load();
             if (!sums_known) copy = harm(std::max(priced_load(e), copy_load()), group_copy);
         }
-        return crowding(e, load) + copy + (e.zone != terms.zone ? terms.prices.cross_zone : 0);
+        return crowding(e, load) + copy + (e.zone != terms.zone ? terms.costs.cross_zone : 0);
     }
     // What it costs more, on average, that a load is known only to within `unsure`: harm grows the faster the
     // fuller an ep is. Guards against a small price (of crossing zones) that decides all where no load is
@@ -362,10 +364,10 @@
     double unsure_price() const {
         return (harm(blind_load - unsure, 1) + harm(blind_load + unsure, 1)) / 2 - harm(blind_load, 1);
     }
-    double priced_load(const Ep& e) const {
+    double priced_load(const Endpoint& e) const {
         return unheard_of(e) ? std::max(load_now(e), blind_load) : load_now(e);
     }
-    double crowding(const Ep& e, double load) const {
+    double crowding(const Endpoint& e, double load) const {
         return harm(priced_load(e) + load / room(e) / 2, load / mean_load());
     }
 
@@ -393,7 +395,7 @@
             return has_room(eps[i], limit) && (zone == none || eps[i].zone == zone);
         });
     }
-    std::uint32_t meeting_place(const Tun& t, bool cold_one) const {
+    std::uint32_t meeting_place(const TrackedTunnel& t, bool cold_one) const {
         return first_in_order(t.group, false, [&](std::uint32_t i) {
             if (held_at[i] != 0 || (cold_one && !cold(eps[i]))) return false;
             const bool tried = std::find(t.tried.begin(), t.tried.end(), i) != t.tried.end();
@@ -401,7 +403,7 @@
         });
     }
     bool is_home(const GroupTable::Place& p) const { return p.home_at >= 0 && now - p.home_at < home_lasts; }
-    void mark_held(const Tun& t) {
+    void mark_held(const TrackedTunnel& t) {
         held_at.assign(eps.size(), 0);
         bool room_left = false;
         for (const auto& p : records.groups().of(t.group)) {
@@ -444,12 +446,12 @@
         return std::max(now - born < handover ? home_full / 2 : home_full, fleet_load + 0.1);
     }
     // A guess that holds for all eps alike leaves a group's order as it is.
-    bool home_room(const Ep& e) const {
+    bool home_room(const Endpoint& e) const {
         return blind(e) ? has_room(e, most_load) && shed(e) < home_full : has_room(e, home_limit());
     }
     std::uint32_t keeper(std::uint32_t group) const { return first_living(mix(group)); }
     void keep_homes(std::uint32_t group) {
-        if (sums_known || keeper(group) != terms.me) return;
+        if (sums_known || keeper(group) != terms.own_node) return;
         for (const auto& p : records.groups().of(group))
             if (is_home(p) && ep_of(p.ep) != nullptr && has_room(*ep_of(p.ep), home_limit())) return;
         open_home(group, new_home(group, std::clamp(fleet_load, home_full / 2, home_full)));
@@ -459,7 +461,7 @@
         const std::uint64_t id = std::uint64_t{group} << 32 | zone;
         const std::uint32_t n = crossings.find(id) == none ? 1 : crossings.find(id) + 1;
         crossings.put(id, n);
-        if (n * terms.prices.cross_zone < harm(copy_load(), group_copy)) return;
+        if (n * terms.costs.cross_zone < harm(copy_load(), group_copy)) return;
         crossings.put(id, 0);
         open_home(group, new_home(group, home_limit(), zone));
     }
@@ -479,28 +481,31 @@
     // What a tunnel may cost the others, in connections served late, before it is better declined. Guards
     // against an overload in which nobody is served: the heavy and the little credited give way first.
     double worth_of(std::uint32_t profile) const {
-        return shed_at * terms.profiles[profile].credit / mean_credit;
+        return shed_at * terms.traffic_classes[profile].priority_weight / mean_credit;
     }
 
     // ---- cold eps
     // A cold ep takes new tunnels as fast as fills it over its warm-up; where they end sooner, faster.
-    double fills_in() const { return std::min(life(), static_cast<double>(terms.rules.cold) / second); }
+    double fills_in() const {
+        return std::min(life(), static_cast<double>(terms.rules.slow_start_duration) / second);
+    }
     // What all nodes together may send a cold ep a second: each has its share (src/budget), and borrows units
     // for tunnels that wait for one. In a window of `fall` come units of the window and of `keep` before it.
-    double cold_rate(const Ep& e) const {
-        const double window = static_cast<double>(terms.rules.fall) / (terms.rules.fall + dealing.keep);
-        return cold_part * window * terms.rules.tip_multiple * room(e) / (mean_load() * fills_in());
+    double cold_rate(const Endpoint& e) const {
+        const double window =
+            static_cast<double>(terms.rules.overload_window) / (terms.rules.overload_window + dealing.keep);
+        return cold_part * window * terms.rules.overload_multiple * room(e) / (mean_load() * fills_in());
     }
     bool cold_allows(std::uint32_t at) const {
-        const Ep& e = eps[at];
+        const Endpoint& e = eps[at];
         return !cold(e) || e.share.left(dealing, e.id, cold_rate(e), now) > 0;
     }
     // A tunnel waits for want of a unit: some are asked for where they lie. Not for long where it could go
     // elsewhere.
     void borrow_for(std::uint32_t at) {
-        Tun& t = tuns[at];
-        if (t.unit_by == 0) host.wake(t.unit_by = now + unit_wait, label_of(at));
-        Ep& e = eps[short_of];
+        TrackedTunnel& t = tuns[at];
+        if (t.unit_by == 0) host.set_timer(t.unit_by = now + unit_wait, label_of(at));
+        Endpoint& e = eps[short_of];
         for (int i = 0; i < lenders; ++i) {
             const auto lender = e.share.ask(dealing, e.id, cold_rate(e), now);
             if (!lender) return;
@@ -509,13 +514,13 @@
         }
     }
     void want(std::uint32_t ep, std::uint32_t slot) override {
-        Ep* e = ep_of(ep);
+        Endpoint* e = ep_of(ep);
         if (e == nullptr || !cold(*e)) return;
         if (!e->share.lend(dealing, ep, dealing.whole(slot, now), cold_rate(*e), now)) return;
         post(from, [&](peer::Message& m) { return m.lend(ep, slot); });
     }
     void lend(std::uint32_t ep, std::uint32_t slot) override {
-        Ep* e = ep_of(ep);
+        Endpoint* e = ep_of(ep);
         if (e != nullptr && e->share.borrow(dealing, ep, dealing.whole(slot, now), from, now)) retry_held();
     }
 
@@ -524,13 +529,13 @@
     // eps aside for it, and moving their tunnels, would feed the very jam: the test asks what an ep does
     // worse than the others. `by`: the node whose setup it was; only one's own say that an ep is out of
     // reach.
-    void judge(Ep& e, Ending ending, bool by_probe, std::uint32_t by) {
-        if (ending == Ending::called_off || ending == Ending::full || says_nothing_of_endpoint(ending))
+    void judge(Endpoint& e, Outcome ending, bool by_probe, std::uint32_t by) {
+        if (ending == Outcome::cancelled || ending == Outcome::overloaded || unrelated_to_endpoint(ending))
             return;
-        const bool own = by == terms.me;
+        const bool own = by == terms.own_node;
         // Setups may share a store that probes do without, so a setup's time-out says less of the ep.
-        e.outcomes.count(ending != Ending::ok, ending == Ending::timed_out && !by_probe, lately, now);
-        if (ending == Ending::ok) {
+        e.outcomes.count(ending != Outcome::ok, ending == Outcome::timed_out && !by_probe, lately, now);
+        if (ending == Outcome::ok) {
             e.found_dead.found_sound(now);
             // Outcomes come to the first reporter alone: where some found the ep dead, it tells the next
             // ones.
@@ -547,35 +552,35 @@
             return;
         }
         static_cast<void>(e.faulty.found(by, now, now));
-        if (own && (ending == Ending::timed_out || ending == Ending::unreachable)) {
+        if (own && (ending == Outcome::timed_out || ending == Outcome::unreachable)) {
             e.silent = true;
             e.bad_at = now;
-            e.lost = e.lost || ending == Ending::unreachable || (by_probe && ++e.unanswered >= 2);
+            e.lost = e.lost || ending == Outcome::unreachable || (by_probe && ++e.unanswered >= 2);
         }
         if (e.aside) e.trial_at = now + trial_pause;
-        if (e.outcomes.doubt < witness::doubt_limit) return;
+        if (e.outcomes.doubt < failure_detector::doubt_limit) return;
         if (own ? !e.aside || e.hearsay_until != 0 : !e.aside && e.faulty.several(now) && hearsay_may(e))
             set_aside(e, e.silent ? "no answer" : "setups fail", e.outcomes.doubt, !own);
     }
     // An ep that was silent and answers again may have restarted: the list says so seconds later, and by then
     // it would have fallen over under what a warm one takes. Until the list is heard it counts as cold.
-    void answers(Ep& e) {
+    void answers(Endpoint& e) {
         e.unanswered = 0;
         if (!e.lost) return;
         e.lost = false;
-        if (terms.rules.cold <= 0 || cold(e)) return;
+        if (terms.rules.slow_start_duration <= 0 || cold(e)) return;
         say("ep %u answers again, taken as cold", e.id);
         e.started = now;
     }
     // A node with few tunnels of its own learns too little of an ep: the ep's reporter judges for all.
-    void judged(Ep& e, Ending ending) {
-        judge(e, ending, false, terms.me);
-        if (sums_known || never_ran(ending)) return;
+    void judged(Endpoint& e, Outcome ending) {
+        judge(e, ending, false, terms.own_node);
+        if (sums_known || never_executed(ending)) return;
         post(e.reporters[0], [&](auto& m) { return m.outcome(e.id, static_cast<std::uint8_t>(ending)); });
     }
-    void set_aside(Ep& e, const char* why, double figure, bool hearsay = false) {
+    void set_aside(Endpoint& e, const char* why, double figure, bool hearsay = false) {
         e.aside = true;
-        e.hearsay_until = hearsay ? now + witness::word_lasts : 0;
+        e.hearsay_until = hearsay ? now + failure_detector::word_lasts : 0;
         e.witnessed_at = -never;
         e.aside_at = now;
         e.trial_at = now + trial_pause;
@@ -583,12 +588,12 @@
         // With most eps set aside the trouble is elsewhere: then all take part again rather than none.
         int more_in = 0;
         for (const auto& o : eps)
-            if (o.life == Life::in_service) more_in += o.aside ? -1 : 1;
+            if (o.life == EndpointState::active) more_in += o.aside ? -1 : 1;
         if (more_in >= 0) return;
         for (auto& o : eps)
             if (o.aside) come_back(o, "trouble everywhere");
     }
-    void come_back(Ep& e, const char* why) {
+    void come_back(Endpoint& e, const char* why) {
         say("ep %u back after %lld ms, told by %s", e.id, static_cast<long long>(now - e.aside_at) / 10, why);
         e.aside = e.silent = false;
         e.outcomes.doubt = 0;
@@ -609,32 +614,36 @@
 
     // ---- placing
     // To what already holds the tunnel, until the drain's grace is over.
-    bool may_still_send(const Ep& e) const {
+    bool may_still_send(const Endpoint& e) const {
         return attempt_policy::may_send_to({e.life, e.told_at}, terms.rules.drain_grace, now,
-                                           2 * terms.tick) == Reason::allowed;
+                                           2 * terms.clock_resolution) == Reason::allowed;
     }
-    attempt_policy::Allowance allowance_of(const Tun& t) const {
-        const Profile& p = terms.profiles[t.profile];
-        return {p.effect, p.scope, p.window, terms.limits.max_setups, t.give_up_at, terms.tick};
+    attempt_policy::Allowance allowance_of(const TrackedTunnel& t) const {
+        const TrafficClass& p = terms.traffic_classes[t.profile];
+        return {p.idempotency, p.deduplication_scope, p.deduplication_window, terms.limits.max_attempts,
+                t.give_up_at,  terms.clock_resolution};
     }
-    static attempt_policy::History history_of(const Tun& t) {
+    static attempt_policy::History history_of(const TrackedTunnel& t) {
         return {t.setups, t.ran_ep != none, t.ran_since};
     }
-    Reason may_write(std::uint64_t id, Tenths reserve) const override {
+    Reason may_write(std::uint64_t id, Ticks reserve) const override {
         const std::uint32_t at = tun_index.find(id);
         if (at == none || tuns[at].state != State::setting_up) return Reason::client_gone;
-        const Tun& t = tuns[at];
-        const Ep& e = eps[t.ep];
+        const TrackedTunnel& t = tuns[at];
+        const Endpoint& e = eps[t.ep];
         return attempt_policy::may_write(allowance_of(t), history_of(t), {e.life, e.told_at},
                                          terms.rules.drain_grace, now, reserve);
     }
-    bool same_scope(const Tun& t, const Ep& e) const {
+    bool same_scope(const TrackedTunnel& t, const Endpoint& e) const {
         if (t.ran_ep == none) return true;
-        const Scope scope = terms.profiles[t.profile].scope;
-        if (terms.profiles[t.profile].effect != Effect::referenced || scope == Scope::all) return true;
-        return scope == Scope::zone ? e.zone == eps[t.ran_ep].zone : e.cell == eps[t.ran_ep].cell;
-    }
-    double weight(const Ep& e, double price) const {
+        const DeduplicationScope scope = terms.traffic_classes[t.profile].deduplication_scope;
+        if (terms.traffic_classes[t.profile].idempotency != Idempotency::idempotent_with_key ||
+            scope == DeduplicationScope::all)
+            return true;
+        return scope == DeduplicationScope::zone ? e.zone == eps[t.ran_ep].zone
+                                                 : e.cell == eps[t.ran_ep].cell;
+    }
+    double weight(const Endpoint& e, double price) const {
         double w = 1 / (price + 1e-3 + ((unheard_of(e) || blind(e)) && !cold(e) ? unsure_price() : 0));
         for (int k = 0; k < 3; ++k) w *= w;  // an ep of twice the cost gets a 256th of the weight
         const double free = unheard_of(e) ? std::max(1 - load_now(e), 0.05) : 1;
@@ -642,26 +651,26 @@
     }
     // What all place that is not heard of here, spread as this node would spread it.
     void expect_unheard() {
-        if (sums_known || terms.groups) return;
+        if (sums_known || terms.groups_enabled) return;
         weights.assign(eps.size(), 0);
         for (std::uint32_t i = 0; i < eps.size(); ++i)
             if (!avoided(eps[i]) && !cold(eps[i])) weights[i] = weight(eps[i], crowding(eps[i], mean_load()));
         const double unheard_a_second = placed_lately / 10 * (tunnels_a_sample() - 1);
         expect_others(unheard_a_second * mean_load() * sweep_every / second, weights);
     }
-    Census census() const override { return count_eps(); }
-    std::uint32_t choose(const Tun& t) {
+    EndpointCounts endpoint_counts() const override { return count_eps(); }
+    std::uint32_t choose(const TrackedTunnel& t) {
         weights.assign(eps.size(), 0);
         short_of = none;
         short_price = worth_of(t.profile);
         mark_held(t);
         double total = 0, least = std::numeric_limits<double>::max();
         const auto weigh = [&](std::uint32_t i, int pass) {
-            Ep& e = eps[i];
-            if (e.life != Life::in_service || !same_scope(t, e)) return;
+            Endpoint& e = eps[i];
+            if (e.life != EndpointState::active || !same_scope(t, e)) return;
             const bool tried = std::find(t.tried.begin(), t.tried.end(), i) != t.tried.end();
             const bool trial = e.aside && now >= e.trial_at && t.setups == 0 &&
-                               (!terms.limits.probing || e.probe_good_at > e.aside_at);
+                               (!terms.limits.health_checks_enabled || e.probe_good_at > e.aside_at);
             if (pass == 0 && (tried || (avoided(e) && !trial))) return;
             const double price = cost(i, t.load, t.group);
             if (!cold_allows(i)) {
@@ -694,8 +703,8 @@
     // Where nodes may not talk, no record reaches who meets a tunnel mid-flow. Then the chance in the draw is
     // the key's own (rendezvous hashing), the same at all nodes: by like weights they find the ep that it was
     // placed on. A client that comes back from a break is drawn for anew.
-    bool by_key(const Tun& t) const {
-        return t.keyed && !t.again && terms.packets_pass && !talks() && peers.size() > 1;
+    bool by_key(const TrackedTunnel& t) const {
+        return t.keyed && !t.again && terms.packet_passthrough && !talks() && peers.size() > 1;
     }
     std::uint32_t draw_by_key(std::uint64_t key) const {
         std::uint32_t best = none;
@@ -708,29 +717,30 @@
         return best;
     }
     // The ep that would best take the tunnel is short of nothing but a unit that another node may have.
-    bool waits_for_unit(const Tun& t) const {
+    bool waits_for_unit(const TrackedTunnel& t) const {
         return short_of != none && talks() && (too_dear || t.unit_by == 0 || now < t.unit_by);
     }
     void place(std::uint32_t at) {
-        Tun& t = tuns[at];
+        TrackedTunnel& t = tuns[at];
         const std::uint32_t ep = choose(t);
         if (ep != none) return send(at, ep);
         // No ep may be sent anything now (all cold, or no list yet): wait within the setup goal.
-        t.due = std::min(t.arrived + terms.profiles[t.profile].setup_goal, t.give_up_at - 4 * terms.tick);
+        t.due = std::min(t.arrived + terms.traffic_classes[t.profile].latency_objective,
+                         t.give_up_at - 4 * terms.clock_resolution);
         if (too_dear && !waits_for_unit(t)) return finish(at, Reason::too_costly);
-        if (now + terms.tick >= t.due) return finish(at, Reason::no_endpoint);
+        if (now + terms.clock_resolution >= t.due) return finish(at, Reason::no_endpoint);
         go(at, State::holding);
         if (waits_for_unit(t)) borrow_for(at);
     }
     // Held there: what the ep holds already asks for nothing more of it.
     void send(std::uint32_t at, std::uint32_t ep, bool held_there = false) {
-        Tun& t = tuns[at];
-        const Profile& p = terms.profiles[t.profile];
-        const int others = terms.limits.max_setups - t.setups - 1;
-        Tenths wait = t.give_up_at - now;
-        if (others > 0 && p.effect != Effect::once_only)
-            wait = std::min(wait, std::max(p.setup_goal, wait / (others + 2)));
-        Ep& e = eps[ep];
+        TrackedTunnel& t = tuns[at];
+        const TrafficClass& p = terms.traffic_classes[t.profile];
+        const int others = terms.limits.max_attempts - t.setups - 1;
+        Ticks wait = t.give_up_at - now;
+        if (others > 0 && p.idempotency != Idempotency::non_idempotent)
+            wait = std::min(wait, std::max(p.latency_objective, wait / (others + 2)));
+        Endpoint& e = eps[ep];
         if (cold(e) && !held_there) static_cast<void>(e.share.spend(dealing, e.id, cold_rate(e), now));
         if (e.aside) e.trial_at = now + trial_pause;
         t.tried[static_cast<std::size_t>(std::min(t.setups, 3))] = ep;
@@ -740,7 +750,7 @@
         t.stamp = next_stamp();
         ++t.setups;
         go(at, State::setting_up);
-        host.set_up(t.id, e.id, wait);
+        host.start_attempt(t.id, e.id, wait);
         if (t.setups == 1 && !t.mid_flow) ++placed_new;
         expect(ep, sums_known ? 0 : t.load);
         publish(t, !t.mid_flow);
@@ -748,7 +758,7 @@
 
     // ---- the tunnel's states
     void go(std::uint32_t at, State to) {
-        Tun& t = tuns[at];
+        TrackedTunnel& t = tuns[at];
         if (t.state == State::looking_up && t.keyed) asking.drop(t.key);
         const auto carries = [](State s) { return s == State::setting_up || s == State::standing; };
         if (carries(t.state) && !carries(to)) --eps[t.ep].carried, eps[t.ep].mine -= t.load;
@@ -760,7 +770,7 @@
         t.state = to;
     }
     void release(std::uint32_t at) {
-        Tun& t = tuns[at];
+        TrackedTunnel& t = tuns[at];
         go(at, State::idle);
         const Record* r = t.keyed ? records.find(t.key) : nullptr;
         if (r != nullptr && r->stamp == t.stamp && t.ep != none && r->ep == eps[t.ep].id) records.drop(t.key);
@@ -769,57 +779,59 @@
     }
     // The final answer of a tunnel that is given up: at once, and a decline wherever that is true.
     void finish(std::uint32_t at, Reason why) {
-        Tun& t = tuns[at];
-        host.explain(t.id, why);
+        TrackedTunnel& t = tuns[at];
+        host.report_reason(t.id, why);
         if (attempt_policy::may_promise_no_effect(allowance_of(t), history_of(t), now))
-            host.decline(t.id, std::min(terms.limits.max_come_back, terms.profiles[t.profile].setup_goal));
+            host.reject(t.id, std::min(terms.limits.max_retry_after,
+                                       terms.traffic_classes[t.profile].latency_objective));
         else
-            host.close_with_error(t.id);
+            host.fail(t.id);
         release(at);
     }
-    std::uint32_t admit(std::uint64_t id, const Arrival& a) {
+    std::uint32_t admit(std::uint64_t id, const TunnelRequest& a) {
         const std::uint32_t at = tuns.take();
-        Tun& t = tuns[at];
-        t = {.id = id, .give_up_at = a.give_up_at, .arrived = now, .profile = a.profile};
+        TrackedTunnel& t = tuns[at];
+        t = {.id = id, .give_up_at = a.deadline, .arrived = now, .profile = a.traffic_class};
         t.keyed = !a.key.empty();
         t.mid_flow = a.mid_flow;
-        t.again = a.again;
+        t.again = a.reconnect;
         if (t.keyed) t.key = hash_text(a.key);
-        if (terms.groups && !a.group.empty()) t.group = static_cast<std::uint32_t>(hash_text(a.group) | 1);
+        if (terms.groups_enabled && !a.group.empty())
+            t.group = static_cast<std::uint32_t>(hash_text(a.group) | 1);
         const Record* r = t.keyed ? records.find(t.key) : nullptr;
-        t.load = a.load > 0                          ? a.load
+        t.load = a.expected_load > 0                 ? a.expected_load
                  : profile_load[t.profile].count > 0 ? profile_load[t.profile].value
                                                      : mean_load();
         if (r != nullptr && r->load > 0) t.load = r->load;
         tun_index.put(id, at);
         return at;
     }
-    void arrive(std::uint64_t id, const Arrival& a) override {
+    void on_request(std::uint64_t id, const TunnelRequest& a) override {
         const peer::Delivery delivery(outbox);
         const std::uint32_t at = admit(id, a);
-        Tun& t = tuns[at];
+        TrackedTunnel& t = tuns[at];
         if (!a.mid_flow) return gate_open() ? place(at) : finish(at, Reason::gate_shut);
         if (!t.keyed || asking.find(t.key) != none) return place(at);
         Ring::Chain nodes{};
         chain(t.key, nodes);
         go(at, State::looking_up);
         const Record* r = records.find(t.key);
-        if (nodes[0] == terms.me && r != nullptr) return resume(at, r->ep);
+        if (nodes[0] == terms.own_node && r != nullptr) return resume(at, r->ep);
         if (!talks()) return resume(at, r != nullptr ? r->ep : none);
-        if (nodes[0] == terms.me) return ask_near(at);
+        if (nodes[0] == terms.own_node) return ask_near(at);
         post(nodes[0], [&](peer::Message& m) { return m.ask(t.key); });
         wait_for_answer(at);
     }
     void wait_for_answer(std::uint32_t at) {
-        Tun& t = tuns[at];
-        t.due = now + std::min(tail_wait, std::max<Tenths>((t.give_up_at - now) / 4, 0));
-        host.wake(t.due, label_of(at));
+        TrackedTunnel& t = tuns[at];
+        t.due = now + std::min(tail_wait, std::max<Ticks>((t.give_up_at - now) / 4, 0));
+        host.set_timer(t.due, label_of(at));
     }
     // A tail that lost its records (it restarted, or took over from one that died) cannot answer: then a copy
     // names the ep, the node's own first, else that of a node near the tail on the ring, which was on the
     // chain before. Newest-stamp records never name an ep that was left before.
     void ask_near(std::uint32_t at) {
-        Tun& t = tuns[at];
+        TrackedTunnel& t = tuns[at];
         const Record* r = records.find(t.key);
         if (r != nullptr) return resume(at, r->ep);
         t.asked_all = true;
@@ -828,7 +840,7 @@
         const std::size_t n = ring.chain(
             t.key, near_tail, [this](std::uint32_t k) { return lives(k); }, near);
         for (std::size_t i = 0; i < n; ++i) {
-            if (near[i] == terms.me) continue;
+            if (near[i] == terms.own_node) continue;
             post(near[i], [&](peer::Message& m) { return m.ask(t.key); });
             ++t.asked;
         }
@@ -841,23 +853,23 @@
         if (placed_before(tuns[at].key, eps[ep])) return place(at);  // an ep that restarted holds it no more
         send(at, ep, true);
     }
-    void woken(std::uint64_t label) override {
+    void on_timer(std::uint64_t label) override {
         const peer::Delivery delivery(outbox);
         if (label == 0) return sweep();
         const auto at = static_cast<std::uint32_t>((label - 1) & 0xffffffffU);
         if (!tuns.used(at) || label_of(at) != label) return;
-        Tun& t = tuns[at];
+        TrackedTunnel& t = tuns[at];
         if (t.state == State::holding && t.unit_by != 0) return retry(at);
         if (t.state != State::looking_up || now < t.due) return;
         if (!t.asked_all) return ask_near(at);
         resume(at, none);
     }
-    void adopt(std::uint64_t id, const Arrival& a, std::uint32_t ep_id) override {
+    void adopt_open_tunnel(std::uint64_t id, const TunnelRequest& a, std::uint32_t ep_id) override {
         const peer::Delivery delivery(outbox);
         const std::uint32_t ep = ep_index.find(ep_id);
         if (ep == none) return;
         const std::uint32_t at = admit(id, a);
-        Tun& t = tuns[at];
+        TrackedTunnel& t = tuns[at];
         t.ep = ep;
         t.setups = 1;
         t.sent = now;
@@ -865,36 +877,36 @@
         go(at, State::standing);
         publish(t);
     }
-    void begun(std::uint64_t id, int setup, std::uint32_t, Tenths) override {
+    void on_opened(std::uint64_t id, int setup, std::uint32_t, Ticks) override {
         const peer::Delivery delivery(outbox);
         const std::uint32_t at = tun_index.find(id);
         if (at == none || tuns[at].state != State::setting_up || setup + 1 != tuns[at].setups) return;
-        judged(eps[tuns[at].ep], Ending::ok);
+        judged(eps[tuns[at].ep], Outcome::ok);
         ++opened_lately, ++ended_lately, ++stood_lately;
         go(at, State::standing);
     }
-    void ended(std::uint64_t id, int setup, std::uint32_t, Ending ending, Tenths took,
-               bool settled) override {
+    void on_ended(std::uint64_t id, int setup, std::uint32_t, Outcome ending, Ticks took,
+                  bool settled) override {
         const peer::Delivery delivery(outbox);
         const std::uint32_t at = tun_index.find(id);
         if (at == none || setup + 1 != tuns[at].setups) return;
-        Tun& t = tuns[at];
+        TrackedTunnel& t = tuns[at];
         if (t.state == State::setting_up) {
-            const Tenths fair = attempt_policy::fair_wait(terms.profiles[t.profile].setup_goal);
-            const bool too_short = ending == Ending::timed_out && took < fair;
+            const Ticks fair = attempt_policy::fair_wait(terms.traffic_classes[t.profile].latency_objective);
+            const bool too_short = ending == Outcome::timed_out && took < fair;
             if (!too_short) judged(eps[t.ep], ending);
             // These did not get as far as a jam.
-            if (ending != Ending::unreachable && ending != Ending::withdrawn && !too_short) ++ended_lately;
-            if (ending == Ending::ok) ++opened_lately;
+            if (ending != Outcome::unreachable && ending != Outcome::withdrawn && !too_short) ++ended_lately;
+            if (ending == Outcome::ok) ++opened_lately;
         }
-        if (t.state == State::standing && ending == Ending::ok) ++ends;
-        if (t.state == State::standing && ending == Ending::broken) {
+        if (t.state == State::standing && ending == Outcome::ok) ++ends;
+        if (t.state == State::standing && ending == Outcome::connection_lost) {
             eps[t.ep].cut_at = now;
             if (now - t.sent < soon_cut) ++cut_lately;
         }
         if (settled || t.state == State::answered) return release(at);
         if (t.state != State::setting_up) return finish(at, Reason::attempts_used);
-        if (!never_ran(ending) && t.ran_ep == none) {
+        if (!never_executed(ending) && t.ran_ep == none) {
             t.ran_ep = t.ep;
             t.ran_since = t.sent;
         }
@@ -902,20 +914,21 @@
         if (reason != Reason::allowed) return finish(at, reason);
         place(at);
     }
-    Reason may_try_again(const Tun& t, Ending ending) {
+    Reason may_try_again(const TrackedTunnel& t, Outcome ending) {
         const Reason reason = attempt_policy::may_repeat(allowance_of(t), history_of(t), ending, now);
         if (reason != Reason::allowed) return reason;
         // Where most setups fail everywhere, another try would only add to it.
-        if (ending == Ending::timed_out && eps[t.ep].outcomes.elsewhere(lately, now) > witness::bad_part / 2)
+        if (ending == Outcome::timed_out &&
+            eps[t.ep].outcomes.elsewhere(lately, now) > failure_detector::bad_part / 2)
             return Reason::failing_everywhere;
         return gate_open() ? Reason::allowed : Reason::gate_shut;
     }
-    void answer_by(Tenths when) override {
+    void set_answer_deadline(Ticks when) override {
         for (std::uint32_t i = 0; i < tuns.places(); ++i)
             if (tuns.used(i)) tuns[i].give_up_at = std::min(tuns[i].give_up_at, when);
-        for (const auto i : held) tuns[i].due = std::min(tuns[i].due, when - 4 * terms.tick);
+        for (const auto i : held) tuns[i].due = std::min(tuns[i].due, when - 4 * terms.clock_resolution);
     }
-    void client_left(std::uint64_t id) override {
+    void on_client_disconnected(std::uint64_t id) override {
         const std::uint32_t at = tun_index.find(id);
         if (at == none) return;
         if (tuns[at].state == State::setting_up) return go(at, State::answered);
@@ -923,24 +936,24 @@
     }
 
     // ---- another process takes the node's place
-    void remember(std::string& into) const override { carry::write(into, *this); }
-    bool take_over(std::string_view told, Tenths clock_shift) override {
-        const bool read = carry::read(told, *this, clock_shift);
+    void serialize_state(std::string& into) const override { state_codec::write(into, *this); }
+    bool restore_state(std::string_view told, Ticks clock_shift) override {
+        const bool read = state_codec::read(told, *this, clock_shift);
         records.each([this](const Record& r) { heard_stamp(r.stamp); });
         deal_anew();
         return read;
     }
-    void again() override { deal_anew(); }
-    bool hand_over(std::uint64_t id, std::string& into) const override {
+    void resume_ownership() override { deal_anew(); }
+    bool serialize_tunnel(std::uint64_t id, std::string& into) const override {
         const std::uint32_t at = tun_index.find(id);
         const bool stands = at != none && tuns[at].state == State::standing;
-        if (stands) carry::write(into, tuns[at], eps[tuns[at].ep].id);
+        if (stands) state_codec::write(into, tuns[at], eps[tuns[at].ep].id);
         return stands;
     }
-    bool taken_over(std::uint64_t id, std::string_view told, Tenths clock_shift) override {
-        Tun t{.id = id, .setups = 1};
-        t.ep = ep_index.find(carry::read(told, t, clock_shift));
-        if (t.ep == none || t.profile >= terms.profiles.size()) return false;
+    bool restore_tunnel(std::uint64_t id, std::string_view told, Ticks clock_shift) override {
+        TrackedTunnel t{.id = id, .setups = 1};
+        t.ep = ep_index.find(state_codec::read(told, t, clock_shift));
+        if (t.ep == none || t.profile >= terms.traffic_classes.size()) return false;
         const std::uint32_t at = tuns.take();
         tuns[at] = t;
         tun_index.put(id, at);
@@ -949,52 +962,53 @@
     }
 
     // ---- what is learned on the way
-    void load_changed(std::uint64_t id, double load) override {
+    void on_load_changed(std::uint64_t id, double load) override {
         const std::uint32_t at = tun_index.find(id);
         if (at == none) return;
-        Tun& t = tuns[at];
+        TrackedTunnel& t = tuns[at];
         if (t.state == State::setting_up || t.state == State::standing) eps[t.ep].mine += load - t.load;
         t.load = load;
         profile_load[t.profile].add(load);
         any_load.add(load);
     }
-    void messages_slow(std::uint64_t, std::uint32_t ep_id, Tenths takes) override {
+    void on_slow_messages(std::uint64_t, std::uint32_t ep_id, Ticks takes) override {
         if (ep_of(ep_id) == nullptr) return;
-        Ep& e = *ep_of(ep_id);
+        Endpoint& e = *ep_of(ep_id);
         slowed(e, takes);
         // Work piled up makes a message wait, but not for longer than any client: such an ep has stopped.
         if (takes > 2 * longest_timeout) stopped(e, "a message takes, in s,", takes);
     }
-    void stopped(Ep& e, const char* why, Tenths figure) {
+    void stopped(Endpoint& e, const char* why, Ticks figure) {
         if (e.aside && e.silent) return;
         e.silent = true;
         e.bad_at = now;
-        e.outcomes.doubt = witness::doubt_limit;
+        e.outcomes.doubt = failure_detector::doubt_limit;
         if (!e.aside || e.hearsay_until != 0) set_aside(e, why, static_cast<double>(figure) / second);
     }
     // A sound ep answers a line at once, on each connection. Guards against one that hangs or is cut off, of
     // which setups and probes tell only seconds later.
-    void unheard(std::uint32_t ep_id, Tenths span) override {
-        Ep* const e = ep_of(ep_id);
+    void on_unresponsive(std::uint32_t ep_id, Ticks span) override {
+        Endpoint* const e = ep_of(ep_id);
         if (e == nullptr || span < (e->aside ? unheard_limit / 2 : unheard_limit)) return;
         stopped(*e, "seconds with no line", span);
     }
-    void probed(std::uint32_t ep_id, Ending ending, Tenths, const Report& r) override {
+    void on_health_check(std::uint32_t ep_id, Outcome ending, Ticks, const LoadReport& r) override {
         if (ep_of(ep_id) == nullptr) return;
-        Ep& e = *ep_of(ep_id);
+        Endpoint& e = *ep_of(ep_id);
         e.probing = false;
-        if (ending == Ending::timed_out || ending == Ending::unreachable) judge(e, ending, true, terms.me);
-        if (ending != Ending::ok) return;
+        if (ending == Outcome::timed_out || ending == Outcome::unreachable)
+            judge(e, ending, true, terms.own_node);
+        if (ending != Outcome::ok) return;
         answered();
         e.probe_good_at = now;
         answers(e);
         double x = r.load;
-        if (std::isnan(x)) x = r.busy;
+        if (std::isnan(x)) x = r.utilization;
         if (std::isnan(x) && !std::isnan(r.inflight)) x = r.inflight * mean_load() / (e.size * room_a_size);
         if (std::isnan(x) && !std::isnan(r.queue)) x = 0.5 + r.queue / (10 * e.size);
-        if (!std::isnan(r.piled_s)) x = (std::isnan(x) ? 0 : x) + r.piled_s;
+        if (!std::isnan(r.backlog_seconds)) x = (std::isnan(x) ? 0 : x) + r.backlog_seconds;
         if (std::isnan(x)) return;
-        if (!terms.hears_delay) pile_up(e, x);
+        if (!terms.reports_message_delay) pile_up(e, x);
         e.reported(x, now);
         if (x == e.last_report || !sums_known) return;  // not yet refreshed
         e.last_report = x;
@@ -1008,7 +1022,7 @@
     // The tunnels whose moves win the most go first; the weights place them when they are back. A node moves
     // its part of the excess, by chance where that is less than one tunnel, so that not all move at once.
     void relieve(std::uint32_t at) {
-        Ep& e = eps[at];
+        Endpoint& e = eps[at];
         const bool dead = e.aside && e.silent;
         if (e.carried == 0 || now - e.moved_at < second / 2 || !gate_was_open || setting_up > 4) return;
         const double x = load_of(e, asked(e) - e.pending);
@@ -1022,14 +1036,14 @@
             left -= tuns[t].load;
             moves_left -= 1;
             go(t, State::leaving);
-            host.move(tuns[t].id);
+            host.migrate(tuns[t].id);
         }
     }
-    std::uint32_t best_move(const Ep& off, double x, bool dead) {
+    std::uint32_t best_move(const Endpoint& off, double x, bool dead) {
         std::uint32_t best = none;
         double most = move_gain;
         for (std::uint32_t i = 0; i < tuns.places(); ++i) {
-            const Tun& t = tuns[i];
+            const TrackedTunnel& t = tuns[i];
             if (!tuns.used(i) || t.state != State::standing || &eps[t.ep] != &off) continue;
             // With the last of a group its copy goes too: each member counts for its part of that.
             const int members = records.groups().members(t.group, off.id);
@@ -1051,11 +1065,11 @@
     }
     // ---- the sweep
     void sweep() {
-        host.wake(now + sweep_every, 0);
+        host.set_timer(now + sweep_every, 0);
         if (!greeted) greet();
         keep_list();
         forget_placed(sums_known ? report_pause : report_lag);
-        lately.fade(witness::fades_to);
+        lately.fade(failure_detector::fades_to);
         for (double* part : {&opened_lately, &ended_lately, &stood_lately, &cut_lately}) *part *= gate_decay;
         for (auto& e : eps) e.fresh_drift *= drift_decay;
         expect_unheard();
@@ -1090,10 +1104,10 @@
     void look_over() {
         if (ring_changed) find_reporters();
         weigh_fleet();
-        if (terms.limits.probing) send_probes();
+        if (terms.limits.health_checks_enabled) send_probes();
         for (std::uint32_t i = 0; i < eps.size(); ++i) relieve(i);
         for (auto& e : eps) {
-            bear_witness(e);
+            report_failure(e);
             if (e.aside && e.hearsay_until != 0 && now >= e.hearsay_until) come_back(e, "nobody any more");
             if (!sums_known && talks() && to_tell_dead(e)) tell_dead(e);
         }
@@ -1105,7 +1119,7 @@
         for (const std::uint32_t at : retrying) retry(at);
     }
     void retry(std::uint32_t at) {
-        Tun& t = tuns[at];
+        TrackedTunnel& t = tuns[at];
         const std::uint32_t ep = choose(t);
         if (ep != none)
             send(at, ep);
@@ -1116,22 +1130,22 @@
         else if (waits_for_unit(t))
             borrow_for(at);
     }
-    Tenths probe_pause() const {
+    Ticks probe_pause() const {
         const double probes = static_cast<double>(eps.size()) * (sums_known || !talks() ? nodes() : 1);
-        return paced(probe_every, terms.prices.probe * probes, 8);
+        return paced(probe_every, terms.costs.health_check * probes, 8);
     }
     void send_probes() {
-        const Tenths pause = probe_pause();
+        const Ticks pause = probe_pause();
         for (auto& e : eps) {
-            if (e.life != Life::in_service || e.probing) continue;
+            if (e.life != EndpointState::active || e.probing) continue;
             // Without sums an ep's reporter probes for all; the others only where they hear nothing of it.
             const bool alone = sums_known || !talks();  // no reporter tells of it
             const bool mine = alone || e.rank != not_reporting;
             // Is it back? Once it answers probes a trial tells, and probes no more than of others.
             const bool unanswered = e.silent && e.probe_good_at <= e.bad_at;
-            const Tenths wait = unanswered ? probe_every
-                                : mine     ? pause * (alone ? 1 : 1 + 4 * e.rank)
-                                           : 8 * tell_pause;
+            const Ticks wait = unanswered ? probe_every
+                               : mine     ? pause * (alone ? 1 : 1 + 4 * e.rank)
+                                          : 8 * tell_pause;
             if (now - std::max(e.probed_at, mine ? -never : e.x_at) < wait) continue;
             look(e);
         }
@@ -1140,7 +1154,7 @@
 
 }  // namespace
 
-std::unique_ptr<Balancer> Balancer::start(Terms terms, Host& host, Tenths now) {
+std::unique_ptr<Balancer> Balancer::start(BalancerConfig terms, BalancerDelegate& host, Ticks now) {
     return std::make_unique<Mind>(std::move(terms), host, now);
 }
 
--- a/src/balance/outbox.h
+++ b/src/balance/outbox.h
@@ -10,7 +10,7 @@
 
 class Outbox {
   public:
-    Outbox(Host& host, std::size_t nodes) : host_(host), waiting_(nodes) {}
+    Outbox(BalancerDelegate& host, std::size_t nodes) : host_(host), waiting_(nodes) {}
     template <class Add>
     void post(std::uint32_t node, Add&& add) {
         any_ = true;
@@ -27,7 +27,7 @@
     void tell_all(Add&& add) {
         Message m;
         add(m);
-        host_.tell_all(m.bytes());
+        host_.broadcast_gossip(m.bytes());
     }
     // One message, and as many more as its items need, to all nodes.
     template <class Fill>
@@ -35,19 +35,19 @@
         Message m;
         fill([&](auto&& add) {
             if (add(m)) return;
-            host_.tell_all(m.bytes());
+            host_.broadcast_gossip(m.bytes());
             m.clear();
             add(m);
         });
-        host_.tell_all(m.bytes());
+        host_.broadcast_gossip(m.bytes());
     }
 
   private:
     void send(std::uint32_t node) {
-        host_.tell(node, waiting_[node].bytes());
+        host_.send_gossip(node, waiting_[node].bytes());
         waiting_[node].clear();
     }
-    Host& host_;
+    BalancerDelegate& host_;
     std::vector<Message> waiting_;
     bool any_ = false;
 };
--- a/src/balance/record_table.h
+++ b/src/balance/record_table.h
@@ -12,7 +12,7 @@
 
 struct Record {
     std::uint64_t key = 0;
-    Tenths stamp = 0, heard = 0;
+    Ticks stamp = 0, heard = 0;
     std::uint32_t ep = 0, group = 0;
     double load = 0;
     bool sampled = false;  // held as the carrier or on the chain, not for the group
@@ -48,7 +48,7 @@
         records_.give_back(at);
         --size_;
     }
-    void drop_unheard_since(Tenths when) {
+    void drop_unheard_since(Ticks when) {
         for (std::uint32_t i = 0; i < records_.places(); ++i)
             if (records_.used(i) && records_[i].heard < when) drop(records_[i].key);
     }
@@ -66,7 +66,7 @@
     struct Sampled {
         double load = 0, older = 0;
     };
-    Sampled sampled(Tenths since, Tenths born) const {
+    Sampled sampled(Ticks since, Ticks born) const {
         Sampled sum;
         each([&](const Record& r) {
             if (!r.sampled || r.heard < since) return;
--- a/src/balance/state_codec.h
+++ b/src/balance/state_codec.h
@@ -10,12 +10,12 @@
 #include "balance/state.h"
 #include "serialization/binary.h"
 
-namespace lemonstair::carry {
+namespace lemonstair::state_codec {
 
 constexpr std::uint32_t most = 1U << 20;  // of anything: a count past it is torn
 
 // The count of what follows, at most `most`.
-inline std::uint32_t count(bytes::Reader& from) {
+inline std::uint32_t count(serialization::Reader& from) {
     const auto n = from.next<std::uint32_t>();
     if (n > most) from.fail();
     return n <= most ? n : 0;
@@ -37,15 +37,15 @@
 }
 
 // A point in time as this process's clock tells it; 0 and what is far off (never, long ago) are no points.
-inline void shift(Tenths clock_shift, Tenths& time) {
+inline void shift(Ticks clock_shift, Ticks& time) {
     if (time != 0 && std::abs(time) < never / 4) time += clock_shift;
 }
 template <class... Times>
-void shift_all(Tenths clock_shift, Times&... times) {
+void shift_all(Ticks clock_shift, Times&... times) {
     (shift(clock_shift, times), ...);
 }
 
-inline void shift_times(Ep& e, Tenths by) {
+inline void shift_times(Endpoint& e, Ticks by) {
     shift_all(by, e.told_at, e.started, e.listed_start, e.probed_at, e.aside_at, e.trial_at, e.probe_good_at,
               e.good_at, e.slow_at, e.slow_since, e.moved_at, e.x_at, e.x_told_at, e.outcomes.counted_at,
               e.home_at, e.hearsay_until);
@@ -62,20 +62,20 @@
 }
 
 inline void write(std::string& into, const Memory& m) {
-    bytes::Writer out(into);
+    serialization::Writer out(into);
     figures(out, m);
     out.value(static_cast<std::uint32_t>(m.profile_load.size()));
-    for (const Mean& mean : m.profile_load) all(out, mean.value, mean.count);
+    for (const RunningMean& mean : m.profile_load) all(out, mean.value, mean.count);
     out.value(static_cast<std::uint32_t>(m.peers.size()));
     for (const Peer& p : m.peers) all(out, p.heard, p.summed, p.lives);
     out.value(static_cast<std::uint32_t>(m.eps.size()));
-    for (const Ep& e : m.eps) {
+    for (const Endpoint& e : m.eps) {
         out.value(e.id);
         ep(out, e);
         for (const double load : e.others) out.value(load);
     }
     out.value(static_cast<std::uint32_t>(m.placed.size()));
-    for (const Placed& p : m.placed) all(out, m.eps[p.ep].id, p.at, p.load);
+    for (const RecentPlacement& p : m.placed) all(out, m.eps[p.ep].id, p.at, p.load);
     out.value(static_cast<std::uint32_t>(m.records.size()));
     m.records.each(
         [&](const Record& r) { all(out, r.key, r.stamp, r.heard, r.ep, r.group, r.load, r.sampled); });
@@ -88,21 +88,21 @@
 
 // False where the bytes are torn or of another fleet; then what was read is not to be used.
 // Times are told on the clock of who wrote them; stamps of records belong to no clock.
-inline bool read(std::string_view told, Memory& m, Tenths clock_shift) {
-    bytes::Reader in(told);
+inline bool read(std::string_view told, Memory& m, Ticks clock_shift) {
+    serialization::Reader in(told);
     figures(in, m);
     shift_all(clock_shift, m.born, m.last_report, m.hello_at);
     if (count(in) != m.profile_load.size()) in.fail();
-    for (Mean& mean : m.profile_load) all(in, mean.value, mean.count);
+    for (RunningMean& mean : m.profile_load) all(in, mean.value, mean.count);
     if (count(in) != m.peers.size()) in.fail();
     for (Peer& p : m.peers) {
         all(in, p.heard, p.summed, p.lives);
         shift_all(clock_shift, p.heard, p.summed);
     }
     for (std::uint32_t n = count(in); n > 0 && in.good(); --n) {
-        Ep* known = m.ep_of(in.next<std::uint32_t>());
-        Ep unknown;  // read, and forgotten
-        Ep& e = known != nullptr ? *known : unknown;
+        Endpoint* known = m.ep_of(in.next<std::uint32_t>());
+        Endpoint unknown;  // read, and forgotten
+        Endpoint& e = known != nullptr ? *known : unknown;
         ep(in, e);
         shift_times(e, clock_shift);
         e.others.assign(m.peers.size(), 0);
@@ -114,7 +114,7 @@
     }
     m.placed.clear();
     for (std::uint32_t n = count(in); n > 0 && in.good(); --n) {
-        Placed p;
+        RecentPlacement p;
         p.ep = m.ep_index.find(in.next<std::uint32_t>());
         all(in, p.at, p.load);
         shift(clock_shift, p.at);
@@ -138,14 +138,14 @@
 }
 
 // A standing tunnel.
-inline void write(std::string& into, const Tun& t, std::uint32_t ep) {
-    bytes::Writer out(into);
+inline void write(std::string& into, const TrackedTunnel& t, std::uint32_t ep) {
+    serialization::Writer out(into);
     all(out, ep, t.key, t.give_up_at, t.arrived, t.sent, t.stamp, t.refresh_at, t.load, t.profile, t.group,
         t.keyed, t.mid_flow);
 }
 // Gives the id of its ep; `none` where the bytes are torn.
-inline std::uint32_t read(std::string_view told, Tun& t, Tenths clock_shift) {
-    bytes::Reader in(told);
+inline std::uint32_t read(std::string_view told, TrackedTunnel& t, Ticks clock_shift) {
+    serialization::Reader in(told);
     std::uint32_t ep = none;
     all(in, ep, t.key, t.give_up_at, t.arrived, t.sent, t.stamp, t.refresh_at, t.load, t.profile, t.group,
         t.keyed, t.mid_flow);
@@ -153,4 +153,4 @@
     return in.good() && in.at_end() ? ep : none;
 }
 
-}  // namespace lemonstair::carry
+}  // namespace lemonstair::state_codec
--- a/src/balance/talk.h
+++ b/src/balance/talk.h
@@ -17,13 +17,13 @@
 
     template <class Add>
     void post(std::uint32_t node, Add&& add) {
-        if (talks() && node != terms.me && node != none) outbox.post(node, add);
+        if (talks() && node != terms.own_node && node != none) outbox.post(node, add);
     }
     // What is told and probed again and again is paid by the tunnels placed: it is done as often as this part
     // of their credit pays for. The price is that of a round of all nodes, the tunnels those of all nodes.
-    Tenths paced(Tenths wanted, double price, int longest) const {
+    Ticks paced(Ticks wanted, double price, int longest) const {
         const double paid = price / (talk_part * std::max(placed_lately / 10 * tunnels_a_sample(), 0.05));
-        return std::clamp(static_cast<Tenths>(std::min(paid, 1e6) * second), wanted, longest * wanted);
+        return std::clamp(static_cast<Ticks>(std::min(paid, 1e6) * second), wanted, longest * wanted);
     }
 
     // Who has started or fallen silent is told to all where that is paid, if all nodes did so, by the tunnels
@@ -44,7 +44,8 @@
         outbox.tell_all_of([&](auto&& put) {
             for (auto& e : eps) {
                 const bool good = e.good_at >= last_report;
-                if (e.life == Life::gone || (!all && std::abs(e.mine - e.told) < 0.02 * room(e) && !good))
+                if (e.life == EndpointState::removed ||
+                    (!all && std::abs(e.mine - e.told) < 0.02 * room(e) && !good))
                     continue;
                 e.told = e.mine;
                 put([&](peer::Message& m) { return m.seen(e.id, good, e.mine); });
@@ -58,7 +59,7 @@
     void find_reporters() {
         constexpr std::uint32_t together = 8;
         std::uint32_t listed_now = 0;
-        for (const auto& e : eps) listed_now += e.life == Life::gone ? 0 : 1;
+        for (const auto& e : eps) listed_now += e.life == EndpointState::removed ? 0 : 1;
         const std::uint32_t blocks = listed_now / together + 1;
         for (auto& e : eps) {
             Ring::Chain nodes{};
@@ -66,15 +67,15 @@
                 mix(e.id % blocks), 3, [this](std::uint32_t k) { return lives(k); }, nodes);
             e.reporters = {none, none, none};
             std::copy_n(nodes.begin(), n, e.reporters.begin());
-            const auto mine = std::find(e.reporters.begin(), e.reporters.end(), terms.me);
+            const auto mine = std::find(e.reporters.begin(), e.reporters.end(), terms.own_node);
             e.rank = static_cast<int>(mine - e.reporters.begin());
         }
         ring_changed = false;
     }
     // The reporter's word to all: at once where an ep fell silent or came back, else as its price allows, and
     // the sooner the more its load has changed.
-    bool to_tell(const Ep& e) const {
-        if (e.life != Life::in_service || e.rank == not_reporting || e.aside) return false;
+    bool to_tell(const Endpoint& e) const {
+        if (e.life != EndpointState::active || e.rank == not_reporting || e.aside) return false;
         if (e.bad_told) return now - e.aside_at >= e.rank * second;
         if (std::isnan(e.x) || now - last_report < std::max(second, tell_pause / 8)) return false;
         const double change = std::min(std::abs(e.x - e.x_told) / usual_change, 8.0);
@@ -82,24 +83,24 @@
         return waited * (change > 0.5 ? change : 0.25) >= static_cast<double>(tell_pause);
     }
     // That one is dead, once enough nodes found it so; the next in rank says it where those before do not.
-    bool to_tell_dead(const Ep& e) const {
-        if (!e.aside || e.life != Life::in_service || e.rank == not_reporting) return false;
+    bool to_tell_dead(const Endpoint& e) const {
+        if (!e.aside || e.life != EndpointState::active || e.rank == not_reporting) return false;
         if (now - e.aside_at < e.rank * second / (e.silent ? 4 : 1)) return false;
-        return now - e.bad_told_at >= witness::renewed_after &&
+        return now - e.bad_told_at >= failure_detector::renewed_after &&
                (e.silent ? e.found_dead.dead(now) : e.faulty.several(now));
     }
-    void tell_dead(Ep& e) {
-        const witness::Two by = (e.silent ? e.found_dead : e.faulty).newest();
+    void tell_dead(Endpoint& e) {
+        const failure_detector::Two by = (e.silent ? e.found_dead : e.faulty).newest();
         e.bad_told = true;
         e.bad_told_at = now;
         outbox.tell_all([&](auto& m) { m.dead(e.id, by[1].when, by[0].node, by[1].node); });
     }
     void tell_reports() {
-        if (std::none_of(eps.begin(), eps.end(), [this](const Ep& e) { return to_tell(e); })) return;
+        if (std::none_of(eps.begin(), eps.end(), [this](const Endpoint& e) { return to_tell(e); })) return;
         outbox.tell_all_of([&](auto&& put) {
             for (auto& e : eps) {
-                const bool told_with = e.rank != not_reporting && e.life == Life::in_service && !e.aside &&
-                                       std::abs(e.x - e.x_told) > usual_change / 4;
+                const bool told_with = e.rank != not_reporting && e.life == EndpointState::active &&
+                                       !e.aside && std::abs(e.x - e.x_told) > usual_change / 4;
                 if (!told_with && !to_tell(e)) continue;
                 e.bad_told = false;
                 e.x_told = std::isnan(e.x) ? 0 : e.x;
--- a/src/config/node_config.cpp
+++ b/src/config/node_config.cpp
@@ -25,7 +25,7 @@
 }
 
 // The environment is of this process alone, the file may be written once for many: the former goes first.
-std::optional<net::Address> read_admin(const json::Value& file, const Surroundings& around) {
+std::optional<net::Address> read_admin(const json::Value& file, const Environment& around) {
     if (around.admin_addr == nullptr || *around.admin_addr == '\0')
         return read_address_if_any(file, "admin_addr");
     const auto at = net::parse_address(around.admin_addr);
@@ -33,7 +33,7 @@
     return at;
 }
 
-std::optional<int> read_inherited(const Surroundings& around) {
+std::optional<int> read_inherited(const Environment& around) {
     if (around.inherited_fd == nullptr || *around.inherited_fd == '\0') return std::nullopt;
     const std::string_view digits = around.inherited_fd;
     int fd = -1;
@@ -44,7 +44,7 @@
 }
 
 // A folder may be shared by the nodes of a machine: the name tells whose it is.
-std::string nearby_name(const json::Value& file, const Surroundings& around) {
+std::string nearby_name(const json::Value& file, const Environment& around) {
     if (around.tmpdir == nullptr || *around.tmpdir == '\0') return {};
     std::string name(file.text("listen"));
     std::replace(name.begin(), name.end(), ':', '-');
@@ -60,25 +60,25 @@
     return seed;
 }
 
-void check(const json::Value& settings, const Terms& t) {
-    if (t.profiles.empty()) settings.fail("profiles", "names no profile");
-    if (t.profiles.size() > 1000) settings.fail("profiles", "holds too many");
-    if (t.nodes == 0 || t.nodes > 100000) settings.fail("balancers", "is out of range");
-    if (t.me >= t.nodes) settings.fail("me", "is not below 'balancers'");
-    if (t.limits.max_setups < 1) settings.fail("max_setups", "is not 1 or more");
-    for (const auto& p : t.profiles)
-        if (p.client_timeout <= 0 || p.setup_goal <= 0)
+void check(const json::Value& settings, const BalancerConfig& config) {
+    if (config.traffic_classes.empty()) settings.fail("profiles", "names no profile");
+    if (config.traffic_classes.size() > 1000) settings.fail("profiles", "holds too many");
+    if (config.node_count == 0 || config.node_count > 100000) settings.fail("balancers", "is out of range");
+    if (config.own_node >= config.node_count) settings.fail("me", "is not below 'balancers'");
+    if (config.limits.max_attempts < 1) settings.fail("max_setups", "is not 1 or more");
+    for (const auto& p : config.traffic_classes)
+        if (p.client_timeout <= 0 || p.latency_objective <= 0)
             settings.fail("client_timeout", "or 'setup_goal' is not above 0");
 }
 
 }  // namespace
 
-Launch read_launch(const json::Value& file, const Surroundings& around) {
+NodeConfig parse_node_config(const json::Value& file, const Environment& around) {
     if (file.type() != json::Type::object) throw json::Malformed("the configuration is not an object");
-    Launch l;
+    NodeConfig l;
     const json::Value settings = file.inner("settings").told_as("settings"), limits = file.inner("limits");
     if (!file.has("settings")) file.fail("settings", "is missing");
-    l.terms = read_terms(settings, read_seed(file));
+    l.terms = parse_settings(settings, read_seed(file));
     check(settings, l.terms);
     l.name = file.text("name", "node");
     l.listen = read_address(file, "listen");
@@ -93,7 +93,8 @@
         if (!at) file.fail("peers", "holds what is not an address and a port");
         l.peers.push_back(*at);
     });
-    if (l.terms.limits.peers && l.terms.nodes > 1 && (l.peers.size() != l.terms.nodes || !l.peer_listen))
+    if (l.terms.limits.gossip_enabled && l.terms.node_count > 1 &&
+        (l.peers.size() != l.terms.node_count || !l.peer_listen))
         file.fail("peers", "does not name one address a node, or 'peer_listen' is missing");
     settings.each("profiles", [&](const json::Value& one) { l.profiles.emplace_back(one.text("name")); });
     settings.each("zones", [&](const json::Value& one) {
@@ -107,12 +108,12 @@
     if (l.sockets < fewest_sockets) limits.fail("sockets", "is under 32: too few to serve");
     if (l.admin) l.callers = std::clamp<std::size_t>(l.sockets / 16, fewest_callers, most_callers);
     // A line is answered at once whatever waits at its host: how long messages take there shows in no answer.
-    l.terms.hears_delay = false;
+    l.terms.reports_message_delay = false;
     l.reports = settings.inner("report").text("via", "none") != "none";
     return l;
 }
 
-std::string renew(Launch& now, Launch&& next) {
+std::string renew(NodeConfig& now, NodeConfig&& next) {
     std::string kept;
     const auto keep = [&](const char* key, bool same) {
         if (!same) kept.append(kept.empty() ? "" : ", ").append(key);
@@ -122,13 +123,13 @@
     keep("peer_listen", now.peer_listen == next.peer_listen);
     keep("admin_addr", now.admin == next.admin);
     // Tunnels, records and other nodes go by these numbers.
-    const bool alike = keep("balancers", now.terms.nodes == next.terms.nodes) &
-                       keep("me", now.terms.me == next.terms.me) &
+    const bool alike = keep("balancers", now.terms.node_count == next.terms.node_count) &
+                       keep("me", now.terms.own_node == next.terms.own_node) &
                        keep("zone", now.terms.zone == next.terms.zone && now.zones == next.zones) &
                        keep("profiles", now.profiles == next.profiles) &
-                       keep("membership_mode", now.terms.must_ask == next.terms.must_ask) &
-                       keep("mode", now.terms.packets_pass == next.terms.packets_pass) &
-                       keep("peers", now.terms.limits.peers == next.terms.limits.peers);
+                       keep("membership_mode", now.terms.must_poll == next.terms.must_poll) &
+                       keep("mode", now.terms.packet_passthrough == next.terms.packet_passthrough) &
+                       keep("peers", now.terms.limits.gossip_enabled == next.terms.limits.gossip_enabled);
     if (alike) {
         next.terms.seed = now.terms.seed;
         now.terms = next.terms;
--- a/src/config/node_config.h
+++ b/src/config/node_config.h
@@ -17,8 +17,8 @@
 // With fewer descriptors a node cannot serve.
 constexpr std::size_t fewest_sockets = 32;
 
-struct Launch {
-    Terms terms;
+struct NodeConfig {
+    BalancerConfig terms;
     std::string name;
     std::vector<std::string> profiles, zones;  // names, in the settings' order
     net::Address listen, discovery;
@@ -28,23 +28,23 @@
     std::optional<int> inherited;       // the clients' listening socket, where the platform holds it
     std::string nearby;                 // where the process that this one replaces is found; empty: nowhere
     std::vector<net::Address> peers;    // in the order of the nodes' numbers, this one's own among them
-    Tenths connect_timeout = 0;
+    Ticks connect_timeout = 0;
     std::size_t sockets = 0;  // descriptors that the node may hold
     bool reports = false;     // hosts tell their load when probed
 };
 
 // What the environment tells beside the file; what it names goes before the file's keys.
-struct Surroundings {
+struct Environment {
     const char* admin_addr = nullptr;    // $NODE_ADMIN_ADDR
     const char* inherited_fd = nullptr;  // $NODE_INHERITED_FD
     const char* tmpdir = nullptr;        // $TMPDIR
 };
 
 // Throws json::Malformed, which names the faulty key.
-Launch read_launch(const json::Value& file, const Surroundings& around = {});
+NodeConfig parse_node_config(const json::Value& file, const Environment& around = {});
 
 // Takes over what may change while the node serves. What it was started with and cannot change keeps its old
 // value; the names of those keys that the new one has otherwise are given back.
-std::string renew(Launch& now, Launch&& next);
+std::string renew(NodeConfig& now, NodeConfig&& next);
 
 }  // namespace lemonstair::config
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -4,59 +4,65 @@
 
 namespace {
 
-Profile read_profile(const json::Value& f) {
-    Profile p;
-    p.setup_goal = down(f.number("setup_goal"));
-    p.client_timeout = down(f.number("client_timeout"));
-    p.window = down(f.number("window", 0));
-    p.credit = f.number("credit", 1);
-    p.stream = f.flag("stream");
-    p.effect = pick<Effect>(f.text("effect"),
-                            {{"read_like", Effect::repeatable},
-                             {"idempotency_key", Effect::referenced},
-                             {"non_idempotent", Effect::once_only}},
-                            "effect");
-    p.scope = pick<Scope>(f.text("dedup_scope", "all"),
-                          {{"all", Scope::all}, {"zone", Scope::zone}, {"cell", Scope::cell}}, "dedup_scope");
-    return p;
+TrafficClass parse_traffic_class(const json::Value& f) {
+    TrafficClass traffic_class;
+    traffic_class.latency_objective = down(f.number("setup_goal"));
+    traffic_class.client_timeout = down(f.number("client_timeout"));
+    traffic_class.deduplication_window = down(f.number("window", 0));
+    traffic_class.priority_weight = f.number("credit", 1);
+    traffic_class.stream = f.flag("stream");
+    traffic_class.idempotency = pick<Idempotency>(f.text("effect"),
+                                                  {{"read_like", Idempotency::idempotent},
+                                                   {"idempotency_key", Idempotency::idempotent_with_key},
+                                                   {"non_idempotent", Idempotency::non_idempotent}},
+                                                  "effect");
+    traffic_class.deduplication_scope = pick<DeduplicationScope>(f.text("dedup_scope", "all"),
+                                                                 {{"all", DeduplicationScope::all},
+                                                                  {"zone", DeduplicationScope::zone},
+                                                                  {"cell", DeduplicationScope::cell}},
+                                                                 "dedup_scope");
+    return traffic_class;
 }
 
 }  // namespace
 
-Terms read_terms(const json::Value& f, std::uint64_t seed) {
-    Terms t;
-    f.each("profiles", [&](const json::Value& one) { t.profiles.push_back(read_profile(one)); });
+BalancerConfig parse_settings(const json::Value& f, std::uint64_t seed) {
+    BalancerConfig config;
+    f.each("profiles",
+           [&](const json::Value& one) { config.traffic_classes.push_back(parse_traffic_class(one)); });
     const json::Value rules = f.inner("rules"), costs = f.inner("costs"), limits = f.inner("limits"),
                       domain = f.inner("domain");
     std::size_t at = 0;
     domain.each("message_aim", [&](const json::Value& one) {
         if (std::isnan(one.as_number())) domain.fail("message_aim", "holds what is not a number");
-        if (at < t.profiles.size()) t.profiles[at++].message_goal = down(one.as_number());
+        if (at < config.traffic_classes.size())
+            config.traffic_classes[at++].message_latency_objective = down(one.as_number());
     });
-    t.rules = {.ask_within = down(rules.number("ask_within", 0)),
-               .drain_grace = down(rules.number("stop_sending_within", 0)),
-               .cold = up(rules.number("cold", 0)),
-               .fall = up(rules.number("fall", 0)),
-               .cold_from = rules.number("cold_from", 1),
-               .tip_multiple = rules.number("tip_multiple", 1)};
-    t.prices = {.cross_zone = costs.number("cross_zone", 0),
-                .probe = costs.number("probe", 0),
-                .peer = costs.number("peer", 0)};
-    t.limits = {.max_come_back = limits.flag("retry_after") ? down(limits.number("max_retry_after", 0)) : 0,
-                .max_setups = static_cast<int>(limits.small("max_setups", 1)),
-                .peers = limits.flag("peers"),
-                .probing = limits.flag("probing")};
-    t.tick = up(f.number("granularity", 0));
-    t.me = f.small("me", 0);
-    t.nodes = f.small("balancers", 1);
-    t.zone = f.small("zone", 0);
-    t.seed = static_cast<std::uint32_t>(seed ^ (seed >> 32));
-    t.must_ask = f.text("membership_mode", "push") == "ask";
-    t.groups = domain.flag("groups");
-    t.hears_delay = domain.flag("tells_delay");
-    t.packets_pass = domain.text("mode", "proxy") == "pass";
-    t.sized = f.text("weight_kind", "none") != "none";
-    return t;
+    config.rules = {.poll_interval = down(rules.number("ask_within", 0)),
+                    .drain_grace = down(rules.number("stop_sending_within", 0)),
+                    .slow_start_duration = up(rules.number("cold", 0)),
+                    .overload_window = up(rules.number("fall", 0)),
+                    .slow_start_initial_factor = rules.number("cold_from", 1),
+                    .overload_multiple = rules.number("tip_multiple", 1)};
+    config.costs = {.cross_zone = costs.number("cross_zone", 0),
+                    .health_check = costs.number("probe", 0),
+                    .gossip_message = costs.number("peer", 0)};
+    config.limits = {
+        .max_retry_after = limits.flag("retry_after") ? down(limits.number("max_retry_after", 0)) : 0,
+        .max_attempts = static_cast<int>(limits.small("max_setups", 1)),
+        .gossip_enabled = limits.flag("peers"),
+        .health_checks_enabled = limits.flag("probing")};
+    config.clock_resolution = up(f.number("granularity", 0));
+    config.own_node = f.small("me", 0);
+    config.node_count = f.small("balancers", 1);
+    config.zone = f.small("zone", 0);
+    config.seed = static_cast<std::uint32_t>(seed ^ (seed >> 32));
+    config.must_poll = f.text("membership_mode", "push") == "ask";
+    config.groups_enabled = domain.flag("groups");
+    config.reports_message_delay = domain.flag("tells_delay");
+    config.packet_passthrough = domain.text("mode", "proxy") == "pass";
+    config.endpoint_sizes_differ = f.text("weight_kind", "none") != "none";
+    return config;
 }
 
 }  // namespace lemonstair::config
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -14,13 +14,11 @@
 namespace lemonstair::config {
 
 constexpr double tenths_a_second = 10000.0;
-inline Tenths down(double seconds) {
-    return static_cast<Tenths>(std::floor(seconds * tenths_a_second + 1e-3));
-}
-inline Tenths up(double seconds) { return static_cast<Tenths>(std::ceil(seconds * tenths_a_second - 1e-3)); }
+inline Ticks down(double seconds) { return static_cast<Ticks>(std::floor(seconds * tenths_a_second + 1e-3)); }
+inline Ticks up(double seconds) { return static_cast<Ticks>(std::ceil(seconds * tenths_a_second - 1e-3)); }
 
 // Throws json::Malformed, which names the faulty field.
-Terms read_terms(const json::Value& settings, std::uint64_t seed);
+BalancerConfig parse_settings(const json::Value& settings, std::uint64_t seed);
 
 // The meaning of a word, from a list of all that may stand there.
 template <class T, std::size_t N>
@@ -31,12 +29,12 @@
 }
 
 // A load report's figures by name; what did not come is not a number.
-inline double* figure(Report& into, std::string_view name) {
+inline double* figure(LoadReport& into, std::string_view name) {
     const std::pair<std::string_view, double*> all[] = {{"inflight", &into.inflight},
                                                         {"queue", &into.queue},
-                                                        {"util", &into.busy},
+                                                        {"util", &into.utilization},
                                                         {"x0", &into.load},
-                                                        {"x1", &into.piled_s}};
+                                                        {"x1", &into.backlog_seconds}};
     for (const auto& [known, at] : all)
         if (known == name) return at;
     return nullptr;
--- a/src/config/source.cpp
+++ b/src/config/source.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-Launch Source::read() {
+NodeConfig ConfigSource::read() {
     const auto fail = [&](const char* what) {
         throw json::Malformed(std::string("configuration: '").append(path_).append("' ").append(what));
     };
@@ -25,7 +25,7 @@
     }
     if (!file_.parse(text_)) fail("is not JSON");
     const json::Value file = file_.root().told_as("configuration");
-    Launch launch = read_launch(file, around_);
+    NodeConfig launch = parse_node_config(file, around_);
     // The system may allow fewer descriptors than the file grants.
     launch.sockets = system_.allowed_descriptors(launch.sockets);
     if (launch.sockets < fewest_sockets)
--- a/src/config/source.h
+++ b/src/config/source.h
@@ -14,20 +14,20 @@
     using json::Malformed::Malformed;
 };
 
-class Source {
+class ConfigSource {
   public:
-    Source(net::System& system, std::string path, const Surroundings& around = {})
+    ConfigSource(net::System& system, std::string path, const Environment& around = {})
         : system_(system), path_(std::move(path)), around_(around) {}
     // Throws json::Malformed, which names the file or the faulty key, and Unreadable where the system was at
     // fault.
-    Launch read();
+    NodeConfig read();
     // The list of hosts in the file as last read.
     json::Value known() const { return file_.root().inner("known"); }
 
   private:
     net::System& system_;
     std::string path_, text_;
-    Surroundings around_;
+    Environment around_;
     json::Document file_;
 };
 
--- a/src/discovery/hosts.cpp
+++ b/src/discovery/hosts.cpp
@@ -10,12 +10,12 @@
 
 namespace lemonstair::discovery {
 
-std::uint32_t Hosts::place_of(std::string_view id) const {
+std::uint32_t EndpointDirectory::place_of(std::string_view id) const {
     const auto it = by_id_.find(std::string(id));
     return it == by_id_.end() ? none : it->second;
 }
 
-bool Hosts::take(const json::Value& list, Balancer& balancer, bool remembered, Tenths now) {
+bool EndpointDirectory::take(const json::Value& list, Balancer& balancer, bool remembered, Ticks now) {
     std::uint64_t revision = 0;
     bool whole = false, old = false;
     try {
@@ -24,8 +24,8 @@
         if (!list.has("members")) list.fail("members", "is missing");
         if (!remembered && revision_ && revision == *revision_) {  // heard before
             current_at_ = now;
-            balancer.list_begin(ListKind::changes);
-            balancer.list_end();
+            balancer.begin_endpoint_list(EndpointListKind::changes);
+            balancer.end_endpoint_list();
             return true;
         }
         old = !remembered && revision_ && revision < highest_;
@@ -35,14 +35,14 @@
             readable = readable && m.type() == json::Type::object && m.has("id") && m.has("phase");
         });
         if (!readable) log_.error() << "list " << revision << " holds entries that cannot be read";
-        balancer.list_begin(remembered                  ? ListKind::remembered
-                            : whole && readable && !old ? ListKind::whole
-                                                        : ListKind::changes);
+        balancer.begin_endpoint_list(remembered                  ? EndpointListKind::cached
+                                     : whole && readable && !old ? EndpointListKind::complete
+                                                                 : EndpointListKind::changes);
     } catch (const json::Malformed& e) {
         log_.error() << "list not taken: " << e.what();
         return false;
     }
-    const Tenths offset_before = starts_.offset();
+    const Ticks offset_before = starts_.offset();
     list.each("members", [&](const json::Value& m) {
         try {
             take_member(m, balancer, old, now);
@@ -51,7 +51,7 @@
         }
     });
     correct_starts(balancer, offset_before);
-    balancer.list_end();
+    balancer.end_endpoint_list();
     if (!remembered) current_at_ = now;
     // What a node remembers may lack entries: then the watch begins with the whole list.
     if (!remembered || whole) {
@@ -61,15 +61,15 @@
     return true;
 }
 
-std::string Hosts::list() const {
+std::string EndpointDirectory::list() const {
     std::ostringstream out;
     out << R"({"revision":)" << revision() << R"(,"starts_offset":)" << starts_.offset()
         << R"(,"complete":true,"members":[)";
     const char* between = "";
-    for (const Host& h : hosts_) {
-        const char* phase = h.life == Life::in_service ? "in_service"
-                            : h.life == Life::gone     ? "terminated"
-                                                       : "terminating";
+    for (const DiscoveredEndpoint& h : hosts_) {
+        const char* phase = h.life == EndpointState::active    ? "in_service"
+                            : h.life == EndpointState::removed ? "terminated"
+                                                               : "terminating";
         out << std::exchange(between, ",") << R"({"id":)" << json::quoted(h.id) << R"(,"host_port":")"
             << net::address_text(h.at) << R"(","locality":)" << json::quoted(h.zone) << R"(,"cell":)"
             << h.cell << R"(,"phase":")" << phase << R"(","size":)" << std::setprecision(17) << h.size
@@ -83,13 +83,13 @@
 // restarted may count its lists anew, and what it says of a drain must not be missed: until it has passed the
 // highest number heard, of its lists those entries count by which a host is further on than it was known to
 // be.
-void Hosts::take_member(const json::Value& m, Balancer& balancer, bool old, Tenths now) {
+void EndpointDirectory::take_member(const json::Value& m, Balancer& balancer, bool old, Ticks now) {
     const std::string id(m.text("id"));
     const auto phase = m.text("phase");
     // A phase that this build does not know is not one of service: nothing new goes there.
-    const Life life = phase == "in_service"   ? Life::in_service
-                      : phase == "terminated" ? Life::gone
-                                              : Life::draining;
+    const EndpointState life = phase == "in_service"   ? EndpointState::active
+                               : phase == "terminated" ? EndpointState::removed
+                                                       : EndpointState::draining;
     const auto cell = m.small("cell", 0);
     const auto size = m.number("size", 1);
     const auto started = std::max<std::int64_t>(static_cast<std::int64_t>(m.number("up_since_ms", 0)), 0);
@@ -124,7 +124,7 @@
 }
 
 // Of an entry that the list did not hold like this before.
-Tenths Hosts::start_of(const Host& host, Tenths listed, Tenths now) {
+Ticks EndpointDirectory::start_of(const DiscoveredEndpoint& host, Ticks listed, Ticks now) {
     if (!current_at_) {
         starts_.bound(listed, now);
         return starts_.of_known(listed);
@@ -133,20 +133,20 @@
     return std::max(starts_.of_news(listed, now, *current_at_), listed > 0 ? host.started_at + 1 : 0);
 }
 
-void Hosts::tell(const Host& host, Balancer& balancer) const {
+void EndpointDirectory::tell(const DiscoveredEndpoint& host, Balancer& balancer) const {
     const auto zone = std::find(zones_.begin(), zones_.end(), host.zone);
-    balancer.listed(host.ep, static_cast<std::uint32_t>(zone - zones_.begin()), host.cell, host.life,
-                    host.size, host.started_at);
+    balancer.add_endpoint(host.ep, static_cast<std::uint32_t>(zone - zones_.begin()), host.cell, host.life,
+                          host.size, host.started_at);
 }
 
 // Guards against endpoints that were listed when this process began, and were taken for old by a clock that
 // has turned out to be ahead.
-void Hosts::correct_starts(Balancer& balancer, Tenths offset_before) {
+void EndpointDirectory::correct_starts(Balancer& balancer, Ticks offset_before) {
     if (starts_.offset() - offset_before <= StartTimes::longest_notice) return;
     log_.info() << "the clock of the list is " << starts_.offset() / 10 << " ms behind: starts are told anew";
-    for (Host& host : hosts_) {
-        const Tenths start = starts_.of_known(net::tenths_of_unix_ms(host.started_ms));
-        if (host.life == Life::gone || start <= host.started_at) continue;
+    for (DiscoveredEndpoint& host : hosts_) {
+        const Ticks start = starts_.of_known(net::tenths_of_unix_ms(host.started_ms));
+        if (host.life == EndpointState::removed || start <= host.started_at) continue;
         host.started_at = start;
         tell(host, balancer);
     }
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -41,7 +41,7 @@
     ++call_;
 }
 
-void Watch::go(Phase to, net::Tenths patience) {
+void Watch::go(Phase to, net::Ticks patience) {
     if (to == Phase::standing)
         costs_.call_waited_ms += static_cast<std::uint64_t>((loop_.now() - called_at_) / 10);
     phase_ = to;
--- a/src/discovery/watch.h
+++ b/src/discovery/watch.h
@@ -15,12 +15,12 @@
 
 namespace lemonstair::discovery {
 
-class Hearer {
+class WatchListener {
   public:
-    Hearer() = default;
-    Hearer(const Hearer&) = delete;
-    Hearer& operator=(const Hearer&) = delete;
-    virtual ~Hearer() = default;
+    WatchListener() = default;
+    WatchListener(const WatchListener&) = delete;
+    WatchListener& operator=(const WatchListener&) = delete;
+    virtual ~WatchListener() = default;
     // False where the line holds no list: the watch is then given up.
     virtual bool list_heard(const json::Value& list) = 0;
     virtual void nothing_new() = 0;
@@ -29,10 +29,10 @@
     virtual void watch_lost() = 0;
 };
 
-class Watch final : public net::Waiter {
+class Watch final : public net::EventHandler {
   public:
-    Watch(net::Loop& loop, net::BufferPool& pool, const net::Address& discovery, Hearer& hearer,
-          log::Log& log, account::Costs& costs)
+    Watch(net::EventLoop& loop, net::BufferPool& pool, const net::Address& discovery, WatchListener& hearer,
+          log::Log& log, metrics::ResourceCounters& costs)
         : loop_(loop), pool_(pool), discovery_(discovery), hearer_(hearer), log_(log), costs_(costs) {}
     // Nothing happens where a call is under way or stands.
     void open(std::uint64_t after_revision);
@@ -52,20 +52,20 @@
     bool take(std::string_view line);
     void lose(std::string_view why);
     void hang_up();
-    void go(Phase to, net::Tenths patience);
+    void go(Phase to, net::Ticks patience);
 
-    net::Loop& loop_;
+    net::EventLoop& loop_;
     net::BufferPool& pool_;
     net::Address discovery_;
-    Hearer& hearer_;
+    WatchListener& hearer_;
     log::Log& log_;
-    account::Costs& costs_;
+    metrics::ResourceCounters& costs_;
     net::Socket socket_;
     std::string question_;
     HttpLines lines_;
     json::Document line_;
     Phase phase_ = Phase::closed;
-    net::Tenths dead_at_ = 0, called_at_ = 0;
+    net::Ticks dead_at_ = 0, called_at_ = 0;
     std::uint64_t call_ = 0;
 };
 
--- a/src/failure_detector/failure_likelihood.h
+++ b/src/failure_detector/failure_likelihood.h
@@ -6,7 +6,7 @@
 #include <cmath>
 #include <cstdint>
 
-namespace lemonstair::witness {
+namespace lemonstair::failure_detector {
 
 constexpr double bad_part = 0.5, usual_part = 0.015, shared_part = 0.1, doubt_limit = 6.0;
 // Outcomes are looked back on for about 3 s.
@@ -14,23 +14,23 @@
 constexpr std::int64_t fades_in = 1000;
 
 // Outcomes lately, and those of them that were failures.
-struct Sums {
+struct OutcomeTotals {
     double tried = 0, failed = 0;
     void fade(double part) { tried *= part, failed *= part; }
 };
 
-struct Outcomes {
+struct FailureLikelihood {
     double doubt = 0;  // the log of how much likelier the first is; it is set aside at doubt_limit
-    Sums sums;
+    OutcomeTotals sums;
     std::int64_t counted_at = 0;
 
     // The part that failed lately of the outcomes of all others.
-    double elsewhere(const Sums& all, std::int64_t now) const {
+    double elsewhere(const OutcomeTotals& all, std::int64_t now) const {
         const double old = faded(now);
         return (all.failed - sums.failed * old + 5 * usual_part) / (all.tried - sums.tried * old + 5);
     }
     // `shared`: other things than the host may well have caused the failure.
-    void count(bool failed, bool shared, Sums& all, std::int64_t now) {
+    void count(bool failed, bool shared, OutcomeTotals& all, std::int64_t now) {
         const double usual = std::clamp(elsewhere(all, now), shared ? shared_part : usual_part, bad_part);
         sums.fade(faded(now));
         counted_at = now;
@@ -46,4 +46,4 @@
     }
 };
 
-}  // namespace lemonstair::witness
+}  // namespace lemonstair::failure_detector
--- a/src/fakes/admin_client.cpp
+++ b/src/fakes/admin_client.cpp
@@ -2,11 +2,11 @@
 
 #include <utility>
 
-namespace lemonstair::stand {
+namespace lemonstair::fakes {
 
 namespace {
 
-constexpr Tenths due_in = 10000, stay_for = 40000;
+constexpr Ticks due_in = 10000, stay_for = 40000;
 
 }  // namespace
 
@@ -57,4 +57,4 @@
     one.told(answer);
 }
 
-}  // namespace lemonstair::stand
+}  // namespace lemonstair::fakes
--- a/src/fakes/admin_client.h
+++ b/src/fakes/admin_client.h
@@ -8,17 +8,17 @@
 
 #include "fakes/environment.h"
 
-namespace lemonstair::stand {
+namespace lemonstair::fakes {
 
-class Operators final : public simnet::Ear, public simnet::Actor {
+class Operators final : public simnet::StreamListener, public simnet::EventTarget {
   public:
     struct Answer {
         int status = 0;  // 0: none, or none that could be read, within a second
         std::string body;
-        Tenths took = 0;
+        Ticks took = 0;
     };
     using Told = std::function<void(const Answer&)>;
-    Operators(Town& town, Machine machine) : town_(town), machine_(machine) {}
+    Operators(TestEnvironment& town, Machine machine) : town_(town), machine_(machine) {}
     void call(const net::Address& at, std::string request, Told told);
     // Callers who say nothing, or half a call, and stay for four seconds.
     void come_and_stay(const net::Address& at, int how_many);
@@ -32,13 +32,13 @@
         End end;
         std::string waiting, got;
         Told told;
-        Tenths began = 0;
+        Ticks began = 0;
         bool stays = false;
     };
     void over(std::uint64_t number, bool whole);
-    Town& town_;
+    TestEnvironment& town_;
     Machine machine_;
     std::unordered_map<std::uint64_t, One> ones_;  // by their end's number
 };
 
-}  // namespace lemonstair::stand
+}  // namespace lemonstair::fakes
--- a/src/fakes/clients.cpp
+++ b/src/fakes/clients.cpp
@@ -4,23 +4,23 @@
 #include <cerrno>
 #include <cstdio>
 
-namespace lemonstair::stand {
+namespace lemonstair::fakes {
 
 namespace {
 
-constexpr Tenths second = 10000;
-constexpr Tenths check_every = 5000;
-constexpr Tenths longest_silence = 70000;  // of a connection that owes lines
-constexpr Tenths rude_patience = 30000;
+constexpr Ticks second = 10000;
+constexpr Ticks check_every = 5000;
+constexpr Ticks longest_silence = 70000;  // of a connection that owes lines
+constexpr Ticks rude_patience = 30000;
 // A client waits a little longer than it said, so that an answer that is late is seen.
-constexpr Tenths waits_on = 2000, last_look = 12000;
+constexpr Ticks waits_on = 2000, last_look = 12000;
 
 }  // namespace
 
 // ---- the front
 
-Front::Front(Town& town, Machine machine, std::vector<net::Address> nodes, Tenths notices_after,
-             simnet::Chance chance)
+Front::Front(TestEnvironment& town, Machine machine, std::vector<net::Address> nodes, Ticks notices_after,
+             simnet::RandomSource chance)
     : town_(town), machine_(machine), notices_after_(notices_after), chance_(chance) {
     for (const auto& at : nodes) {
         nodes_.emplace_back();
@@ -44,7 +44,7 @@
     town_.agenda.at(town_.now() + check_every, *this, node);
 }
 
-void Front::leaves(std::uint32_t node, Tenths after) {
+void Front::leaves(std::uint32_t node, Ticks after) {
     town_.agenda.at(town_.now() + after, *this, std::uint64_t{1} << 32 | node);
 }
 
@@ -96,8 +96,8 @@
 
 // ---- members
 
-Members::Members(Town& town, Front& front, std::vector<Machine> machines, std::vector<Wish> wishes,
-                 const Manners& manners, simnet::Chance chance)
+FakeClients::FakeClients(TestEnvironment& town, Front& front, std::vector<Machine> machines,
+                         std::vector<Wish> wishes, const ClientBehavior& manners, simnet::RandomSource chance)
     : town_(town), front_(front), machines_(std::move(machines)), manners_(manners), chance_(chance) {
     for (auto& w : wishes) {
         members_.emplace_back();
@@ -105,7 +105,7 @@
     }
 }
 
-void Members::start() {
+void FakeClients::start() {
     for (std::uint32_t at = 0; at < members_.size(); ++at) {
         members_[at].machine = machines_[at % machines_.size()];
         members_[at].slow = chance_.odds(manners_.slow_readers);
@@ -113,7 +113,7 @@
     }
 }
 
-void Members::add(std::vector<Wish> wishes) {
+void FakeClients::add(std::vector<Wish> wishes) {
     for (auto& w : wishes) {
         const auto at = static_cast<std::uint32_t>(members_.size());
         members_.emplace_back();
@@ -123,18 +123,18 @@
     }
 }
 
-std::size_t Members::open_now() const {
+std::size_t FakeClients::open_now() const {
     return static_cast<std::size_t>(std::count_if(members_.begin(), members_.end(),
                                                   [](const Member& m) { return m.state == State::open; }));
 }
 
 // Each change of state ends the timers of the one before.
-void Members::go(std::uint32_t at, State to) {
+void FakeClients::go(std::uint32_t at, State to) {
     ++members_[at].turn;
     members_[at].state = to;
 }
 
-void Members::call(std::uint32_t at) {
+void FakeClients::call(std::uint32_t at) {
     Member& m = members_[at];
     const bool mid_flow = m.resuming;
     const std::uint32_t node = mid_flow ? front_.deal_but(m.node) : front_.deal();
@@ -150,7 +150,7 @@
     town_.agenda.at(town_.now() + town_.profiles[m.wish.profile].client_timeout, *this, token(time_up, at));
 }
 
-void Members::ask(std::uint32_t at) {
+void FakeClients::ask(std::uint32_t at) {
     Member& m = members_[at];
     const Profile& p = town_.profiles[m.wish.profile];
     if (!m.resuming) {
@@ -180,13 +180,13 @@
                         token(impatient, at));
 }
 
-void Members::say(std::uint32_t at, std::string_view text) {
+void FakeClients::say(std::uint32_t at, std::string_view text) {
     Member& m = members_[at];
     m.waiting.append(text);
     write_waiting(town_.network, m.end, m.waiting);
 }
 
-void Members::hang_up(std::uint32_t at) {
+void FakeClients::hang_up(std::uint32_t at) {
     Member& m = members_[at];
     if (!m.has_end) return;
     m.has_end = false;
@@ -194,7 +194,7 @@
 }
 
 // Its last words have come; what comes behind them is wrong.
-void Members::part(std::uint32_t at) {
+void FakeClients::part(std::uint32_t at) {
     Member& m = members_[at];
     m.has_end = false;
     parting_[m.end.number()] = m.tunnel;
@@ -202,7 +202,7 @@
     read_parting(m.end);
 }
 
-void Members::read_parting(End end) {
+void FakeClients::read_parting(End end) {
     const auto it = parting_.find(end.number());
     if (it == parting_.end()) return;
     std::array<char, 256> bytes;
@@ -213,24 +213,24 @@
     parting_.erase(it);
 }
 
-void Members::pause(std::uint32_t at, Tenths span) {
+void FakeClients::pause(std::uint32_t at, Ticks span) {
     go(at, State::pausing);
-    town_.agenda.at(town_.now() + std::max<Tenths>(span, 1), *this, token(come, at));
+    town_.agenda.at(town_.now() + std::max<Ticks>(span, 1), *this, token(come, at));
 }
 
-void Members::try_again(std::uint32_t at, Tenths span) {
+void FakeClients::try_again(std::uint32_t at, Ticks span) {
     Member& m = members_[at];
     m.resuming = false;
     if (++m.tries >= manners_.most_tries) return go(at, State::done);
     pause(at, span + chance_.between(manners_.least_pause, manners_.most_pause));
 }
 
-void Members::over(std::uint32_t at) {
+void FakeClients::over(std::uint32_t at) {
     hang_up(at);
     go(at, State::done);
 }
 
-void Members::go_home() {
+void FakeClients::go_home() {
     for (std::uint32_t at = 0; at < members_.size(); ++at) {
         Member& m = members_[at];
         if (m.state == State::waiting) town_.witness.left(m.tunnel);
@@ -240,7 +240,7 @@
     }
 }
 
-void Members::stirred(End end) {
+void FakeClients::stirred(End end) {
     const auto it = by_end_.find(end.number());
     if (it == by_end_.end()) return;
     const std::uint32_t at = it->second;
@@ -252,7 +252,7 @@
     if (m.reads) read(at);
 }
 
-void Members::read(std::uint32_t at) {
+void FakeClients::read(std::uint32_t at) {
     std::array<char, 4096> bytes;
     const End end = members_[at].end;
     for (;;) {
@@ -268,7 +268,7 @@
     }
 }
 
-void Members::broke(std::uint32_t at, bool by_reset) {
+void FakeClients::broke(std::uint32_t at, bool by_reset) {
     Member& m = members_[at];
     const bool was_open = m.state == State::open;
     hang_up(at);
@@ -283,7 +283,7 @@
     ++tally_.cut;
     m.came_before = m.came_before || was_open;
     // Its packets go on through another node, where the network lets them pass.
-    if (was_open && town_.packets_pass && by_reset) {
+    if (was_open && town_.packet_passthrough && by_reset) {
         m.resuming = m.gap_echoed = m.gap_heard = true;
         m.broke_at = town_.now();
         ++tally_.resumed;
@@ -293,9 +293,9 @@
 }
 
 // False where no more lines of this connection are read.
-bool Members::line(std::uint32_t at, std::string_view text) {
+bool FakeClients::line(std::uint32_t at, std::string_view text) {
     Member& m = members_[at];
-    const Tenths written = town_.network.last_came_from(m.end);
+    const Ticks written = town_.network.last_came_from(m.end);
     std::string_view rest = text;
     const auto word = next_word(rest);
     if (m.state == State::waiting) {
@@ -316,7 +316,7 @@
             go(at, State::open);
             town_.agenda.at(town_.now() + chance_.between(std::int64_t{1}, manners_.line_every), *this,
                             token(talk, at));
-            const Tenths ends = town_.agenda.dawn() + m.wish.until;
+            const Ticks ends = town_.agenda.dawn() + m.wish.until;
             town_.agenda.at(std::max(ends, town_.now() + second / 5), *this, token(leave_now, at));
             if (m.slow)
                 town_.agenda.at(town_.now() + chance_.between(second, 3 * second), *this,
@@ -325,8 +325,8 @@
         }
         ++(a == Answer::busy ? tally_.declined : tally_.failed);
         const bool may_repeat =
-            a == Answer::busy || town_.profiles[m.wish.profile].effect == Effect::repeatable;
-        Tenths later = 0;
+            a == Answer::busy || town_.profiles[m.wish.profile].effect == Idempotency::idempotent;
+        Ticks later = 0;
         if (a == Answer::busy) read_whole(next_word(rest), later);
         part(at);
         if (!may_repeat)
@@ -347,7 +347,7 @@
     if (word == "BYE") return true;
     if (word == "LOAD") return true;
     std::uint32_t number = 0;
-    Tenths sent = 0;
+    Ticks sent = 0;
     if ((word != "e" && word != "p") || !read_whole(next_word(rest), number) ||
         !read_whole(next_word(rest), sent)) {
         town_.witness.line_wrong(m.tunnel, "not the host's", text);
@@ -364,7 +364,7 @@
     return true;
 }
 
-void Members::happen(std::uint64_t what) {
+void FakeClients::happen(std::uint64_t what) {
     const auto kind = static_cast<Kind>(what >> 56);
     if (kind == parted) {
         const std::uint64_t number = what & 0xffffffffffffffU;
@@ -398,7 +398,7 @@
             char text[64];
             std::snprintf(text, sizeof text, "m %u %lld\r\n", ++m.said, static_cast<long long>(town_.now()));
             if (m.owed_since == 0) m.owed_since = town_.now();
-            const Tenths owed = town_.now() - m.owed_since;
+            const Ticks owed = town_.now() - m.owed_since;
             if (owed > longest_silence && m.reads && owed > m.told_unanswered) {
                 m.told_unanswered = owed;
                 town_.witness.unanswered(m.tunnel, owed);
@@ -517,4 +517,4 @@
     }
 }
 
-}  // namespace lemonstair::stand
+}  // namespace lemonstair::fakes
--- a/src/fakes/clients.h
+++ b/src/fakes/clients.h
@@ -11,14 +11,14 @@
 #include "fakes/environment.h"
 #include "simnet/random_source.h"
 
-namespace lemonstair::stand {
+namespace lemonstair::fakes {
 
 // The front takes in a node that answers PING, and notices after a while that one has died.
-class Front final : public simnet::Ear, public simnet::Actor {
+class Front final : public simnet::StreamListener, public simnet::EventTarget {
   public:
     static constexpr std::uint32_t none = 0xffffffffU;
-    Front(Town& town, Machine machine, std::vector<net::Address> nodes, Tenths notices_after,
-          simnet::Chance chance);
+    Front(TestEnvironment& town, Machine machine, std::vector<net::Address> nodes, Ticks notices_after,
+          simnet::RandomSource chance);
     void start();
     // A node that is dealt clients; none where no node is.
     std::uint32_t deal();
@@ -26,7 +26,7 @@
     const net::Address& address(std::uint32_t node) const { return nodes_[node].at; }
     std::size_t size() const { return nodes_.size(); }
     // Told that a node leaves on purpose: it is dealt no one from a moment later on.
-    void leaves(std::uint32_t node, Tenths after);
+    void leaves(std::uint32_t node, Ticks after);
 
     void stirred(End end) override;
     void called(const net::Address&) override {}
@@ -37,40 +37,40 @@
         net::Address at;
         End end;
         bool asking = false, asked = false, in = false, leaving = false;
-        Tenths answered_at = 0;
+        Ticks answered_at = 0;
         std::string got;
     };
     void check(std::uint32_t node);
-    Town& town_;
+    TestEnvironment& town_;
     Machine machine_;
     std::vector<Checked> nodes_;
     std::unordered_map<std::uint64_t, std::uint32_t> by_end_;
-    Tenths notices_after_;
-    simnet::Chance chance_;
+    Ticks notices_after_;
+    simnet::RandomSource chance_;
 };
 
 // One member's wish for a connection.
 struct Wish {
     std::string key;
-    std::uint32_t group = 0;     // 0: none
-    std::uint32_t profile = 0;   // place in the town's
-    double load = 0;             // in cores; told to the node as a guess
-    Tenths from = 0, until = 0;  // since dawn
+    std::uint32_t group = 0;    // 0: none
+    std::uint32_t profile = 0;  // place in the town's
+    double load = 0;            // in cores; told to the node as a guess
+    Ticks from = 0, until = 0;  // since dawn
 };
 
-struct Manners {
+struct ClientBehavior {
     int most_tries = 6;
-    Tenths least_pause = 200, most_pause = 5000;
+    Ticks least_pause = 200, most_pause = 5000;
     double impatient = 0;  // share of waits that the client leaves
     double slow_readers = 0;
-    Tenths line_every = 20000;
+    Ticks line_every = 20000;
 };
 
-class Members final : public simnet::Ear, public simnet::Actor {
+class FakeClients final : public simnet::StreamListener, public simnet::EventTarget {
   public:
     enum class State : std::uint8_t { away, calling, waiting, open, pausing, done };
-    Members(Town& town, Front& front, std::vector<Machine> machines, std::vector<Wish> wishes,
-            const Manners& manners, simnet::Chance chance);
+    FakeClients(TestEnvironment& town, Front& front, std::vector<Machine> machines, std::vector<Wish> wishes,
+                const ClientBehavior& manners, simnet::RandomSource chance);
     void start();
     // More of them, from now on.
     void add(std::vector<Wish> wishes);
@@ -102,7 +102,7 @@
         LineReader reader;
         std::string waiting;
         std::uint32_t said = 0, echoed = 0, heard = 0;  // lines: its own, answered, the host's
-        Tenths owed_since = 0, told_unanswered = 0, broke_at = 0;
+        Ticks owed_since = 0, told_unanswered = 0, broke_at = 0;
     };
     enum Kind : std::uint64_t { come, time_up, talk, read_again, impatient, taken_note, leave_now, parted };
     std::uint64_t token(Kind kind, std::uint32_t at) const {
@@ -117,16 +117,16 @@
     void hang_up(std::uint32_t at);
     void part(std::uint32_t at);
     void read_parting(End end);
-    void pause(std::uint32_t at, Tenths span);
-    void try_again(std::uint32_t at, Tenths span);
+    void pause(std::uint32_t at, Ticks span);
+    void try_again(std::uint32_t at, Ticks span);
     void over(std::uint32_t at);
     void broke(std::uint32_t at, bool by_reset);
 
-    Town& town_;
+    TestEnvironment& town_;
     Front& front_;
     std::vector<Machine> machines_;
-    Manners manners_;
-    simnet::Chance chance_;
+    ClientBehavior manners_;
+    simnet::RandomSource chance_;
     std::vector<Member> members_;
     std::unordered_map<std::uint64_t, std::uint32_t> by_end_;
     std::unordered_map<std::uint64_t, TunnelNo> parting_;  // ends that have had their last words
@@ -135,9 +135,9 @@
 };
 
 // Clients that no node need serve.
-class Rude final : public simnet::Ear, public simnet::Actor {
+class Rude final : public simnet::StreamListener, public simnet::EventTarget {
   public:
-    Rude(Town& town, Front& front, Machine machine, simnet::Chance chance)
+    Rude(TestEnvironment& town, Front& front, Machine machine, simnet::RandomSource chance)
         : town_(town), front_(front), machine_(machine), chance_(chance) {}
     enum class Kind : std::uint8_t {
         garbage,
@@ -168,13 +168,13 @@
     void call(Kind kind, bool again);
     void end(std::uint32_t at);
     std::string words(Kind kind);
-    Town& town_;
+    TestEnvironment& town_;
     Front& front_;
     Machine machine_;
-    simnet::Chance chance_;
+    simnet::RandomSource chance_;
     std::vector<One> ones_;
     std::unordered_map<std::uint64_t, std::uint32_t> by_end_;
     bool home_ = false;
 };
 
-}  // namespace lemonstair::stand
+}  // namespace lemonstair::fakes
--- a/src/fakes/discovery.cpp
+++ b/src/fakes/discovery.cpp
@@ -4,15 +4,15 @@
 #include <cstdio>
 #include <utility>
 
-namespace lemonstair::stand {
+namespace lemonstair::fakes {
 
 namespace {
 
-constexpr Tenths sign_every = 20000;
+constexpr Ticks sign_every = 20000;
 
 std::string_view name_of(Listed::Phase p) {
     switch (p) {
-        case Listed::Phase::in_service:
+        case Listed::Phase::active:
             return "in_service";
         case Listed::Phase::terminating:
             return "terminating";
@@ -43,7 +43,7 @@
     signs_ = true;
 }
 
-void Roster::change(std::uint32_t host, const Listed& entry, Tenths after) {
+void Roster::change(std::uint32_t host, const Listed& entry, Ticks after) {
     coming_.push_back({host, entry});
     town_.agenda.at(town_.now() + after, *this, token(change_comes, coming_.size() - 1));
 }
@@ -76,7 +76,7 @@
     for (std::uint32_t at = 0; at < calls_.size(); ++at) end(at);
 }
 
-void Roster::retire(Tenths after) {
+void Roster::retire(Ticks after) {
     town_.network.unlisten(address());
     down_ = true;
     town_.agenda.at(town_.now() + after, *this, token(retires, 0));
@@ -163,7 +163,7 @@
 void Roster::tell(std::uint32_t at, const std::vector<std::uint32_t>& hosts) {
     told_.push_back({calls_[at].node, {}});
     for (const std::uint32_t h : hosts)
-        told_.back().hosts.emplace_back(h, list_[h].phase == Listed::Phase::in_service);
+        told_.back().hosts.emplace_back(h, list_[h].phase == Listed::Phase::active);
     town_.network.tell_delivered(calls_[at].end, *this, token(delivered, told_.size() - 1));
 }
 
@@ -189,8 +189,7 @@
                 if (spoil == 1) continue;
                 std::string text = list_json(calls_[i].node, false, {c.host});
                 if (spoil == 2)
-                    text.insert(text.find('[') + 1,
-                                R"({"host_port":"10.77.0.9:8443","phase":"in_service"},)");
+                    text.insert(text.find('[') + 1, R"({"host_port":"10.77.0.9:8443","phase":"in_service"},)");
                 if (spoil == 3) write_chunk(i, R"({"revision":1,"complete":true,"members":[]})");
                 write_chunk(i, text);
                 tell(i, {c.host});
@@ -198,8 +197,8 @@
             return;
         }
         case delivered:
-            for (const auto& [host, in_service] : told_[at].hosts)
-                town_.witness.told(told_[at].node, host, in_service);
+            for (const auto& [host, active] : told_[at].hosts)
+                town_.witness.told(told_[at].node, host, active);
             return;
         case retires:
             for (std::uint32_t i = 0; i < calls_.size(); ++i) end(i);
@@ -207,4 +206,4 @@
     }
 }
 
-}  // namespace lemonstair::stand
+}  // namespace lemonstair::fakes
--- a/src/fakes/discovery.h
+++ b/src/fakes/discovery.h
@@ -11,7 +11,7 @@
 #include "fakes/server.h"
 #include "simnet/random_source.h"
 
-namespace lemonstair::stand {
+namespace lemonstair::fakes {
 
 // What the list says of a host, kept once for all services that tell it.
 struct Listed {
@@ -20,32 +20,32 @@
     net::Address at;
     double size = 1;
     std::int64_t up_since_ms = 0;
-    enum class Phase : std::uint8_t { in_service, terminating, terminated } phase = Phase::in_service;
+    enum class Phase : std::uint8_t { active, terminating, terminated } phase = Phase::active;
 };
 
 // As the one who sees the host at this address is told.
 std::string member_json(const Listed& l, const net::Address& at);
 
-class Roster final : public simnet::Ear, public simnet::Actor {
+class Roster final : public simnet::StreamListener, public simnet::EventTarget {
   public:
-    Roster(Town& town, Machine machine, std::uint16_t port, std::uint64_t first_revision,
-           simnet::Chance chance)
+    Roster(TestEnvironment& town, Machine machine, std::uint16_t port, std::uint64_t first_revision,
+           simnet::RandomSource chance)
         : town_(town), machine_(machine), port_(port), revision_(first_revision), chance_(chance) {}
     // The list it begins with.
     void open(std::vector<Listed> list);
     net::Address address() const { return town_.network.place(machine_, port_); }
     std::uint64_t revision() const { return revision_; }
     // A host's entry has changed; watches are told after a while.
-    void change(std::uint32_t host, const Listed& entry, Tenths after);
+    void change(std::uint32_t host, const Listed& entry, Ticks after);
 
     // ---- faults
     void down(bool on);    // calls are refused, watches end
     void silent(bool on);  // calls are taken and watches stand, and nothing is said
-    void answer_after(Tenths span) { answer_after_ = span; }
+    void answer_after(Ticks span) { answer_after_ = span; }
     void spoil_next(int kind) { spoil_ = kind; }  // 1: no list; 2: an entry without id; 3: an old list
     void begin_anew(std::uint64_t revision);
     // Takes no new call; those that stand end after a while.
-    void retire(Tenths after);
+    void retire(Ticks after);
 
     void stirred(End end) override;
     void called(const net::Address& at) override;
@@ -67,11 +67,11 @@
     void end(std::uint32_t at);
     void answer(std::uint32_t at);
 
-    Town& town_;
+    TestEnvironment& town_;
     Machine machine_;
     std::uint16_t port_;
     std::uint64_t revision_;
-    simnet::Chance chance_;
+    simnet::RandomSource chance_;
     std::vector<Listed> list_;
     std::vector<std::uint64_t> changed_;  // by host: the revision of its last change
     std::vector<Call> calls_;
@@ -86,9 +86,9 @@
         std::vector<std::pair<std::uint32_t, bool>> hosts;  // and whether each is in service
     };
     std::vector<Told> told_;  // words under way
-    Tenths answer_after_ = 5;
+    Ticks answer_after_ = 5;
     int spoil_ = 0;
     bool down_ = false, silent_ = false, signs_ = false;
 };
 
-}  // namespace lemonstair::stand
+}  // namespace lemonstair::fakes
--- a/src/fakes/environment.h
+++ b/src/fakes/environment.h
@@ -12,19 +12,19 @@
 #include "simnet/streams.h"
 #include "simnet/trace.h"
 
-namespace lemonstair::stand {
+namespace lemonstair::fakes {
 
-struct Town {
-    simnet::Agenda& agenda;
+struct TestEnvironment {
+    simnet::EventQueue& agenda;
     simnet::Streams& network;
     simnet::Trace& trace;
-    Witness& witness;
+    ExecutionLog& witness;
     std::vector<Profile> profiles;
-    bool packets_pass = false;  // a connection goes on through another node when its own has died
-    Tenths park = 60000;        // how long a host keeps such a connection whose packets have stopped
+    bool packet_passthrough = false;  // a connection goes on through another node when its own has died
+    Ticks park = 60000;               // how long a host keeps such a connection whose packets have stopped
 
-    Tenths now() const { return agenda.now(); }
-    Tenths since_dawn() const { return agenda.now() - agenda.dawn(); }
+    Ticks now() const { return agenda.now(); }
+    Ticks since_dawn() const { return agenda.now() - agenda.dawn(); }
     void note(std::string_view what, std::uint64_t a, std::uint64_t b, std::string_view text = {}) {
         trace.note(since_dawn(), what, a, b, text);
     }
@@ -78,4 +78,4 @@
     std::string text_;
 };
 
-}  // namespace lemonstair::stand
+}  // namespace lemonstair::fakes
--- a/src/fakes/execution_log.h
+++ b/src/fakes/execution_log.h
@@ -6,26 +6,26 @@
 
 #include "simnet/streams.h"
 
-namespace lemonstair::stand {
+namespace lemonstair::fakes {
 
 using simnet::End;
 using simnet::Machine;
-using simnet::Tenths;
+using simnet::Ticks;
 
 // A tunnel as one connection of a client: its number is what its id on the wire says.
 using TunnelNo = std::uint32_t;
 
 enum class Answer : std::uint8_t { none, up, bye, busy, error, move };
 
-enum class Effect : std::uint8_t { repeatable, referenced, once_only };
-enum class Scope : std::uint8_t { all, zone, cell };
+enum class Idempotency : std::uint8_t { idempotent, idempotent_with_key, non_idempotent };
+enum class DeduplicationScope : std::uint8_t { all, zone, cell };
 
 // What clients ask for, as the settings name it.
 struct Profile {
     std::string_view name;
-    Effect effect = Effect::repeatable;
-    Scope scope = Scope::all;
-    Tenths setup_goal = 5000, client_timeout = 30000, window = 50000;
+    Idempotency effect = Idempotency::idempotent;
+    DeduplicationScope scope = DeduplicationScope::all;
+    Ticks latency_objective = 5000, client_timeout = 30000, window = 50000;
 };
 
 // One first line that a client has written.
@@ -34,39 +34,39 @@
     TunnelNo before = 0;  // the client's tunnel before this one; 0: its first
     std::uint32_t node = 0;
     std::uint32_t profile = 0;
-    Tenths wait = 0;           // that the line tells
+    Ticks wait = 0;            // that the line tells
     bool mid_flow = false;     // the tunnel is open at a host
     bool slow_reader = false;  // the client leaves bytes unread for seconds
     End end;
 };
 
-class Witness {
+class ExecutionLog {
   public:
-    Witness() = default;
-    Witness(const Witness&) = delete;
-    Witness& operator=(const Witness&) = delete;
-    virtual ~Witness() = default;
+    ExecutionLog() = default;
+    ExecutionLog(const ExecutionLog&) = delete;
+    ExecutionLog& operator=(const ExecutionLog&) = delete;
+    virtual ~ExecutionLog() = default;
 
     // ---- clients
     virtual void asked(const Asked& what) = 0;
     // Its last byte has come to the node's machine.
     virtual void taken(TunnelNo tunnel) = 0;
-    virtual void answered(TunnelNo tunnel, Answer answer, Tenths written_at) = 0;
+    virtual void answered(TunnelNo tunnel, Answer answer, Ticks written_at) = 0;
     // More came behind a decline, an error or a MOVE.
     virtual void said_on(TunnelNo tunnel, std::string_view text) = 0;
     // The client went away, or its time has been up for a while.
     virtual void left(TunnelNo tunnel) = 0;
     virtual void gave_up(TunnelNo tunnel) = 0;
     // The connection ended or was reset, with no MOVE before; written: when the node said so.
-    virtual void cut(TunnelNo tunnel, bool by_reset, Tenths written) = 0;
+    virtual void cut(TunnelNo tunnel, bool by_reset, Ticks written) = 0;
     // Its connection brings no line back though it owes some, for so long.
-    virtual void unanswered(TunnelNo tunnel, Tenths span) = 0;
+    virtual void unanswered(TunnelNo tunnel, Ticks span) = 0;
     // A client that no node need serve had nothing in all its time.
     virtual void rude_left_waiting(std::uint32_t node, std::string_view how) = 0;
 
     // ---- hosts
     // A first line has come whole; its first byte was written at `first`.
-    virtual void setup_came(TunnelNo tunnel, std::uint32_t host, End end, Tenths first, bool mid_flow) = 0;
+    virtual void setup_came(TunnelNo tunnel, std::uint32_t host, End end, Ticks first, bool mid_flow) = 0;
     virtual void setup_answered(TunnelNo tunnel, std::uint32_t host, Answer answer) = 0;
     // A mid-flow tunnel came to a host that does not hold it.
     virtual void not_held(TunnelNo tunnel, std::uint32_t host) = 0;
@@ -77,11 +77,11 @@
 
     // ---- discovery
     // Word that a host takes nothing new any more, or is in service, has come to a node's machine.
-    virtual void told(std::uint32_t node, std::uint32_t host, bool in_service) = 0;
+    virtual void told(std::uint32_t node, std::uint32_t host, bool active) = 0;
 
     // ---- both
     // A line was lost, doubled, changed or overtaken, or was under way for too long.
     virtual void line_wrong(TunnelNo tunnel, std::string_view what, std::string_view line) = 0;
 };
 
-}  // namespace lemonstair::stand
+}  // namespace lemonstair::fakes
--- a/src/fakes/server.cpp
+++ b/src/fakes/server.cpp
@@ -4,12 +4,12 @@
 #include <cstdio>
 #include <functional>
 
-namespace lemonstair::stand {
+namespace lemonstair::fakes {
 
 namespace {
 
-constexpr Tenths second = 10000;
-constexpr Tenths check_cold_every = 1000, push_from = 8000, push_to = 30000;
+constexpr Ticks second = 10000;
+constexpr Ticks check_cold_every = 1000, push_from = 8000, push_to = 30000;
 constexpr double burst_share = 0.05;
 constexpr int burst_lines = 12;
 
@@ -45,11 +45,11 @@
 
 }  // namespace
 
-ChatHost::ChatHost(Town& town, std::uint32_t number, Machine machine, const HostTraits& traits,
-                   simnet::Chance chance)
+FakeServer::FakeServer(TestEnvironment& town, std::uint32_t number, Machine machine,
+                       const ServerTraits& traits, simnet::RandomSource chance)
     : town_(town), number_(number), machine_(machine), traits_(traits), chance_(chance) {}
 
-void ChatHost::start(bool cold, Tenths since) {
+void FakeServer::start(bool cold, Ticks since) {
     if (state_ == State::up) return;
     ++life_;
     state_ = State::up;
@@ -65,7 +65,7 @@
     if (cold) town_.agenda.at(town_.now() + check_cold_every, *this, token(judge_cold, 0));
 }
 
-void ChatHost::stop() {
+void FakeServer::stop() {
     if (state_ != State::up) return;
     state_ = State::down;
     ++life_;
@@ -83,27 +83,27 @@
     load_ = 0;
 }
 
-double ChatHost::warmth() const {
+double FakeServer::warmth() const {
     if (town_.now() >= cold_until_) return 1;
     const double left = static_cast<double>(cold_until_ - town_.now()) / static_cast<double>(traits_.cold);
-    return 1 - (1 - traits_.cold_from) * std::min(left, 1.0);
+    return 1 - (1 - traits_.slow_start_initial_factor) * std::min(left, 1.0);
 }
 
-double ChatHost::capacity() const { return traits_.cores * warmth() / slow_; }
+double FakeServer::capacity() const { return traits_.cores * warmth() / slow_; }
 
-double ChatHost::asked() const { return load_ + traits_.group_load * static_cast<double>(groups_.size()); }
+double FakeServer::asked() const { return load_ + traits_.group_load * static_cast<double>(groups_.size()); }
 
 // Work waits for what came before it; what all connections ask for together makes all of it slower.
-Tenths ChatHost::work(double ms) {
+Ticks FakeServer::work(double ms) {
     const double spare = std::max(0.05, 1 - asked() / capacity());
     const double takes = ms * 10 / capacity() / std::min(1.0, spare + 0.3);
-    busy_until_ = std::max(busy_until_, town_.now()) + std::max<Tenths>(1, static_cast<Tenths>(takes));
+    busy_until_ = std::max(busy_until_, town_.now()) + std::max<Ticks>(1, static_cast<Ticks>(takes));
     return busy_until_;
 }
 
-void ChatHost::check_cold() {
+void FakeServer::check_cold() {
     if (town_.now() >= cold_until_) return;
-    const double bears = traits_.tip_multiple * traits_.cores * warmth();
+    const double bears = traits_.overload_multiple * traits_.cores * warmth();
     if (asked() <= bears) {
         pushed_since_ = 0;
     } else if (pushed_since_ == 0) {
@@ -117,7 +117,7 @@
     town_.agenda.at(town_.now() + check_cold_every, *this, token(judge_cold, 0));
 }
 
-void ChatHost::hang(bool on) {
+void FakeServer::hang(bool on) {
     hangs_ = on;
     town_.note("host hangs", number_, on ? 1 : 0);
     if (on) return;
@@ -125,7 +125,7 @@
         if (!lines_[at].gone && lines_[at].step != Step::ended) read(at);
 }
 
-void ChatHost::reset_some(double share) {
+void FakeServer::reset_some(double share) {
     for (std::uint32_t at = 0; at < lines_.size(); ++at) {
         Line& l = lines_[at];
         if (l.gone || l.step != Step::open || !chance_.odds(share)) continue;
@@ -135,12 +135,12 @@
     }
 }
 
-void ChatHost::ask_to_leave(Tenths within) {
-    leave_every_ = std::max<Tenths>(1, within / static_cast<Tenths>(tunnels_ + 1));
+void FakeServer::ask_to_leave(Ticks within) {
+    leave_every_ = std::max<Ticks>(1, within / static_cast<Ticks>(tunnels_ + 1));
     town_.agenda.at(town_.now() + leave_every_, *this, token(leave_one, 0));
 }
 
-void ChatHost::called(const net::Address& at) {
+void FakeServer::called(const net::Address& at) {
     while (const auto end = town_.network.accept(at)) {
         if (state_ != State::up) return;
         town_.network.own(*end, *this);
@@ -148,7 +148,7 @@
     }
 }
 
-void ChatHost::take_connection(End end) {
+void FakeServer::take_connection(End end) {
     const auto at = static_cast<std::uint32_t>(lines_.size());
     lines_.emplace_back();
     lines_.back().end = end;
@@ -156,7 +156,7 @@
     stirred(end);
 }
 
-void ChatHost::stirred(End end) {
+void FakeServer::stirred(End end) {
     const auto it = by_end_.find(end.number());
     if (it == by_end_.end()) return;
     const std::uint32_t at = it->second;
@@ -164,7 +164,7 @@
     if (!hangs_ && !lines_[at].gone) read(at);
 }
 
-void ChatHost::read(std::uint32_t at) {
+void FakeServer::read(std::uint32_t at) {
     std::array<char, 4096> bytes;
     const std::uint32_t life = life_;
     for (;;) {
@@ -190,7 +190,7 @@
         else
             town_.network.close(l.end);
         l.gone = true;
-        if (town_.packets_pass && l.step == Step::open && by_reset) {
+        if (town_.packet_passthrough && l.step == Step::open && by_reset) {
             l.parked_since = town_.now();
             return;
         }
@@ -204,7 +204,7 @@
 }
 
 // The tunnel is over here; the witness hears of it where the host itself ended it.
-void ChatHost::over(std::uint32_t at, bool says_so) {
+void FakeServer::over(std::uint32_t at, bool says_so) {
     Line& l = lines_[at];
     if (l.step == Step::open) {
         --tunnels_;
@@ -217,7 +217,7 @@
 }
 
 // False where no more of what came is read.
-bool ChatHost::line(std::uint32_t at, std::string_view text) {
+bool FakeServer::line(std::uint32_t at, std::string_view text) {
     Line& l = lines_[at];
     if (l.step == Step::first_line) {
         std::string_view rest = text;
@@ -253,7 +253,7 @@
     return true;
 }
 
-bool ChatHost::open_line(std::uint32_t at, std::string_view rest) {
+bool FakeServer::open_line(std::uint32_t at, std::string_view rest) {
     Line& l = lines_[at];
     std::string_view id = next_word(rest);
     next_word(rest);  // the key
@@ -301,7 +301,7 @@
     return true;
 }
 
-void ChatHost::answer(std::uint32_t at) {
+void FakeServer::answer(std::uint32_t at) {
     Line& l = lines_[at];
     if (l.gone || l.step != Step::working) return;
     Answer a = Answer::up;
@@ -315,7 +315,7 @@
     l.step = Step::ended;
 }
 
-void ChatHost::begin(std::uint32_t at) {
+void FakeServer::begin(std::uint32_t at) {
     Line& l = lines_[at];
     l.step = Step::open;
     ++tunnels_;
@@ -331,24 +331,24 @@
 }
 
 // What does not go out at once waits for room.
-void ChatHost::say(std::uint32_t at, std::string_view text) {
+void FakeServer::say(std::uint32_t at, std::string_view text) {
     Line& l = lines_[at];
     if (l.gone) return;
     l.waiting.append(text);
     send_waiting(at);
 }
 
-void ChatHost::send_waiting(std::uint32_t at) {
+void FakeServer::send_waiting(std::uint32_t at) {
     Line& l = lines_[at];
     if (l.gone || hangs_) return;
     l.waiting.erase(0, town_.network.write(l.end, l.waiting, true).bytes);
 }
 
-void ChatHost::happen(std::uint64_t what) {
+void FakeServer::happen(std::uint64_t what) {
     const auto kind = static_cast<Kind>(what >> 56);
     if ((what >> 40 & 0xffffU) != (life_ & 0xffffU) || state_ != State::up) return;
     const std::uint64_t at = what & 0xffffffffffU;
-    const Tenths now = town_.now();
+    const Ticks now = town_.now();
     if (hangs_ && kind != report && kind != judge_cold) {  // done when it goes on, if it ever does
         return town_.agenda.at(now + second, *this, what);
     }
@@ -409,4 +409,4 @@
     }
 }
 
-}  // namespace lemonstair::stand
+}  // namespace lemonstair::fakes
--- a/src/fakes/server.h
+++ b/src/fakes/server.h
@@ -12,41 +12,41 @@
 #include "fakes/environment.h"
 #include "simnet/random_source.h"
 
-namespace lemonstair::stand {
+namespace lemonstair::fakes {
 
 // A figure in cores is work a second; spans are tenths of a ms.
-struct HostTraits {
+struct ServerTraits {
     double cores = 2;
     std::uint32_t zone = 0, cell = 0;
     std::size_t most_connections = 200;
     double setup_work_ms = 5, line_work_ms = 0.2;
     std::uint32_t push_bytes = 1;  // of what its own lines carry, at most 4000
     double group_load = 0;         // that each group held costs once
-    Tenths report_every = 5000;
+    Ticks report_every = 5000;
     double report_noise = 0.05;
     double reports_always = 0;  // a load, whatever it holds; 0: what is so, with noise
-    Tenths cold = 80000, fall = 15000;
-    double cold_from = 0.33, tip_multiple = 2.5;
-    Tenths full_backlog = 10000;  // of work that waits: beyond it setups are turned away
+    Ticks cold = 80000, fall = 15000;
+    double slow_start_initial_factor = 0.33, overload_multiple = 2.5;
+    Ticks full_backlog = 10000;  // of work that waits: beyond it setups are turned away
 };
 
-class ChatHost final : public simnet::Ear, public simnet::Actor {
+class FakeServer final : public simnet::StreamListener, public simnet::EventTarget {
   public:
     enum class State : std::uint8_t { down, up, fallen };
 
-    ChatHost(Town& town, std::uint32_t number, Machine machine, const HostTraits& traits,
-             simnet::Chance chance);
+    FakeServer(TestEnvironment& town, std::uint32_t number, Machine machine, const ServerTraits& traits,
+               simnet::RandomSource chance);
 
     // Cold: as one whose process started then.
     void start(bool cold) { start(cold, town_.now()); }
-    void start(bool cold, Tenths since);
+    void start(bool cold, Ticks since);
     // The process dies: connections are reset, new ones refused.
     void stop();
     State state() const { return state_; }
     bool runs() const { return state_ == State::up; }
     // Unix time in ms; 0: long ago.
     std::int64_t up_since_ms() const { return started_ == 0 ? 0 : started_ / 10; }
-    const HostTraits& traits() const { return traits_; }
+    const ServerTraits& traits() const { return traits_; }
     net::Address address() const { return town_.network.place(machine_, port); }
     Machine machine() const { return machine_; }
     std::size_t open_tunnels() const { return tunnels_; }
@@ -54,7 +54,7 @@
     double load() const { return asked() / capacity(); }
     bool is_cold() const { return warmth() < 1; }
     // What all nodes together may ask of it now, in cores, before it is pushed over.
-    double bears() const { return traits_.tip_multiple * traits_.cores * warmth(); }
+    double bears() const { return traits_.overload_multiple * traits_.cores * warmth(); }
     bool takes_setups() const { return answers() && !fails_ && !refuses_; }
     // Whether it answers what is sent to it now.
     bool answers() const { return state_ == State::up && !hangs_ && !town_.network.is_cut(machine_); }
@@ -66,7 +66,7 @@
     void hang(bool on);
     void reset_some(double share);
     // Asks its clients to leave, a few at a time, within a span.
-    void ask_to_leave(Tenths within);
+    void ask_to_leave(Ticks within);
 
     void stirred(End end) override;
     void called(const net::Address& at) override;
@@ -83,7 +83,7 @@
         bool gone = false;  // the stream is closed; kept only where packets pass
         bool probe = false, mid_flow = false;
         LineReader reader;
-        Tenths first_byte = 0, parked_since = 0;
+        Ticks first_byte = 0, parked_since = 0;
         TunnelNo tunnel = 0;
         std::uint32_t group = 0;
         double load = 0;
@@ -106,17 +106,17 @@
     double capacity() const;
     double warmth() const;
     double asked() const;
-    Tenths work(double ms);
+    Ticks work(double ms);
     void check_cold();
 
-    Town& town_;
+    TestEnvironment& town_;
     std::uint32_t number_;
     Machine machine_;
-    HostTraits traits_;
-    simnet::Chance chance_;
+    ServerTraits traits_;
+    simnet::RandomSource chance_;
     State state_ = State::down;
     std::uint32_t life_ = 0;
-    Tenths started_ = 0, cold_until_ = 0, busy_until_ = 0, pushed_since_ = 0;
+    Ticks started_ = 0, cold_until_ = 0, busy_until_ = 0, pushed_since_ = 0;
     double slow_ = 1;
     bool fails_ = false, refuses_ = false, hangs_ = false;
     std::deque<Line> lines_;  // places are not used again within a life
@@ -125,7 +125,7 @@
     std::unordered_map<std::uint32_t, int> groups_;
     std::size_t tunnels_ = 0;
     double load_ = 0, reported_ = 0;
-    Tenths leave_every_ = 0;
+    Ticks leave_every_ = 0;
 };
 
-}  // namespace lemonstair::stand
+}  // namespace lemonstair::fakes
--- a/src/health_check/health_checker.cpp
+++ b/src/health_check/health_checker.cpp
@@ -11,16 +11,16 @@
 #include "net/lines.h"
 #include "net/transfer.h"
 
-namespace lemonstair::probe {
+namespace lemonstair::health_check {
 
 namespace {
 
-constexpr Tenths idle_for = 200000;  // a host holds only so many connections: an unused one is closed
-constexpr int answer_timeouts = 2;   // in times of the time that a connection may take to come up
+constexpr Ticks idle_for = 200000;  // a host holds only so many connections: an unused one is closed
+constexpr int answer_timeouts = 2;  // in times of the time that a connection may take to come up
 
 }  // namespace
 
-bool read_pong(std::string_view line, Report& report) {
+bool read_pong(std::string_view line, LoadReport& report) {
     constexpr std::string_view word = "PONG";
     if (line.substr(0, word.size()) != word) return false;
     line.remove_prefix(word.size());
@@ -42,9 +42,9 @@
     return true;
 }
 
-void Prober::probe(std::uint32_t ep) {
+void HealthChecker::probe(std::uint32_t ep) {
     const std::uint32_t place = hosts_.place_of(ep);
-    if (place == discovery::Hosts::none) return;
+    if (place == discovery::EndpointDirectory::none) return;
     if (lines_.size() <= place) lines_.resize(hosts_.size());
     Line& l = lines_[place];
     if (l.state != State::closed && l.state != State::idle) return;
@@ -57,19 +57,19 @@
 }
 
 // Guards against more hosts than the node has descriptors for: the line that was used longest ago gives way.
-bool Prober::line_left() {
+bool HealthChecker::line_left() {
     if (open_ < most_lines(lines_.size(), launch_.sockets)) return true;
-    std::uint32_t oldest = discovery::Hosts::none;
+    std::uint32_t oldest = discovery::EndpointDirectory::none;
     for (std::uint32_t at = 0; at < lines_.size(); ++at)
         if (lines_[at].state == State::idle &&
-            (oldest == discovery::Hosts::none || lines_[at].due < lines_[oldest].due))
+            (oldest == discovery::EndpointDirectory::none || lines_[at].due < lines_[oldest].due))
             oldest = at;
-    if (oldest == discovery::Hosts::none) return false;
+    if (oldest == discovery::EndpointDirectory::none) return false;
     close(oldest);
     return true;
 }
 
-void Prober::next_waiting() {
+void HealthChecker::next_waiting() {
     while (!waiting_.empty() && line_left()) {
         const std::uint32_t place = waiting_.front();
         waiting_.pop_front();
@@ -78,34 +78,34 @@
     }
 }
 
-void Prober::stop() {
+void HealthChecker::stop() {
     for (std::uint32_t place = 0; place < lines_.size(); ++place)
         if (lines_[place].state == State::idle) close(place);
     for (const std::uint32_t place : std::exchange(waiting_, {})) {
         lines_[place].state = State::closed;
-        found(place, Ending::not_sent, {});
+        found(place, Outcome::not_sent, {});
     }
 }
 
-void Prober::set_due(std::uint32_t place, Tenths when) {
+void HealthChecker::set_due(std::uint32_t place, Ticks when) {
     lines_[place].due = when;
     if (!std::exchange(lines_[place].timed, true)) look_by(place);
 }
 
 // One timer a connection, that looks again by the time in which the shortest wait may be over: one for each
 // probe would lie in the loop until the line would be closed for want of use.
-void Prober::look_by(std::uint32_t place) {
-    const Tenths longest = launch_.connect_timeout;
+void HealthChecker::look_by(std::uint32_t place) {
+    const Ticks longest = launch_.connect_timeout;
     loop_.at(std::min(lines_[place].due, loop_.now() + longest), *this, token_of(place));
 }
 
-void Prober::connect(std::uint32_t place) {
+void HealthChecker::connect(std::uint32_t place) {
     Line& l = lines_[place];
     net::Fd fd = loop_.system().connect_to(hosts_[place].at);
     if (!fd.open()) {
         l.state = State::closed;
         const int error = errno;
-        return found(place, net::own_want(error) ? Ending::not_sent : Ending::unreachable, {});
+        return found(place, net::own_want(error) ? Outcome::not_sent : Outcome::unreachable, {});
     }
     l.socket = net::Socket(loop_, std::move(fd), POLLOUT, *this, token_of(place));
     ++open_;
@@ -114,7 +114,7 @@
     set_due(place, loop_.now() + launch_.connect_timeout);
 }
 
-void Prober::ask(std::uint32_t place) {
+void HealthChecker::ask(std::uint32_t place) {
     Line& l = lines_[place];
     const std::string_view question = launch_.reports ? "STATS\r\n" : "PING\r\n";
     ++costs_.probes;
@@ -126,16 +126,16 @@
 }
 
 // False where the line is lost. What the system does not take at once goes out later.
-bool Prober::say(std::uint32_t place) {
+bool HealthChecker::say(std::uint32_t place) {
     Line& l = lines_[place];
     const auto sent = l.socket.write(l.question.substr(l.said));
-    if (sent.error != 0) return lost(place, Ending::unreachable), false;
+    if (sent.error != 0) return lost(place, Outcome::unreachable), false;
     l.said += sent.bytes;
     l.socket.wait_for(l.said < l.question.size() ? POLLOUT : POLLIN);
     return true;
 }
 
-void Prober::close(std::uint32_t place) {
+void HealthChecker::close(std::uint32_t place) {
     Line& l = lines_[place];
     if (l.socket.open()) --open_;
     l.socket.close();
@@ -145,13 +145,13 @@
     l.state = State::closed;
 }
 
-void Prober::ready(std::uint64_t token, short) {
+void HealthChecker::ready(std::uint64_t token, short) {
     const auto place = static_cast<std::uint32_t>(token);
     if (place >= lines_.size() || token_of(place) != token) return;
     Line& l = lines_[place];
     if (l.state == State::connecting) {
         if (const int error = l.socket.connected(); error != 0)
-            return lost(place, net::own_want(error) ? Ending::not_sent : Ending::unreachable);
+            return lost(place, net::own_want(error) ? Outcome::not_sent : Outcome::unreachable);
         return ask(place);
     }
     if (l.state == State::idle) return close(place);  // its host ends it, or says what nobody asked
@@ -162,28 +162,28 @@
     read(place);
 }
 
-void Prober::read(std::uint32_t place) {
+void HealthChecker::read(std::uint32_t place) {
     Line& l = lines_[place];
     if (!l.answer.held()) l.answer = pool_.take();
     const auto [at, room] = l.answer.room();
     const auto got = l.socket.read({at, room});
-    if (got.error != 0 || got.ended) return lost(place, Ending::broken);
+    if (got.error != 0 || got.ended) return lost(place, Outcome::connection_lost);
     l.answer.added(got.bytes);
     const auto text = l.answer.view();
     if (text.find('\n') == std::string_view::npos) {
-        if (got.bytes == room) lost(place, Ending::error);
+        if (got.bytes == room) lost(place, Outcome::error);
         return;
     }
-    Report report;
+    LoadReport report;
     const bool good = read_pong(net::first_line(text), report);
     l.answer.give_back();
     l.state = State::idle;
     set_due(place, loop_.now() + idle_for);
-    found(place, good ? Ending::ok : Ending::error, report);
+    found(place, good ? Outcome::ok : Outcome::error, report);
 }
 
-void Prober::lost(std::uint32_t place, Ending ending) {
-    const bool stale = lines_[place].used_before && ending != Ending::timed_out && ending != Ending::error;
+void HealthChecker::lost(std::uint32_t place, Outcome ending) {
+    const bool stale = lines_[place].used_before && ending != Outcome::timed_out && ending != Outcome::error;
     close(place);
     // A kept connection may have died unseen since its last use; only a new one tells of the host.
     if (stale) {
@@ -193,7 +193,7 @@
     found(place, ending, {});
 }
 
-void Prober::due(std::uint64_t token) {
+void HealthChecker::due(std::uint64_t token) {
     const auto place = static_cast<std::uint32_t>(token);
     if (place >= lines_.size() || token_of(place) != token) return;
     if (loop_.now() < lines_[place].due) return look_by(place);
@@ -201,12 +201,12 @@
     if (state == State::idle) return close(place);
     // A late answer would be taken for that of the next probe: the connection goes.
     lines_[place].used_before = false;
-    lost(place, state == State::asking ? Ending::timed_out : Ending::unreachable);
+    lost(place, state == State::asking ? Outcome::timed_out : Outcome::unreachable);
 }
 
-void Prober::found(std::uint32_t place, Ending ending, const Report& report) {
-    hearer_.probed(hosts_[place].ep, ending, loop_.now() - lines_[place].asked_at, report);
+void HealthChecker::found(std::uint32_t place, Outcome ending, const LoadReport& report) {
+    hearer_.on_health_check(hosts_[place].ep, ending, loop_.now() - lines_[place].asked_at, report);
     next_waiting();
 }
 
-}  // namespace lemonstair::probe
+}  // namespace lemonstair::health_check
--- a/src/health_check/health_checker.h
+++ b/src/health_check/health_checker.h
@@ -14,22 +14,22 @@
 #include "net/buffer_pool.h"
 #include "net/loop.h"
 
-namespace lemonstair::probe {
+namespace lemonstair::health_check {
 
 // Who hears what a probe found.
-class Hearer {
+class Listener {
   public:
-    Hearer() = default;
-    Hearer(const Hearer&) = delete;
-    Hearer& operator=(const Hearer&) = delete;
-    virtual ~Hearer() = default;
-    virtual void probed(std::uint32_t ep, Ending ending, Tenths took, const Report& report) = 0;
+    Listener() = default;
+    Listener(const Listener&) = delete;
+    Listener& operator=(const Listener&) = delete;
+    virtual ~Listener() = default;
+    virtual void on_health_check(std::uint32_t ep, Outcome ending, Ticks took, const LoadReport& report) = 0;
 };
 
-class Prober final : public net::Waiter {
+class HealthChecker final : public net::EventHandler {
   public:
-    Prober(net::Loop& loop, net::BufferPool& pool, const discovery::Hosts& hosts, Hearer& hearer,
-           const config::Launch& launch, account::Costs& costs)
+    HealthChecker(net::EventLoop& loop, net::BufferPool& pool, const discovery::EndpointDirectory& hosts,
+                  Listener& hearer, const config::NodeConfig& launch, metrics::ResourceCounters& costs)
         : loop_(loop), pool_(pool), hosts_(hosts), hearer_(hearer), launch_(launch), costs_(costs) {}
     std::size_t lines() const { return open_; }
     void probe(std::uint32_t ep);
@@ -45,7 +45,7 @@
         net::Buffer answer;
         std::string_view question;
         std::size_t said = 0;  // bytes of the question
-        Tenths asked_at = 0, due = 0;
+        Ticks asked_at = 0, due = 0;
         bool timed = false;  // a timer of this connection is out
         std::uint32_t serial = 0;
         State state = State::closed;
@@ -59,19 +59,19 @@
     bool say(std::uint32_t place);
     void close(std::uint32_t place);
     void read(std::uint32_t place);
-    void lost(std::uint32_t place, Ending ending);
-    void found(std::uint32_t place, Ending ending, const Report& report);
-    void set_due(std::uint32_t place, Tenths when);
+    void lost(std::uint32_t place, Outcome ending);
+    void found(std::uint32_t place, Outcome ending, const LoadReport& report);
+    void set_due(std::uint32_t place, Ticks when);
     void look_by(std::uint32_t place);
     bool line_left();
     void next_waiting();
 
-    net::Loop& loop_;
+    net::EventLoop& loop_;
     net::BufferPool& pool_;
-    const discovery::Hosts& hosts_;
-    Hearer& hearer_;
-    const config::Launch& launch_;
-    account::Costs& costs_;
+    const discovery::EndpointDirectory& hosts_;
+    Listener& hearer_;
+    const config::NodeConfig& launch_;
+    metrics::ResourceCounters& costs_;
     std::vector<Line> lines_;  // by place of the host
     std::size_t open_ = 0;
     std::deque<std::uint32_t> waiting_;  // places, for want of a descriptor
@@ -83,6 +83,6 @@
 }
 
 // "PONG inflight=7,queue=2": what the names mean goes into the report. False where it is no good answer.
-bool read_pong(std::string_view line, Report& report);
+bool read_pong(std::string_view line, LoadReport& report);
 
-}  // namespace lemonstair::probe
+}  // namespace lemonstair::health_check
--- a/src/hot_restart/packet_channel.cpp
+++ b/src/hot_restart/packet_channel.cpp
@@ -7,49 +7,50 @@
 
 #include "hot_restart/packets.h"
 
-namespace lemonstair::handover {
+namespace lemonstair::hot_restart {
 
 namespace {
 
 constexpr std::uint64_t listener_token = ~std::uint64_t{0};
 constexpr int reads_a_pass = 32;
-constexpr net::Tenths rest_for = 200;
+constexpr net::Ticks rest_for = 200;
 
 }  // namespace
 
-bool Line::call() {
+bool PacketChannel::call() {
     net::Fd fd = loop_.system().connect_nearby(name_);
     if (!fd.open()) return false;
-    socket_ = net::Socket(loop_, std::move(fd), POLLIN, *this, ++lines_, net::Turn::first);
+    socket_ = net::Socket(loop_, std::move(fd), POLLIN, *this, ++lines_, net::EventPriority::first);
     return true;
 }
 
-bool Line::listen() {
+bool PacketChannel::listen() {
     net::Fd fd = loop_.system().listen_nearby(name_);
     if (fd.open())
-        listener_ = net::Socket(loop_, std::move(fd), POLLIN, *this, listener_token, net::Turn::first);
+        listener_ =
+            net::Socket(loop_, std::move(fd), POLLIN, *this, listener_token, net::EventPriority::first);
     return listens();
 }
 
-void Line::hang_up() {
+void PacketChannel::hang_up() {
     socket_.close();
     waiting_.clear();
 }
 
-void Line::send(std::string packet, std::vector<int> descriptors) {
+void PacketChannel::send(std::string packet, std::vector<int> descriptors) {
     if (!stands()) return;
     waiting_.push_back({std::move(packet), std::move(descriptors)});
     write();
 }
 
-void Line::ready(std::uint64_t token, short events) {
+void PacketChannel::ready(std::uint64_t token, short events) {
     if (token == listener_token) return answer_call();
     if (!stands()) return;
     if ((events & POLLOUT) != 0) write();
     if ((events & (POLLIN | POLLHUP | POLLERR)) != 0) read();
 }
 
-void Line::answer_call() {
+void PacketChannel::answer_call() {
     net::Fd fd = loop_.system().accept_nearby(listener_.fd());
     if (!fd.open()) {
         if (!net::none_left(errno)) return;
@@ -61,11 +62,11 @@
         loop_.system().send_packet(fd.get(), refusal_, {});
         return;
     }
-    socket_ = net::Socket(loop_, std::move(fd), POLLIN, *this, ++lines_, net::Turn::first);
+    socket_ = net::Socket(loop_, std::move(fd), POLLIN, *this, ++lines_, net::EventPriority::first);
 }
 
 // A break is heard when the line is read: who sends is in the middle of something.
-void Line::write() {
+void PacketChannel::write() {
     while (!waiting_.empty()) {
         const auto sent =
             loop_.system().send_packet(socket_.fd(), waiting_.front().bytes, waiting_.front().descriptors);
@@ -76,7 +77,7 @@
     socket_.wait_for(static_cast<short>(POLLIN | (waiting_.empty() ? 0 : POLLOUT)));
 }
 
-void Line::read() {
+void PacketChannel::read() {
     room_.resize(longest_packet);
     const std::uint64_t line = lines_;
     for (int i = 0; i < reads_a_pass && stands() && line == lines_; ++i) {
@@ -91,4 +92,4 @@
     }
 }
 
-}  // namespace lemonstair::handover
+}  // namespace lemonstair::hot_restart
--- a/src/hot_restart/packet_channel.h
+++ b/src/hot_restart/packet_channel.h
@@ -9,9 +9,9 @@
 
 #include "net/loop.h"
 
-namespace lemonstair::handover {
+namespace lemonstair::hot_restart {
 
-class Line final : public net::Waiter {
+class PacketChannel final : public net::EventHandler {
   public:
     class Hearer {
       public:
@@ -24,7 +24,7 @@
         // Another process calls; whether the line is to be its.
         virtual bool takes_call() = 0;
     };
-    Line(net::Loop& loop, Hearer& hearer, std::string name, std::string refusal)
+    PacketChannel(net::EventLoop& loop, Hearer& hearer, std::string name, std::string refusal)
         : loop_(loop), hearer_(hearer), name_(std::move(name)), refusal_(std::move(refusal)) {}
     // Whether somebody listens there and the line stands.
     bool call();
@@ -48,7 +48,7 @@
     void answer_call();
     void write();
     void read();
-    net::Loop& loop_;
+    net::EventLoop& loop_;
     Hearer& hearer_;
     std::string name_, refusal_;
     net::Socket listener_, socket_;
@@ -57,4 +57,4 @@
     std::uint64_t lines_ = 0;  // that stood so far: the token of the one that does
 };
 
-}  // namespace lemonstair::handover
+}  // namespace lemonstair::hot_restart
--- a/src/hot_restart/packets.cpp
+++ b/src/hot_restart/packets.cpp
@@ -2,7 +2,7 @@
 
 #include "serialization/binary.h"
 
-namespace lemonstair::handover {
+namespace lemonstair::hot_restart {
 
 namespace {
 
@@ -12,7 +12,7 @@
 
 std::string encode(const Packet& p) {
     std::string out(mark);
-    bytes::Writer to(out);
+    serialization::Writer to(out);
     to.value(version);
     to.value(p.kind);
     to.value(p.yes);
@@ -24,7 +24,7 @@
 
 Read decode(std::string_view bytes, Packet& into) {
     if (bytes.size() > longest_packet || bytes.substr(0, mark.size()) != mark) return Read::torn;
-    bytes::Reader from(bytes.substr(mark.size()));
+    serialization::Reader from(bytes.substr(mark.size()));
     const auto theirs = from.next<std::uint8_t>();
     if (from.good() && theirs != version) return Read::other_version;
     from.value(into.kind);
@@ -36,4 +36,4 @@
     return from.good() && from.at_end() && known ? Read::good : Read::torn;
 }
 
-}  // namespace lemonstair::handover
+}  // namespace lemonstair::hot_restart
--- a/src/hot_restart/packets.h
+++ b/src/hot_restart/packets.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-namespace lemonstair::handover {
+namespace lemonstair::hot_restart {
 
 constexpr std::uint8_t version = 1;
 constexpr std::size_t longest_packet = 32768, longest_part = 16384;
@@ -40,4 +40,4 @@
 enum class Read : std::uint8_t { good, other_version, torn };
 Read decode(std::string_view bytes, Packet& into);
 
-}  // namespace lemonstair::handover
+}  // namespace lemonstair::hot_restart
--- a/src/hot_restart/session.h
+++ b/src/hot_restart/session.h
@@ -14,31 +14,31 @@
 #include "log/log.h"
 #include "net/loop.h"
 
-namespace lemonstair::handover {
+namespace lemonstair::hot_restart {
 
-struct Handed {
+struct TransferredTunnel {
     std::uint64_t number = 0;
     std::string bytes;
     int client = -1, host = -1;
 };
 
 // The process itself.
-class Party {
+class Delegate {
   public:
-    Party() = default;
-    Party(const Party&) = delete;
-    Party& operator=(const Party&) = delete;
-    virtual ~Party() = default;
+    Delegate() = default;
+    Delegate(const Delegate&) = delete;
+    Delegate& operator=(const Delegate&) = delete;
+    virtual ~Delegate() = default;
     virtual void tell_state(std::string& list, std::string& memory) = 0;
     // What this process's clock is ahead of the monotonic one; and what the other one's is, before `begin`.
-    virtual net::Tenths clock_base() = 0;
-    virtual void other_clock_base(net::Tenths base) = 0;
+    virtual net::Ticks clock_base() = 0;
+    virtual void other_clock_base(net::Ticks base) = 0;
     // The node's place is this process's; with what the other one told, or without (both empty).
     virtual void begin(std::string_view list, std::string_view memory) = 0;
     // This process begins or ceases to be the node.
-    virtual void stand_changed(Stand from, Stand to) = 0;
+    virtual void stand_changed(Role from, Role to) = 0;
     // An open tunnel that can go over; it stays as it is until it has gone or comes back.
-    virtual bool next_tunnel(Handed& into) = 0;
+    virtual bool next_tunnel(TransferredTunnel& into) = 0;
     virtual void tunnel_gone(std::uint64_t number, bool taken) = 0;
     // False where it cannot be taken; then the other process keeps it.
     virtual bool take_tunnel(std::string_view bytes, net::Fd client, net::Fd host) = 0;
@@ -48,13 +48,13 @@
     virtual void held_elsewhere(std::size_t descriptors) = 0;
 };
 
-class Succession final : public net::Waiter, Line::Hearer {
+class Session final : public net::EventHandler, PacketChannel::Hearer {
   public:
     // `nearby` empty: there is no place where another process could be found.
-    Succession(net::Loop& loop, Party& party, log::Log& log, std::string node, std::string nearby);
+    Session(net::EventLoop& loop, Delegate& party, log::Log& log, std::string node, std::string nearby);
     // Looks for an old process, once, at the start.
     void start();
-    Stand stand() const { return stand_; }
+    Role stand() const { return stand_; }
     // A new process serves beside this one that could not take its place.
     bool displaced() const { return displaced_; }
     // Tunnels that have opened since may go over.
@@ -75,22 +75,22 @@
     void take_state(std::uint64_t size);
     void send(const Packet& packet, std::vector<int> descriptors = {});
     void tell_held();
-    void watch_over(net::Tenths longest);
+    void watch_over(net::Ticks longest);
     void heard(std::string_view packet, std::vector<net::Fd>& descriptors) override;
     void broken() override;
     bool takes_call() override;
 
-    net::Loop& loop_;
-    Party& party_;
+    net::EventLoop& loop_;
+    Delegate& party_;
     log::Log& log_;
     std::string node_;
     bool on_ = false, displaced_ = false, looking_ = false, handing_now_ = false;
-    Line line_;
-    Stand stand_ = Stand::alone;
-    net::Tenths give_up_at_ = 0, started_ = 0, since_ = 0;
+    PacketChannel line_;
+    Role stand_ = Role::alone;
+    net::Ticks give_up_at_ = 0, started_ = 0, since_ = 0;
     std::string list_, memory_;
     std::set<std::uint64_t> out_;  // tunnels sent that the other has not said to have
     std::size_t went_ = 0, came_ = 0, held_there_ = 0, held_told_ = 0;
 };
 
-}  // namespace lemonstair::handover
+}  // namespace lemonstair::hot_restart
--- a/src/metrics/resource_counters.h
+++ b/src/metrics/resource_counters.h
@@ -11,16 +11,16 @@
 #include "metrics/violations.h"
 #include "peer/codec.h"
 
-namespace lemonstair::account {
+namespace lemonstair::metrics {
 
-struct Costs {
+struct ResourceCounters {
     std::uint64_t datagrams = 0;                // to one node each
     peer::Sizes peer_bytes{};                   // by kind, once for each node that is to hear them
     std::uint64_t probes = 0, probe_lines = 0;  // asked; connections opened for them
     std::uint64_t calls = 0, calls_failed = 0;  // to discovery
     std::uint64_t call_waited_ms = 0;           // for its answers
     std::uint64_t setups = 0;
-    std::array<std::uint64_t, endings> ended{};  // setups; opened is one of them
+    std::array<std::uint64_t, outcome_count> ended{};  // setups; opened is one of them
     std::array<std::uint64_t, reasons>
         because{};  // final answers that open nothing, and attempts not written
     Violations violations{};
@@ -31,11 +31,11 @@
         peer::add_sizes(bytes, hearers, peer_bytes);
     }
     void explained(Reason reason) { ++because[static_cast<std::size_t>(reason)]; }
-    void setup_ended(Ending ending) { ++ended[static_cast<std::size_t>(ending)]; }
-    bool operator==(const Costs&) const = default;
+    void setup_ended(Outcome ending) { ++ended[static_cast<std::size_t>(ending)]; }
+    bool operator==(const ResourceCounters&) const = default;
 };
 
 // The figures of `now` that are above those of `before`, as "name=more" with a blank before each.
-void write_added(std::ostream& to, const Costs& now, const Costs& before);
+void write_added(std::ostream& to, const ResourceCounters& now, const ResourceCounters& before);
 
-}  // namespace lemonstair::account
+}  // namespace lemonstair::metrics
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -8,25 +8,25 @@
 
 namespace lemonstair::net {
 
-using Tenths = std::int64_t;
+using Ticks = std::int64_t;
 
 class Clock {
   public:
-    Tenths now() const { return set_to_ + tenths(Steady::now() - started_); }
+    Ticks now() const { return set_to_ + tenths(Steady::now() - started_); }
     // What it is ahead of the monotonic clock, which is the same in all processes of the machine.
-    Tenths base() const { return set_to_ - tenths(started_.time_since_epoch()); }
+    Ticks base() const { return set_to_ - tenths(started_.time_since_epoch()); }
 
   private:
     using Steady = std::chrono::steady_clock;
     template <class Span>
-    static Tenths tenths(Span span) {
-        return std::chrono::duration_cast<std::chrono::duration<Tenths, std::ratio<1, 10000>>>(span).count();
+    static Ticks tenths(Span span) {
+        return std::chrono::duration_cast<std::chrono::duration<Ticks, std::ratio<1, 10000>>>(span).count();
     }
     Steady::time_point started_ = Steady::now();
-    Tenths set_to_ = tenths(std::chrono::system_clock::now().time_since_epoch());
+    Ticks set_to_ = tenths(std::chrono::system_clock::now().time_since_epoch());
 };
 
 // Up, so that a host is not taken for older than it is.
-constexpr Tenths tenths_of_unix_ms(std::int64_t ms) { return ms * 10; }
+constexpr Ticks tenths_of_unix_ms(std::int64_t ms) { return ms * 10; }
 
 }  // namespace lemonstair::net
--- a/src/net/kernel.cpp
+++ b/src/net/kernel.cpp
@@ -37,7 +37,7 @@
     return error == EAGAIN || error == EWOULDBLOCK || error == EINTR || error == ENOBUFS || error == ENOMEM;
 }
 
-Transfer received(ssize_t n) {
+IoResult received(ssize_t n) {
     if (n > 0) return {.bytes = static_cast<std::size_t>(n)};
     if (n == 0) return {.ended = true};
     return {.error = not_now(errno) ? 0 : errno};
@@ -120,18 +120,18 @@
     return ::poll(&asked, 1, 0) > 0 && (asked.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
 
-Transfer read_some(int fd, std::span<char> into) { return received(::recv(fd, into.data(), into.size(), 0)); }
+IoResult read_some(int fd, std::span<char> into) { return received(::recv(fd, into.data(), into.size(), 0)); }
 
-Transfer Kernel::peek(int fd, std::span<char> into) {
+IoResult Kernel::peek(int fd, std::span<char> into) {
     return received(::recv(fd, into.data(), into.size(), MSG_PEEK));
 }
 
-Transfer Kernel::discard_some(int fd) {
+IoResult Kernel::discard_some(int fd) {
     std::array<char, 1 << 16> untouched;
     return received(::recv(fd, untouched.data(), untouched.size(), MSG_TRUNC));
 }
 
-Transfer write_some(int fd, std::string_view text) {
+IoResult write_some(int fd, std::string_view text) {
     if (text.empty()) return {};
     const ssize_t n = ::send(fd, text.data(), text.size(), MSG_NOSIGNAL);
     if (n >= 0) return {.bytes = static_cast<std::size_t>(n)};
@@ -145,7 +145,7 @@
            static_cast<std::uint64_t>(used.tv_nsec) / 1000;
 }
 
-int Kernel::poll(std::span<pollfd> set, Tenths longest) {
+int Kernel::poll(std::span<pollfd> set, Ticks longest) {
     return ::poll(set.data(), set.size(), static_cast<int>((longest + 9) / 10));
 }
 
@@ -229,7 +229,7 @@
     return fd;
 }
 
-Transfer Kernel::send_packet(int fd, std::string_view bytes, std::span<const int> descriptors) {
+IoResult Kernel::send_packet(int fd, std::string_view bytes, std::span<const int> descriptors) {
     iovec part{const_cast<char*>(bytes.data()), bytes.size()};
     msghdr message{};
     message.msg_iov = &part;
@@ -250,7 +250,7 @@
     return {.error = not_now(errno) ? 0 : errno};
 }
 
-Transfer Kernel::receive_packet(int fd, std::span<char> into, std::vector<Fd>& descriptors) {
+IoResult Kernel::receive_packet(int fd, std::span<char> into, std::vector<Fd>& descriptors) {
     iovec part{into.data(), into.size()};
     msghdr message{};
     message.msg_iov = &part;
--- a/src/net/kernel.h
+++ b/src/net/kernel.h
@@ -14,15 +14,15 @@
 Fd listen_on(const Address& at);
 Fd datagrams_on(const Address& at);
 Fd connect_to(const Address& to);
-Transfer read_some(int fd, std::span<char> into);
-Transfer write_some(int fd, std::string_view text);
+IoResult read_some(int fd, std::span<char> into);
+IoResult write_some(int fd, std::string_view text);
 
 class Kernel : public System {
   public:
-    Tenths now() override { return clock_.now(); }
-    Tenths clock_base() override { return clock_.base(); }
+    Ticks now() override { return clock_.now(); }
+    Ticks clock_base() override { return clock_.base(); }
     std::uint64_t processor_us() override;
-    int poll(std::span<pollfd> set, Tenths longest) override;
+    int poll(std::span<pollfd> set, Ticks longest) override;
     void close(int fd) override;
     std::size_t allowed_descriptors(std::size_t asked) override;
     Fd listen_on(const Address& at) override { return net::listen_on(at); }
@@ -33,10 +33,10 @@
     Fd spare() override;
     int connected(int fd) override;
     bool hung_up(int fd) override;
-    Transfer read_some(int fd, std::span<char> into) override { return net::read_some(fd, into); }
-    Transfer peek(int fd, std::span<char> into) override;
-    Transfer discard_some(int fd) override;
-    Transfer write_some(int fd, std::string_view text) override { return net::write_some(fd, text); }
+    IoResult read_some(int fd, std::span<char> into) override { return net::read_some(fd, into); }
+    IoResult peek(int fd, std::span<char> into) override;
+    IoResult discard_some(int fd) override;
+    IoResult write_some(int fd, std::string_view text) override { return net::write_some(fd, text); }
     void end_sending(int fd) override;
     void will_reset(int fd) override;
     std::ptrdiff_t send_to(int fd, const Address& to, std::span<const std::uint8_t> bytes) override;
@@ -45,8 +45,8 @@
     Fd listen_nearby(const std::string& name) override;
     Fd connect_nearby(const std::string& name) override;
     Fd accept_nearby(int listener) override;
-    Transfer send_packet(int fd, std::string_view bytes, std::span<const int> descriptors) override;
-    Transfer receive_packet(int fd, std::span<char> into, std::vector<Fd>& descriptors) override;
+    IoResult send_packet(int fd, std::string_view bytes, std::span<const int> descriptors) override;
+    IoResult receive_packet(int fd, std::span<char> into, std::vector<Fd>& descriptors) override;
     Fd signals() override;
     int next_signal(int fd) override;
     const char* read_file(const std::string& path, std::size_t longest, std::string& into) override;
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -8,11 +8,12 @@
 
 namespace {
 
-constexpr Tenths rest_after_failure = 10;
+constexpr Ticks rest_after_failure = 10;
 
 }  // namespace
 
-std::uint32_t Loop::add(int fd, short events, Waiter& waiter, std::uint64_t token, Turn turn) {
+std::uint32_t EventLoop::add(int fd, short events, EventHandler& waiter, std::uint64_t token,
+                             EventPriority turn) {
     if (free_.empty()) {
         free_.push_back(static_cast<std::uint32_t>(polled_.size()));
         polled_.push_back({-1, 0, 0});
@@ -27,17 +28,17 @@
     return slot;
 }
 
-void Loop::remove(std::uint32_t slot) {
+void EventLoop::remove(std::uint32_t slot) {
     polled_[slot] = {-1, 0, 0};  // poll passes over a negative descriptor
     uses_[slot].waiter = nullptr;
     ++uses_[slot].serial;
     free_.push_back(slot);
 }
 
-void Loop::wait() {
+void EventLoop::wait() {
     tick();
-    Tenths span = 10000;
-    if (!timers_.empty()) span = std::clamp<Tenths>(timers_.top().at - now_, 0, span);
+    Ticks span = 10000;
+    if (!timers_.empty()) span = std::clamp<Ticks>(timers_.top().at - now_, 0, span);
     first_.clear();
     happened_.clear();
     const int n = system_.poll(polled_, span);
@@ -48,7 +49,7 @@
         // Who waits to hear of an end hears it before what came at the same time from elsewhere is acted on.
         const bool end = (polled_[slot].events & POLLRDHUP) != 0 &&
                          (polled_[slot].revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
-        (uses_[slot].turn == Turn::first || end ? first_ : happened_)
+        (uses_[slot].turn == EventPriority::first || end ? first_ : happened_)
             .push_back({slot, uses_[slot].serial, polled_[slot].revents});
         // Guards against spinning: poll tells of a connection that is over both ways whatever is asked of it,
         // and its reader may wait for room elsewhere. It is told once, and again when something is wanted of
@@ -61,7 +62,7 @@
 
 // Guards against an end of the process, with tunnels open, for want of memory that is over in a moment.
 // Timers go on meanwhile, and a short rest keeps the loop from spinning.
-void Loop::poll_failed(int error) {
+void EventLoop::poll_failed(int error) {
     if (error == EINTR) return;
     if (error != ENOMEM && error != EAGAIN) throw std::system_error(error, std::generic_category(), "poll");
     static_cast<void>(system_.poll({}, rest_after_failure));
