--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -14,38 +14,39 @@
 namespace lemonstair::net {
 
 // Who waits for a descriptor or a timer; the token is what it gave when it asked.
-class Waiter {
+class EventHandler {
   public:
-    Waiter() = default;
-    Waiter(const Waiter&) = delete;
-    Waiter& operator=(const Waiter&) = delete;
-    virtual ~Waiter() = default;
+    EventHandler() = default;
+    EventHandler(const EventHandler&) = delete;
+    EventHandler& operator=(const EventHandler&) = delete;
+    virtual ~EventHandler() = default;
     virtual void ready(std::uint64_t token, short events) = 0;
     virtual void due(std::uint64_t token) = 0;
 };
 
 // Whose events go first in a pass: what must be answered soon whatever the rest brings. The end of a
 // connection that was waited for with POLLRDHUP goes first too.
-enum class Turn : std::uint8_t { usual, first };
+enum class EventPriority : std::uint8_t { usual, first };
 
-class Loop {
+class EventLoop {
   public:
-    explicit Loop(System& system) : system_(system) {}
+    explicit EventLoop(System& system) : system_(system) {}
     System& system() const { return system_; }
-    Tenths now() const { return now_; }
+    Ticks now() const { return now_; }
     // The time of just now, for what must not rely on when this pass began.
-    Tenths refresh() {
+    Ticks refresh() {
         tick();
         return now_;
     }
-    std::uint32_t add(int fd, short events, Waiter& waiter, std::uint64_t token, Turn turn = Turn::usual);
+    std::uint32_t add(int fd, short events, EventHandler& waiter, std::uint64_t token,
+                      EventPriority turn = EventPriority::usual);
     void wait_for(std::uint32_t slot, short events) {
         polled_[slot].events = events;
         if (events != 0 && polled_[slot].fd < 0) polled_[slot].fd = ~polled_[slot].fd;
     }
     void remove(std::uint32_t slot);
     // There is no way to unset a timer: its waiter tells by the token whether it still counts.
-    void at(Tenths when, Waiter& waiter, std::uint64_t token) {
+    void at(Ticks when, EventHandler& waiter, std::uint64_t token) {
         timers_.push({when, order_++, &waiter, token});
     }
     std::size_t timers() const { return timers_.size(); }
@@ -77,19 +78,19 @@
 
   private:
     struct Use {
-        Waiter* waiter = nullptr;
+        EventHandler* waiter = nullptr;
         std::uint64_t token = 0;
         std::uint32_t serial = 0;
-        Turn turn = Turn::usual;
+        EventPriority turn = EventPriority::usual;
     };
     struct Event {
         std::uint32_t slot, serial;
         short events;
     };
     struct Timer {
-        Tenths at;
+        Ticks at;
         std::uint64_t order;
-        Waiter* waiter;
+        EventHandler* waiter;
         std::uint64_t token;
         bool operator<(const Timer& other) const {
             return at != other.at ? at > other.at : order > other.order;
@@ -100,7 +101,7 @@
     void tick() { now_ = system_.now(); }
 
     System& system_;
-    Tenths now_ = system_.now();
+    Ticks now_ = system_.now();
     std::vector<pollfd> polled_;
     std::vector<Use> uses_;
     std::vector<std::uint32_t> free_;
@@ -114,7 +115,8 @@
 class Socket {
   public:
     Socket() = default;
-    Socket(Loop& loop, Fd fd, short events, Waiter& waiter, std::uint64_t token, Turn turn = Turn::usual)
+    Socket(EventLoop& loop, Fd fd, short events, EventHandler& waiter, std::uint64_t token,
+           EventPriority turn = EventPriority::usual)
         : loop_(&loop),
           fd_(std::move(fd)),
           slot_(loop.add(fd_.get(), events, waiter, token, turn)),
@@ -144,10 +146,10 @@
         events_ = events;
         loop_->wait_for(slot_, events);
     }
-    Transfer read(std::span<char> into) const { return loop_->system().read_some(fd_.get(), into); }
-    Transfer peek(std::span<char> into) const { return loop_->system().peek(fd_.get(), into); }
-    Transfer discard() const { return loop_->system().discard_some(fd_.get()); }
-    Transfer write(std::string_view text) const { return loop_->system().write_some(fd_.get(), text); }
+    IoResult read(std::span<char> into) const { return loop_->system().read_some(fd_.get(), into); }
+    IoResult peek(std::span<char> into) const { return loop_->system().peek(fd_.get(), into); }
+    IoResult discard() const { return loop_->system().discard_some(fd_.get()); }
+    IoResult write(std::string_view text) const { return loop_->system().write_some(fd_.get(), text); }
     // What became of a connection under way, as an errno; 0: it is up.
     int connected() const { return loop_->system().connected(fd_.get()); }
     bool hung_up() const { return loop_->system().hung_up(fd_.get()); }
@@ -157,7 +159,7 @@
     int fd() const { return fd_.get(); }
 
   private:
-    Loop* loop_ = nullptr;
+    EventLoop* loop_ = nullptr;
     Fd fd_;
     std::uint32_t slot_ = 0;
     short events_ = 0;
--- a/src/net/system.h
+++ b/src/net/system.h
@@ -27,13 +27,13 @@
     virtual ~System() = default;
 
     // Tenths of a ms since the epoch of Unix time; it only goes forward.
-    virtual Tenths now() = 0;
+    virtual Ticks now() = 0;
     // What now() is ahead of the monotonic clock that all processes of the machine share.
-    virtual Tenths clock_base() = 0;
+    virtual Ticks clock_base() = 0;
     // Processor time that the process has used.
     virtual std::uint64_t processor_us() = 0;
     // As poll(2): the number of descriptors with events, 0 after `longest` or sooner, -1 with errno.
-    virtual int poll(std::span<pollfd> set, Tenths longest) = 0;
+    virtual int poll(std::span<pollfd> set, Ticks longest) = 0;
     virtual void close(int fd) = 0;
     // Descriptors that the process may hold when it asks for so many; never more than it asks for.
     virtual std::size_t allowed_descriptors(std::size_t asked) = 0;
@@ -53,12 +53,12 @@
     virtual int connected(int fd) = 0;
     // Whether the other side has ended its sending, or the connection is over, also behind unread bytes.
     virtual bool hung_up(int fd) = 0;
-    virtual Transfer read_some(int fd, std::span<char> into) = 0;
+    virtual IoResult read_some(int fd, std::span<char> into) = 0;
     // The same, but the bytes stay unread.
-    virtual Transfer peek(int fd, std::span<char> into) = 0;
+    virtual IoResult peek(int fd, std::span<char> into) = 0;
     // Reads and throws away what there is, up to a limit, without copying it.
-    virtual Transfer discard_some(int fd) = 0;
-    virtual Transfer write_some(int fd, std::string_view text) = 0;
+    virtual IoResult discard_some(int fd) = 0;
+    virtual IoResult write_some(int fd, std::string_view text) = 0;
     virtual void end_sending(int fd) = 0;
     // When it is closed, the other side sees a reset.
     virtual void will_reset(int fd) = 0;
@@ -76,9 +76,9 @@
     virtual Fd connect_nearby(const std::string& name) = 0;
     // Nobody but a process of the same user.
     virtual Fd accept_nearby(int listener) = 0;
-    virtual Transfer send_packet(int fd, std::string_view bytes, std::span<const int> descriptors) = 0;
+    virtual IoResult send_packet(int fd, std::string_view bytes, std::span<const int> descriptors) = 0;
     // One whole packet; longer ones are an error. The descriptors are the receiver's from then on.
-    virtual Transfer receive_packet(int fd, std::span<char> into, std::vector<Fd>& descriptors) = 0;
+    virtual IoResult receive_packet(int fd, std::span<char> into, std::vector<Fd>& descriptors) = 0;
 
     // Where the signals that a node answers are read; throws std::system_error.
     virtual Fd signals() = 0;
--- a/src/net/transfer.h
+++ b/src/net/transfer.h
@@ -22,7 +22,7 @@
 
 std::string address_text(const Address& at);
 
-struct Transfer {
+struct IoResult {
     std::size_t bytes = 0;
     bool ended = false;  // the other side ended its sending
     int error = 0;       // an errno; never one that only says "not now"
--- a/src/node/deferred_actions.h
+++ b/src/node/deferred_actions.h
@@ -14,16 +14,16 @@
 
 namespace lemonstair::node {
 
-class Orders final : public Host {
+class DeferredActions final : public BalancerDelegate {
   public:
     enum class Kind : std::uint8_t { set_up, decline, close_with_error, move, probe, watch };
     struct Order {
         Kind kind;
         std::uint32_t ep = 0;
         std::uint64_t tun = 0;
-        Tenths span = 0;
+        Ticks span = 0;
     };
-    Orders(net::Loop& loop, PeerLink& peers, log::Log& log, account::Costs& costs)
+    DeferredActions(net::EventLoop& loop, PeerLink& peers, log::Log& log, metrics::ResourceCounters& costs)
         : loop_(loop), peers_(peers), log_(log), costs_(costs) {}
     // Another will decide from now on: what the last one was to be woken for counts no more.
     void expect_another() {
@@ -41,43 +41,43 @@
         waiting_.clear();
     }
 
-    void set_up(std::uint64_t tun, std::uint32_t ep, Tenths max_wait) override {
+    void start_attempt(std::uint64_t tun, std::uint32_t ep, Ticks max_wait) override {
         waiting_.push_back({Kind::set_up, ep, tun, max_wait});
     }
-    void decline(std::uint64_t tun, Tenths come_back_after) override {
+    void reject(std::uint64_t tun, Ticks come_back_after) override {
         waiting_.push_back({Kind::decline, 0, tun, come_back_after});
     }
-    void close_with_error(std::uint64_t tun) override {
-        waiting_.push_back({Kind::close_with_error, 0, tun});
-    }
-    void explain(std::uint64_t tun, Reason why) override {
+    void fail(std::uint64_t tun) override { waiting_.push_back({Kind::close_with_error, 0, tun}); }
+    void report_reason(std::uint64_t tun, Reason why) override {
         costs_.explained(why);
         log_.debug() << "tunnel " << static_cast<std::uint32_t>(tun) << " is given up: " << name_of(why);
     }
-    void move(std::uint64_t tun) override { waiting_.push_back({Kind::move, 0, tun}); }
-    void probe(std::uint32_t ep) override { waiting_.push_back({Kind::probe, ep}); }
-    void watch_list() override { waiting_.push_back({Kind::watch}); }
-    void wake(Tenths at, std::uint64_t label) override { loop_.at(at, *minds_.back(), label); }
-    void tell(std::uint32_t node, std::span<const std::uint8_t> bytes) override { peers_.tell(node, bytes); }
-    void tell_all(std::span<const std::uint8_t> bytes) override { peers_.tell_all(bytes); }
+    void migrate(std::uint64_t tun) override { waiting_.push_back({Kind::move, 0, tun}); }
+    void check_health(std::uint32_t ep) override { waiting_.push_back({Kind::probe, ep}); }
+    void request_endpoint_list() override { waiting_.push_back({Kind::watch}); }
+    void set_timer(Ticks at, std::uint64_t label) override { loop_.at(at, *minds_.back(), label); }
+    void send_gossip(std::uint32_t node, std::span<const std::uint8_t> bytes) override {
+        peers_.tell(node, bytes);
+    }
+    void broadcast_gossip(std::span<const std::uint8_t> bytes) override { peers_.tell_all(bytes); }
     void log(std::string_view line) override { log_.info() << line; }
 
   private:
-    struct Mind final : net::Waiter {
-        explicit Mind(net::Loop& with) : loop(with) {}
+    struct Mind final : net::EventHandler {
+        explicit Mind(net::EventLoop& with) : loop(with) {}
         void ready(std::uint64_t, short) override {}
         void due(std::uint64_t label) override {
             if (balancer == nullptr) return;
-            balancer->at(loop.now());
-            balancer->woken(label);
+            balancer->set_time(loop.now());
+            balancer->on_timer(label);
         }
-        net::Loop& loop;
+        net::EventLoop& loop;
         Balancer* balancer = nullptr;
     };
-    net::Loop& loop_;
+    net::EventLoop& loop_;
     PeerLink& peers_;
     log::Log& log_;
-    account::Costs& costs_;
+    metrics::ResourceCounters& costs_;
     std::vector<std::unique_ptr<Mind>> minds_;  // timers may still name those before the last
     std::vector<Order> waiting_;
 };
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -28,7 +28,7 @@
 }
 
 // Guards against a start that ends since the file could not be read in just that moment.
-lemonstair::config::Launch read_patiently(lemonstair::config::Source& source) {
+lemonstair::config::NodeConfig read_patiently(lemonstair::config::ConfigSource& source) {
     constexpr int most_tries = 20;
     constexpr auto between_tries = std::chrono::milliseconds(100);
     for (int tries = 1; tries < most_tries; ++tries) {
@@ -52,10 +52,10 @@
         lemonstair::log::Descriptor errors(2);
         lemonstair::log::Log log(log_level(), errors);
         lemonstair::net::Kernel kernel;
-        lemonstair::config::Source source(kernel, path,
-                                          {.admin_addr = std::getenv("NODE_ADMIN_ADDR"),
-                                           .inherited_fd = std::getenv("NODE_INHERITED_FD"),
-                                           .tmpdir = std::getenv("TMPDIR")});
+        lemonstair::config::ConfigSource source(kernel, path,
+                                                {.admin_addr = std::getenv("NODE_ADMIN_ADDR"),
+                                                 .inherited_fd = std::getenv("NODE_INHERITED_FD"),
+                                                 .tmpdir = std::getenv("TMPDIR")});
         auto launch = read_patiently(source);
         lemonstair::node::Node node(kernel, std::move(launch), source.known(), log,
                                     [&] { return source.read(); });
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -14,10 +14,10 @@
 
 namespace {
 
-constexpr Tenths look_over_every = 2500, tally_every = 100000, costs_every = 10000;
+constexpr Ticks look_over_every = 2500, tally_every = 100000, costs_every = 10000;
 
 // After SIGHUP the new discovery counts as heard 4 s later: its call needs a part of that.
-constexpr Tenths renew_pause = 2500, renew_for = 25000;
+constexpr Ticks renew_pause = 2500, renew_for = 25000;
 
 enum Timer : std::uint64_t {
     look_over_timer,
@@ -31,7 +31,7 @@
 
 // Guards against a start that ends for want of descriptors or memory that is over in a moment.
 constexpr int most_tries = 20;
-constexpr Tenths between_tries = 1000;
+constexpr Ticks between_tries = 1000;
 
 // Opens what listens at a configured address; a fault names the key.
 template <class Open>
@@ -55,8 +55,8 @@
 
 }  // namespace
 
-Node::Node(net::System& system, config::Launch launch, const json::Value& known, log::Log& log, Reread reread,
-           Decider decider)
+Node::Node(net::System& system, config::NodeConfig launch, const json::Value& known, log::Log& log,
+           Reread reread, Decider decider)
     : launch_(std::move(launch)),
       known_(known.told_as("known")),
       log_(log),
@@ -66,7 +66,7 @@
       stages_(loop_, launch_, hosts_, log_, costs_),
       peers_(loop_, launch_, costs_,
              [this](std::uint32_t node, std::span<const std::uint8_t> bytes) {
-                 stages_.floor.mind().told(node, bytes);
+                 stages_.floor.mind().on_gossip(node, bytes);
              }),
       orders_(loop_, peers_, log_, costs_),
       watch_(loop_, stages_.floor.pool, launch_.discovery, *this, log_, costs_),
@@ -104,11 +104,11 @@
 // The node's place is this process's, alone or after an old one.
 void Node::begin(std::string_view list, std::string_view memory) {
     think(list);
-    if (!memory.empty() && !stages_.floor.mind().take_over(memory, stages_.carry.clock_shift())) {
+    if (!memory.empty() && !stages_.floor.mind().restore_state(memory, stages_.carry.clock_shift())) {
         log_.error() << "hand-over: what the old process remembers cannot be read, the node begins anew";
         think(list);
     }
-    const bool alone = succession_.stand() == handover::Stand::alone;
+    const bool alone = succession_.stand() == hot_restart::Role::alone;
     if (!launch_.nearby.empty()) stages_.floor.for_other = alone ? for_a_new_one : for_the_other;
     speak();
     // What the old process was told last may be some time ago: the list is asked for at once.
@@ -119,7 +119,7 @@
 
 void Node::speak() {
     open_peers();
-    if (!launch_.terms.must_ask) watch_.open(hosts_.revision());
+    if (!launch_.terms.must_poll) watch_.open(hosts_.revision());
     stages_.take_in.open(true);
 }
 
@@ -144,23 +144,23 @@
     prober_.stop();
 }
 
-void Node::stand_changed(handover::Stand from, handover::Stand to) {
+void Node::stand_changed(hot_restart::Role from, hot_restart::Role to) {
     stages_.floor.ready = ready();
-    stages_.floor.for_other = to == handover::Stand::alone ? for_a_new_one : for_the_other;
-    if (handover::answers(from) == handover::answers(to)) return;
-    if (!handover::answers(to)) return fall_silent();
+    stages_.floor.for_other = to == hot_restart::Role::alone ? for_a_new_one : for_the_other;
+    if (hot_restart::answers(from) == hot_restart::answers(to)) return;
+    if (!hot_restart::answers(to)) return fall_silent();
     // Guards against a new version that dies just after its yes: this one is the node again.
-    stages_.floor.mind().again();
+    stages_.floor.mind().resume_ownership();
     speak();
-    tell_list(ListKind::elsewhere);
+    tell_list(EndpointListKind::moved);
 }
 
 void Node::tell_state(std::string& list, std::string& memory) {
     list = hosts_.list();
-    stages_.floor.mind().remember(memory);
+    stages_.floor.mind().serialize_state(memory);
 }
 
-bool Node::next_tunnel(handover::Handed& into) {
+bool Node::next_tunnel(hot_restart::TransferredTunnel& into) {
     if (!stages_.carry.next(into.number, into.bytes)) return false;
     const tunnel::Tunnel& t = *stages_.floor.find(into.number);
     into.client = t.client.fd();
@@ -170,7 +170,7 @@
 
 void Node::tunnel_gone(std::uint64_t number, bool taken) {
     if (taken) return stages_.carry.gone(number);
-    stages_.carry.comes_back(number, !handover::hands_over(succession_.stand()));
+    stages_.carry.comes_back(number, !hot_restart::hands_over(succession_.stand()));
 }
 
 bool Node::take_tunnel(std::string_view bytes, net::Fd client, net::Fd host) {
@@ -181,8 +181,8 @@
     auto& floor = stages_.floor;
     const std::size_t owed = floor.admitted + floor.departing;
     if (to == Phase::left && phase_ != Phase::starting && owed > 0 &&
-        !handover::hands_over(succession_.stand()))
-        floor.violated(account::Rule::exited_with_debts, 0, std::to_string(owed) + " tunnels in hand");
+        !hot_restart::hands_over(succession_.stand()))
+        floor.violated(metrics::Invariant::exited_with_debts, 0, std::to_string(owed) + " tunnels in hand");
     log_.info() << launch_.name << ": " << name_of(static_cast<int>(phase_)) << " -> "
                 << name_of(static_cast<int>(to)) << ", " << hosts_.size() << " hosts known, " << floor.in_hand
                 << " tunnels, room for " << stages_.admit.room();
@@ -194,11 +194,11 @@
 // What is in hand has to be over by a time; who comes from now on has no longer either.
 void Node::floor_empties() {
     auto& floor = stages_.floor;
-    floor.answer_by = floor.over_by = tunnel::Floor::no_end;
+    floor.answer_by = floor.over_by = tunnel::TunnelRegistry::no_end;
     if (phase_ != Phase::drained && phase_ != Phase::leaving) return;
-    departure_ = phase_ == Phase::leaving ? Departure::on_term(launch_.terms) : Departure::on_drain();
+    departure_ = phase_ == Phase::leaving ? DrainSchedule::on_term(launch_.terms) : DrainSchedule::on_drain();
     emptying_since_ = loop_.now();
-    empty_at_ = emptying_since_ + Departure::move_from;
+    empty_at_ = emptying_since_ + DrainSchedule::move_from;
     loop_.at(empty_at_, *this, empty_timer);
     // A drained node stays and serves who comes, however long that lasts: nothing has to be over by a time.
     if (phase_ == Phase::drained) return;
@@ -207,17 +207,17 @@
 }
 
 std::string_view Node::phase() const {
-    if (handover::hands_over(succession_.stand())) return "handed over";
+    if (hot_restart::hands_over(succession_.stand())) return "handed over";
     return name_of(static_cast<int>(phase_));
 }
 
 std::string Node::figures() const {
-    const Census hosts = balancer_ ? balancer_->census() : Census{};
-    return operators::write_figures({.profiles = launch_.profiles,
-                                     .outcomes = stages_.floor.outcomes,
-                                     .open = stages_.floor.admitted,
-                                     .listed = hosts.listed,
-                                     .avoided = hosts.avoided});
+    const EndpointCounts hosts = balancer_ ? balancer_->endpoint_counts() : EndpointCounts{};
+    return admin::write_figures({.profiles = launch_.profiles,
+                                 .outcomes = stages_.floor.outcomes,
+                                 .open = stages_.floor.admitted,
+                                 .listed = hosts.listed,
+                                 .excluded = hosts.excluded});
 }
 
 // A node that leaves says no already.
@@ -236,26 +236,27 @@
 }
 
 bool Node::turn() {
-    loop_.turn([this] { orders_.carry_out([this](const Orders::Order& order) { carry_out(order); }); });
+    loop_.turn(
+        [this] { orders_.carry_out([this](const DeferredActions::Order& order) { carry_out(order); }); });
     log_.write_out();
     return phase_ != Phase::left;
 }
 
-void Node::carry_out(const Orders::Order& order) {
+void Node::carry_out(const DeferredActions::Order& order) {
     switch (order.kind) {
-        case Orders::Kind::set_up:
+        case DeferredActions::Kind::set_up:
             return stages_.route.set_up(order.tun, order.ep, order.span);
-        case Orders::Kind::decline:
+        case DeferredActions::Kind::decline:
             return stages_.route.decline(order.tun, order.span);
-        case Orders::Kind::close_with_error:
+        case DeferredActions::Kind::close_with_error:
             return stages_.route.close_with_error(order.tun);
-        case Orders::Kind::move:
+        case DeferredActions::Kind::move:
             return stages_.route.move(order.tun);
-        case Orders::Kind::probe:
-            if (handover::answers(succession_.stand())) return prober_.probe(order.ep);
-            return stages_.floor.mind().probed(order.ep, Ending::not_sent, 0, {});
-        case Orders::Kind::watch:
-            if (handover::answers(succession_.stand())) watch_.open(hosts_.revision());
+        case DeferredActions::Kind::probe:
+            if (hot_restart::answers(succession_.stand())) return prober_.probe(order.ep);
+            return stages_.floor.mind().on_health_check(order.ep, Outcome::not_sent, 0, {});
+        case DeferredActions::Kind::watch:
+            if (hot_restart::answers(succession_.stand())) watch_.open(hosts_.revision());
             return;
     }
 }
@@ -266,29 +267,29 @@
     return taken;
 }
 
-void Node::tell_list(ListKind kind) {
+void Node::tell_list(EndpointListKind kind) {
     Balancer& mind = stages_.floor.mind();
-    mind.list_begin(kind);
-    mind.list_end();
+    mind.begin_endpoint_list(kind);
+    mind.end_endpoint_list();
 }
 
 void Node::nothing_new() {
-    tell_list(ListKind::changes);
+    tell_list(EndpointListKind::changes);
     backoff_.answered();
 }
 
 // Where the node must ask, the module says when to ask again; else the watch comes back by itself, later
 // after each failure and by chance, so that not all nodes call discovery at once when it is back.
 void Node::watch_lost() {
-    tell_list(ListKind::failed);
-    if (launch_.terms.must_ask) return;
+    tell_list(EndpointListKind::failed);
+    if (launch_.terms.must_poll) return;
     const double drawn = static_cast<double>(rng_() - std::minstd_rand::min());
     const double chance = drawn / static_cast<double>(std::minstd_rand::max());
     loop_.at(loop_.now() + backoff_.failed(chance), *this, list_timer);
 }
 
-void Node::probed(std::uint32_t ep, Ending ending, Tenths took, const Report& report) {
-    stages_.floor.mind().probed(ep, ending, took, report);
+void Node::on_health_check(std::uint32_t ep, Outcome ending, Ticks took, const LoadReport& report) {
+    stages_.floor.mind().on_health_check(ep, ending, took, report);
 }
 
 void Node::ready(std::uint64_t, short) {
@@ -343,15 +344,15 @@
 // new; until then the last list stands.
 void Node::take_renewed(const std::string& kept) {
     if (!kept.empty()) log_.error() << "not changed before the next start: " << kept;
-    stages_.floor.mind().retold(launch_.terms);
+    stages_.floor.mind().update_config(launch_.terms);
     const bool moved = watch_.move_to(launch_.discovery);
     log_.info() << "configuration read again" << (moved ? ", discovery has moved" : "") << ", room for "
                 << stages_.admit.room();
     if (moved) hosts_.forget_revision();
     if (watch_.is_open()) return;
     backoff_.answered();
-    tell_list(ListKind::elsewhere);
-    if (!launch_.terms.must_ask) watch_.open(hosts_.revision());
+    tell_list(EndpointListKind::moved);
+    if (!launch_.terms.must_poll) watch_.open(hosts_.revision());
 }
 
 void Node::due(std::uint64_t token) {
@@ -359,7 +360,7 @@
     if (token == costs_timer) return tell_costs();
     if (token == empty_timer) return empty_out();
     if (token == peers_timer) {
-        if (!peers_.is_open() && handover::answers(succession_.stand())) open_peers();
+        if (!peers_.is_open() && hot_restart::answers(succession_.stand())) open_peers();
         return;
     }
     if (token == renew_timer) {
@@ -369,7 +370,7 @@
         return;
     }
     if (token == list_timer) {
-        if (handover::answers(succession_.stand())) watch_.open(hosts_.revision());
+        if (hot_restart::answers(succession_.stand())) watch_.open(hosts_.revision());
         return;
     }
     loop_.at(loop_.now() + tally_every, *this, tally_timer);
@@ -387,7 +388,7 @@
     if (costs_ == costs_told_) return;  // nothing but processor time
     costs_.processor_us = loop_.system().processor_us();
     std::ostringstream added;
-    account::write_added(added, costs_, costs_told_);
+    metrics::write_added(added, costs_, costs_told_);
     log_.info() << "second:" << added.str() << " tunnels_held=" << stages_.floor.admitted
                 << " probe_lines_held=" << prober_.lines();
     costs_told_ = costs_;
@@ -401,9 +402,9 @@
 // Often, since the last tunnels to open are to be moved in what is left of the time.
 void Node::empty_out() {
     if ((phase_ != Phase::drained && phase_ != Phase::leaving) || loop_.now() < empty_at_) return;
-    empty_at_ = loop_.now() + Departure::look_every;
+    empty_at_ = loop_.now() + DrainSchedule::look_every;
     loop_.at(empty_at_, *this, empty_timer);
-    const bool handed = handover::hands_over(succession_.stand());
+    const bool handed = hot_restart::hands_over(succession_.stand());
     const auto& floor = stages_.floor;
     if (phase_ == Phase::leaving && (handed ? floor.in_hand : floor.admitted + floor.departing) == 0 &&
         may_leave())
@@ -411,7 +412,7 @@
     // Its clients go over to the new version, and notice nothing.
     if (handed) return;
     // Packets that pass go on through another node: there a move would only break what goes on unbroken.
-    if (!launch_.terms.packets_pass) move_all();
+    if (!launch_.terms.packet_passthrough) move_all();
 }
 
 // Who could not be accepted in its last moments would keep the node for ever.
@@ -426,11 +427,11 @@
 // Spread, so that not all clients come again at once, and over well before the end.
 void Node::move_all() {
     auto& floor = stages_.floor;
-    const Tenths left = std::max<Tenths>(emptying_since_ + departure_.move_until - loop_.now(), 0);
-    const auto rounds = static_cast<std::size_t>(1 + left / Departure::look_every);
+    const Ticks left = std::max<Ticks>(emptying_since_ + departure_.move_until - loop_.now(), 0);
+    const auto rounds = static_cast<std::size_t>(1 + left / DrainSchedule::look_every);
     std::size_t quota = floor.in_hand / rounds + 1;
     for (std::uint32_t at = 0; at < floor.tunnels.places() && quota > 0; ++at) {
-        if (!floor.tunnels.used(at) || floor.tunnels[at].state != tunnel::State::relaying) continue;
+        if (!floor.tunnels.used(at) || floor.tunnels[at].state != tunnel::TunnelState::relaying) continue;
         stages_.relay.move(floor.id_of(at));
         --quota;
     }
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -25,14 +25,18 @@
 
 namespace lemonstair::node {
 
-class Node final : discovery::Hearer, probe::Hearer, operators::Staffed, handover::Party, net::Waiter {
+class Node final : discovery::WatchListener,
+                   health_check::Listener,
+                   admin::AdminHandler,
+                   hot_restart::Delegate,
+                   net::EventHandler {
   public:
     // Reads anew what the node is told; throws json::Malformed, which names the faulty key.
-    using Reread = std::function<config::Launch()>;
+    using Reread = std::function<config::NodeConfig()>;
     // What makes the decisions; a tool may put another policy or a watched one in the module's place.
-    using Decider = std::function<std::unique_ptr<Balancer>(Terms, Host&, Tenths now)>;
-    Node(net::System& system, config::Launch launch, const json::Value& known, log::Log& log, Reread reread,
-         Decider decider = Balancer::start);
+    using Decider = std::function<std::unique_ptr<Balancer>(BalancerConfig, BalancerDelegate&, Ticks now)>;
+    Node(net::System& system, config::NodeConfig launch, const json::Value& known, log::Log& log,
+         Reread reread, Decider decider = Balancer::start);
     // Until the node has left.
     void run();
     // One pass of the loop; false once the node has left.
@@ -42,7 +46,7 @@
     struct Holds {
         std::size_t tunnels, buffers, timers, callers, descriptors;
     };
-    const account::Costs& costs() const { return costs_; }
+    const metrics::ResourceCounters& costs() const { return costs_; }
     Holds holds() const {
         return {stages_.floor.in_hand, stages_.floor.pool.out(), loop_.timers(), desk_.callers(),
                 loop_.descriptors()};
@@ -56,10 +60,10 @@
     void speak();
     void open_peers();
     void fall_silent();
-    void carry_out(const Orders::Order& order);
+    void carry_out(const DeferredActions::Order& order);
     void look_over();
-    void tell_costs();              // what was added since the last line
-    void tell_list(ListKind kind);  // without entries
+    void tell_costs();                      // what was added since the last line
+    void tell_list(EndpointListKind kind);  // without entries
     void floor_empties();
     void empty_out();
     bool may_leave();
@@ -74,22 +78,24 @@
     void nothing_new() override;
     void still_current() override { hosts_.still_current(loop_.now()); }
     void watch_lost() override;
-    void probed(std::uint32_t ep, Ending ending, Tenths took, const Report& report) override;
-    bool ready() const override { return phase_ == Phase::serving && handover::answers(succession_.stand()); }
+    void on_health_check(std::uint32_t ep, Outcome ending, Ticks took, const LoadReport& report) override;
+    bool ready() const override {
+        return phase_ == Phase::serving && hot_restart::answers(succession_.stand());
+    }
     std::string_view phase() const override;
     std::string figures() const override;
     bool drain() override;
     bool take_again() override;
     void tell_state(std::string& list, std::string& memory) override;
     void begin(std::string_view list, std::string_view memory) override;
-    void stand_changed(handover::Stand from, handover::Stand to) override;
-    net::Tenths clock_base() override { return loop_.system().clock_base(); }
-    void other_clock_base(net::Tenths base) override { stages_.carry.set_clock_shift(clock_base() - base); }
-    bool next_tunnel(handover::Handed& into) override;
+    void stand_changed(hot_restart::Role from, hot_restart::Role to) override;
+    net::Ticks clock_base() override { return loop_.system().clock_base(); }
+    void other_clock_base(net::Ticks base) override { stages_.carry.set_clock_shift(clock_base() - base); }
+    bool next_tunnel(hot_restart::TransferredTunnel& into) override;
     void tunnel_gone(std::uint64_t number, bool taken) override;
     bool take_tunnel(std::string_view bytes, net::Fd client, net::Fd host) override;
     bool has_tunnels() const override { return stages_.floor.in_hand > 0; }
-    std::size_t held() const override { return loop_.in_use() + tunnel::Floor::outside_loop; }
+    std::size_t held() const override { return loop_.in_use() + tunnel::TunnelRegistry::outside_loop; }
     std::size_t granted() const override { return launch_.sockets; }
     void held_elsewhere(std::size_t descriptors) override { stages_.floor.elsewhere = descriptors; }
     void ready(std::uint64_t token, short events) override;
@@ -98,30 +104,30 @@
     // What a new process needs to begin, and what either may take between two words about what it holds.
     // Guards against both together holding more than is granted.
     static constexpr std::size_t for_a_new_one = 16, for_the_other = 8;
-    config::Launch launch_;
+    config::NodeConfig launch_;
     json::Value known_;
     log::Log& log_;
     Reread reread_;
-    net::Loop loop_;
-    account::Costs costs_, costs_told_;
-    discovery::Hosts hosts_;
-    tunnel::Stages stages_;
+    net::EventLoop loop_;
+    metrics::ResourceCounters costs_, costs_told_;
+    discovery::EndpointDirectory hosts_;
+    tunnel::TunnelStages stages_;
     PeerLink peers_;
-    Orders orders_;
+    DeferredActions orders_;
     discovery::Watch watch_;
-    probe::Prober prober_;
-    operators::Desk desk_;
-    handover::Succession succession_;
+    health_check::HealthChecker prober_;
+    admin::AdminServer desk_;
+    hot_restart::Session succession_;
     Decider decider_;
     std::unique_ptr<Balancer> balancer_;
     std::minstd_rand rng_;
     net::Socket signals_;
     Phase phase_ = Phase::starting;
-    Departure departure_ = Departure::on_drain();
-    Tenths emptying_since_ = 0, empty_at_ = 0;  // drained or leaving; when it is looked after next
-    backoff::Backoff backoff_;                  // of the watch, where it comes back by itself
+    DrainSchedule departure_ = DrainSchedule::on_drain();
+    Ticks emptying_since_ = 0, empty_at_ = 0;  // drained or leaving; when it is looked after next
+    backoff::Backoff backoff_;                 // of the watch, where it comes back by itself
     bool renew_at_begin_ = false;
-    Tenths renew_at_ = 0, renew_until_ = 0;  // the next try of a new configuration, and the last
+    Ticks renew_at_ = 0, renew_until_ = 0;  // the next try of a new configuration, and the last
 };
 
 }  // namespace lemonstair::node
--- a/src/node/peer_link.cpp
+++ b/src/node/peer_link.cpp
@@ -15,11 +15,12 @@
 
 }  // namespace
 
-PeerLink::PeerLink(net::Loop& loop, const config::Launch& launch, account::Costs& costs, Heard heard)
+PeerLink::PeerLink(net::EventLoop& loop, const config::NodeConfig& launch, metrics::ResourceCounters& costs,
+                   Heard heard)
     : loop_(loop), launch_(launch), costs_(costs), heard_(std::move(heard)) {}
 
 void PeerLink::open() {
-    if (launch_.terms.limits.peers && launch_.peer_listen)
+    if (launch_.terms.limits.gossip_enabled && launch_.peer_listen)
         socket_ = net::Socket(loop_, loop_.system().datagrams_on(*launch_.peer_listen), POLLIN, *this, 0);
 }
 
@@ -31,7 +32,7 @@
 }
 
 void PeerLink::tell(std::uint32_t node, std::span<const std::uint8_t> bytes) {
-    if (node < launch_.peers.size() && node != launch_.terms.me) send(launch_.peers[node], bytes, 1);
+    if (node < launch_.peers.size() && node != launch_.terms.own_node) send(launch_.peers[node], bytes, 1);
 }
 
 void PeerLink::tell_all(std::span<const std::uint8_t> bytes) {
@@ -48,7 +49,7 @@
         if (static_cast<std::size_t>(n) > longest) continue;
         // Only the listed addresses are peers: what comes from others is nobody's word.
         for (std::uint32_t node = 0; node < launch_.peers.size(); ++node)
-            if (node != launch_.terms.me && launch_.peers[node] == from)
+            if (node != launch_.terms.own_node && launch_.peers[node] == from)
                 heard_(node, {bytes.data(), static_cast<std::size_t>(n)});
     }
 }
--- a/src/node/peer_link.h
+++ b/src/node/peer_link.h
@@ -11,16 +11,19 @@
 
 namespace lemonstair::node {
 
-class PeerLink final : public net::Waiter {
+class PeerLink final : public net::EventHandler {
   public:
     // Hears the number of the node that a datagram came from, and its bytes.
     using Heard = std::function<void(std::uint32_t node, std::span<const std::uint8_t> bytes)>;
-    PeerLink(net::Loop& loop, const config::Launch& launch, account::Costs& costs, Heard heard);
+    PeerLink(net::EventLoop& loop, const config::NodeConfig& launch, metrics::ResourceCounters& costs,
+             Heard heard);
     // Only one process of a node hears and speaks.
     void open();
     void close() { socket_.close(); }
     // True also where the settings have no words between nodes.
-    bool is_open() const { return socket_.open() || !launch_.terms.limits.peers || !launch_.peer_listen; }
+    bool is_open() const {
+        return socket_.open() || !launch_.terms.limits.gossip_enabled || !launch_.peer_listen;
+    }
     void tell(std::uint32_t node, std::span<const std::uint8_t> bytes);
     void tell_all(std::span<const std::uint8_t> bytes);
     void ready(std::uint64_t token, short events) override;
@@ -28,9 +31,9 @@
 
   private:
     void send(const net::Address& to, std::span<const std::uint8_t> bytes, std::size_t hearers);
-    net::Loop& loop_;
-    const config::Launch& launch_;
-    account::Costs& costs_;
+    net::EventLoop& loop_;
+    const config::NodeConfig& launch_;
+    metrics::ResourceCounters& costs_;
     Heard heard_;
     net::Socket socket_;
 };
--- a/src/peer/codec.cpp
+++ b/src/peer/codec.cpp
@@ -141,7 +141,7 @@
 
 std::string_view name_of_kind(std::size_t kind) { return names[kind]; }
 
-bool decode(std::span<const std::uint8_t> bytes, Listener& to) {
+bool decode(std::span<const std::uint8_t> bytes, MessageHandler& to) {
     if (bytes.empty() || bytes.size() > max_bytes || bytes[0] != version) return false;
     for (std::size_t at = 1;
          at < bytes.size();) {  // the whole shape first: nothing of a bad message is acted on
--- a/src/peer/codec.h
+++ b/src/peer/codec.h
@@ -22,9 +22,9 @@
 std::string_view name_of_kind(std::size_t kind);
 
 // What a message says; the decoder turns each item into one call.
-class Listener {
+class MessageHandler {
   public:
-    virtual ~Listener() = default;
+    virtual ~MessageHandler() = default;
     virtual void record(std::uint64_t key, std::uint32_t ep, std::int64_t stamp, std::uint32_t group,
                         double load) = 0;
     virtual void ask(std::uint64_t key) = 0;
@@ -71,6 +71,6 @@
     std::size_t size_ = 0;
 };
 
-bool decode(std::span<const std::uint8_t> bytes, Listener& to);
+bool decode(std::span<const std::uint8_t> bytes, MessageHandler& to);
 
 }  // namespace lemonstair::peer
--- a/src/process_harness/address_plan.cpp
+++ b/src/process_harness/address_plan.cpp
@@ -6,11 +6,11 @@
 #include <cerrno>
 #include <system_error>
 
-namespace lemonstair::rig {
+namespace lemonstair::process_harness {
 
 // Two rigs on one machine keep apart by a listener that nobody calls: it ends with its process, however that
 // one ends.
-Places::Places(std::uint32_t nodes) : nodes_(nodes) {
+AddressPlan::AddressPlan(std::uint32_t nodes) : nodes_(nodes) {
     constexpr std::uint32_t first = 16, blocks = 72, wide = 3;
     const auto start = static_cast<std::uint32_t>(::getpid()) % blocks;
     for (std::uint32_t i = 0; i < blocks; ++i) {
@@ -26,4 +26,4 @@
     throw std::system_error(errno, std::generic_category(), "no block of 127.0.0.0/8 is free");
 }
 
-}  // namespace lemonstair::rig
+}  // namespace lemonstair::process_harness
--- a/src/process_harness/address_plan.h
+++ b/src/process_harness/address_plan.h
@@ -11,15 +11,15 @@
 #include "net/transfer.h"
 #include "simnet/streams.h"
 
-namespace lemonstair::rig {
+namespace lemonstair::process_harness {
 
 using net::Address;
 using simnet::Machine;
 
-class Places {
+class AddressPlan {
   public:
     // Takes blocks that no other rig of this machine holds; throws std::system_error where none is free.
-    explicit Places(std::uint32_t nodes);
+    explicit AddressPlan(std::uint32_t nodes);
 
     std::uint32_t nodes() const { return nodes_; }
     // The machine's own address.
@@ -49,4 +49,4 @@
     net::Fd held_;
 };
 
-}  // namespace lemonstair::rig
+}  // namespace lemonstair::process_harness
--- a/src/process_harness/datagram_proxy.cpp
+++ b/src/process_harness/datagram_proxy.cpp
@@ -5,18 +5,18 @@
 
 #include <array>
 
-namespace lemonstair::rig {
+namespace lemonstair::process_harness {
 
 namespace {
 
 constexpr std::size_t longest = 256, most_kept = 64;
-constexpr Tenths usual_delay = 5;
+constexpr Ticks usual_delay = 5;
 constexpr int room = 1 << 20;
 
 }  // namespace
 
-Post::Post(Agenda& agenda, Poller& poller, const Places& places, std::uint16_t peer_port,
-           simnet::Chance chance, Passes passes)
+DatagramProxy::DatagramProxy(EventQueue& agenda, Poller& poller, const AddressPlan& places,
+                             std::uint16_t peer_port, simnet::RandomSource chance, Passes passes)
     : agenda_(agenda),
       places_(places),
       peer_port_(peer_port),
@@ -32,7 +32,7 @@
     }
 }
 
-void Post::ready(std::uint64_t token, std::uint32_t) {
+void DatagramProxy::ready(std::uint64_t token, std::uint32_t) {
     const auto to = static_cast<Machine>(token);
     const int fd = to < doors_.size() ? doors_[to].get() : to_all_.get();
     std::array<std::uint8_t, 2048> bytes;
@@ -55,7 +55,7 @@
     }
 }
 
-void Post::carry(Machine from, Machine to, std::span<const std::uint8_t> bytes) {
+void DatagramProxy::carry(Machine from, Machine to, std::span<const std::uint8_t> bytes) {
     ++counts_[from].sent;
     counts_[from].bytes += bytes.size();
     auto& kept = kept_[from];
@@ -63,8 +63,8 @@
     if (kept.size() > most_kept) kept.pop_front();
     const int copies = chance_.odds(faults_.lost) ? 0 : chance_.odds(faults_.doubled) ? 2 : 1;
     for (int i = 0; i < copies; ++i) {
-        const Tenths jitter = faults_.jitter > 0 ? chance_.between(Tenths{0}, faults_.jitter) : 0;
-        const auto delay = static_cast<Tenths>(static_cast<double>(usual_delay) * slow_);
+        const Ticks jitter = faults_.jitter > 0 ? chance_.between(Ticks{0}, faults_.jitter) : 0;
+        const auto delay = static_cast<Ticks>(static_cast<double>(usual_delay) * slow_);
         if (free_.empty()) {
             free_.push_back(static_cast<std::uint32_t>(under_way_.size()));
             under_way_.emplace_back();
@@ -76,23 +76,23 @@
     }
 }
 
-void Post::happen(std::uint64_t token) {
+void DatagramProxy::happen(std::uint64_t token) {
     const auto place = static_cast<std::uint32_t>(token);
-    const Letter letter = std::move(under_way_[place]);
+    const Datagram letter = std::move(under_way_[place]);
     free_.push_back(place);
     hand_out(letter);
 }
 
-void Post::hand_out(const Letter& l) {
+void DatagramProxy::hand_out(const Datagram& l) {
     if (!faults_.passes(l.from, l.to) || !passes_(l.from, l.to)) return;
     const Address at = places_.own(l.to, peer_port_);
     static_cast<void>(::sendto(doors_[l.from].get(), l.bytes.data(), l.bytes.size(), MSG_NOSIGNAL,
                                reinterpret_cast<const sockaddr*>(&at.at), sizeof at.at));
 }
 
-void Post::send_again(Machine from, std::size_t most) {
+void DatagramProxy::send_again(Machine from, std::size_t most) {
     const auto kept = kept_[from];
     for (std::size_t i = 0; i < std::min(most, kept.size()); ++i) hand_out(kept[i]);
 }
 
-}  // namespace lemonstair::rig
+}  // namespace lemonstair::process_harness
--- a/src/process_harness/datagram_proxy.h
+++ b/src/process_harness/datagram_proxy.h
@@ -11,17 +11,17 @@
 #include "simnet/datagram_faults.h"
 #include "simnet/random_source.h"
 
-namespace lemonstair::rig {
+namespace lemonstair::process_harness {
 
-class Post final : public Ready, public Actor {
+class DatagramProxy final : public Ready, public EventTarget {
   public:
     struct Counts {
         std::uint64_t sent = 0, bytes = 0;  // by one node, each counted for every node it goes to
     };
     // Whether anything passes from one machine to another now.
     using Passes = std::function<bool(Machine from, Machine to)>;
-    Post(Agenda& agenda, Poller& poller, const Places& places, std::uint16_t peer_port, simnet::Chance chance,
-         Passes passes);
+    DatagramProxy(EventQueue& agenda, Poller& poller, const AddressPlan& places, std::uint16_t peer_port,
+                  simnet::RandomSource chance, Passes passes);
     simnet::DatagramFaults& faults() { return faults_; }
     void slow_by(double times) { slow_ = times; }
     void send_again(Machine from, std::size_t most);
@@ -32,17 +32,17 @@
     void happen(std::uint64_t token) override;
 
   private:
-    struct Letter {
+    struct Datagram {
         Machine from = 0, to = 0;
         std::vector<std::uint8_t> bytes;
     };
     void carry(Machine from, Machine to, std::span<const std::uint8_t> bytes);
-    void hand_out(const Letter& letter);
+    void hand_out(const Datagram& letter);
 
-    Agenda& agenda_;
-    const Places& places_;
+    EventQueue& agenda_;
+    const AddressPlan& places_;
     std::uint16_t peer_port_;
-    simnet::Chance chance_;
+    simnet::RandomSource chance_;
     Passes passes_;
     simnet::DatagramFaults faults_;
     double slow_ = 1;
@@ -50,9 +50,9 @@
     net::Fd to_all_;
     std::vector<Counts> counts_;
     std::uint64_t too_long_ = 0;
-    std::vector<Letter> under_way_;  // places are used again
+    std::vector<Datagram> under_way_;  // places are used again
     std::vector<std::uint32_t> free_;
-    std::vector<std::deque<Letter>> kept_;  // the last of each node
+    std::vector<std::deque<Datagram>> kept_;  // the last of each node
 };
 
-}  // namespace lemonstair::rig
+}  // namespace lemonstair::process_harness
--- a/src/process_harness/main.cpp
+++ b/src/process_harness/main.cpp
@@ -11,14 +11,14 @@
 
 namespace {
 
-namespace lab = lemonstair::lab;
-namespace rig = lemonstair::rig;
+namespace simulation = lemonstair::simulation;
+namespace process_harness = lemonstair::process_harness;
 
 constexpr int kept = 0, broken = 1, wrong_use = 2, too_busy = 3;
 
 volatile bool stop = false;
 
-double seconds(lemonstair::net::Tenths t) { return static_cast<double>(t) / 10000; }
+double seconds(lemonstair::net::Ticks t) { return static_cast<double>(t) / 10000; }
 
 struct Options {
     std::string day, seeds, program, json, logs;
@@ -27,7 +27,7 @@
     bool hosts = false;
 };
 
-void tell(const Options& wish, const rig::Outcome& o) {
+void tell(const Options& wish, const process_harness::RunResult& o) {
     std::cout << std::fixed << std::setprecision(1) << "seed " << o.seed << ": " << o.nodes << " processes, "
               << o.took_s << " s; taken " << o.tally.taken << ", opened " << o.tally.opened << ", declined "
               << o.tally.declined << " (" << o.declined_idle << " beside an idle host), closed with error "
@@ -51,10 +51,10 @@
 }
 
 int run(const Options& wish) {
-    lab::Day day = lab::read_day(wish.day);
+    simulation::Scenario day = simulation::read_day(wish.day);
     if (wish.nodes != 0) day.nodes = wish.nodes;
-    lab::Seeds seeds{day.seed, day.seed};
-    if (!wish.seeds.empty()) seeds = lab::parse_seeds(wish.seeds);
+    simulation::Seeds seeds{day.seed, day.seed};
+    if (!wish.seeds.empty()) seeds = simulation::parse_seeds(wish.seeds);
     std::ofstream json;
     if (!wish.json.empty()) json.open(wish.json, std::ios::app);
     if (!wish.json.empty() && !json) {
@@ -64,9 +64,9 @@
     int worst = kept;
     for (std::uint64_t seed = seeds.first; seed <= seeds.last && !stop; ++seed) {
         day.seed = seed;
-        const rig::Outcome o = rig::play(day, {wish.program, wish.logs, {}}, stop);
+        const process_harness::RunResult o = process_harness::play(day, {wish.program, wish.logs, {}}, stop);
         if (o.interrupted) return too_busy;
-        if (json.is_open()) json << rig::json_of(o) << std::flush;
+        if (json.is_open()) json << process_harness::json_of(o) << std::flush;
         tell(wish, o);
         if (!o.broken.empty()) {
             std::cout << "  again: lemonstair_process_harness run --day " << wish.day << " --seeds " << seed
@@ -87,7 +87,8 @@
     CLI::App app{"Plays days on many real processes of the program, with faults between them."};
     app.footer(
         "Exit status: 0 all rules kept; 1 a rule broken; 2 wrong use; 3 the machine was too busy to tell.\n"
-        "  lemonstair_process_harness run --day tests/scenarios/cold_hosts.toml --program build/lemonstair --nodes 60");
+        "  lemonstair_process_harness run --day tests/scenarios/cold_hosts.toml --program build/lemonstair "
+        "--nodes 60");
     app.require_subcommand(1);
     Options wish;
     auto* command = app.add_subcommand("run", "Plays a day in real time");
@@ -97,7 +98,7 @@
         ->check(CLI::ExistingFile);
     command->add_option("--seeds", wish.seeds, "one seed or a range, as 1..5; left out, that of the file");
     command->add_option("--nodes", wish.nodes, "so many processes instead of the file's")
-        ->check(CLI::Range(1U, lab::most_nodes));
+        ->check(CLI::Range(1U, simulation::most_nodes));
     command->add_option("--json", wish.json, "a line of JSON for each day, added to this file");
     command->add_option("--logs", wish.logs, "the nodes' logs into this folder")
         ->check(CLI::ExistingDirectory);
@@ -110,7 +111,7 @@
         return run(wish);
     } catch (const CLI::ParseError& e) {
         return app.exit(e) == 0 ? kept : wrong_use;
-    } catch (const lab::BadDay& e) {
+    } catch (const simulation::InvalidScenario& e) {
         std::cerr << "lemonstair_process_harness: " << e.what() << '\n';
         return wrong_use;
     } catch (const std::exception& e) {
--- a/src/process_harness/process.cpp
+++ b/src/process_harness/process.cpp
@@ -13,7 +13,7 @@
 #include <system_error>
 #include <vector>
 
-namespace lemonstair::rig {
+namespace lemonstair::process_harness {
 
 namespace {
 
@@ -95,4 +95,4 @@
     return u;
 }
 
-}  // namespace lemonstair::rig
+}  // namespace lemonstair::process_harness
--- a/src/process_harness/process.h
+++ b/src/process_harness/process.h
@@ -10,7 +10,7 @@
 
 #include "net/fd.h"
 
-namespace lemonstair::rig {
+namespace lemonstair::process_harness {
 
 class Process {
   public:
@@ -43,4 +43,4 @@
     net::Fd file_;
 };
 
-}  // namespace lemonstair::rig
+}  // namespace lemonstair::process_harness
--- a/src/process_harness/process_harness.cpp
+++ b/src/process_harness/process_harness.cpp
@@ -12,22 +12,22 @@
 #include "process_harness/stream_proxy.h"
 #include "simulation/fixture.h"
 
-namespace lemonstair::rig {
+namespace lemonstair::process_harness {
 
 namespace {
 
-using lab::Fault;
-using lab::FaultKind;
-using lab::Stage;
+using simulation::Fault;
+using simulation::FaultKind;
+using simulation::Fixture;
 
-constexpr Tenths second = 10000;
-constexpr Tenths kill_after_leave = 37000, settle = 15000;
-constexpr Tenths longest_wait = 500;
-constexpr Tenths latest_allowed = 400;         // of the slack of 50 ms
+constexpr Ticks second = 10000;
+constexpr Ticks kill_after_leave = 37000, settle = 15000;
+constexpr Ticks longest_wait = 500;
+constexpr Ticks latest_allowed = 400;          // of the slack of 50 ms
 constexpr double longest_without_core = 0.06;  // s, of a node within a second
 
 // Clients come at dawn, when the processes have had time to start.
-constexpr Tenths start_takes = 2 * second, start_takes_each = 100;
+constexpr Ticks start_takes = 2 * second, start_takes_each = 100;
 
 void allow_descriptors(std::uint64_t wanted) {
     rlimit now{};
@@ -36,7 +36,7 @@
     static_cast<void>(::setrlimit(RLIMIT_NOFILE, &now));
 }
 
-struct Seat {
+struct ProcessSlot {
     std::unique_ptr<Process> process;
     std::string file;
     std::uint32_t life = 0;
@@ -45,10 +45,10 @@
     bool leaving = false, stalled = false;
 };
 
-class Field final : public simnet::Actor, public lab::Ground {
+class ProcessHarness final : public simnet::EventTarget, public simulation::Topology {
   public:
-    Field(const Day& day, const Wish& wish);
-    Outcome run(const volatile bool& stop);
+    ProcessHarness(const Scenario& day, const HarnessOptions& wish);
+    RunResult run(const volatile bool& stop);
     void happen(std::uint64_t token) override;
 
     // ---- Ground
@@ -66,38 +66,38 @@
         return std::uint64_t{kind} << 56 | life << 24 | at;
     }
     void start_node(std::uint32_t node);
-    void end_node(std::uint32_t node, lab::Rules::NodeEnd how);
+    void end_node(std::uint32_t node, simulation::Invariants::NodeEnd how);
     void begin(const Fault& f, std::uint64_t at);
     void end(const Fault& f);
     void look_at_nodes();
-    bool go_on(Tenths until, const volatile bool& stop);
-    Outcome told(Tenths played_for);
+    bool go_on(Ticks until, const volatile bool& stop);
+    RunResult told(Ticks played_for);
 
-    const Day day_;
-    const Wish wish_;
+    const Scenario day_;
+    const HarnessOptions wish_;
     net::Clock clock_;
-    Agenda agenda_;
+    EventQueue agenda_;
     Poller poller_;
-    Places places_;
+    AddressPlan places_;
     simnet::Trace trace_;
-    simnet::Chance chance_;
-    Wires wires_;
-    Post post_;
-    lab::Rules rules_;
-    std::unique_ptr<Stage> stage_;
-    std::vector<Seat> seats_;
-    Outcome outcome_;
-    Tenths played_from_ = 0;
+    simnet::RandomSource chance_;
+    StreamProxy wires_;
+    DatagramProxy post_;
+    simulation::Invariants rules_;
+    std::unique_ptr<Fixture> stage_;
+    std::vector<ProcessSlot> seats_;
+    RunResult outcome_;
+    Ticks played_from_ = 0;
 };
 
-Field::Field(const Day& day, const Wish& wish)
+ProcessHarness::ProcessHarness(const Scenario& day, const HarnessOptions& wish)
     : day_(day),
       wish_(wish),
       agenda_(clock_.now(), clock_.now() + start_takes + start_takes_each * day.nodes),
       places_(day.nodes),
       chance_(day.seed ^ 0xda71a8),
       wires_(agenda_, poller_, places_),
-      post_(agenda_, poller_, places_, Stage::peer_port, chance_.part(1),
+      post_(agenda_, poller_, places_, Fixture::peer_port, chance_.part(1),
             [this](Machine from, Machine to) { return !wires_.is_cut(from) && !wires_.is_cut(to); }),
       rules_(day_, agenda_, wires_),
       seats_(day.nodes) {
@@ -105,13 +105,13 @@
     post_.faults().doubled = day_.weather.doubled;
     post_.faults().jitter = day_.weather.datagram_jitter;
     for (std::uint32_t n = 0; n < day_.nodes; ++n) wires_.add_machine();
-    stage_ = std::make_unique<Stage>(day_, agenda_, trace_, wires_, rules_, chance_, *this);
+    stage_ = std::make_unique<Fixture>(day_, agenda_, trace_, wires_, rules_, chance_, *this);
 }
 
 // ---- nodes
 
-void Field::start_node(std::uint32_t node) {
-    Seat& s = seats_[node];
+void ProcessHarness::start_node(std::uint32_t node) {
+    ProcessSlot& s = seats_[node];
     if (s.process) return;
     ++s.life;
     s.leaving = s.stalled = false;
@@ -122,16 +122,16 @@
         wish_.environment ? wish_.environment(node, s.life) : std::vector<std::string>{});
 }
 
-void Field::end_node(std::uint32_t node, lab::Rules::NodeEnd how) {
-    Seat& s = seats_[node];
+void ProcessHarness::end_node(std::uint32_t node, simulation::Invariants::NodeEnd how) {
+    ProcessSlot& s = seats_[node];
     if (!s.process) return;
     s.processor_s += s.process->used().processor_s;
     rules_.node_ended(node, how);
     s.process.reset();
 }
 
-void Field::new_file(std::uint32_t node, const std::string& text) {
-    Seat& s = seats_[node];
+void ProcessHarness::new_file(std::uint32_t node, const std::string& text) {
+    ProcessSlot& s = seats_[node];
     s.file = text;
     if (!s.process) return;
     s.process->configure(text);
@@ -139,18 +139,18 @@
 }
 
 // Ends that nobody asked for, and what the nodes used since the last look.
-void Field::look_at_nodes() {
+void ProcessHarness::look_at_nodes() {
     agenda_.at(agenda_.now() + second, *this, token(look, 0));
     for (std::uint32_t n = 0; n < seats_.size(); ++n) {
-        Seat& s = seats_[n];
+        ProcessSlot& s = seats_[n];
         if (!s.process) continue;
         if (!s.process->runs()) {
             if (s.leaving && s.process->ended_well()) {
-                end_node(n, lab::Rules::NodeEnd::left);
+                end_node(n, simulation::Invariants::NodeEnd::left);
                 continue;
             }
             rules_.broke("crash", "node " + std::to_string(n) + " " + s.process->how_it_ended());
-            end_node(n, lab::Rules::NodeEnd::crashed);
+            end_node(n, simulation::Invariants::NodeEnd::crashed);
             continue;
         }
         const Process::Used used = s.process->used();
@@ -163,18 +163,18 @@
 
 // ---- faults
 
-void Field::begin(const Fault& f, std::uint64_t at) {
+void ProcessHarness::begin(const Fault& f, std::uint64_t at) {
     using K = FaultKind;
     if (f.kind == K::host_drain)
         agenda_.at(agenda_.now() + std::max(f.span, 3 * second), *this, token(late_fault, at));
     if (stage_->begin(f)) return;
     const std::uint32_t last = std::min(f.who + std::max(f.count, 1U), day_.nodes);
     for (std::uint32_t n = f.who; n < last; ++n) {
-        Seat& s = seats_[n];
+        ProcessSlot& s = seats_[n];
         if (!s.process) continue;
         switch (f.kind) {
             case K::node_kill:
-                end_node(n, lab::Rules::NodeEnd::killed);
+                end_node(n, simulation::Invariants::NodeEnd::killed);
                 break;
             case K::node_leave:
                 s.leaving = true;
@@ -202,7 +202,7 @@
     }
 }
 
-void Field::end(const Fault& f) {
+void ProcessHarness::end(const Fault& f) {
     using K = FaultKind;
     const std::uint32_t last = std::min(f.who + std::max(f.count, 1U), day_.nodes);
     switch (f.kind) {
@@ -224,7 +224,7 @@
     }
 }
 
-void Field::happen(std::uint64_t what) {
+void ProcessHarness::happen(std::uint64_t what) {
     const auto kind = static_cast<Kind>(what >> 56);
     const std::uint64_t at = what & 0xffffffU;
     const auto life = static_cast<std::uint32_t>(what >> 24 & 0xffffffffU);
@@ -238,7 +238,7 @@
             return;
         case kill_late:
             if (seats_[at].life == life && seats_[at].process)
-                end_node(static_cast<std::uint32_t>(at), lab::Rules::NodeEnd::killed_late);
+                end_node(static_cast<std::uint32_t>(at), simulation::Invariants::NodeEnd::killed_late);
             return;
         case restart:
             if (seats_[at].life == life) start_node(static_cast<std::uint32_t>(at));
@@ -251,9 +251,9 @@
 // ---- the day
 
 // Lets happen what is due, by the clock. False where somebody wants it to stop.
-bool Field::go_on(Tenths until, const volatile bool& stop) {
+bool ProcessHarness::go_on(Ticks until, const volatile bool& stop) {
     while (!stop) {
-        const Tenths now = clock_.now();
+        const Ticks now = clock_.now();
         while (agenda_.next() && *agenda_.next() <= now) {
             if (agenda_.now() > played_from_ && played_from_ != 0)
                 outcome_.latest = std::max(outcome_.latest, clock_.now() - *agenda_.next());
@@ -261,17 +261,17 @@
         }
         agenda_.pass_to(now);
         if (now >= until) return true;
-        const Tenths next = std::min(until, agenda_.next().value_or(until));
-        poller_.turn(std::clamp<Tenths>(next - clock_.now(), 0, longest_wait),
+        const Ticks next = std::min(until, agenda_.next().value_or(until));
+        poller_.turn(std::clamp<Ticks>(next - clock_.now(), 0, longest_wait),
                      [this] { agenda_.pass_to(clock_.now()); });
     }
     return false;
 }
 
-Outcome Field::run(const volatile bool& stop) {
+RunResult ProcessHarness::run(const volatile bool& stop) {
     stage_->open();
     for (std::uint32_t n = 0; n < seats_.size(); ++n) seats_[n].file = stage_->file_for(n);
-    const Tenths dawn = agenda_.dawn();
+    const Ticks dawn = agenda_.dawn();
     bool played = true;
     for (std::uint32_t n = 0; n < seats_.size() && !stop; ++n) start_node(n);
     stage_->let_clients_come();
@@ -279,7 +279,7 @@
     for (std::uint64_t i = 0; i < day_.faults.size(); ++i) {
         const Fault& f = day_.faults[i];
         agenda_.at(dawn + f.at, *this, token(begin_fault, i));
-        if (lab::row_of(f.kind).spans)
+        if (simulation::row_of(f.kind).spans)
             agenda_.at(std::min(dawn + day_.span, dawn + f.at + f.span), *this, token(end_fault, i));
     }
     played_from_ = dawn;
@@ -290,18 +290,18 @@
     return told(day_.span + settle);
 }
 
-Outcome Field::told(Tenths played_for) {
-    Outcome& o = outcome_;
+RunResult ProcessHarness::told(Ticks played_for) {
+    RunResult& o = outcome_;
     const double seconds = static_cast<double>(played_for) / second;
     const double node_seconds = seconds * static_cast<double>(day_.nodes);
     for (std::uint32_t n = 0; n < seats_.size(); ++n) {
-        end_node(n, lab::Rules::NodeEnd::killed);
+        end_node(n, simulation::Invariants::NodeEnd::killed);
         o.costs.processor_ms += seats_[n].processor_s * 1000 / node_seconds;
         o.costs.datagrams += static_cast<double>(post_.counts(n).sent) / node_seconds;
         o.costs.bytes += static_cast<double>(post_.counts(n).bytes) / node_seconds;
     }
     rules_.judge_bounds();
-    const lab::Ledger& ledger = rules_.ledger();
+    const simulation::Ledger& ledger = rules_.ledger();
     for (std::uint32_t h = 0; h < ledger.hosts(); ++h)
         o.hosts.push_back({ledger.cold(h), ledger.setups(h), ledger.most_within(h, day_.host.fall),
                            ledger.most_of_budget(h, day_.host.fall)});
@@ -320,15 +320,15 @@
 
 }  // namespace
 
-bool Outcome::can_tell() const { return latest <= latest_allowed && waited_most_s <= longest_without_core; }
+bool RunResult::can_tell() const { return latest <= latest_allowed && waited_most_s <= longest_without_core; }
 
-Outcome play(const Day& day, const Wish& wish, const volatile bool& stop) {
+RunResult play(const Scenario& day, const HarnessOptions& wish, const volatile bool& stop) {
     allow_descriptors(1U << 18);
-    Field field(day, wish);
+    ProcessHarness field(day, wish);
     return field.run(stop);
 }
 
-std::string json_of(const Outcome& o) {
+std::string json_of(const RunResult& o) {
     std::ostringstream out;
     out << R"({"seed":)" << o.seed << R"(,"nodes":)" << o.nodes << R"(,"taken":)" << o.tally.taken
         << R"(,"opened":)" << o.tally.opened << R"(,"declined":)" << o.tally.declined
@@ -350,4 +350,4 @@
     return out.str();
 }
 
-}  // namespace lemonstair::rig
+}  // namespace lemonstair::process_harness
--- a/src/process_harness/process_harness.h
+++ b/src/process_harness/process_harness.h
@@ -11,12 +11,12 @@
 #include "simulation/invariants.h"
 #include "simulation/scenario.h"
 
-namespace lemonstair::rig {
+namespace lemonstair::process_harness {
 
-using lab::Day;
-using net::Tenths;
+using net::Ticks;
+using simulation::Scenario;
 
-struct Wish {
+struct HarnessOptions {
     std::string program;     // the node's
     std::string log_folder;  // empty: their logs are thrown away
     // What one life of a process finds in its environment beside its configuration; empty: nothing.
@@ -34,18 +34,18 @@
     std::uint64_t memory_kb = 0;  // of the largest
 };
 
-struct Outcome {
+struct RunResult {
     std::uint64_t seed = 0;
     std::uint32_t nodes = 0;
-    std::vector<lab::Broken> broken;
-    lab::Rules::Tally tally;
-    stand::Members::Tally members;
+    std::vector<simulation::Broken> broken;
+    simulation::Invariants::Tally tally;
+    fakes::FakeClients::Tally members;
     std::vector<HostRow> hosts;
     std::uint64_t declined = 0, declined_idle = 0;  // idle: while a host stood at less than half
     NodeCosts costs;
     std::uint64_t calls_of_nodes = 0, too_long = 0;
     double took_s = 0;
-    Tenths latest = 0;         // the rig was behind its own clock by so much at most
+    Ticks latest = 0;          // the rig was behind its own clock by so much at most
     double waited_most_s = 0;  // a node waited for a core so long within one second
     bool interrupted = false;
     // Whether the machine kept up well enough to blame the program for what broke.
@@ -54,9 +54,9 @@
 
 // Plays a day in real time. Throws std::exception where it cannot be played at all. It stops early where
 // `stop` becomes true; whatever happens, no process that it started is left.
-Outcome play(const Day& day, const Wish& wish, const volatile bool& stop);
+RunResult play(const Scenario& day, const HarnessOptions& wish, const volatile bool& stop);
 
 // One line of JSON, with its end.
-std::string json_of(const Outcome& outcome);
+std::string json_of(const RunResult& outcome);
 
-}  // namespace lemonstair::rig
+}  // namespace lemonstair::process_harness
--- a/src/process_harness/stream_proxy.cpp
+++ b/src/process_harness/stream_proxy.cpp
@@ -6,7 +6,7 @@
 #include <cerrno>
 #include <system_error>
 
-namespace lemonstair::rig {
+namespace lemonstair::process_harness {
 
 namespace {
 
@@ -38,7 +38,7 @@
     ++uses_[static_cast<std::size_t>(fd)].serial;
 }
 
-int Poller::wait(Tenths longest) {
+int Poller::wait(Ticks longest) {
     const timespec wait{longest / 10000, longest % 10000 * 100000};
     const int n = ::epoll_pwait2(epoll_.get(), events_.data(), most_events, &wait, nullptr);
     if (n < 0 && errno != EINTR) throw std::system_error(errno, std::generic_category(), "epoll_wait");
@@ -53,13 +53,13 @@
 
 // ---- listening
 
-Address Wires::seen_by(Machine who, const Address& at) const {
+Address StreamProxy::seen_by(Machine who, const Address& at) const {
     const Machine there = places_.machine_at(at);
     if (who >= places_.nodes()) return at;
     return there < places_.nodes() ? places_.door(there) : places_.seen(who, at);
 }
 
-void Wires::open_door(Listener& listener, Machine node, const Address& at, Machine machine) {
+void StreamProxy::open_door(Listener& listener, Machine node, const Address& at, Machine machine) {
     const auto number = static_cast<std::uint32_t>(doors_.size());
     doors_.push_back({key(listener.at), node, machine, net::listen_on(at), {}});
     listener.doors.push_back(number);
@@ -68,7 +68,7 @@
 }
 
 // A machine that is no node is called by nodes alone, each at a door of its own.
-void Wires::listen(const Address& at, Ear& ear, std::size_t backlog) {
+void StreamProxy::listen(const Address& at, StreamListener& ear, std::size_t backlog) {
     unlisten(at);
     Listener& l = listeners_[key(at)];
     l.ear = &ear;
@@ -78,7 +78,7 @@
         open_door(l, n, places_.seen(n, at), places_.machine_at(at));
 }
 
-void Wires::unlisten(const Address& at) {
+void StreamProxy::unlisten(const Address& at) {
     const auto it = listeners_.find(key(at));
     if (it == listeners_.end()) return;
     for (const auto d : it->second.doors) {
@@ -92,7 +92,7 @@
 }
 
 // A queue that is full lets no call come up, as a machine that says nothing. Calls of our own fill it.
-void Wires::bar(Door& door, bool on) {
+void StreamProxy::bar(Door& door, bool on) {
     if (!door.fd.open() || on != door.fill.empty()) return;
     if (!on) {
         while (kernel_.accept(door.fd.get()).open()) continue;  // ours, and a node's that had got in
@@ -108,7 +108,7 @@
     for (int i = 0; i < calls_that_fill; ++i) door.fill.push_back(net::connect_to(at));
 }
 
-void Wires::call_on(std::uint32_t number) {
+void StreamProxy::call_on(std::uint32_t number) {
     Door& door = doors_[number];
     if (!door.fd.open() || !door.fill.empty()) return;
     const auto it = listeners_.find(door.key);
@@ -132,7 +132,7 @@
     if (!it->second.waiting.empty()) it->second.ear->called(it->second.at);
 }
 
-std::optional<End> Wires::accept(const Address& at) {
+std::optional<End> StreamProxy::accept(const Address& at) {
     const auto it = listeners_.find(key(at));
     if (it == listeners_.end() || it->second.waiting.empty()) return std::nullopt;
     const End end = it->second.waiting.front();
@@ -144,7 +144,7 @@
 
 // ---- streams
 
-End Wires::connect(Machine from, const Address& to, Ear& owner) {
+End StreamProxy::connect(Machine from, const Address& to, StreamListener& owner) {
     const End end{static_cast<std::uint32_t>(streams_.size()), 0};
     streams_.emplace_back();
     Stream& s = streams_.back();
@@ -162,7 +162,7 @@
     return end;
 }
 
-void Wires::ready(std::uint64_t token, std::uint32_t events) {
+void StreamProxy::ready(std::uint64_t token, std::uint32_t events) {
     if ((token & door_bit) != 0) return call_on(static_cast<std::uint32_t>(token));
     const auto number = static_cast<std::uint32_t>(token);
     Stream& s = streams_[number];
@@ -173,14 +173,14 @@
     stir(number);
 }
 
-void Wires::happen(std::uint64_t number) { stir(static_cast<std::uint32_t>(number)); }
+void StreamProxy::happen(std::uint64_t number) { stir(static_cast<std::uint32_t>(number)); }
 
-void Wires::stir(std::uint32_t number) {
+void StreamProxy::stir(std::uint32_t number) {
     const Stream& s = streams_[number];
     if (s.owner != nullptr && !s.over) s.owner->stirred({number, s.side});
 }
 
-net::Transfer Wires::read(End end, std::span<char> into, bool) {
+net::IoResult StreamProxy::read(End end, std::span<char> into, bool) {
     Stream& s = streams_[end.stream];
     if (s.over || !passes(s)) return {};
     if (s.failed != 0) return {.error = std::exchange(s.failed, 0)};
@@ -188,13 +188,13 @@
     return kernel_.read_some(s.fd.get(), into);
 }
 
-net::Transfer Wires::write(End end, std::string_view text, bool) {
+net::IoResult StreamProxy::write(End end, std::string_view text, bool) {
     Stream& s = streams_[end.stream];
     if (s.over || !s.up || !s.fd.open() || !passes(s)) return {};
     return kernel_.write_some(s.fd.get(), text);
 }
 
-void Wires::finish(End end) {
+void StreamProxy::finish(End end) {
     Stream& s = streams_[end.stream];
     if (s.over || !s.up || s.sent_end || !s.fd.open()) return;
     s.sent_end = true;
@@ -202,7 +202,7 @@
 }
 
 // What is cut off stays open and silent for the other side until it is healed.
-void Wires::drop(End end, bool with_reset) {
+void StreamProxy::drop(End end, bool with_reset) {
     Stream& s = streams_[end.stream];
     if (s.over) return;
     s.over = true;
@@ -218,17 +218,17 @@
 }
 
 // On the loopback what is written is at the other's machine at once.
-void Wires::tell_delivered(End end, Actor& actor, std::uint64_t token) {
+void StreamProxy::tell_delivered(End end, EventTarget& actor, std::uint64_t token) {
     if (passes(streams_[end.stream])) return agenda_.at(agenda_.now(), actor, token);
     undelivered_[end.stream].push_back({&actor, token});
 }
 
-Machine Wires::machine_of(End end) const {
+Machine StreamProxy::machine_of(End end) const {
     const Stream& s = streams_[end.stream];
     return end.side == s.side ? s.here : s.node;
 }
 
-bool Wires::is_open(End end) const {
+bool StreamProxy::is_open(End end) const {
     const Stream& s = streams_[end.stream];
     if (s.over || !s.fd.open()) return false;
     if (end.side == s.side) return true;
@@ -238,17 +238,17 @@
 
 // ---- faults
 
-void Wires::cut_off(Machine machine, bool on) {
+void StreamProxy::cut_off(Machine machine, bool on) {
     on ? void(cut_.insert(machine)) : void(cut_.erase(machine));
     look_again();
 }
 
-void Wires::cut_path(Machine a, Machine b, bool on) {
+void StreamProxy::cut_path(Machine a, Machine b, bool on) {
     on ? void(cut_paths_.insert(path(a, b))) : void(cut_paths_.erase(path(a, b)));
     look_again();
 }
 
-void Wires::look_again() {
+void StreamProxy::look_again() {
     for (Door& d : doors_) bar(d, !passes(d.node, d.machine));
     for (std::uint32_t i = 0; i < streams_.size(); ++i) {
         Stream& s = streams_[i];
@@ -267,9 +267,9 @@
     }
 }
 
-void Wires::forget(Machine machine) {
+void StreamProxy::forget(Machine machine) {
     for (std::uint32_t i = 0; i < streams_.size(); ++i)
         if (streams_[i].here == machine && streams_[i].fd.open()) drop({i, streams_[i].side}, true);
 }
 
-}  // namespace lemonstair::rig
+}  // namespace lemonstair::process_harness
--- a/src/process_harness/stream_proxy.h
+++ b/src/process_harness/stream_proxy.h
@@ -18,13 +18,13 @@
 #include "process_harness/address_plan.h"
 #include "simnet/streams.h"
 
-namespace lemonstair::rig {
+namespace lemonstair::process_harness {
 
-using simnet::Actor;
-using simnet::Agenda;
-using simnet::Ear;
 using simnet::End;
-using simnet::Tenths;
+using simnet::EventQueue;
+using simnet::EventTarget;
+using simnet::StreamListener;
+using simnet::Ticks;
 
 // Whose descriptor is ready at the rig's one poller.
 class Ready {
@@ -46,9 +46,9 @@
     // Waits for so long at most, in tenths of a ms, and tells who is ready; `woken` hears first that the wait
     // is over. False: a signal came.
     template <class Woken>
-    bool turn(Tenths longest, Woken&& woken) {
+    bool turn(Ticks longest, Woken&& on_timer) {
         const int n = wait(longest);
-        woken();
+        on_timer();
         for (int i = 0; i < n; ++i) tell(i);
         return n >= 0;
     }
@@ -59,7 +59,7 @@
         std::uint64_t token = 0;
         std::uint32_t serial = 0;
     };
-    int wait(Tenths longest);
+    int wait(Ticks longest);
     void tell(int happened);
     static constexpr int most_events = 256;
     net::Fd epoll_;
@@ -67,9 +67,9 @@
     std::array<epoll_event, most_events> events_{};
 };
 
-class Wires final : public simnet::Streams, public Ready, public Actor {
+class StreamProxy final : public simnet::Streams, public Ready, public EventTarget {
   public:
-    Wires(Agenda& agenda, Poller& poller, const Places& places)
+    StreamProxy(EventQueue& agenda, Poller& poller, const AddressPlan& places)
         : agenda_(agenda), poller_(poller), places_(places) {}
 
     // ---- faults; a pair is a node and a machine that is none, or one of the clients'
@@ -84,19 +84,19 @@
     bool is_cut(Machine machine) const override { return cut_.count(machine) > 0; }
     Address place(Machine machine, std::uint16_t port) const override { return places_.own(machine, port); }
     Address seen_by(Machine who, const Address& at) const override;
-    void listen(const Address& at, Ear& ear, std::size_t backlog) override;
+    void listen(const Address& at, StreamListener& ear, std::size_t backlog) override;
     void unlisten(const Address& at) override;
     std::optional<End> accept(const Address& at) override;
-    End connect(Machine from, const Address& to, Ear& owner) override;
-    void own(End end, Ear& owner) override { streams_[end.stream].owner = &owner; }
-    net::Transfer read(End end, std::span<char> into, bool whole) override;
-    net::Transfer write(End end, std::string_view text, bool whole) override;
+    End connect(Machine from, const Address& to, StreamListener& owner) override;
+    void own(End end, StreamListener& owner) override { streams_[end.stream].owner = &owner; }
+    net::IoResult read(End end, std::span<char> into, bool whole) override;
+    net::IoResult write(End end, std::string_view text, bool whole) override;
     void finish(End end) override;
     void close(End end) override { drop(end, false); }
     void reset(End end) override { drop(end, true); }
-    void tell_delivered(End end, Actor& actor, std::uint64_t token) override;
+    void tell_delivered(End end, EventTarget& actor, std::uint64_t token) override;
     bool is_up(End end) const override { return streams_[end.stream].up; }
-    Tenths last_came_from(End end) const override { return streams_[end.stream].came_from; }
+    Ticks last_came_from(End end) const override { return streams_[end.stream].came_from; }
     Machine machine_of(End end) const override;
     bool is_open(End end) const override;
 
@@ -106,13 +106,13 @@
   private:
     struct Stream {
         net::Fd fd;
-        Ear* owner = nullptr;
+        StreamListener* owner = nullptr;
         Machine here = 0, node = 0;
         std::uint8_t side = 0;  // ours
         bool up = false, over = false, sent_end = false;
         bool ends_when_healed = false;
         int failed = 0;  // errno not yet handed out
-        Tenths came_from = 0;
+        Ticks came_from = 0;
     };
     // One place of a machine as one node sees it, or as all do.
     struct Door {
@@ -122,14 +122,14 @@
         std::vector<net::Fd> fill;  // calls that keep its queue full while it is cut off
     };
     struct Listener {
-        Ear* ear = nullptr;
+        StreamListener* ear = nullptr;
         Address at;
         std::size_t backlog = 0;
         std::vector<std::uint32_t> doors;
         std::deque<End> waiting;
     };
     struct Delivery {
-        Actor* actor;
+        EventTarget* actor;
         std::uint64_t token;
     };
     static std::uint64_t key(const Address& at) {
@@ -149,9 +149,9 @@
     void drop(End end, bool with_reset);
     void stir(std::uint32_t stream);
 
-    Agenda& agenda_;
+    EventQueue& agenda_;
     Poller& poller_;
-    const Places& places_;
+    const AddressPlan& places_;
     net::Kernel kernel_;
     Machine machines_ = 0;
     std::deque<Stream> streams_;
@@ -163,4 +163,4 @@
     std::uint64_t calls_of_nodes_ = 0;
 };
 
-}  // namespace lemonstair::rig
+}  // namespace lemonstair::process_harness
--- a/src/quota/quota_schedule.cpp
+++ b/src/quota/quota_schedule.cpp
@@ -2,19 +2,19 @@
 
 #include <algorithm>
 
-namespace lemonstair::budget {
+namespace lemonstair::quota {
 
 namespace {
 
 template <class Each>
-void oldest_first(const Dealing& d, Tenths now, Each&& each) {
-    for (SlotNo n = d.slot_at(now - d.keep); n <= d.slot_at(now); ++n)
+void oldest_first(const QuotaSchedule& d, Ticks now, Each&& each) {
+    for (SlotNumber n = d.slot_at(now - d.keep); n <= d.slot_at(now); ++n)
         if (d.live(n, now) && each(n)) return;
 }
 
 }  // namespace
 
-Share::Slot* Share::at(SlotNo n) {
+Quota::Slot* Quota::at(SlotNumber n) {
     Slot& s = slots_[static_cast<std::size_t>(n % kept)];
     if (s.number > n) return nullptr;
     if (s.number < n) s = {n};
@@ -22,25 +22,25 @@
 }
 
 // Estimates of a rate change: a slot of which more was spent than it has by now has nothing left, no more.
-int Share::free(const Dealing& d, std::uint32_t id, double a_second, SlotNo n) const {
+int Quota::free(const QuotaSchedule& d, std::uint32_t id, double a_second, SlotNumber n) const {
     const Slot* s = find(n);
     const int own = d.owner(id, n) == d.me ? d.units(id, n, a_second) : 0;
     if (s == nullptr) return own;
     return std::max(0, own + s->borrowed - s->taken);
 }
 
-int Share::left(const Dealing& d, std::uint32_t id, double a_second, Tenths now) const {
+int Quota::left(const QuotaSchedule& d, std::uint32_t id, double a_second, Ticks now) const {
     int sum = 0;
-    oldest_first(d, now, [&](SlotNo n) {
+    oldest_first(d, now, [&](SlotNumber n) {
         sum += free(d, id, a_second, n);
         return false;
     });
     return sum;
 }
 
-bool Share::spend(const Dealing& d, std::uint32_t id, double a_second, Tenths now) {
+bool Quota::spend(const QuotaSchedule& d, std::uint32_t id, double a_second, Ticks now) {
     bool done = false;
-    oldest_first(d, now, [&](SlotNo n) {
+    oldest_first(d, now, [&](SlotNumber n) {
         Slot* s = free(d, id, a_second, n) > 0 ? at(n) : nullptr;
         if (s == nullptr) return false;
         ++s->taken;
@@ -49,8 +49,8 @@
     return done;
 }
 
-std::optional<Share::Ask> Share::ask(const Dealing& d, std::uint32_t id, double a_second, Tenths now) {
-    for (SlotNo n = d.slot_at(now); n >= d.slot_at(now - d.keep); --n) {
+std::optional<Quota::Ask> Quota::ask(const QuotaSchedule& d, std::uint32_t id, double a_second, Ticks now) {
+    for (SlotNumber n = d.slot_at(now); n >= d.slot_at(now - d.keep); --n) {
         if (!d.live(n, now) || d.owner(id, n) == d.me || d.units(id, n, a_second) == 0) continue;
         Slot* s = at(n);
         if (s == nullptr || s->asked) continue;
@@ -60,7 +60,7 @@
     return std::nullopt;
 }
 
-bool Share::lend(const Dealing& d, std::uint32_t id, SlotNo n, double a_second, Tenths now) {
+bool Quota::lend(const QuotaSchedule& d, std::uint32_t id, SlotNumber n, double a_second, Ticks now) {
     if (!d.live(n, now) || d.owner(id, n) != d.me) return false;
     Slot* s = free(d, id, a_second, n) > 0 ? at(n) : nullptr;
     if (s == nullptr) return false;
@@ -68,7 +68,7 @@
     return true;
 }
 
-bool Share::borrow(const Dealing& d, std::uint32_t id, SlotNo n, std::uint32_t from, Tenths now) {
+bool Quota::borrow(const QuotaSchedule& d, std::uint32_t id, SlotNumber n, std::uint32_t from, Ticks now) {
     if (!d.live(n, now) || d.owner(id, n) != from || from == d.me) return false;
     Slot* s = at(n);
     if (s == nullptr || !s->asked || s->borrowed > 0) return false;
@@ -76,7 +76,7 @@
     return true;
 }
 
-std::string Share::told(SlotNo from) const {
+std::string Quota::told(SlotNumber from) const {
     std::string out;
     const auto put = [&](const auto& x) { out.append(reinterpret_cast<const char*>(&x), sizeof x); };
     for (const Slot& s : slots_)
@@ -84,4 +84,4 @@
     return out;
 }
 
-}  // namespace lemonstair::budget
+}  // namespace lemonstair::quota
--- a/src/serialization/binary.h
+++ b/src/serialization/binary.h
@@ -10,7 +10,7 @@
 #include <string_view>
 #include <type_traits>
 
-namespace lemonstair::bytes {
+namespace lemonstair::serialization {
 
 class Writer {
   public:
@@ -73,4 +73,4 @@
     bool good_ = true;
 };
 
-}  // namespace lemonstair::bytes
+}  // namespace lemonstair::serialization
--- a/src/simnet/datagram_faults.h
+++ b/src/simnet/datagram_faults.h
@@ -12,7 +12,7 @@
 class DatagramFaults {
   public:
     double lost = 0, doubled = 0;  // shares of datagrams
-    Tenths jitter = 0;             // added to a datagram's delay, drawn: they overtake
+    Ticks jitter = 0;              // added to a datagram's delay, drawn: they overtake
 
     // Hears nothing of the others, or is heard by none.
     void deaf(Machine machine, bool on) { count(deaf_, machine, on); }
--- a/src/simnet/event_queue.h
+++ b/src/simnet/event_queue.h
@@ -10,33 +10,33 @@
 
 namespace lemonstair::simnet {
 
-using net::Tenths;
+using net::Ticks;
 
 // To whom something happens; the token is what it gave when it asked.
-class Actor {
+class EventTarget {
   public:
-    Actor() = default;
-    Actor(const Actor&) = delete;
-    Actor& operator=(const Actor&) = delete;
-    virtual ~Actor() = default;
+    EventTarget() = default;
+    EventTarget(const EventTarget&) = delete;
+    EventTarget& operator=(const EventTarget&) = delete;
+    virtual ~EventTarget() = default;
     virtual void happen(std::uint64_t token) = 0;
 };
 
-class Agenda {
+class EventQueue {
   public:
     // Simulated days begin at a fixed time, in Unix time, as the stamps of records want it.
-    static constexpr Tenths usual_dawn = 17'000'000'000'000;
-    Agenda() : Agenda(usual_dawn, usual_dawn) {}
-    Agenda(Tenths now, Tenths dawn) : dawn_(dawn), now_(now) {}
-    Tenths dawn() const { return dawn_; }
-    Tenths now() const { return now_; }
+    static constexpr Ticks usual_dawn = 17'000'000'000'000;
+    EventQueue() : EventQueue(usual_dawn, usual_dawn) {}
+    EventQueue(Ticks now, Ticks dawn) : dawn_(dawn), now_(now) {}
+    Ticks dawn() const { return dawn_; }
+    Ticks now() const { return now_; }
     // Never before now. There is no way to take it back: the actor tells by the token whether it still
     // counts.
-    void at(Tenths when, Actor& actor, std::uint64_t token) {
+    void at(Ticks when, EventTarget& actor, std::uint64_t token) {
         queue_.push({when < now_ ? now_ : when, order_++, &actor, token});
     }
     // Lets the next thing happen; false where there is none, or none until a time.
-    bool step(Tenths until) {
+    bool step(Ticks until) {
         if (queue_.empty() || queue_.top().at > until) return false;
         const Item next = queue_.top();
         queue_.pop();
@@ -46,25 +46,25 @@
         return true;
     }
     // When the next thing is to happen; nothing: there is none.
-    std::optional<Tenths> next() const {
+    std::optional<Ticks> next() const {
         return queue_.empty() ? std::nullopt : std::optional(queue_.top().at);
     }
     // Time goes on though nothing happens.
-    void pass_to(Tenths when) { now_ = when > now_ ? when : now_; }
+    void pass_to(Ticks when) { now_ = when > now_ ? when : now_; }
     std::uint64_t steps() const { return steps_; }
 
   private:
     struct Item {
-        Tenths at;
+        Ticks at;
         std::uint64_t order;
-        Actor* actor;
+        EventTarget* actor;
         std::uint64_t token;
         bool operator<(const Item& other) const {
             return at != other.at ? at > other.at : order > other.order;
         }
     };
     std::priority_queue<Item> queue_;
-    Tenths dawn_, now_;
+    Ticks dawn_, now_;
     std::uint64_t order_ = 0, steps_ = 0;
 };
 
--- a/src/simnet/local_socket.cpp
+++ b/src/simnet/local_socket.cpp
@@ -4,14 +4,14 @@
 
 namespace lemonstair::simnet {
 
-void Nearby::unlisten(const std::string& name, Neighbour& who) {
+void LocalSockets::unlisten(const std::string& name, LocalSocketListener& who) {
     const auto it = doors_.find(name);
     if (it == doors_.end() || it->second.who != &who) return;
     for (const std::uint32_t line : it->second.calls) close(line, 1);
     doors_.erase(it);
 }
 
-std::uint32_t Nearby::connect(const std::string& name, Neighbour& who) {
+std::uint32_t LocalSockets::connect(const std::string& name, LocalSocketListener& who) {
     const auto it = doors_.find(name);
     if (it == doors_.end()) return none;
     const auto line = static_cast<std::uint32_t>(lines_.size());
@@ -22,12 +22,12 @@
     return line;
 }
 
-bool Nearby::called(const std::string& name, Neighbour& who) const {
+bool LocalSockets::called(const std::string& name, LocalSocketListener& who) const {
     const auto it = doors_.find(name);
     return it != doors_.end() && it->second.who == &who && !it->second.calls.empty();
 }
 
-std::uint32_t Nearby::accept(const std::string& name, Neighbour& who) {
+std::uint32_t LocalSockets::accept(const std::string& name, LocalSocketListener& who) {
     if (!called(name, who)) return none;
     auto& calls = doors_[name].calls;
     const std::uint32_t line = calls.front();
@@ -37,7 +37,7 @@
 }
 
 // What is on its way holds the connections too.
-void Nearby::send(std::uint32_t line, int side, std::string_view bytes, const std::vector<End>& ends) {
+void LocalSockets::send(std::uint32_t line, int side, std::string_view bytes, const std::vector<End>& ends) {
     Line& l = lines_[line];
     if (!l.open[1 - side]) return;
     for (const End end : ends) network_.hold(end, *this);
@@ -45,7 +45,7 @@
     stir(l, 1 - side);
 }
 
-Nearby::Packet Nearby::receive(std::uint32_t line, int side, Ear& owner) {
+LocalSockets::Packet LocalSockets::receive(std::uint32_t line, int side, StreamListener& owner) {
     auto& packets = lines_[line].to[side];
     Packet packet = std::move(packets.front());
     packets.pop_front();
@@ -56,14 +56,14 @@
     return packet;
 }
 
-void Nearby::close(std::uint32_t line, int side) {
+void LocalSockets::close(std::uint32_t line, int side) {
     Line& l = lines_[line];
     l.open[side] = false;
     drop(l.to[side]);
     stir(l, 1 - side);
 }
 
-void Nearby::drop(std::deque<Packet>& packets) {
+void LocalSockets::drop(std::deque<Packet>& packets) {
     for (const Packet& packet : std::exchange(packets, {}))
         for (const End end : packet.ends)
             if (!network_.let_go(end, *this)) network_.close(end);
--- a/src/simnet/local_socket.h
+++ b/src/simnet/local_socket.h
@@ -15,55 +15,55 @@
 namespace lemonstair::simnet {
 
 // Who is woken when something has come, or the other side is gone.
-class Neighbour {
+class LocalSocketListener {
   public:
-    Neighbour() = default;
-    Neighbour(const Neighbour&) = delete;
-    Neighbour& operator=(const Neighbour&) = delete;
-    virtual ~Neighbour() = default;
+    LocalSocketListener() = default;
+    LocalSocketListener(const LocalSocketListener&) = delete;
+    LocalSocketListener& operator=(const LocalSocketListener&) = delete;
+    virtual ~LocalSocketListener() = default;
     virtual void stirred_nearby() = 0;
 };
 
 // A listener that lives as long as its machine: each process that has it hears of each call.
-class SharedListener final : public Ear {
+class SharedListener final : public StreamListener {
   public:
     SharedListener(Network& network, const Address& at, std::size_t backlog) : at_(at) {
         network.listen(at, *this, backlog);
     }
-    void add(Neighbour& one) { holders_.push_back(&one); }
-    void remove(Neighbour& one) { std::erase(holders_, &one); }
+    void add(LocalSocketListener& one) { holders_.push_back(&one); }
+    void remove(LocalSocketListener& one) { std::erase(holders_, &one); }
     const Address& at() const { return at_; }
     void stirred(End) override {}
     void called(const Address&) override {
-        for (Neighbour* one : holders_) one->stirred_nearby();
+        for (LocalSocketListener* one : holders_) one->stirred_nearby();
     }
 
   private:
     Address at_;
-    std::vector<Neighbour*> holders_;
+    std::vector<LocalSocketListener*> holders_;
 };
 
 // The packets of one machine.
-class Nearby final : public Ear {
+class LocalSockets final : public StreamListener {
   public:
-    explicit Nearby(Network& network) : network_(network) {}
+    explicit LocalSockets(Network& network) : network_(network) {}
     static constexpr std::uint32_t none = 0xffffffffU;
     struct Packet {
         std::string bytes;
         std::vector<End> ends;
     };
     // Takes the name from whoever has it.
-    void listen(const std::string& name, Neighbour& who) { doors_[name] = {&who, {}}; }
-    void unlisten(const std::string& name, Neighbour& who);
+    void listen(const std::string& name, LocalSocketListener& who) { doors_[name] = {&who, {}}; }
+    void unlisten(const std::string& name, LocalSocketListener& who);
     // A line; none where nobody listens.
-    std::uint32_t connect(const std::string& name, Neighbour& who);
-    bool called(const std::string& name, Neighbour& who) const;
-    std::uint32_t accept(const std::string& name, Neighbour& who);
+    std::uint32_t connect(const std::string& name, LocalSocketListener& who);
+    bool called(const std::string& name, LocalSocketListener& who) const;
+    std::uint32_t accept(const std::string& name, LocalSocketListener& who);
     // Side 0 is who connected.
     void send(std::uint32_t line, int side, std::string_view bytes, const std::vector<End>& ends);
     bool has_packet(std::uint32_t line, int side) const { return !lines_[line].to[side].empty(); }
     bool over(std::uint32_t line, int side) const { return !lines_[line].open[1 - side]; }
-    Packet receive(std::uint32_t line, int side, Ear& owner);
+    Packet receive(std::uint32_t line, int side, StreamListener& owner);
     void close(std::uint32_t line, int side);
 
     void stirred(End) override {}
@@ -71,11 +71,11 @@
 
   private:
     struct Door {
-        Neighbour* who = nullptr;
+        LocalSocketListener* who = nullptr;
         std::deque<std::uint32_t> calls;
     };
     struct Line {
-        Neighbour* who[2] = {nullptr, nullptr};
+        LocalSocketListener* who[2] = {nullptr, nullptr};
         bool open[2] = {true, true};
         std::deque<Packet> to[2];
     };
--- a/src/simnet/network.cpp
+++ b/src/simnet/network.cpp
@@ -11,7 +11,7 @@
 
 // A call that nobody answers is made again after 1, 3, 7 and 15 s, as TCP does; bytes after 0.2 s and
 // doubling.
-constexpr Tenths first_retry = 2000, longest_retry = 20000, call_again = 10000;
+constexpr Ticks first_retry = 2000, longest_retry = 20000, call_again = 10000;
 constexpr int most_calls = 6;
 
 }  // namespace
@@ -31,15 +31,15 @@
 
 Machine Network::machine_at(const Address& at) { return ntohl(at.at.sin_addr.s_addr) & 0xffffU; }
 
-Tenths Network::delay(Machine from, Machine to) {
+Ticks Network::delay(Machine from, Machine to) {
     const double slow = std::max(machines_[from].slow, machines_[to].slow);
-    const Tenths drawn = chance_.between(weather_.least_delay, weather_.most_delay);
-    return std::max<Tenths>(1, static_cast<Tenths>(static_cast<double>(drawn) * slow));
+    const Ticks drawn = chance_.between(weather_.least_delay, weather_.most_delay);
+    return std::max<Ticks>(1, static_cast<Ticks>(static_cast<double>(drawn) * slow));
 }
 
 // ---- streams
 
-void Network::listen(const Address& at, Ear& ear, std::size_t backlog) {
+void Network::listen(const Address& at, StreamListener& ear, std::size_t backlog) {
     listeners_[key(at)] = {&ear, backlog, {}};
 }
 
@@ -65,14 +65,14 @@
     return end;
 }
 
-void Network::hold(End end, Ear& also) {
+void Network::hold(End end, StreamListener& also) {
     Side& s = at(end);
     if (s.owner != nullptr) s.before.push_back(s.owner);
     s.owner = &also;
     if (s.open && !s.forgotten) also.stirred(end);
 }
 
-bool Network::let_go(End end, Ear& one) {
+bool Network::let_go(End end, StreamListener& one) {
     Side& s = at(end);
     if (s.before.empty()) return false;
     if (s.owner == &one) {
@@ -86,7 +86,7 @@
     return true;
 }
 
-End Network::connect(Machine from, const Address& to, Ear& owner) {
+End Network::connect(Machine from, const Address& to, StreamListener& owner) {
     const End end{static_cast<std::uint32_t>(streams_.size()), 0};
     streams_.emplace_back();
     Stream& s = streams_.back();
@@ -139,17 +139,17 @@
     if (s.open && !s.forgotten && s.owner != nullptr) s.owner->stirred(end);
 }
 
-net::Transfer Network::peek(End end, std::span<char> into) const {
+net::IoResult Network::peek(End end, std::span<char> into) const {
     const Side& s = at(end);
     const std::size_t n = std::min(into.size(), s.inbox.size() - s.head);
     std::copy_n(s.inbox.data() + s.head, n, into.data());
     if (n > 0) return {.bytes = n};
     if (s.phase == Phase::failed)
-        return s.told_reset ? net::Transfer{.ended = true} : net::Transfer{.error = s.error};
+        return s.told_reset ? net::IoResult{.ended = true} : net::IoResult{.error = s.error};
     return {.ended = s.end_came};
 }
 
-net::Transfer Network::read(End end, std::span<char> into, bool whole) {
+net::IoResult Network::read(End end, std::span<char> into, bool whole) {
     Side& s = at(end);
     const std::size_t there = std::min(into.size(), s.inbox.size() - s.head);
     if (there == 0) {
@@ -172,7 +172,7 @@
     return {.bytes = n};
 }
 
-net::Transfer Network::write(End end, std::string_view text, bool whole) {
+net::IoResult Network::write(End end, std::string_view text, bool whole) {
     Side& s = at(end);
     if (s.phase == Phase::connecting) return {};
     if (s.phase == Phase::failed) return {.error = s.told_reset ? EPIPE : (s.told_reset = true, s.error)};
@@ -300,7 +300,7 @@
     return static_cast<short>(out);
 }
 
-void Network::tell_delivered(End end, Actor& actor, std::uint64_t token) {
+void Network::tell_delivered(End end, EventTarget& actor, std::uint64_t token) {
     auto& under_way = at(end).under_way;
     if (under_way.empty()) return agenda_.at(agenda_.now(), actor, token);
     under_way.back().tells = &actor;
@@ -346,7 +346,7 @@
         datagrams_[place].from = from;
         datagrams_[place].to = to;
         datagrams_[place].bytes.assign(bytes.begin(), bytes.end());
-        const Tenths jitter =
+        const Ticks jitter =
             datagram_faults_.jitter > 0 ? chance_.between(std::int64_t{0}, datagram_faults_.jitter) : 0;
         agenda_.at(agenda_.now() + delay(machine_at(from), there) + jitter, *this,
                    static_cast<std::uint64_t>(datagram) << 56 | place);
--- a/src/simnet/network.h
+++ b/src/simnet/network.h
@@ -23,17 +23,17 @@
 namespace lemonstair::simnet {
 
 // What the network does to all that it carries.
-struct Weather {
-    Tenths least_delay = 1, most_delay = 20;
+struct NetworkConditions {
+    Ticks least_delay = 1, most_delay = 20;
     double cut_reads = 0, cut_writes = 0;  // the share of them that end at a byte drawn
     std::size_t window = 65536;            // bytes that a stream holds in one direction
     double lost = 0, doubled = 0;          // of datagrams
-    Tenths datagram_jitter = 0;            // added to a datagram's delay, drawn: they overtake
+    Ticks datagram_jitter = 0;             // added to a datagram's delay, drawn: they overtake
 };
 
-class Network final : public Streams, public Actor {
+class Network final : public Streams, public EventTarget {
   public:
-    Network(Agenda& agenda, Trace& trace, Chance chance, const Weather& weather)
+    Network(EventQueue& agenda, Trace& trace, RandomSource chance, const NetworkConditions& weather)
         : agenda_(agenda), trace_(trace), chance_(chance), weather_(weather) {
         datagram_faults_.lost = weather.lost;
         datagram_faults_.doubled = weather.doubled;
@@ -59,40 +59,40 @@
     DatagramFaults& datagram_faults() { return datagram_faults_; }
 
     // ---- streams
-    void listen(const Address& at, Ear& ear, std::size_t backlog) override;
+    void listen(const Address& at, StreamListener& ear, std::size_t backlog) override;
     void unlisten(const Address& at) override;
     // Whether nobody listens there now.
     bool is_free(const Address& at) const { return listeners_.find(key(at)) == listeners_.end(); }
     std::size_t waiting(const Address& at) const;
     std::optional<End> accept(const Address& at) override;
-    End connect(Machine from, const Address& to, Ear& owner) override;
-    void own(End end, Ear& owner) override { at(end).owner = &owner; }
+    End connect(Machine from, const Address& to, StreamListener& owner) override;
+    void own(End end, StreamListener& owner) override { at(end).owner = &owner; }
     // An end that several processes of a machine hold: who came last hears of it. False where the last one
     // lets go: then it has to be closed.
-    void hold(End end, Ear& also);
-    bool let_go(End end, Ear& one);
-    net::Transfer read(End end, std::span<char> into, bool whole = false) override;
-    net::Transfer peek(End end, std::span<char> into) const;
-    net::Transfer write(End end, std::string_view text, bool whole = false) override;
+    void hold(End end, StreamListener& also);
+    bool let_go(End end, StreamListener& one);
+    net::IoResult read(End end, std::span<char> into, bool whole = false) override;
+    net::IoResult peek(End end, std::span<char> into) const;
+    net::IoResult write(End end, std::string_view text, bool whole = false) override;
     void finish(End end) override;
     void close(End end) override;
     void reset(End end) override;
     int connected(End end);
     short events(End end, short wanted) const;
 
-    void tell_delivered(End end, Actor& actor, std::uint64_t token) override;
+    void tell_delivered(End end, EventTarget& actor, std::uint64_t token) override;
 
     // ---- what the rules ask
     bool is_up(End end) const override { return at(end).phase == Phase::up; }
-    Tenths last_came_from(End end) const override { return at(end).came_from; }
+    Ticks last_came_from(End end) const override { return at(end).came_from; }
     static Machine machine_at(const Address& at);
     Machine machine_of(End end) const override { return at(end).machine; }
     bool is_open(End end) const override { return at(end).open; }
 
     // ---- datagrams
-    void bind(const Address& at, Ear& ear) { bound_[key(at)] = &ear; }
+    void bind(const Address& at, StreamListener& ear) { bound_[key(at)] = &ear; }
     // Nothing happens where another has bound it since.
-    void unbind(const Address& at, const Ear& ear) {
+    void unbind(const Address& at, const StreamListener& ear) {
         const auto it = bound_.find(key(at));
         if (it != bound_.end() && it->second == &ear) bound_.erase(it);
     }
@@ -106,15 +106,15 @@
   private:
     enum class Phase : std::uint8_t { connecting, up, failed };
     struct Segment {
-        Tenths arrives, sent;
+        Ticks arrives, sent;
         std::string bytes;
         bool end = false;
-        Actor* tells = nullptr;  // who wants to know when it has come
+        EventTarget* tells = nullptr;  // who wants to know when it has come
         std::uint64_t token = 0;
     };
     struct Side {
-        Ear* owner = nullptr;
-        std::vector<Ear*> before;  // who holds it beside the owner
+        StreamListener* owner = nullptr;
+        std::vector<StreamListener*> before;  // who holds it beside the owner
         Machine machine = 0;
         Phase phase = Phase::connecting;
         bool open = true;           // the application holds it
@@ -125,8 +125,8 @@
         bool told_reset = false;    // the error was handed out once
         bool will_deliver = false;  // an event is on the way that delivers what is under way from here
         int error = 0;
-        Tenths last_arrival = 0, came_from = 0;
-        Tenths retry = 0;               // pause before what is lost is sent again
+        Ticks last_arrival = 0, came_from = 0;
+        Ticks retry = 0;                // pause before what is lost is sent again
         std::string inbox;              // came, not read
         std::size_t head = 0;           // of the inbox
         std::deque<Segment> under_way;  // from this side
@@ -138,7 +138,7 @@
         int tries = 0;
     };
     struct Listener {
-        Ear* ear = nullptr;
+        StreamListener* ear = nullptr;
         std::size_t backlog = 0;
         std::deque<End> waiting;
     };
@@ -160,8 +160,8 @@
     }
     Side& at(End end) { return streams_[end.stream].side[end.side]; }
     const Side& at(End end) const { return streams_[end.stream].side[end.side]; }
-    Tenths delay(Machine from, Machine to);
-    void later(Tenths when, Kind kind, End end) {
+    Ticks delay(Machine from, Machine to);
+    void later(Ticks when, Kind kind, End end) {
         agenda_.at(when, *this, static_cast<std::uint64_t>(kind) << 56 | end.number());
     }
     void stir(End end);
@@ -177,16 +177,16 @@
                    : n;
     }
 
-    Agenda& agenda_;
+    EventQueue& agenda_;
     Trace& trace_;
-    Chance chance_;
-    Weather weather_;
+    RandomSource chance_;
+    NetworkConditions weather_;
     DatagramFaults datagram_faults_;
     std::vector<Node> machines_;
     std::unordered_set<std::uint64_t> cut_paths_;
     std::deque<Stream> streams_;
     std::unordered_map<std::uint64_t, Listener> listeners_;
-    std::unordered_map<std::uint64_t, Ear*> bound_;
+    std::unordered_map<std::uint64_t, StreamListener*> bound_;
     std::vector<Datagram> datagrams_;  // under way; places are used again
     std::vector<std::uint32_t> free_datagrams_;
     bool keeps_ = false;
--- a/src/simnet/process.cpp
+++ b/src/simnet/process.cpp
@@ -36,14 +36,14 @@
     wake();
 }
 
-void Process::stall(Tenths span) {
-    const Tenths until = agenda_.now() + span;
+void Process::stall(Ticks span) {
+    const Ticks until = agenda_.now() + span;
     if (until <= busy_until_) return;
     busy_until_ = until;
     if (next_run_ != 0) run_at(busy_until_);
 }
 
-void Process::run_at(Tenths when) {
+void Process::run_at(Ticks when) {
     if (!pass_ || running_) return;
     when = std::max(when, busy_until_);
     if (next_run_ != 0 && run_due_ <= when && run_due_ >= busy_until_) return;
@@ -100,7 +100,7 @@
     return 0;
 }
 
-int Process::poll(std::span<pollfd> set, Tenths longest) {
+int Process::poll(std::span<pollfd> set, Ticks longest) {
     int n = 0;
     for (pollfd& p : set) {
         p.revents = p.fd < 0 ? short{0} : ready(p);
@@ -206,18 +206,18 @@
 
 int Process::connected(int fd) { return network_.connected(slot(fd).end); }
 
-net::Transfer Process::read_some(int fd, std::span<char> into) {
+net::IoResult Process::read_some(int fd, std::span<char> into) {
     return had(network_.read(slot(fd).end, into));
 }
 
-net::Transfer Process::peek(int fd, std::span<char> into) { return network_.peek(slot(fd).end, into); }
+net::IoResult Process::peek(int fd, std::span<char> into) { return network_.peek(slot(fd).end, into); }
 
-net::Transfer Process::discard_some(int fd) {
+net::IoResult Process::discard_some(int fd) {
     std::array<char, 1 << 14> untouched;
     return had(network_.read(slot(fd).end, untouched));
 }
 
-net::Transfer Process::write_some(int fd, std::string_view text) {
+net::IoResult Process::write_some(int fd, std::string_view text) {
     return had(network_.write(slot(fd).end, text));
 }
 
@@ -275,7 +275,7 @@
 }
 
 net::Fd Process::connect_nearby(const std::string& name) {
-    const std::uint32_t line = nearby_ == nullptr ? Nearby::none : nearby_->connect(name, *this);
+    const std::uint32_t line = nearby_ == nullptr ? LocalSockets::none : nearby_->connect(name, *this);
     return near_line(line, 0);
 }
 
@@ -284,7 +284,7 @@
 }
 
 net::Fd Process::near_line(std::uint32_t line, int side) {
-    if (line == Nearby::none) return errno = ECONNREFUSED, net::Fd();
+    if (line == LocalSockets::none) return errno = ECONNREFUSED, net::Fd();
     ++effects_;
     const int fd = take(Use::near_line);
     if (fd < 0) return nearby_->close(line, side), net::Fd();
@@ -293,7 +293,7 @@
     return net::Fd(fd, this);
 }
 
-net::Transfer Process::send_packet(int fd, std::string_view bytes, std::span<const int> descriptors) {
+net::IoResult Process::send_packet(int fd, std::string_view bytes, std::span<const int> descriptors) {
     const Slot& s = slot(fd);
     if (nearby_->over(s.line, s.side)) return {.error = EPIPE};
     std::vector<End> ends;
@@ -302,13 +302,13 @@
     return had({.bytes = bytes.size()});
 }
 
-net::Transfer Process::receive_packet(int fd, std::span<char> into, std::vector<net::Fd>& descriptors) {
+net::IoResult Process::receive_packet(int fd, std::span<char> into, std::vector<net::Fd>& descriptors) {
     const Slot s = slot(fd);
     if (!nearby_->has_packet(s.line, s.side)) {
         if (nearby_->over(s.line, s.side)) return {.ended = true};
         return {};
     }
-    const Nearby::Packet packet = nearby_->receive(s.line, s.side, *this);
+    const LocalSockets::Packet packet = nearby_->receive(s.line, s.side, *this);
     ++effects_;
     bool all = packet.bytes.size() <= into.size();
     for (const End end : packet.ends) {
--- a/src/simnet/process.h
+++ b/src/simnet/process.h
@@ -17,14 +17,17 @@
 
 // A pass of the loop that waits returns at once, as if interrupted, and the next comes when something is
 // ready or the wait is over: so one thread plays many nodes. Each pass takes a little time.
-class Process final : public net::System, public Ear, public Actor, public Neighbour {
+class Process final : public net::System,
+                      public StreamListener,
+                      public EventTarget,
+                      public LocalSocketListener {
   public:
     struct Traits {
-        Tenths clock_ahead = 0;          // of the agenda's
-        Tenths pass_takes = 1;           // at least 1
+        Ticks clock_ahead = 0;           // of the agenda's
+        Ticks pass_takes = 1;            // at least 1
         std::size_t descriptors = 1024;  // the system's limit
     };
-    Process(Agenda& agenda, Network& network, Machine machine, const Traits& traits)
+    Process(EventQueue& agenda, Network& network, Machine machine, const Traits& traits)
         : agenda_(agenda), network_(network), machine_(machine), traits_(traits) {}
     ~Process() override;
 
@@ -36,13 +39,13 @@
 
     // ---- faults
     void signal(int number);
-    void stall(Tenths span);
+    void stall(Ticks span);
     // The whole system has no descriptor left but those that this process gives up itself.
     void starve(bool on) { most_now_ = on ? held_ : traits_.descriptors; }
     std::map<std::string, std::string>& files() { return files_; }
     // What the platform gives it before it runs: the machine's place for packets, and a listener, whose
     // number is handed back.
-    void live_beside(Nearby& nearby) { nearby_ = &nearby; }
+    void live_beside(LocalSockets& nearby) { nearby_ = &nearby; }
     int inherit(SharedListener& listener);
     // It dies: what it held is reset, unless its machine has gone too.
     void die();
@@ -61,10 +64,10 @@
     }
 
     // ---- net::System
-    Tenths now() override { return agenda_.now() + traits_.clock_ahead; }
-    Tenths clock_base() override { return traits_.clock_ahead; }
+    Ticks now() override { return agenda_.now() + traits_.clock_ahead; }
+    Ticks clock_base() override { return traits_.clock_ahead; }
     std::uint64_t processor_us() override { return 0; }
-    int poll(std::span<pollfd> set, Tenths longest) override;
+    int poll(std::span<pollfd> set, Ticks longest) override;
     void close(int fd) override;
     std::size_t allowed_descriptors(std::size_t asked) override {
         return std::min(asked, traits_.descriptors);
@@ -77,10 +80,10 @@
     net::Fd spare() override;
     int connected(int fd) override;
     bool hung_up(int fd) override { return ready({fd, POLLRDHUP, 0}) != 0; }
-    net::Transfer read_some(int fd, std::span<char> into) override;
-    net::Transfer peek(int fd, std::span<char> into) override;
-    net::Transfer discard_some(int fd) override;
-    net::Transfer write_some(int fd, std::string_view text) override;
+    net::IoResult read_some(int fd, std::span<char> into) override;
+    net::IoResult peek(int fd, std::span<char> into) override;
+    net::IoResult discard_some(int fd) override;
+    net::IoResult write_some(int fd, std::string_view text) override;
     void end_sending(int fd) override;
     void will_reset(int fd) override;
     std::ptrdiff_t send_to(int fd, const Address& to, std::span<const std::uint8_t> bytes) override;
@@ -89,8 +92,8 @@
     net::Fd listen_nearby(const std::string& name) override;
     net::Fd connect_nearby(const std::string& name) override;
     net::Fd accept_nearby(int listener) override;
-    net::Transfer send_packet(int fd, std::string_view bytes, std::span<const int> descriptors) override;
-    net::Transfer receive_packet(int fd, std::span<char> into, std::vector<net::Fd>& descriptors) override;
+    net::IoResult send_packet(int fd, std::string_view bytes, std::span<const int> descriptors) override;
+    net::IoResult receive_packet(int fd, std::span<char> into, std::vector<net::Fd>& descriptors) override;
     net::Fd signals() override;
     int next_signal(int fd) override;
     const char* read_file(const std::string& path, std::size_t longest, std::string& into) override;
@@ -129,19 +132,19 @@
     Slot& slot(int fd) { return slots_[static_cast<std::size_t>(fd)]; }
     short ready(const pollfd& p) const;
     void wake() { run_at(agenda_.now()); }
-    void run_at(Tenths when);
-    net::Transfer had(net::Transfer t) {
+    void run_at(Ticks when);
+    net::IoResult had(net::IoResult t) {
         if (t.bytes > 0 || t.error != 0) ++effects_;
         return t;
     }
 
-    Agenda& agenda_;
+    EventQueue& agenda_;
     Network& network_;
     Machine machine_;
     Traits traits_;
     Pass pass_;
     std::vector<Slot> slots_;
-    Nearby* nearby_ = nullptr;
+    LocalSockets* nearby_ = nullptr;
     SharedListener* shared_ = nullptr;
     std::deque<int> signals_;
     std::map<std::string, std::string> files_;
@@ -150,7 +153,7 @@
     std::size_t most_now_ = traits_.descriptors;
     std::uint64_t next_run_ = 0;  // token of the run that counts; 0: none
     std::uint64_t runs_ = 0, passes_ = 0;
-    Tenths run_due_ = 0, busy_until_ = 0, sleeps_until_ = 0;
+    Ticks run_due_ = 0, busy_until_ = 0, sleeps_until_ = 0;
     int found_ready_ = 0;
     std::size_t effects_ = 0, spin_ = 0, longest_spin_ = 0;
 };
--- a/src/simnet/random_source.h
+++ b/src/simnet/random_source.h
@@ -8,11 +8,11 @@
 
 namespace lemonstair::simnet {
 
-class Chance {
+class RandomSource {
   public:
-    explicit Chance(std::uint64_t seed) : engine_(seed) {}
+    explicit RandomSource(std::uint64_t seed) : engine_(seed) {}
     // An engine of its own for a part of the day: what one part draws does not shift what another does.
-    Chance part(std::uint64_t label) { return Chance(engine_() ^ (label * 0x9e3779b97f4a7c15U)); }
+    RandomSource part(std::uint64_t label) { return RandomSource(engine_() ^ (label * 0x9e3779b97f4a7c15U)); }
     std::uint64_t bits() { return engine_(); }
     // From 0 up to, and without, 1.
     double unit() { return static_cast<double>(bits() >> 11) * 0x1.0p-53; }
--- a/src/simnet/streams.h
+++ b/src/simnet/streams.h
@@ -25,12 +25,12 @@
 };
 
 // Who owns ends, listens, or takes datagrams.
-class Ear {
+class StreamListener {
   public:
-    Ear() = default;
-    Ear(const Ear&) = delete;
-    Ear& operator=(const Ear&) = delete;
-    virtual ~Ear() = default;
+    StreamListener() = default;
+    StreamListener(const StreamListener&) = delete;
+    StreamListener& operator=(const StreamListener&) = delete;
+    virtual ~StreamListener() = default;
     // The end came up or failed, has bytes, an end, a reset, or room again.
     virtual void stirred(End end) = 0;
     // A connection waits to be accepted at this address.
@@ -53,25 +53,25 @@
     virtual Address place(Machine machine, std::uint16_t port) const = 0;
     virtual Address seen_by(Machine who, const Address& at) const = 0;
 
-    virtual void listen(const Address& at, Ear& ear, std::size_t backlog) = 0;
+    virtual void listen(const Address& at, StreamListener& ear, std::size_t backlog) = 0;
     virtual void unlisten(const Address& at) = 0;
     virtual std::optional<End> accept(const Address& at) = 0;
-    virtual End connect(Machine from, const Address& to, Ear& owner) = 0;
-    virtual void own(End end, Ear& owner) = 0;
+    virtual End connect(Machine from, const Address& to, StreamListener& owner) = 0;
+    virtual void own(End end, StreamListener& owner) = 0;
     // As the calls of the system; whole: not cut at a byte drawn.
-    virtual net::Transfer read(End end, std::span<char> into, bool whole = false) = 0;
-    virtual net::Transfer write(End end, std::string_view text, bool whole = false) = 0;
+    virtual net::IoResult read(End end, std::span<char> into, bool whole = false) = 0;
+    virtual net::IoResult write(End end, std::string_view text, bool whole = false) = 0;
     virtual void finish(End end) = 0;
     virtual void close(End end) = 0;
     virtual void reset(End end) = 0;
     // Tells an actor when all that was written at this end until now has come to the other's machine; never,
     // where it is lost on the way.
-    virtual void tell_delivered(End end, Actor& actor, std::uint64_t token) = 0;
+    virtual void tell_delivered(End end, EventTarget& actor, std::uint64_t token) = 0;
 
     // ---- what the rules ask
     virtual bool is_up(End end) const = 0;
     // When the other end wrote, or ended, what came here last; 0: nothing has.
-    virtual Tenths last_came_from(End end) const = 0;
+    virtual Ticks last_came_from(End end) const = 0;
     virtual Machine machine_of(End end) const = 0;
     virtual bool is_open(End end) const = 0;
 };
--- a/src/simnet/trace.cpp
+++ b/src/simnet/trace.cpp
@@ -4,7 +4,7 @@
 
 namespace lemonstair::simnet {
 
-void Trace::write(net::Tenths at, std::string_view what, std::uint64_t a, std::uint64_t b,
+void Trace::write(net::Ticks at, std::string_view what, std::uint64_t a, std::uint64_t b,
                   std::string_view text) {
     *out_ << std::setw(4) << at / 10000 << '.' << std::setfill('0') << std::setw(4) << at % 10000
           << std::setfill(' ') << "  " << what << ' ' << a << ' ' << b;
--- a/src/simnet/trace.h
+++ b/src/simnet/trace.h
@@ -23,7 +23,7 @@
         waiting_.reserve(chunk + 4096);
     }
     // One thing that happened: when (since dawn), what, to whom, and in which words.
-    void note(net::Tenths at, std::string_view what, std::uint64_t a, std::uint64_t b,
+    void note(net::Ticks at, std::string_view what, std::uint64_t a, std::uint64_t b,
               std::string_view text = {}) {
         const std::array<std::uint64_t, 4> head{static_cast<std::uint64_t>(at), a, b, text.size()};
         const auto* bytes = reinterpret_cast<const char*>(head.data());
@@ -45,8 +45,7 @@
         XXH3_64bits_update(&state_, waiting_.data(), waiting_.size());
         waiting_.clear();
     }
-    void write(net::Tenths at, std::string_view what, std::uint64_t a, std::uint64_t b,
-               std::string_view text);
+    void write(net::Ticks at, std::string_view what, std::uint64_t a, std::uint64_t b, std::string_view text);
     XXH3_state_t state_;
     std::vector<char> waiting_;
     std::ostream* out_;
--- a/src/simulation/fixture.cpp
+++ b/src/simulation/fixture.cpp
@@ -2,37 +2,38 @@
 
 #include <algorithm>
 
-namespace lemonstair::lab {
+namespace lemonstair::simulation {
 
 namespace {
 
 using simnet::Machine;
 using K = FaultKind;
-using Phase = stand::Listed::Phase;
+using Phase = fakes::Listed::Phase;
 
-constexpr Tenths second = 10000;
+constexpr Ticks second = 10000;
 constexpr double idle_below = 0.5;  // of what a host can do
 
 std::string flag(bool b) { return b ? "true" : "false"; }
-std::string in_seconds(Tenths t) { return std::to_string(static_cast<double>(t) / second); }
+std::string in_seconds(Ticks t) { return std::to_string(static_cast<double>(t) / second); }
 
 }  // namespace
 
-Stage::Stage(const Day& day, simnet::Agenda& agenda, simnet::Trace& trace, simnet::Streams& network,
-             Rules& rules, simnet::Chance& chance, Ground& ground)
+Fixture::Fixture(const Scenario& day, simnet::EventQueue& agenda, simnet::Trace& trace,
+                 simnet::Streams& network, Invariants& rules, simnet::RandomSource& chance, Topology& ground)
     : day_(day),
       agenda_(agenda),
       network_(network),
       rules_(rules),
       chance_(chance),
       ground_(ground),
-      town_{agenda, network, trace, rules, {}, day.packets_pass} {
-    using stand::Effect;
-    using stand::Scope;
-    town_.profiles = {{"chat", Effect::repeatable, Scope::all, 5000, 20000, 0},
-                      {"profil", Effect::referenced, Scope::all, 5000, 30000, 50000},
-                      {"suggestion", Effect::referenced, Scope::cell, 4000, 20000, 30000},
-                      {"carte", Effect::once_only, Scope::all, 5000, 30000, 0}};
+      town_{agenda, network, trace, rules, {}, day.packet_passthrough} {
+    using fakes::DeduplicationScope;
+    using fakes::Idempotency;
+    town_.profiles = {
+        {"chat", Idempotency::idempotent, DeduplicationScope::all, 5000, 20000, 0},
+        {"profil", Idempotency::idempotent_with_key, DeduplicationScope::all, 5000, 30000, 50000},
+        {"suggestion", Idempotency::idempotent_with_key, DeduplicationScope::cell, 4000, 20000, 30000},
+        {"carte", Idempotency::non_idempotent, DeduplicationScope::all, 5000, 30000, 0}};
     rules_.begin(town_);
     rules_.ask_idle([this] {
         return std::any_of(hosts_.begin(), hosts_.end(),
@@ -40,20 +41,20 @@
     });
     // Of tunnels that fill it over its warm-up, or over their lives where these are shorter.
     rules_.ask_budget([this](std::uint32_t h) {
-        const stand::ChatHost& host = *hosts_[h];
-        const Tenths fills = std::min(day_.host.cold, day_.least_life + day_.more_life);
+        const fakes::FakeServer& host = *hosts_[h];
+        const Ticks fills = std::min(day_.host.cold, day_.least_life + day_.more_life);
         if (!host.is_cold() || !host.runs() || mean_load_ <= 0 || fills <= 0) return 0.0;
         return host.bears() / mean_load_ * static_cast<double>(day_.host.fall) / static_cast<double>(fills);
     });
     double cores = 0;
     for (std::uint32_t h = 0; h < day_.hosts; ++h) {
-        stand::HostTraits traits = day_.host;
+        fakes::ServerTraits traits = day_.host;
         if (!day_.alike) traits.cores *= chance_.between(0.6, 1.4);
         traits.zone = traits.cell = h % 2;
         cores += traits.cores;
         const Machine m = network_.add_machine();
-        hosts_.push_back(std::make_unique<stand::ChatHost>(town_, h, m, traits, chance_.part(100 + h)));
-        stand::Listed entry;
+        hosts_.push_back(std::make_unique<fakes::FakeServer>(town_, h, m, traits, chance_.part(100 + h)));
+        fakes::Listed entry;
         entry.id.append(1, 'h').append(std::to_string(h));
         entry.zone.assign(1, h % 2 == 0 ? 'a' : 'b');
         entry.cell = h % 2;
@@ -65,20 +66,20 @@
     if (day_.tunnel_load > 0) mean_load_ = day_.tunnel_load;
     first_service_ = network_.add_machine();
     rosters_.push_back(
-        std::make_unique<stand::Roster>(town_, first_service_, discovery_port, 5, chance_.part(2)));
+        std::make_unique<fakes::Roster>(town_, first_service_, discovery_port, 5, chance_.part(2)));
     const Machine front = network_.add_machine();
     std::vector<Machine> phones;
     for (int i = 0; i < 3; ++i) phones.push_back(network_.add_machine());
     std::vector<net::Address> doors;
     for (std::uint32_t n = 0; n < day_.nodes; ++n) doors.push_back(network_.place(n, client_port));
-    front_ = std::make_unique<stand::Front>(town_, front, doors, day_.notices_after, chance_.part(3));
-    members_ = std::make_unique<stand::Members>(town_, *front_, phones,
-                                                wishes(day_.members, 0, day_.arrive_within, 0), day_.manners,
-                                                chance_.part(4));
-    rude_ = std::make_unique<stand::Rude>(town_, *front_, phones[0], chance_.part(5));
+    front_ = std::make_unique<fakes::Front>(town_, front, doors, day_.notices_after, chance_.part(3));
+    members_ = std::make_unique<fakes::FakeClients>(town_, *front_, phones,
+                                                    wishes(day_.members, 0, day_.arrive_within, 0),
+                                                    day_.manners, chance_.part(4));
+    rude_ = std::make_unique<fakes::Rude>(town_, *front_, phones[0], chance_.part(5));
 }
 
-void Stage::open() {
+void Fixture::open() {
     for (std::uint32_t h = 0; h < hosts_.size(); ++h) {
         const bool cold = h + day_.cold_hosts >= hosts_.size();
         hosts_[h]->start(cold, agenda_.dawn());
@@ -88,20 +89,20 @@
     rosters_[0]->open(entries_);
 }
 
-void Stage::let_clients_come() {
+void Fixture::let_clients_come() {
     front_->start();
     members_->start();
 }
 
-void Stage::go_home() {
+void Fixture::go_home() {
     members_->go_home();
     rude_->go_home();
 }
 
-std::vector<stand::Wish> Stage::wishes(std::uint32_t count, Tenths from, Tenths within, std::uint32_t first) {
-    std::vector<stand::Wish> out;
+std::vector<fakes::Wish> Fixture::wishes(std::uint32_t count, Ticks from, Ticks within, std::uint32_t first) {
+    std::vector<fakes::Wish> out;
     for (std::uint32_t i = 0; i < count; ++i) {
-        stand::Wish w;
+        fakes::Wish w;
         w.key.append(1, 'k').append(std::to_string(first + i));
         w.group = day_.groups && chance_.odds(0.5)
                       ? static_cast<std::uint32_t>(chance_.between(std::int64_t{1}, std::int64_t{12}))
@@ -109,30 +110,30 @@
         w.profile = static_cast<std::uint32_t>(
             chance_.odds(0.6) ? 0 : chance_.between(std::int64_t{1}, std::int64_t{3}));
         w.load = mean_load_ * (day_.alike ? 1 : chance_.between(0.3, 1.7));
-        w.from = from + chance_.between(Tenths{0}, std::max<Tenths>(within, 1));
+        w.from = from + chance_.between(Ticks{0}, std::max<Ticks>(within, 1));
         w.until = w.from + day_.least_life +
-                  static_cast<Tenths>(chance_.exponential(static_cast<double>(day_.more_life)));
+                  static_cast<Ticks>(chance_.exponential(static_cast<double>(day_.more_life)));
         out.push_back(w);
     }
     wished_ += count;
     return out;
 }
 
-std::string Stage::file_for(std::uint32_t node) const {
+std::string Fixture::file_for(std::uint32_t node) const {
     std::string known, peers, profiles;
     const auto n_known = static_cast<std::uint32_t>(day_.known * day_.hosts + 0.5);
     for (std::uint32_t h = 0; h < n_known; ++h)
         known.append(h > 0 ? "," : "")
-            .append(stand::member_json(entries_[h], network_.seen_by(node, entries_[h].at)));
+            .append(fakes::member_json(entries_[h], network_.seen_by(node, entries_[h].at)));
     for (std::uint32_t n = 0; n < day_.nodes; ++n)
         peers.append(n > 0 ? ",\"" : "\"")
             .append(net::address_text(network_.seen_by(node, network_.place(n, peer_port))))
             .append("\"");
-    for (const stand::Profile& p : town_.profiles) {
+    for (const fakes::Profile& p : town_.profiles) {
         constexpr const char* effects[] = {"read_like", "idempotency_key", "non_idempotent"};
         constexpr const char* scopes[] = {"all", "zone", "cell"};
         profiles += std::string(profiles.empty() ? "" : ",") + R"({"name":")" + std::string(p.name) +
-                    R"(","setup_goal":)" + in_seconds(p.setup_goal) + R"(,"client_timeout":)" +
+                    R"(","setup_goal":)" + in_seconds(p.latency_objective) + R"(,"client_timeout":)" +
                     in_seconds(p.client_timeout) + R"(,"window":)" + in_seconds(p.window) +
                     R"(,"credit":1,"effect":")" + effects[static_cast<std::size_t>(p.effect)] +
                     R"(","dedup_scope":")" + scopes[static_cast<std::size_t>(p.scope)] +
@@ -152,35 +153,36 @@
     text += R"(,"settings":{"balancers":)" + std::to_string(day_.nodes) + R"(,"me":)" + std::to_string(node) +
             R"(,"zone":)" + std::to_string(node % 2) +
             R"(,"zones":["a","b"],"granularity":0.005,"membership_mode":")" +
-            (day_.must_ask ? "ask" : "push") + R"(","weight_kind":"nominal",)" + R"("domain":{"mode":")" +
-            (day_.packets_pass ? "pass" : "proxy") + R"(","groups":)" + flag(day_.groups) +
+            (day_.must_poll ? "ask" : "push") + R"(","weight_kind":"nominal",)" + R"("domain":{"mode":")" +
+            (day_.packet_passthrough ? "pass" : "proxy") + R"(","groups":)" + flag(day_.groups) +
             R"(,"tells_delay":true,"message_aim":[0.25,0.25,0.25,0.25]},)" + R"("limits":{"max_setups":)" +
-            std::to_string(day_.max_setups) + R"(,"connect_timeout":0.25,"probing":)" + flag(day_.probing) +
+            std::to_string(day_.max_attempts) + R"(,"connect_timeout":0.25,"probing":)" + flag(day_.probing) +
             R"(,"peers":)" + flag(day_.peers) + R"(},"report":{"via":"probe","columns":["x0"]},)" +
             R"("rules":{"stop_sending_within":3.0,"cold":)" + in_seconds(day_.host.cold) +
-            R"(,"cold_from":)" + std::to_string(day_.host.cold_from) + R"(,"fall":)" +
-            in_seconds(day_.host.fall) + R"(,"tip_multiple":)" + std::to_string(day_.host.tip_multiple) +
-            R"(},"costs":{"probe":)" + std::to_string(day_.probe_price) + R"(,"peer":)" +
-            std::to_string(day_.peer_price) + R"(},"profiles":[)" + profiles + "]}}";
+            R"(,"cold_from":)" + std::to_string(day_.host.slow_start_initial_factor) +
+            R"(,"fall":)" + in_seconds(day_.host.fall) + R"(,"tip_multiple":)" +
+            std::to_string(day_.host.overload_multiple) + R"(},"costs":{"probe":)" +
+            std::to_string(day_.probe_price) + R"(,"peer":)" + std::to_string(day_.peer_price) +
+            R"(},"profiles":[)" + profiles + "]}}";
     return text;
 }
 
 // ---- faults
 
-void Stage::tell(std::uint32_t host, Phase phase) {
-    stand::Listed& e = entries_[host];
+void Fixture::tell(std::uint32_t host, Phase phase) {
+    fakes::Listed& e = entries_[host];
     e.phase = phase;
     e.up_since_ms = hosts_[host]->up_since_ms();
     for (auto& r : rosters_) r->change(host, e, day_.told_after);
 }
 
-bool Stage::begin(const Fault& f) {
+bool Fixture::begin(const Fault& f) {
     return begin_at_hosts(f) || begin_at_discovery(f) || begin_on_network(f);
 }
 
-bool Stage::begin_at_hosts(const Fault& f) {
+bool Fixture::begin_at_hosts(const Fault& f) {
     if (row_of(f.kind).who != FaultRow::Who::host) return false;
-    stand::ChatHost& host = *hosts_[f.who];
+    fakes::FakeServer& host = *hosts_[f.who];
     switch (f.kind) {
         case K::host_slow:
             host.slow_down(f.much);
@@ -218,8 +220,8 @@
     return true;
 }
 
-bool Stage::begin_at_discovery(const Fault& f) {
-    stand::Roster& roster = *rosters_.back();
+bool Fixture::begin_at_discovery(const Fault& f) {
+    fakes::Roster& roster = *rosters_.back();
     switch (f.kind) {
         case K::discovery_down:
             roster.down(true);
@@ -228,7 +230,7 @@
             roster.silent(true);
             return true;
         case K::discovery_slow:
-            roster.answer_after(static_cast<Tenths>(f.much * second));
+            roster.answer_after(static_cast<Ticks>(f.much * second));
             return true;
         case K::discovery_spoilt:
             roster.spoil_next(static_cast<int>(f.count));
@@ -238,7 +240,7 @@
             return true;
         case K::discovery_move:
             roster.retire(second * 3 / 2);
-            rosters_.push_back(std::make_unique<stand::Roster>(
+            rosters_.push_back(std::make_unique<fakes::Roster>(
                 town_, first_service_, static_cast<std::uint16_t>(discovery_port + rosters_.size()), 1,
                 chance_.part(50 + rosters_.size())));
             rosters_.back()->open(entries_);
@@ -249,7 +251,7 @@
     }
 }
 
-bool Stage::begin_on_network(const Fault& f) {
+bool Fixture::begin_on_network(const Fault& f) {
     switch (f.kind) {
         case K::node_vanish:
             ground_.cut_off(f.who, true);
@@ -265,7 +267,7 @@
             ground_.datagrams().doubled = f.much;
             return true;
         case K::datagrams_late:
-            ground_.datagrams().jitter = static_cast<Tenths>(f.much * second);
+            ground_.datagrams().jitter = static_cast<Ticks>(f.much * second);
             return true;
         case K::datagrams_old:
             ground_.send_again(f.who, f.count);
@@ -280,7 +282,7 @@
             members_->add(wishes(f.count, f.at, f.span, wished_));
             return true;
         case K::rude:
-            rude_->come(static_cast<int>(f.count), static_cast<stand::Rude::Kind>(f.other), f.count % 2 == 0);
+            rude_->come(static_cast<int>(f.count), static_cast<fakes::Rude::Kind>(f.other), f.count % 2 == 0);
             return true;
         default:
             return false;
@@ -288,7 +290,7 @@
 }
 
 // Faults of `count` nodes from one on.
-void Stage::set_apart(const Fault& f, bool on) {
+void Fixture::set_apart(const Fault& f, bool on) {
     const std::uint32_t last = std::min(f.who + std::max(f.count, 1U), day_.nodes);
     if (f.kind == K::nodes_apart) return ground_.datagrams().apart(f.who, last - f.who, on);
     if (f.kind == K::path_cut) rules_.machine_cut(hosts_[f.other]->machine(), on);
@@ -302,8 +304,8 @@
     }
 }
 
-void Stage::end(const Fault& f) {
-    stand::ChatHost* host = row_of(f.kind).who == FaultRow::Who::host ? hosts_[f.who].get() : nullptr;
+void Fixture::end(const Fault& f) {
+    fakes::FakeServer* host = row_of(f.kind).who == FaultRow::Who::host ? hosts_[f.who].get() : nullptr;
     switch (f.kind) {
         case K::node_vanish:
             ground_.cut_off(f.who, false);
@@ -320,7 +322,7 @@
         case K::host_kill:
             host->start(true);
             rules_.host_started(f.who);
-            return tell(f.who, Phase::in_service);
+            return tell(f.who, Phase::active);
         case K::host_vanish:
             ground_.forget(host->machine());
             host->stop();
@@ -328,7 +330,7 @@
             rules_.machine_cut(host->machine(), false);
             host->start(true);
             rules_.host_started(f.who);
-            return tell(f.who, Phase::in_service);
+            return tell(f.who, Phase::active);
         case K::discovery_down:
             return rosters_.back()->down(false);
         case K::discovery_silent:
@@ -359,17 +361,17 @@
 }
 
 // A host that drains stops in the end, and comes back.
-bool Stage::later(const Fault& f) {
-    stand::ChatHost& host = *hosts_[f.who];
-    if (host.state() == stand::ChatHost::State::up) {
+bool Fixture::later(const Fault& f) {
+    fakes::FakeServer& host = *hosts_[f.who];
+    if (host.state() == fakes::FakeServer::State::up) {
         host.stop();
         tell(f.who, Phase::terminated);
         return true;
     }
     host.start(true);
     rules_.host_started(f.who);
-    tell(f.who, Phase::in_service);
+    tell(f.who, Phase::active);
     return false;
 }
 
-}  // namespace lemonstair::lab
+}  // namespace lemonstair::simulation
--- a/src/simulation/fixture.h
+++ b/src/simulation/fixture.h
@@ -11,15 +11,15 @@
 #include "simulation/invariants.h"
 #include "simulation/scenario.h"
 
-namespace lemonstair::lab {
+namespace lemonstair::simulation {
 
 // What lies under the stage: the network and the nodes' processes, simulated or real.
-class Ground {
+class Topology {
   public:
-    Ground() = default;
-    Ground(const Ground&) = delete;
-    Ground& operator=(const Ground&) = delete;
-    virtual ~Ground() = default;
+    Topology() = default;
+    Topology(const Topology&) = delete;
+    Topology& operator=(const Topology&) = delete;
+    virtual ~Topology() = default;
     virtual simnet::DatagramFaults& datagrams() = 0;
     // A machine that says nothing and hears nothing; what it runs goes on.
     virtual void cut_off(simnet::Machine machine, bool on) = 0;
@@ -34,13 +34,13 @@
     virtual void new_file(std::uint32_t node, const std::string& text) = 0;
 };
 
-class Stage {
+class Fixture {
   public:
     static constexpr std::uint16_t client_port = 8443, peer_port = 8444, discovery_port = 8500;
 
     // Machines 0 to `nodes` - 1 of the network are the nodes'; the stage adds the others.
-    Stage(const Day& day, simnet::Agenda& agenda, simnet::Trace& trace, simnet::Streams& network,
-          Rules& rules, simnet::Chance& chance, Ground& ground);
+    Fixture(const Scenario& day, simnet::EventQueue& agenda, simnet::Trace& trace, simnet::Streams& network,
+            Invariants& rules, simnet::RandomSource& chance, Topology& ground);
     // Hosts and list, before the nodes start; then the front and the clients.
     void open();
     void let_clients_come();
@@ -53,35 +53,35 @@
     // What follows a drain, twice; true: once more after two seconds.
     bool later(const Fault& fault);
 
-    stand::Town& town() { return town_; }
-    stand::Front& front() { return *front_; }
-    stand::Members& members() { return *members_; }
-    stand::ChatHost& host(std::uint32_t n) { return *hosts_[n]; }
+    fakes::TestEnvironment& town() { return town_; }
+    fakes::Front& front() { return *front_; }
+    fakes::FakeClients& members() { return *members_; }
+    fakes::FakeServer& host(std::uint32_t n) { return *hosts_[n]; }
 
   private:
-    std::vector<stand::Wish> wishes(std::uint32_t count, Tenths from, Tenths within, std::uint32_t first);
-    void tell(std::uint32_t host, stand::Listed::Phase phase);
+    std::vector<fakes::Wish> wishes(std::uint32_t count, Ticks from, Ticks within, std::uint32_t first);
+    void tell(std::uint32_t host, fakes::Listed::Phase phase);
     bool begin_at_hosts(const Fault& fault);
     bool begin_at_discovery(const Fault& fault);
     bool begin_on_network(const Fault& fault);
     void set_apart(const Fault& fault, bool on);
 
-    const Day& day_;
-    simnet::Agenda& agenda_;
+    const Scenario& day_;
+    simnet::EventQueue& agenda_;
     simnet::Streams& network_;
-    Rules& rules_;
-    simnet::Chance& chance_;
-    Ground& ground_;
-    stand::Town town_;
-    std::vector<std::unique_ptr<stand::ChatHost>> hosts_;
-    std::vector<stand::Listed> entries_;
-    std::vector<std::unique_ptr<stand::Roster>> rosters_;
-    std::unique_ptr<stand::Front> front_;
-    std::unique_ptr<stand::Members> members_;
-    std::unique_ptr<stand::Rude> rude_;
+    Invariants& rules_;
+    simnet::RandomSource& chance_;
+    Topology& ground_;
+    fakes::TestEnvironment town_;
+    std::vector<std::unique_ptr<fakes::FakeServer>> hosts_;
+    std::vector<fakes::Listed> entries_;
+    std::vector<std::unique_ptr<fakes::Roster>> rosters_;
+    std::unique_ptr<fakes::Front> front_;
+    std::unique_ptr<fakes::FakeClients> members_;
+    std::unique_ptr<fakes::Rude> rude_;
     double mean_load_ = 0.02;
     std::uint32_t wished_ = 0;
     simnet::Machine first_service_ = 0;
 };
 
-}  // namespace lemonstair::lab
+}  // namespace lemonstair::simulation
--- a/src/simulation/invariants.cpp
+++ b/src/simulation/invariants.cpp
@@ -3,17 +3,17 @@
 #include <algorithm>
 #include <charconv>
 
-namespace lemonstair::lab {
+namespace lemonstair::simulation {
 
 namespace {
 
-using stand::Answer;
+using fakes::Answer;
 
-constexpr Tenths second = 10000;
-constexpr Tenths margin = 500;  // each time limit is 50 ms longer on sockets
-constexpr Tenths drain_grace = 30000;
-constexpr Tenths end_passed_in = 10000;
-constexpr Tenths leaving_takes = 37000;
+constexpr Ticks second = 10000;
+constexpr Ticks margin = 500;  // each time limit is 50 ms longer on sockets
+constexpr Ticks drain_grace = 30000;
+constexpr Ticks end_passed_in = 10000;
+constexpr Ticks leaving_takes = 37000;
 constexpr std::size_t most_broken = 200;
 
 bool may_have_run(Answer a) { return a != Answer::busy; }
@@ -56,7 +56,7 @@
     return rows;
 }
 
-Rules::Rules(const Day& day, simnet::Agenda& agenda, simnet::Streams& network)
+Invariants::Invariants(const Scenario& day, simnet::EventQueue& agenda, simnet::Streams& network)
     : day_(day),
       agenda_(agenda),
       network_(network),
@@ -70,12 +70,12 @@
     }
 }
 
-void Rules::broke(std::string rule, std::string what) {
+void Invariants::broke(std::string rule, std::string what) {
     if (broken_.size() < most_broken)
         broken_.push_back({agenda_.now() - agenda_.dawn(), std::move(rule), std::move(what)});
 }
 
-void Rules::judge_bounds() {
+void Invariants::judge_bounds() {
     for (std::uint32_t h = 0; h < day_.hosts; ++h) {
         std::string who = "host h";
         who += std::to_string(h);
@@ -89,7 +89,7 @@
     }
 }
 
-std::string Rules::named(stand::TunnelNo tunnel) const {
+std::string Invariants::named(fakes::TunnelNo tunnel) const {
     char text[32];
     std::snprintf(text, sizeof text, "tunnel t%x", tunnel);
     std::string out = text;
@@ -97,24 +97,24 @@
     return out;
 }
 
-Rules::Book& Rules::book(stand::TunnelNo tunnel) {
+Invariants::Book& Invariants::book(fakes::TunnelNo tunnel) {
     while (books_.size() <= tunnel) books_.emplace_back();
     return books_[tunnel];
 }
 
 // ---- disturbances
 
-void Rules::node_started(std::uint32_t node) {
+void Invariants::node_started(std::uint32_t node) {
     nodes_[node].lives.push_back({agenda_.now(), 0, NodeEnd::killed, 0});
     nodes_[node].not_in_service.assign(day_.hosts, 0);
     nodes_[node].told_at.assign(day_.hosts, 0);
 }
 
-void Rules::node_told_to_leave(std::uint32_t node) {
+void Invariants::node_told_to_leave(std::uint32_t node) {
     if (!nodes_[node].lives.empty()) nodes_[node].lives.back().leaving_since = agenda_.now();
 }
 
-void Rules::node_ended(std::uint32_t node, NodeEnd how) {
+void Invariants::node_ended(std::uint32_t node, NodeEnd how) {
     Life& life = nodes_[node].lives.back();
     life.until = agenda_.now();
     life.how = how;
@@ -122,11 +122,11 @@
         if (b.state == State::taken && b.asked.node == node) ++tally_.orphaned;
 }
 
-void Rules::node_stalled(std::uint32_t node, Tenths until) {
+void Invariants::node_stalled(std::uint32_t node, Ticks until) {
     nodes_[node].stalls.emplace_back(agenda_.now(), until);
 }
 
-void Rules::machine_cut(simnet::Machine machine, bool on) {
+void Invariants::machine_cut(simnet::Machine machine, bool on) {
     auto& cuts = cuts_[machine];
     if (on)
         cuts.emplace_back(agenda_.now(), 0);
@@ -134,22 +134,22 @@
         cuts.back().second = agenda_.now();
 }
 
-const Rules::Life* Rules::life_at(std::uint32_t node, Tenths when) const {
+const Invariants::Life* Invariants::life_at(std::uint32_t node, Ticks when) const {
     const auto& lives = nodes_[node].lives;
     for (auto it = lives.rbegin(); it != lives.rend(); ++it)
         if (it->from <= when) return &*it;
     return nullptr;
 }
 
-bool Rules::machine_reached(simnet::Machine machine, Tenths from, Tenths until) const {
+bool Invariants::machine_reached(simnet::Machine machine, Ticks from, Ticks until) const {
     // What was under way when it was cut off comes up to some seconds after it is back.
-    constexpr Tenths after = 25000;
+    constexpr Ticks after = 25000;
     for (const auto& [a, b] : cuts_[machine])
         if (a <= until && (b == 0 || b + after >= from)) return false;
     return true;
 }
 
-bool Rules::undisturbed(std::uint32_t node, Tenths from, Tenths until) const {
+bool Invariants::undisturbed(std::uint32_t node, Ticks from, Ticks until) const {
     const Life* life = life_at(node, from);
     if (life == nullptr || (life->until != 0 && life->until <= until)) return false;
     for (const auto& [a, b] : nodes_[node].stalls)
@@ -159,7 +159,7 @@
 
 // ---- clients
 
-void Rules::asked(const stand::Asked& what) {
+void Invariants::asked(const fakes::Asked& what) {
     Book& b = book(what.tunnel);
     to(b, State::asked);
     b.asked = what;
@@ -170,7 +170,7 @@
     if (what.mid_flow) ++tally_.resumed;
 }
 
-void Rules::taken(stand::TunnelNo tunnel) {
+void Invariants::taken(fakes::TunnelNo tunnel) {
     Book& b = book(tunnel);
     if (b.state != State::asked) return;
     to(b, State::taken);
@@ -178,7 +178,7 @@
     ++tally_.taken;
 }
 
-void Rules::answered(stand::TunnelNo tunnel, Answer answer, Tenths written_at) {
+void Invariants::answered(fakes::TunnelNo tunnel, Answer answer, Ticks written_at) {
     Book& b = book(tunnel);
     const bool waited = b.state == State::asked || b.state == State::taken;
     if (answer == Answer::move) {
@@ -207,24 +207,25 @@
     ++(answer == Answer::busy ? tally_.declined : tally_.failed);
     if (answer == Answer::busy) ledger_.declined(any_idle_ && any_idle_());
     if (answer != Answer::busy || !ran || b.asked.mid_flow) return;
-    const stand::Profile& p = profile(b);
-    const bool safe = p.effect == stand::Effect::repeatable ||
-                      (p.effect == stand::Effect::referenced && p.scope == stand::Scope::all &&
-                       written_at <= b.setups.front().sent + p.window + margin + day_.held_up);
+    const fakes::Profile& p = profile(b);
+    const bool safe =
+        p.effect == fakes::Idempotency::idempotent ||
+        (p.effect == fakes::Idempotency::idempotent_with_key && p.scope == fakes::DeduplicationScope::all &&
+         written_at <= b.setups.front().sent + p.window + margin + day_.held_up);
     if (!safe) broke("effect", named(tunnel) + " was declined though it may have run");
 }
 
-void Rules::said_on(stand::TunnelNo tunnel, std::string_view text) {
+void Invariants::said_on(fakes::TunnelNo tunnel, std::string_view text) {
     broke("twice", named(tunnel) + " heard '" + std::string(text.substr(0, 20)) + "' after its last words");
 }
 
-void Rules::left(stand::TunnelNo tunnel) {
+void Invariants::left(fakes::TunnelNo tunnel) {
     Book& b = book(tunnel);
     to(b, State::over);
     b.left_at = agenda_.now();
 }
 
-void Rules::gave_up(stand::TunnelNo tunnel) {
+void Invariants::gave_up(fakes::TunnelNo tunnel) {
     Book& b = book(tunnel);
     const bool owed = b.state == State::taken;
     to(b, State::over);
@@ -233,7 +234,7 @@
         broke("answer", named(tunnel) + " got no answer in its time");
 }
 
-void Rules::cut(stand::TunnelNo tunnel, bool by_reset, Tenths written) {
+void Invariants::cut(fakes::TunnelNo tunnel, bool by_reset, Ticks written) {
     Book& b = book(tunnel);
     const State was = b.state;
     to(b, State::over);
@@ -245,7 +246,7 @@
             life != nullptr && life->leaving_since != 0 && life->until - life->leaving_since >= leaving_takes;
         const bool owes = life != nullptr &&
                           (life->how == NodeEnd::left || (life->how == NodeEnd::killed_late && had_time));
-        if (was == State::open && owes && !day_.packets_pass && !b.asked.slow_reader &&
+        if (was == State::open && owes && !day_.packet_passthrough && !b.asked.slow_reader &&
             undisturbed(b.asked.node, life->leaving_since, life->until - 1))
             broke("leave", named(tunnel) + " was cut off when its node left");
         return;
@@ -257,7 +258,7 @@
         return broke("answer", named(tunnel) + " was closed without an answer");
     if (was != State::open) return;
     if (b.host_ended_at != 0) {
-        const Tenths late =
+        const Ticks late =
             written - b.host_ended_at - end_passed_in - 2 * day_.weather.most_delay - day_.held_up;
         if (!by_reset && late > margin && !b.asked.slow_reader &&
             machine_reached(machine_of_host(b.holder), b.host_ended_at - 1, agenda_.now()))
@@ -272,22 +273,22 @@
     broke("cut_off", named(tunnel) + " was cut off though host " + std::to_string(b.holder) + " keeps it");
 }
 
-void Rules::unanswered(stand::TunnelNo tunnel, Tenths span) {
+void Invariants::unanswered(fakes::TunnelNo tunnel, Ticks span) {
     const Book& b = book(tunnel);
     if (b.state != State::open || !undisturbed(b.asked.node, agenda_.now() - span - second, agenda_.now()))
         return;
     broke("silent", named(tunnel) + " has had no line for " + std::to_string(span / 10) + " ms");
 }
 
-void Rules::rude_left_waiting(std::uint32_t node, std::string_view how) {
+void Invariants::rude_left_waiting(std::uint32_t node, std::string_view how) {
     if (undisturbed(node, agenda_.now() - 3 * second, agenda_.now()))
         broke("bad_client", "a bad client at node " + std::to_string(node) + " had " + std::string(how));
 }
 
 // ---- operators
 
-void Rules::judge_drained(std::uint32_t node) {
-    if (day_.packets_pass || nodes_[node].drained_since == 0) return;
+void Invariants::judge_drained(std::uint32_t node) {
+    if (day_.packet_passthrough || nodes_[node].drained_since == 0) return;
     for (const Book& b : books_) {
         if (b.asked.node != node || b.state != State::open || b.asked.slow_reader) continue;
         // One that opened late is moved within a moment; one whose host has ended it ends by itself.
@@ -313,9 +314,9 @@
 
 // Page: counts are true to 1% or 3 and half a second old at most; of a client that had gone any count will
 // do.
-void Rules::figures_told(std::uint32_t node, const std::string& body, Tenths since, bool mixed) {
-    constexpr Tenths old = 6000, ending = 45000;
-    const Tenths now = agenda_.now();
+void Invariants::figures_told(std::uint32_t node, const std::string& body, Ticks since, bool mixed) {
+    constexpr Ticks old = 6000, ending = 45000;
+    const Ticks now = agenda_.now();
     const auto check = [&](std::string_view what, long told, long seen, long missing, long more,
                            double part) {
         const long slack = std::max(3L, static_cast<long>(part * static_cast<double>(seen)));
@@ -371,8 +372,8 @@
 // ---- hosts
 
 // Guards against work for nobody: the client closed its connection before the attempt began.
-void Rules::judge_late_attempt(const Book& b, std::uint32_t host, simnet::Machine node, Tenths sent) {
-    constexpr Tenths allowed = 1000;
+void Invariants::judge_late_attempt(const Book& b, std::uint32_t host, simnet::Machine node, Ticks sent) {
+    constexpr Ticks allowed = 1000;
     if (b.left_at == 0 || sent <= b.left_at + allowed + margin) return;
     // A host that hung meanwhile read it late: when its first byte was sent is not known.
     if (hosts_[host].mute || hosts_[host].mute_until >= b.asked_at) return;
@@ -383,15 +384,17 @@
                               std::to_string((sent - b.left_at) / 10) + " ms after its client had left");
 }
 
-void Rules::judge_effect(const Book& b, std::uint32_t host, Tenths sent) {
-    const stand::Profile& p = profile(b);
-    if (p.effect == stand::Effect::repeatable) return;
+void Invariants::judge_effect(const Book& b, std::uint32_t host, Ticks sent) {
+    const fakes::Profile& p = profile(b);
+    if (p.effect == fakes::Idempotency::idempotent) return;
     for (const Setup& s : b.setups) {
         if (!may_have_run(s.answer)) continue;
         const auto place = [&](std::uint32_t h) {
-            return p.scope == stand::Scope::all ? 0U : h % 2;  // zones and cells go by the host's number
+            return p.scope == fakes::DeduplicationScope::all
+                       ? 0U
+                       : h % 2;  // zones and cells go by the host's number
         };
-        if (p.effect == stand::Effect::once_only)
+        if (p.effect == fakes::Idempotency::non_idempotent)
             return broke("effect",
                          named(b.asked.tunnel) + " ran a second time, at host " + std::to_string(host));
         if (place(s.host) != place(host) || std::abs(sent - s.sent) > p.window + margin)
@@ -399,8 +402,8 @@
     }
 }
 
-void Rules::setup_came(stand::TunnelNo tunnel, std::uint32_t host, simnet::End end, Tenths first,
-                       bool mid_flow) {
+void Invariants::setup_came(fakes::TunnelNo tunnel, std::uint32_t host, simnet::End end, Ticks first,
+                            bool mid_flow) {
     Book& b = book(tunnel);
     ++tally_.setups;
     if (b.state == State::unknown) return broke("line", named(tunnel) + " is one that no client asked for");
@@ -414,7 +417,7 @@
                                      std::to_string(s.host) + " still has it");
         judge_late_attempt(b, host, node, first);
         judge_effect(b, host, first);
-        const Tenths since = nodes_[node].not_in_service[host];
+        const Ticks since = nodes_[node].not_in_service[host];
         if (since != 0 && first > since + drain_grace + margin && undisturbed(node, since, agenda_.now()))
             broke("drain", named(tunnel) + " went to host " + std::to_string(host) + " " +
                                std::to_string((first - since) / 10) + " ms after its node was told");
@@ -426,7 +429,7 @@
     setups_came_.emplace_back(node, first);
 }
 
-void Rules::setup_answered(stand::TunnelNo tunnel, std::uint32_t host, Answer answer) {
+void Invariants::setup_answered(fakes::TunnelNo tunnel, std::uint32_t host, Answer answer) {
     Book& b = book(tunnel);
     for (auto it = b.setups.rbegin(); it != b.setups.rend(); ++it)
         if (it->host == host && it->answer == Answer::none) {
@@ -441,7 +444,7 @@
     }
 }
 
-bool Rules::told_surely() const {
+bool Invariants::told_surely() const {
     // The newest stamp wins: of two placements within less than the clocks differ by, the earlier may.
     if (day_.clocks_apart > 0) return false;
     if (!day_.peers || day_.weather.lost > 0 || day_.weather.datagram_jitter > 1000) return false;
@@ -453,15 +456,15 @@
     });
 }
 
-void Rules::not_held(stand::TunnelNo tunnel, std::uint32_t host) {
+void Invariants::not_held(fakes::TunnelNo tunnel, std::uint32_t host) {
     ++tally_.not_held;
     const Book& b = book(tunnel);
-    const Tenths now = agenda_.now();
+    const Ticks now = agenda_.now();
     if (!told_surely() || b.opened_at == 0 || b.asked_at - b.opened_at < 2 * second) return;
     // Its record is on a chain of two nodes and at its placer: any one of them may have ended.
-    constexpr Tenths refreshed = 120000, settled = 30000, parked = 40000;
+    constexpr Ticks refreshed = 120000, settled = 30000, parked = 40000;
     int ended = 0;
-    Tenths last_end = 0;
+    Ticks last_end = 0;
     for (const Node& n : nodes_)
         for (const Life& l : n.lives) {
             if (l.until != 0 && now - l.until < refreshed) ++ended, last_end = l.until;
@@ -480,33 +483,33 @@
                             std::to_string(b.holder) + " holds it");
 }
 
-void Rules::host_ended(stand::TunnelNo tunnel, std::uint32_t host) {
+void Invariants::host_ended(fakes::TunnelNo tunnel, std::uint32_t host) {
     Book& b = book(tunnel);
     if (b.holder == host && b.host_ended_at == 0) b.host_ended_at = agenda_.now();
 }
 
-void Rules::pushed_over(std::uint32_t host, double asked, double bears) {
+void Invariants::pushed_over(std::uint32_t host, double asked, double bears) {
     broke("cold", "host " + std::to_string(host) + " was asked for " + std::to_string(asked) +
                       " cores and bears " + std::to_string(bears));
 }
 
-void Rules::bad_line(std::uint32_t host, std::string_view line) {
+void Invariants::bad_line(std::uint32_t host, std::string_view line) {
     broke("line", "host " + std::to_string(host) + " got '" + std::string(line.substr(0, 40)) + "'");
 }
 
-void Rules::told(std::uint32_t node, std::uint32_t host, bool in_service) {
+void Invariants::told(std::uint32_t node, std::uint32_t host, bool active) {
     if (node >= nodes_.size()) return;
     nodes_[node].told_at[host] = agenda_.now();
-    Tenths& since = nodes_[node].not_in_service[host];
-    if (since == 0 && !in_service)
+    Ticks& since = nodes_[node].not_in_service[host];
+    if (since == 0 && !active)
         for (const Book& b : books_)
             if (b.state == State::taken && b.asked.node == node && !b.setups.empty() &&
                 b.setups.back().host == host && b.setups.back().answer == Answer::none)
                 ++tally_.raced;
-    since = in_service ? 0 : since != 0 ? since : agenda_.now();
+    since = active ? 0 : since != 0 ? since : agenda_.now();
 }
 
-void Rules::line_wrong(stand::TunnelNo tunnel, std::string_view what, std::string_view line) {
+void Invariants::line_wrong(fakes::TunnelNo tunnel, std::string_view what, std::string_view line) {
     const Book& b = book(tunnel);
     // Half a line is left of a connection whose node or host has died.
     if (what == "cut within a line") {
@@ -519,4 +522,4 @@
     broke("line", named(tunnel) + ": " + std::string(what) + ": '" + std::string(line.substr(0, 40)) + "'");
 }
 
-}  // namespace lemonstair::lab
+}  // namespace lemonstair::simulation
--- a/src/simulation/invariants.h
+++ b/src/simulation/invariants.h
@@ -12,10 +12,10 @@
 #include "simulation/ledger.h"
 #include "simulation/scenario.h"
 
-namespace lemonstair::lab {
+namespace lemonstair::simulation {
 
 struct Broken {
-    Tenths at = 0;     // since dawn
+    Ticks at = 0;      // since dawn
     std::string rule;  // one word of `rule_rows`
     std::string what;
 };
@@ -25,24 +25,24 @@
 };
 const std::vector<RuleRow>& rule_rows();
 
-class Rules final : public stand::Witness {
+class Invariants final : public fakes::ExecutionLog {
   public:
-    Rules(const Day& day, simnet::Agenda& agenda, simnet::Streams& network);
-    void begin(const stand::Town& town) { town_ = &town; }
+    Invariants(const Scenario& day, simnet::EventQueue& agenda, simnet::Streams& network);
+    void begin(const fakes::TestEnvironment& town) { town_ = &town; }
 
     // ---- what the day does to the nodes and machines, so that nobody is blamed for it
     enum class NodeEnd : std::uint8_t { killed, left, killed_late, crashed };
     void node_started(std::uint32_t node);
     void node_told_to_leave(std::uint32_t node);
     void node_ended(std::uint32_t node, NodeEnd how);
-    void node_stalled(std::uint32_t node, Tenths until);
+    void node_stalled(std::uint32_t node, Ticks until);
     // Operators send its clients away, or take them again.
     void node_drained(std::uint32_t node, bool on) { nodes_[node].drained_since = on ? agenda_.now() : 0; }
     void judge_drained(std::uint32_t node);
     // What `GET /stats` said, of a process that has run since; mixed: another answered some meanwhile.
-    void figures_told(std::uint32_t node, const std::string& body, Tenths since, bool mixed);
+    void figures_told(std::uint32_t node, const std::string& body, Ticks since, bool mixed);
     // Whether a node ran, was not held up, and could be reached, all through a span.
-    bool undisturbed(std::uint32_t node, Tenths from, Tenths until) const;
+    bool undisturbed(std::uint32_t node, Ticks from, Ticks until) const;
     void machine_cut(simnet::Machine machine, bool on);
     // Its process has started and counts as cold from now on.
     void host_started(std::uint32_t host) { hosts_[host].started_at = agenda_.now(); }
@@ -71,89 +71,89 @@
     void judge_bounds();
 
     // ---- stand::Witness
-    void asked(const stand::Asked& what) override;
-    void taken(stand::TunnelNo tunnel) override;
-    void answered(stand::TunnelNo tunnel, stand::Answer answer, Tenths written_at) override;
-    void said_on(stand::TunnelNo tunnel, std::string_view text) override;
-    void left(stand::TunnelNo tunnel) override;
-    void gave_up(stand::TunnelNo tunnel) override;
-    void cut(stand::TunnelNo tunnel, bool by_reset, Tenths written) override;
-    void unanswered(stand::TunnelNo tunnel, Tenths span) override;
+    void asked(const fakes::Asked& what) override;
+    void taken(fakes::TunnelNo tunnel) override;
+    void answered(fakes::TunnelNo tunnel, fakes::Answer answer, Ticks written_at) override;
+    void said_on(fakes::TunnelNo tunnel, std::string_view text) override;
+    void left(fakes::TunnelNo tunnel) override;
+    void gave_up(fakes::TunnelNo tunnel) override;
+    void cut(fakes::TunnelNo tunnel, bool by_reset, Ticks written) override;
+    void unanswered(fakes::TunnelNo tunnel, Ticks span) override;
     void rude_left_waiting(std::uint32_t node, std::string_view how) override;
-    void setup_came(stand::TunnelNo tunnel, std::uint32_t host, simnet::End end, Tenths first,
+    void setup_came(fakes::TunnelNo tunnel, std::uint32_t host, simnet::End end, Ticks first,
                     bool mid_flow) override;
-    void setup_answered(stand::TunnelNo tunnel, std::uint32_t host, stand::Answer answer) override;
-    void not_held(stand::TunnelNo tunnel, std::uint32_t host) override;
-    void host_ended(stand::TunnelNo tunnel, std::uint32_t host) override;
+    void setup_answered(fakes::TunnelNo tunnel, std::uint32_t host, fakes::Answer answer) override;
+    void not_held(fakes::TunnelNo tunnel, std::uint32_t host) override;
+    void host_ended(fakes::TunnelNo tunnel, std::uint32_t host) override;
     void pushed_over(std::uint32_t host, double asked, double bears) override;
     void bad_line(std::uint32_t host, std::string_view line) override;
-    void told(std::uint32_t node, std::uint32_t host, bool in_service) override;
-    void line_wrong(stand::TunnelNo tunnel, std::string_view what, std::string_view line) override;
+    void told(std::uint32_t node, std::uint32_t host, bool active) override;
+    void line_wrong(fakes::TunnelNo tunnel, std::string_view what, std::string_view line) override;
 
   private:
     enum class State : std::uint8_t { unknown, asked, taken, open, over };
     struct Setup {
         std::uint32_t host;
         simnet::End end;  // the host's
-        Tenths sent;      // its first byte; a host that hangs may read it long after
-        stand::Answer answer = stand::Answer::none;
+        Ticks sent;       // its first byte; a host that hangs may read it long after
+        fakes::Answer answer = fakes::Answer::none;
     };
     struct Book {
         State state = State::unknown;
-        stand::Asked asked;
-        Tenths asked_at = 0, taken_at = 0, opened_at = 0, host_ended_at = 0, left_at = 0;
+        fakes::Asked asked;
+        Ticks asked_at = 0, taken_at = 0, opened_at = 0, host_ended_at = 0, left_at = 0;
         std::uint32_t holder = 0;
         std::size_t attempt = 0;  // the last, in attempts_
-        Tenths changed_at = 0;
+        Ticks changed_at = 0;
         std::vector<Setup> setups;
     };
     // One first line at one node; a tunnel whose packets pass has several.
     struct Attempt {
         std::uint32_t node = 0, profile = 0;
-        Tenths asked_at = 0, answered_at = 0;
-        stand::Answer answer = stand::Answer::none;
+        Ticks asked_at = 0, answered_at = 0;
+        fakes::Answer answer = fakes::Answer::none;
     };
     struct Life {
-        Tenths from, until = 0;  // 0: it runs
+        Ticks from, until = 0;  // 0: it runs
         NodeEnd how = NodeEnd::killed;
-        Tenths leaving_since = 0;
+        Ticks leaving_since = 0;
     };
     struct Node {
         std::vector<Life> lives;
-        std::vector<std::pair<Tenths, Tenths>> stalls;
-        Tenths drained_since = 0;            // 0: it is not
-        std::vector<Tenths> told_at;         // by host: when it was last told of it; 0: not yet
-        std::vector<Tenths> not_in_service;  // by host: since when it is told so; 0: it is in service
+        std::vector<std::pair<Ticks, Ticks>> stalls;
+        Ticks drained_since = 0;            // 0: it is not
+        std::vector<Ticks> told_at;         // by host: when it was last told of it; 0: not yet
+        std::vector<Ticks> not_in_service;  // by host: since when it is told so; 0: it is in service
     };
     struct Host {
-        Tenths started_at = 0, mute_until = 0;
+        Ticks started_at = 0, mute_until = 0;
         bool mute = false;
     };
-    Book& book(stand::TunnelNo tunnel);
+    Book& book(fakes::TunnelNo tunnel);
     void to(Book& b, State state) {
         b.state = state;
         b.changed_at = agenda_.now();
     }
-    bool machine_reached(simnet::Machine machine, Tenths from, Tenths until) const;
-    const Life* life_at(std::uint32_t node, Tenths when) const;
+    bool machine_reached(simnet::Machine machine, Ticks from, Ticks until) const;
+    const Life* life_at(std::uint32_t node, Ticks when) const;
     simnet::Machine machine_of_host(std::uint32_t host) const { return day_.nodes + host; }
-    const stand::Profile& profile(const Book& b) const { return town_->profiles[b.asked.profile]; }
-    void judge_late_attempt(const Book& b, std::uint32_t host, simnet::Machine node, Tenths sent);
-    void judge_effect(const Book& b, std::uint32_t host, Tenths sent);
+    const fakes::Profile& profile(const Book& b) const { return town_->profiles[b.asked.profile]; }
+    void judge_late_attempt(const Book& b, std::uint32_t host, simnet::Machine node, Ticks sent);
+    void judge_effect(const Book& b, std::uint32_t host, Ticks sent);
     // Whether what nodes tell one another came to them, all through the day.
     bool told_surely() const;
-    std::string named(stand::TunnelNo tunnel) const;
+    std::string named(fakes::TunnelNo tunnel) const;
 
-    const Day& day_;
-    simnet::Agenda& agenda_;
+    const Scenario& day_;
+    simnet::EventQueue& agenda_;
     simnet::Streams& network_;
-    const stand::Town* town_ = nullptr;
+    const fakes::TestEnvironment* town_ = nullptr;
     std::deque<Book> books_;
     std::vector<Attempt> attempts_;
-    std::vector<std::pair<std::uint32_t, Tenths>> setups_came_;  // from which node, when sent
+    std::vector<std::pair<std::uint32_t, Ticks>> setups_came_;  // from which node, when sent
     std::vector<Node> nodes_;
     std::vector<Host> hosts_;
-    std::vector<std::vector<std::pair<Tenths, Tenths>>> cuts_;  // by machine; until 0: it lasts
+    std::vector<std::vector<std::pair<Ticks, Ticks>>> cuts_;  // by machine; until 0: it lasts
     std::vector<Broken> broken_;
     Tally tally_;
     Ledger ledger_;
@@ -161,4 +161,4 @@
     Budget budget_;
 };
 
-}  // namespace lemonstair::lab
+}  // namespace lemonstair::simulation
--- a/src/simulation/ledger.cpp
+++ b/src/simulation/ledger.cpp
@@ -3,17 +3,17 @@
 #include <algorithm>
 #include <cmath>
 
-namespace lemonstair::lab {
+namespace lemonstair::simulation {
 
 // A mid-flow tunnel is open at its host already, wherever it goes.
-void Ledger::setup_came(std::uint32_t host, Tenths at, bool mid_flow, double budget, bool told) {
+void Ledger::setup_came(std::uint32_t host, Ticks at, bool mid_flow, double budget, bool told) {
     if (mid_flow) return;
     hosts_[host].came.push_back(at);
     hosts_[host].budget.push_back(budget);
     hosts_[host].told.push_back(told ? 1 : 0);
 }
 
-std::size_t Ledger::most_within(std::uint32_t host, Tenths window) const {
+std::size_t Ledger::most_within(std::uint32_t host, Ticks window) const {
     const auto& came = hosts_[host].came;
     std::size_t most = 0;
     for (std::size_t first = 0, last = 0; last < came.size(); ++last) {
@@ -24,7 +24,7 @@
 }
 
 // A host that warms bears more at the end of a window than at its begin: the mean of both is taken.
-double Ledger::most_of_budget(std::uint32_t host, Tenths window) const {
+double Ledger::most_of_budget(std::uint32_t host, Ticks window) const {
     const Host& h = hosts_[host];
     double most = 0;
     for (std::size_t first = 0, last = 0; last < h.came.size(); ++last) {
@@ -36,7 +36,7 @@
     return most;
 }
 
-double Ledger::most_over_allowance(std::uint32_t host, Tenths window) const {
+double Ledger::most_over_allowance(std::uint32_t host, Ticks window) const {
     const Host& h = hosts_[host];
     const auto allowance = [](double n) {
         return n < 30 ? n + 3 * std::sqrt(n) + 3 : n + 2 * std::sqrt(n) + 2;
@@ -53,4 +53,4 @@
     return most;
 }
 
-}  // namespace lemonstair::lab
+}  // namespace lemonstair::simulation
--- a/src/simulation/ledger.h
+++ b/src/simulation/ledger.h
@@ -7,16 +7,16 @@
 
 #include "simnet/event_queue.h"
 
-namespace lemonstair::lab {
+namespace lemonstair::simulation {
 
 class Ledger {
   public:
-    using Tenths = simnet::Tenths;
+    using Ticks = simnet::Ticks;
     explicit Ledger(std::uint32_t hosts) : hosts_(hosts) {}
     void host_stands(std::uint32_t host, bool cold) { hosts_[host].cold = cold; }
     // budget: what all nodes together may send it in a window, as it stands now; 0: no such bound.
     // told: its node has been told of the host's last start.
-    void setup_came(std::uint32_t host, Tenths at, bool mid_flow, double budget, bool told);
+    void setup_came(std::uint32_t host, Ticks at, bool mid_flow, double budget, bool told);
     // A tunnel was declined while hosts stood idle, or while none did.
     void declined(bool beside_idle) { ++declined_, declined_idle_ += beside_idle ? 1 : 0; }
 
@@ -24,19 +24,19 @@
     bool cold(std::uint32_t host) const { return hosts_[host].cold; }
     std::size_t setups(std::uint32_t host) const { return hosts_[host].came.size(); }
     // The most that came within one window of such a length.
-    std::size_t most_within(std::uint32_t host, Tenths window) const;
+    std::size_t most_within(std::uint32_t host, Ticks window) const;
     // The most of its budget that came within one window of such a length; 0: none came while it had one.
-    double most_of_budget(std::uint32_t host, Tenths window) const;
+    double most_of_budget(std::uint32_t host, Ticks window) const;
     // How many more came within one window, from nodes that were told, than chance allows beyond the budget
     // then; at most 0: never more.
-    double most_over_allowance(std::uint32_t host, Tenths window) const;
+    double most_over_allowance(std::uint32_t host, Ticks window) const;
     std::uint64_t declined() const { return declined_; }
     std::uint64_t declined_idle() const { return declined_idle_; }
 
   private:
     struct Host {
         bool cold = false;  // it started cold at dawn
-        std::vector<Tenths> came;
+        std::vector<Ticks> came;
         std::vector<double> budget;  // at each of them
         std::vector<char> told;
     };
@@ -44,4 +44,4 @@
     std::uint64_t declined_ = 0, declined_idle_ = 0;
 };
 
-}  // namespace lemonstair::lab
+}  // namespace lemonstair::simulation
--- a/src/simulation/main.cpp
+++ b/src/simulation/main.cpp
@@ -1,4 +1,5 @@
-// lemonstair_simulation: the node on simulated machines, against faults drawn from a seed or written as a day.
+// lemonstair_simulation: the node on simulated machines, against faults drawn from a seed or written as a
+// day.
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -17,9 +18,9 @@
 
 namespace {
 
-namespace lab = lemonstair::lab;
-using lab::Day;
-using lab::Verdict;
+namespace simulation = lemonstair::simulation;
+using simulation::Scenario;
+using simulation::Verdict;
 
 constexpr int kept = 0, broken = 1, wrong_use = 2;
 
@@ -29,12 +30,12 @@
     return out.str();
 }
 
-double seconds(lemonstair::lab::Tenths t) { return static_cast<double>(t) / 10000; }
+double seconds(lemonstair::simulation::Ticks t) { return static_cast<double>(t) / 10000; }
 
 // A day of the file with the chances of a seed, or the seed's own.
-Day day_for(const std::string& file, std::uint64_t seed, bool operated) {
-    if (file.empty()) return operated ? lab::draw_operated_day(seed) : lab::draw_day(seed);
-    Day day = lab::read_day(file);
+Scenario day_for(const std::string& file, std::uint64_t seed, bool operated) {
+    if (file.empty()) return operated ? simulation::draw_operated_day(seed) : simulation::draw_day(seed);
+    Scenario day = simulation::read_day(file);
     day.seed = seed;
     return day;
 }
@@ -76,8 +77,9 @@
 };
 
 int run(const RunWish& wish) {
-    const lab::Seeds seeds = lab::parse_seeds(wish.seeds);
-    if (!wish.day.empty()) lab::read_day(wish.day);  // a fault of the file is told before anything is played
+    const simulation::Seeds seeds = simulation::parse_seeds(wish.seeds);
+    if (!wish.day.empty())
+        simulation::read_day(wish.day);  // a fault of the file is told before anything is played
     std::ofstream json;
     if (!wish.json.empty()) json.open(wish.json);
     if (!wish.json.empty() && !json) {
@@ -91,12 +93,12 @@
     std::map<std::string, std::pair<std::uint64_t, std::string>> rules;  // days and the first seeds
     {
         Progress progress;
-        lab::play_all(
+        simulation::play_all(
             seeds, wish.jobs, [&](std::uint64_t seed) { return day_for(wish.day, seed, wish.operated); },
             [&](const Verdict& v) {
                 ++played;
                 simulated += seconds(v.simulated);
-                if (json.is_open()) json << lab::json_of(v);
+                if (json.is_open()) json << simulation::json_of(v);
                 if (wish.hashes) std::cout << "seed " << v.seed << " trace " << hex(v.hash) << '\n';
                 if (!v.broken.empty()) {
                     ++bad;
@@ -121,7 +123,8 @@
     for (const auto& [rule, row] : rules)
         std::cout << rule << ": broken first in " << row.first << " days, seeds" << row.second
                   << (row.first > 8 ? " ..." : "") << '\n';
-    std::cout << "next: lemonstair_simulation shrink SEED, or lemonstair_simulation replay SEED --trace FILE\n";
+    std::cout
+        << "next: lemonstair_simulation shrink SEED, or lemonstair_simulation replay SEED --trace FILE\n";
     return broken;
 }
 
@@ -132,15 +135,15 @@
 };
 
 int replay(const ReplayWish& wish) {
-    Day day = wish.seed == 0 && !wish.day.empty() ? lab::read_day(wish.day)
-                                                  : day_for(wish.day, wish.seed, wish.operated);
+    Scenario day = wish.seed == 0 && !wish.day.empty() ? simulation::read_day(wish.day)
+                                                       : day_for(wish.day, wish.seed, wish.operated);
     std::ofstream trace;
     if (!wish.trace.empty()) trace.open(wish.trace);
     if (!wish.trace.empty() && !trace) {
         std::cerr << "lemonstair_simulation: '" << wish.trace << "' cannot be written\n";
         return wrong_use;
     }
-    const Verdict v = lab::play(day, wish.trace.empty() ? nullptr : &trace);
+    const Verdict v = simulation::play(day, wish.trace.empty() ? nullptr : &trace);
     std::cout << "seed " << v.seed << " trace " << hex(v.hash) << ", " << seconds(v.simulated)
               << " simulated seconds, " << v.steps << " steps\n  tunnels taken " << v.tally.taken
               << ", opened " << v.tally.opened << ", declined " << v.tally.declined << ", closed with error "
@@ -153,23 +156,23 @@
 }
 
 int shrink(const ReplayWish& wish, const std::string& out) {
-    const Day day = wish.seed == 0 && !wish.day.empty() ? lab::read_day(wish.day)
-                                                        : day_for(wish.day, wish.seed, wish.operated);
-    const auto player = [](const Day& d) { return lab::play(d); };
+    const Scenario day = wish.seed == 0 && !wish.day.empty() ? simulation::read_day(wish.day)
+                                                             : day_for(wish.day, wish.seed, wish.operated);
+    const auto player = [](const Scenario& d) { return simulation::play(d); };
     const Verdict v = player(day);
     if (v.broken.empty()) {
         std::cout << "all rules are kept: there is nothing to shrink\n";
         return kept;
     }
-    lab::Shrunk small;
+    simulation::Shrunk small;
     {
         Progress progress;
-        small = lab::shrink(day, v.rule(), player, 400, [&](const lab::Shrunk& s) {
+        small = simulation::shrink(day, v.rule(), player, 400, [&](const simulation::Shrunk& s) {
             progress.say("played " + std::to_string(s.plays) + ", " + std::to_string(s.day.faults.size()) +
                          " faults left");
         });
     }
-    const std::string text = "# breaks the rule '" + v.rule() + "'\n" + lab::write_day(small.day);
+    const std::string text = "# breaks the rule '" + v.rule() + "'\n" + simulation::write_day(small.day);
     if (out.empty()) {
         std::cout << text;
     } else {
@@ -188,18 +191,19 @@
 
 int list() {
     std::cout << "Faults, as [[fault]] of a day with at_s:\n";
-    for (const auto& r : lab::fault_rows()) {
+    for (const auto& r : simulation::fault_rows()) {
         std::string wants;
-        if (r.who == lab::FaultRow::Who::node) wants += " node";
-        if (r.who == lab::FaultRow::Who::host || r.kind == lab::FaultKind::path_cut) wants += " host";
-        if (r.kind == lab::FaultKind::rude) wants += " which";
+        if (r.who == simulation::FaultRow::Who::node) wants += " node";
+        if (r.who == simulation::FaultRow::Who::host || r.kind == simulation::FaultKind::path_cut)
+            wants += " host";
+        if (r.kind == simulation::FaultKind::rude) wants += " which";
         if (r.spans) wants += " for_s";
         if (r.measured) wants += " much";
         if (r.counted) wants += " count";
         std::cout << "  " << std::left << std::setw(20) << r.name << std::setw(22) << wants << r.does << '\n';
     }
     std::cout << "\nRules:\n";
-    for (const auto& r : lab::rule_rows())
+    for (const auto& r : simulation::rule_rows())
         std::cout << "  " << std::left << std::setw(14) << r.name << r.says << '\n';
     std::cout << "\nA day with all its keys (lemonstair_simulation list --day prints the one of a seed):\n";
     return kept;
@@ -214,7 +218,8 @@
         "Exit status: 0 all rules kept; 1 a rule broken, named with its seeds; 2 wrong use.\n"
         "  lemonstair_simulation run --seeds 1..10000\n"
         "  lemonstair_simulation replay 42 --trace day42.txt\n"
-        "  lemonstair_simulation shrink 42 --out small.toml && lemonstair_simulation replay --day small.toml");
+        "  lemonstair_simulation shrink 42 --out small.toml && lemonstair_simulation replay --day "
+        "small.toml");
     app.require_subcommand(1);
     RunWish run_wish;
     ReplayWish one;
@@ -257,11 +262,11 @@
         if (*replay_command) return replay(one);
         if (*shrink_command) return shrink(one, out);
         if (shown != 0) {
-            std::cout << lab::write_day(lab::draw_day(shown));
+            std::cout << simulation::write_day(simulation::draw_day(shown));
             return kept;
         }
         const int code = list();
-        std::cout << lab::write_day(Day{});
+        std::cout << simulation::write_day(Scenario{});
         return code;
     } catch (const CLI::ParseError& e) {
         return app.exit(e) == 0 ? kept : wrong_use;
--- a/src/simulation/runner.cpp
+++ b/src/simulation/runner.cpp
@@ -9,7 +9,7 @@
 #include <stdexcept>
 #include <thread>
 
-namespace lemonstair::lab {
+namespace lemonstair::simulation {
 
 Seeds parse_seeds(const std::string& text) {
     const auto number = [&](std::string_view part) {
@@ -74,4 +74,4 @@
     return out.str();
 }
 
-}  // namespace lemonstair::lab
+}  // namespace lemonstair::simulation
--- a/src/simulation/runner.h
+++ b/src/simulation/runner.h
@@ -8,7 +8,7 @@
 
 #include "simulation/simulation.h"
 
-namespace lemonstair::lab {
+namespace lemonstair::simulation {
 
 struct Seeds {
     std::uint64_t first = 1, last = 1;
@@ -18,7 +18,7 @@
 Seeds parse_seeds(const std::string& text);
 
 // The day of a seed: drawn from it, or the same day each time with its chances drawn anew.
-using DayOf = std::function<Day(std::uint64_t seed)>;
+using DayOf = std::function<Scenario(std::uint64_t seed)>;
 
 // Plays all seeds on so many threads; `each` hears of them in the seeds' order, from one thread at a time.
 void play_all(const Seeds& seeds, unsigned jobs, const DayOf& day_of,
@@ -27,4 +27,4 @@
 // One line of JSON, with its end.
 std::string json_of(const Verdict& verdict);
 
-}  // namespace lemonstair::lab
+}  // namespace lemonstair::simulation
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -9,15 +9,15 @@
 
 #include "simnet/random_source.h"
 
-namespace lemonstair::lab {
+namespace lemonstair::simulation {
 
 namespace {
 
 using Who = FaultRow::Who;
-using simnet::Chance;
+using simnet::RandomSource;
 
-constexpr Tenths ms = 10, second = 10000;
-constexpr Tenths longest_day = 3600 * second;
+constexpr Ticks ms = 10, second = 10000;
+constexpr Ticks longest_day = 3600 * second;
 
 }  // namespace
 
@@ -117,11 +117,11 @@
 
 // ---- drawn
 
-Day draw_day(std::uint64_t seed) {
-    Chance c(seed * 0x9e3779b97f4a7c15U + 0x1234567);
-    Day d;
+Scenario draw_day(std::uint64_t seed) {
+    RandomSource c(seed * 0x9e3779b97f4a7c15U + 0x1234567);
+    Scenario d;
     d.seed = seed;
-    d.packets_pass = c.odds(0.5);
+    d.packet_passthrough = c.odds(0.5);
     d.peers = c.odds(0.85);
     d.probing = c.odds(0.85);
     d.groups = c.odds(0.6);
@@ -145,7 +145,7 @@
     d.manners.slow_readers = c.odds(0.3) ? c.between(0.0, 0.2) : 0;
     d.host.cores = c.between(1.0, 3.0);
     d.host.cold = c.between(3 * second, 8 * second);
-    d.host.cold_from = c.between(0.15, 0.5);
+    d.host.slow_start_initial_factor = c.between(0.15, 0.5);
     d.host.report_noise = c.between(0.0, 0.15);
     d.host.report_every = c.between(300 * ms, 1200 * ms);
     const std::int64_t faults = c.between(std::int64_t{2}, std::int64_t{7});
@@ -182,7 +182,7 @@
             case FaultKind::rude:
                 f.count = static_cast<std::uint32_t>(c.between(std::int64_t{5}, std::int64_t{120}));
                 f.other = static_cast<std::uint32_t>(
-                    c.between(std::int64_t{0}, std::int64_t{stand::Rude::kinds} - 1));
+                    c.between(std::int64_t{0}, std::int64_t{fakes::Rude::kinds} - 1));
                 break;
             default:
                 f.much = c.between(0.1, 1.0);
@@ -203,7 +203,7 @@
         }
     }
     // Drawn last, apart from the rest: what is added here leaves the days of all seeds as they were.
-    Chance later = c.part(77);
+    RandomSource later = c.part(77);
     d.host.push_bytes = static_cast<std::uint32_t>(
         later.odds(0.3) ? later.between(std::int64_t{100}, std::int64_t{1500}) : 1);
     std::stable_sort(d.faults.begin(), d.faults.end(),
@@ -211,9 +211,9 @@
     return d;
 }
 
-Day draw_operated_day(std::uint64_t seed) {
-    Day d = draw_day(seed);
-    Chance c(seed * 0x9e3779b97f4a7c15U + 0x7654321);
+Scenario draw_operated_day(std::uint64_t seed) {
+    Scenario d = draw_day(seed);
+    RandomSource c(seed * 0x9e3779b97f4a7c15U + 0x7654321);
     d.operated = true;
     constexpr FaultKind kinds[] = {FaultKind::node_upgrade, FaultKind::node_upgrade,
                                    FaultKind::node_upgrade_fails, FaultKind::node_drain,
@@ -247,7 +247,7 @@
     [[noreturn]] void fail(std::string_view key, const std::string& what) const {
         const toml::node* at = of_.get(key);
         const auto line = at != nullptr ? at->source().begin.line : of_.source().begin.line;
-        throw BadDay(file_ + ":" + std::to_string(line) + ": '" + full(key) + "' " + what);
+        throw InvalidScenario(file_ + ":" + std::to_string(line) + ": '" + full(key) + "' " + what);
     }
     void number(std::string_view key, double& into, double least, double most) {
         const toml::node* at = find(key);
@@ -266,7 +266,7 @@
         if (of_.get(key) != nullptr) into = static_cast<Whole>(value);
     }
     // Given in seconds or ms, kept in tenths of a ms.
-    void span(std::string_view key, Tenths& into, Tenths unit, Tenths least, Tenths most) {
+    void span(std::string_view key, Ticks& into, Ticks unit, Ticks least, Ticks most) {
         double value = static_cast<double>(into) / static_cast<double>(unit);
         number(key, value, static_cast<double>(least) / static_cast<double>(unit),
                static_cast<double>(most) / static_cast<double>(unit));
@@ -321,7 +321,7 @@
     inner.no_more();
 }
 
-Fault read_fault(Table& t, const Day& d) {
+Fault read_fault(Table& t, const Scenario& d) {
     Fault f;
     const std::string name = t.text("kind");
     const auto& rows = fault_rows();
@@ -350,20 +350,20 @@
         number("host", f.other, d.hosts, "host");
         t.whole("count", f.count, 0, 10000);
     }
-    if (f.kind == FaultKind::rude) number("which", f.other, stand::Rude::kinds, "kind of bad client");
+    if (f.kind == FaultKind::rude) number("which", f.other, fakes::Rude::kinds, "kind of bad client");
     return f;
 }
 
 }  // namespace
 
-Day parse_day(std::string_view text, const std::string& name) {
-    Day d;
+Scenario parse_day(std::string_view text, const std::string& name) {
+    Scenario d;
     toml::table root;
     try {
         root = toml::parse(text, name);
     } catch (const toml::parse_error& e) {
-        throw BadDay(name + ":" + std::to_string(e.source().begin.line) +
-                     ": is not TOML: " + std::string(e.description()));
+        throw InvalidScenario(name + ":" + std::to_string(e.source().begin.line) +
+                              ": is not TOML: " + std::string(e.description()));
     }
     Table t(name, root, "");
     t.whole("seed", d.seed, 0, 9e15);
@@ -374,16 +374,16 @@
         f.whole("members", d.members, 0, 100000);
         f.whole("cold_hosts", d.cold_hosts, 0, most_hosts);
         f.flag("alike", d.alike);
-        f.flag("must_ask", d.must_ask);
+        f.flag("must_ask", d.must_poll);
         f.number("probe_price", d.probe_price, 0, 1000);
         f.number("peer_price", d.peer_price, 0, 1000);
-        f.flag("packets_pass", d.packets_pass);
+        f.flag("packets_pass", d.packet_passthrough);
         f.flag("peers", d.peers);
         f.flag("probing", d.probing);
         f.flag("groups", d.groups);
         f.flag("operated", d.operated);
         f.whole("sockets", d.sockets, 32, 60000);
-        f.whole("max_setups", d.max_setups, 1, 10);
+        f.whole("max_setups", d.max_attempts, 1, 10);
         f.number("known", d.known, 0, 1);
         f.span("clocks_apart_s", d.clocks_apart, second, 0, 60 * second);
         f.span("notices_after_s", d.notices_after, second, 0, 60 * second);
@@ -420,8 +420,8 @@
         f.number("line_work_ms", d.host.line_work_ms, 0, 10000);
         f.whole("push_bytes", d.host.push_bytes, 1, 4000);
         f.span("cold_s", d.host.cold, second, 0, longest_day);
-        f.number("cold_from", d.host.cold_from, 0.01, 1);
-        f.number("tip_multiple", d.host.tip_multiple, 1, 100);
+        f.number("cold_from", d.host.slow_start_initial_factor, 0.01, 1);
+        f.number("tip_multiple", d.host.overload_multiple, 1, 100);
         f.span("report_every_s", d.host.report_every, second, 1, longest_day);
         f.number("report_noise", d.host.report_noise, 0, 1);
         f.number("reports_always", d.host.reports_always, 0, 100);
@@ -438,28 +438,28 @@
     return d;
 }
 
-Day read_day(const std::string& path) {
+Scenario read_day(const std::string& path) {
     std::ifstream in(path, std::ios::binary);
-    if (!in) throw BadDay(path + ": cannot be read");
+    if (!in) throw InvalidScenario(path + ": cannot be read");
     std::ostringstream text;
     text << in.rdbuf();
     return parse_day(text.str(), path);
 }
 
-std::string write_day(const Day& d) {
-    const auto s = [](Tenths t) { return static_cast<double>(t) / second; };
-    const auto in_ms = [](Tenths t) { return static_cast<double>(t) / ms; };
+std::string write_day(const Scenario& d) {
+    const auto s = [](Ticks t) { return static_cast<double>(t) / second; };
+    const auto in_ms = [](Ticks t) { return static_cast<double>(t) / ms; };
     std::ostringstream out;
     out.precision(17);
     const auto flag = [](bool b) { return b ? "true" : "false"; };
     out << "seed = " << d.seed << "\nspan_s = " << s(d.span) << "\n\n[fleet]\nnodes = " << d.nodes
         << "\nhosts = " << d.hosts << "\nmembers = " << d.members << "\ncold_hosts = " << d.cold_hosts
-        << "\nalike = " << flag(d.alike) << "\nmust_ask = " << flag(d.must_ask)
+        << "\nalike = " << flag(d.alike) << "\nmust_ask = " << flag(d.must_poll)
         << "\nprobe_price = " << d.probe_price << "\npeer_price = " << d.peer_price
-        << "\npackets_pass = " << flag(d.packets_pass) << "\npeers = " << flag(d.peers)
+        << "\npackets_pass = " << flag(d.packet_passthrough) << "\npeers = " << flag(d.peers)
         << "\nprobing = " << flag(d.probing) << "\ngroups = " << flag(d.groups)
         << "\noperated = " << flag(d.operated) << "\nsockets = " << d.sockets
-        << "\nmax_setups = " << d.max_setups << "\nknown = " << d.known
+        << "\nmax_setups = " << d.max_attempts << "\nknown = " << d.known
         << "\nclocks_apart_s = " << s(d.clocks_apart) << "\nnotices_after_s = " << s(d.notices_after)
         << "\ntold_after_s = " << s(d.told_after) << "\npass_takes_ms = " << in_ms(d.pass_takes)
         << "\n\n[bounds]\nof_budget = " << d.most_of_budget << "\n\n[traffic]\nload = " << d.load
@@ -475,9 +475,10 @@
         << "\n\n[host]\ncores = " << d.host.cores << "\nmost_connections = " << d.host.most_connections
         << "\nsetup_work_ms = " << d.host.setup_work_ms << "\nline_work_ms = " << d.host.line_work_ms
         << "\npush_bytes = " << d.host.push_bytes << "\ncold_s = " << s(d.host.cold)
-        << "\ncold_from = " << d.host.cold_from << "\ntip_multiple = " << d.host.tip_multiple
-        << "\nreport_every_s = " << s(d.host.report_every) << "\nreport_noise = " << d.host.report_noise
-        << "\nreports_always = " << d.host.reports_always << '\n';
+        << "\ncold_from = " << d.host.slow_start_initial_factor
+        << "\ntip_multiple = " << d.host.overload_multiple << "\nreport_every_s = " << s(d.host.report_every)
+        << "\nreport_noise = " << d.host.report_noise << "\nreports_always = " << d.host.reports_always
+        << '\n';
     for (const Fault& f : d.faults) {
         const FaultRow& row = row_of(f.kind);
         out << "\n[[fault]]\nkind = \"" << row.name << "\"\nat_s = " << s(f.at) << '\n';
@@ -493,4 +494,4 @@
     return out.str();
 }
 
-}  // namespace lemonstair::lab
+}  // namespace lemonstair::simulation
--- a/src/simulation/shrink.h
+++ b/src/simulation/shrink.h
@@ -6,20 +6,20 @@
 
 #include "simulation/simulation.h"
 
-namespace lemonstair::lab {
+namespace lemonstair::simulation {
 
 struct Shrunk {
-    Day day;
+    Scenario day;
     std::string rule;
     int plays = 0;
 };
 
 // Whether a day breaks a rule: plays it, as it is meant to be played.
-using Player = std::function<Verdict(const Day&)>;
+using Player = std::function<Verdict(const Scenario&)>;
 
 // Drops faults, then what the day does not need; at most so many days are played. `told` hears after each
 // play.
-Shrunk shrink(const Day& day, const std::string& rule, const Player& player, int most_plays = 400,
+Shrunk shrink(const Scenario& day, const std::string& rule, const Player& player, int most_plays = 400,
               const std::function<void(const Shrunk&)>& told = {});
 
-}  // namespace lemonstair::lab
+}  // namespace lemonstair::simulation
