--- a/src/simulation/simulation.cpp
+++ b/src/simulation/simulation.cpp
@@ -12,22 +12,22 @@
 #include "simnet/process.h"
 #include "simulation/fixture.h"
 
-namespace lemonstair::lab {
+namespace lemonstair::simulation {
 
 namespace {
 
-using simnet::Agenda;
-using simnet::Chance;
+using simnet::EventQueue;
 using simnet::Machine;
+using simnet::RandomSource;
 
-constexpr Tenths second = 10000;
-constexpr Tenths quiet = 120000;  // after the day, until the nodes must be empty
-constexpr Tenths kill_after_leave = 37000;
+constexpr Ticks second = 10000;
+constexpr Ticks quiet = 120000;  // after the day, until the nodes must be empty
+constexpr Ticks kill_after_leave = 37000;
 constexpr std::uint64_t most_steps = 20'000'000;
 constexpr std::size_t backlog = 1024, most_spin = 40, most_idle_timers = 120;
-constexpr std::uint16_t client_port = Stage::client_port, desk_port = 10250;
-constexpr Tenths figures_every = second, ask_ready_every = second / 10, yes_within = 6 * second;
-constexpr Tenths drained_by = 4 * second, back_by = 2 * second;
+constexpr std::uint16_t client_port = Fixture::client_port, desk_port = 10250;
+constexpr Ticks figures_every = second, ask_ready_every = second / 10, yes_within = 6 * second;
+constexpr Ticks drained_by = 4 * second, back_by = 2 * second;
 const std::string file_name = "node.json";
 
 // One process of a node, and what it runs on.
@@ -36,50 +36,50 @@
     std::unique_ptr<log::Log> log;
     std::unique_ptr<simnet::Process> process;
     std::unique_ptr<net::System> tampered;
-    std::unique_ptr<config::Source> source;
+    std::unique_ptr<config::ConfigSource> source;
     std::unique_ptr<node::Node> node;
     net::Address desk;
     std::string inherited, desk_text;
-    Tenths since = 0;
+    Ticks since = 0;
     bool mixed = false;  // another process answered some of its node's clients meanwhile
 };
 
 // One node of the tier, through its lives. `old` is the process that a new version is taking the place of.
-struct Seat {
+struct ProcessSlot {
     Machine machine = 0;
-    Tenths clock_ahead = 0;
+    Ticks clock_ahead = 0;
     std::string file;
     Running now, old;
     std::unique_ptr<simnet::SharedListener> listener;
-    std::unique_ptr<simnet::Nearby> nearby;
+    std::unique_ptr<simnet::LocalSockets> nearby;
     std::uint32_t life = 0, upgrades = 0;
-    Tenths said_yes = 0, upgrade_began = 0;
+    Ticks said_yes = 0, upgrade_began = 0;
     bool leaving = false, drained = false;
 };
 
 class TraceDrain final : public log::Drain {
   public:
-    TraceDrain(stand::Town& town, Rules& rules, std::uint32_t node)
+    TraceDrain(fakes::TestEnvironment& town, Invariants& rules, std::uint32_t node)
         : town_(town), rules_(rules), node_(node) {}
     std::size_t take(std::string_view text) override {
         town_.note("log", node_, 0, text.substr(0, text.size() - (text.empty() ? 0 : 1)));
-        if (const auto at = text.find(account::violation_mark); at != std::string_view::npos)
+        if (const auto at = text.find(metrics::violation_mark); at != std::string_view::npos)
             rules_.broke("self_check",
                          "node " + std::to_string(node_) + ": " + std::string(text.substr(at, 100)));
         return text.size();
     }
 
   private:
-    stand::Town& town_;
-    Rules& rules_;
+    fakes::TestEnvironment& town_;
+    Invariants& rules_;
     std::uint32_t node_;
 };
 
-class World final : public simnet::Actor, public Ground {
+class Simulation final : public simnet::EventTarget, public Topology {
   public:
-    World(const Day& day, std::ostream* trace, Tamper* tamper);
-    ~World() override {
-        for (Seat& s : seats_) s.now.node.reset(), s.old.node.reset();
+    Simulation(const Scenario& day, std::ostream* trace, Tamper* tamper);
+    ~Simulation() override {
+        for (ProcessSlot& s : seats_) s.now.node.reset(), s.old.node.reset();
     }
     Verdict run();
     void happen(std::uint64_t token) override;
@@ -120,20 +120,20 @@
     void end_process(std::uint32_t node, Running& r);
     // Whether a node is one process, and was all the time since.
     bool is_one(std::uint32_t node, std::uint32_t life, std::uint32_t upgrades) const {
-        const Seat& s = seats_[node];
+        const ProcessSlot& s = seats_[node];
         return s.now.node && s.now.process->runs() && !s.old.process && !s.leaving && s.life == life &&
                s.upgrades == upgrades;
     }
     void upgrade(std::uint32_t node, std::uint64_t fault);
     void new_one_dies(std::uint32_t node);
     void look_ready(std::uint32_t node, bool goes_on);
-    void call(std::uint32_t node, const char* line, stand::Operators::Told told);
+    void call(std::uint32_t node, const char* line, fakes::Operators::Told told);
     void look_at_figures(std::uint32_t node);
     void drain(const Fault& f, std::uint64_t at);
     void look_if_drained(const Fault& f, std::uint64_t at, std::uint32_t life);
     void look_if_back(const Fault& f, std::uint32_t life);
     bool starved(std::uint32_t node) const;
-    void end_node(std::uint32_t node, Rules::NodeEnd how);
+    void end_node(std::uint32_t node, Invariants::NodeEnd how);
     bool pass(std::uint32_t node, const simnet::Process* process);
     void begin(const Fault& f, std::uint64_t at);
     void end(const Fault& f);
@@ -144,22 +144,22 @@
     }
     void check_leftovers();
 
-    const Day day_;
-    Agenda agenda_;
+    const Scenario day_;
+    EventQueue agenda_;
     simnet::Trace trace_;
-    Chance chance_;
+    RandomSource chance_;
     simnet::Network network_;
-    Rules rules_;
+    Invariants rules_;
     Tamper* tamper_;
-    std::unique_ptr<Stage> stage_;
-    std::unique_ptr<stand::Operators> operators_;
-    std::vector<Seat> seats_;
+    std::unique_ptr<Fixture> stage_;
+    std::unique_ptr<fakes::Operators> operators_;
+    std::vector<ProcessSlot> seats_;
     std::vector<std::function<void()>> afterwards_;
     std::vector<std::unique_ptr<simnet::Process>> gone_;
     Verdict verdict_;
 };
 
-World::World(const Day& day, std::ostream* trace, Tamper* tamper)
+Simulation::Simulation(const Scenario& day, std::ostream* trace, Tamper* tamper)
     : day_(day),
       trace_(trace),
       chance_(day.seed ^ 0xda71a8),
@@ -167,17 +167,17 @@
       rules_(day_, agenda_, network_),
       tamper_(tamper) {
     seats_.resize(day_.nodes);
-    for (Seat& s : seats_) {
+    for (ProcessSlot& s : seats_) {
         s.machine = network_.add_machine();
-        if (day_.clocks_apart > 0) s.clock_ahead = chance_.between(Tenths{0}, day_.clocks_apart);
+        if (day_.clocks_apart > 0) s.clock_ahead = chance_.between(Ticks{0}, day_.clocks_apart);
     }
-    stage_ = std::make_unique<Stage>(day_, agenda_, trace_, network_, rules_, chance_, *this);
+    stage_ = std::make_unique<Fixture>(day_, agenda_, trace_, network_, rules_, chance_, *this);
     if (day_.operated) {
-        operators_ = std::make_unique<stand::Operators>(stage_->town(), network_.add_machine());
+        operators_ = std::make_unique<fakes::Operators>(stage_->town(), network_.add_machine());
         for (std::uint32_t n = 0; n < day_.nodes; ++n) {
             seats_[n].listener =
                 std::make_unique<simnet::SharedListener>(network_, network_.place(n, client_port), backlog);
-            seats_[n].nearby = std::make_unique<simnet::Nearby>(network_);
+            seats_[n].nearby = std::make_unique<simnet::LocalSockets>(network_);
             agenda_.at(agenda_.dawn() + figures_every, *this, token(ask_figures, n));
         }
     }
@@ -187,18 +187,18 @@
 
 // ---- nodes
 
-void World::start_node(std::uint32_t node) {
-    Seat& s = seats_[node];
+void Simulation::start_node(std::uint32_t node) {
+    ProcessSlot& s = seats_[node];
     if (s.now.node) return;
     ++s.life;
     s.leaving = s.drained = false;
     rules_.node_started(node);
-    if (!start_process(node)) end_node(node, Rules::NodeEnd::crashed);
+    if (!start_process(node)) end_node(node, Invariants::NodeEnd::crashed);
 }
 
 // False where it does not start.
-bool World::start_process(std::uint32_t node) {
-    Seat& s = seats_[node];
+bool Simulation::start_process(std::uint32_t node) {
+    ProcessSlot& s = seats_[node];
     Running& r = s.now;
     const simnet::Process::Traits traits{s.clock_ahead, day_.pass_takes, day_.sockets};
     r.process = std::make_unique<simnet::Process>(agenda_, network_, s.machine, traits);
@@ -207,7 +207,7 @@
     r.log = std::make_unique<log::Log>(log::Level::info, *r.drain);
     r.since = agenda_.now();
     r.mixed = s.old.process != nullptr;
-    config::Surroundings around;
+    config::Environment around;
     if (day_.operated) {
         r.process->live_beside(*s.nearby);
         r.inherited = std::to_string(r.process->inherit(*s.listener));
@@ -223,10 +223,10 @@
         system = r.tampered.get();
     stage_->town().note("node starts", node, s.life);
     try {
-        r.source = std::make_unique<config::Source>(*system, file_name, around);
+        r.source = std::make_unique<config::ConfigSource>(*system, file_name, around);
         auto launch = r.source->read();
-        config::Source* source = r.source.get();
-        const auto decides = [this](Terms terms, Host& host, Tenths now) {
+        config::ConfigSource* source = r.source.get();
+        const auto decides = [this](BalancerConfig terms, BalancerDelegate& host, Ticks now) {
             auto other = tamper_ == nullptr ? nullptr : tamper_->decides(terms, host, now);
             return other != nullptr ? std::move(other) : Balancer::start(std::move(terms), host, now);
         };
@@ -242,8 +242,8 @@
 }
 
 // The process of a node that has left is over; what plays it goes when nothing of it is being called.
-bool World::pass(std::uint32_t node, const simnet::Process* process) {
-    Seat& s = seats_[node];
+bool Simulation::pass(std::uint32_t node, const simnet::Process* process) {
+    ProcessSlot& s = seats_[node];
     Running& r = s.old.process.get() == process ? s.old : s.now;
     try {
         const bool goes_on = r.node->turn();
@@ -255,16 +255,16 @@
                                             std::to_string(day_.sockets));
         if (goes_on) return true;
         stage_->town().note("node left", node, s.life);
-        if (&r == &s.now) rules_.node_ended(node, Rules::NodeEnd::left);
+        if (&r == &s.now) rules_.node_ended(node, Invariants::NodeEnd::left);
     } catch (const std::exception& e) {
         rules_.broke("crash", "node " + std::to_string(node) + ": " + e.what());
-        rules_.node_ended(node, Rules::NodeEnd::crashed);
+        rules_.node_ended(node, Invariants::NodeEnd::crashed);
     }
     return false;
 }
 
-void World::end_node(std::uint32_t node, Rules::NodeEnd how) {
-    Seat& s = seats_[node];
+void Simulation::end_node(std::uint32_t node, Invariants::NodeEnd how) {
+    ProcessSlot& s = seats_[node];
     if (!s.now.process) return;
     if (s.now.process->runs() || !s.now.node) rules_.node_ended(node, how);
     stage_->town().note("node ends", node, s.life);
@@ -272,7 +272,7 @@
     end_process(node, s.now);
 }
 
-void World::end_process(std::uint32_t node, Running& r) {
+void Simulation::end_process(std::uint32_t node, Running& r) {
     if (!r.process) return;
     verdict_.passes += r.process->passes();
     verdict_.most_descriptors = std::max(verdict_.most_descriptors, r.process->most_held());
@@ -293,19 +293,19 @@
 
 // ---- operators
 
-bool World::starved(std::uint32_t node) const {
+bool Simulation::starved(std::uint32_t node) const {
     return std::any_of(day_.faults.begin(), day_.faults.end(),
                        [&](const Fault& f) { return f.kind == FaultKind::node_starve && f.who == node; });
 }
 
-void World::call(std::uint32_t node, const char* line, stand::Operators::Told told) {
+void Simulation::call(std::uint32_t node, const char* line, fakes::Operators::Told told) {
     operators_->call(seats_[node].now.desk, std::string(line) + " HTTP/1.1\r\nHost: n\r\n\r\n",
                      std::move(told));
 }
 
 // As the platform does it: the old process has SIGTERM once the new one has said yes.
-void World::upgrade(std::uint32_t node, std::uint64_t fault) {
-    Seat& s = seats_[node];
+void Simulation::upgrade(std::uint32_t node, std::uint64_t fault) {
+    ProcessSlot& s = seats_[node];
     if (!s.now.node || !s.now.process->runs() || s.leaving || s.old.process) return;
     s.old = std::exchange(s.now, {});
     ++s.upgrades;
@@ -313,14 +313,14 @@
     s.said_yes = 0;
     s.drained = false;  // the new one begins serving
     rules_.node_drained(node, false);
-    if (!start_process(node)) return end_node(node, Rules::NodeEnd::crashed);
+    if (!start_process(node)) return end_node(node, Invariants::NodeEnd::crashed);
     agenda_.at(agenda_.now() + ask_ready_every, *this, token(ask_ready, fault, s.upgrades));
 }
 
-void World::look_ready(std::uint32_t node, bool goes_on) {
-    Seat& s = seats_[node];
+void Simulation::look_ready(std::uint32_t node, bool goes_on) {
+    ProcessSlot& s = seats_[node];
     if (!s.old.process || !s.now.process || s.said_yes != 0) return;
-    const Tenths now = agenda_.now();
+    const Ticks now = agenda_.now();
     if (now - s.upgrade_began > yes_within) {
         if (!starved(node) && rules_.undisturbed(node, s.upgrade_began, now))
             rules_.broke("upgrade",
@@ -328,7 +328,7 @@
         s.said_yes = now;
     } else {
         call(node, "GET /healthcheck", [this, node, upgrades = s.upgrades, goes_on](const auto& answer) {
-            Seat& seat = seats_[node];
+            ProcessSlot& seat = seats_[node];
             if (answer.status != 200 || seat.upgrades != upgrades || seat.said_yes != 0 || !seat.old.process)
                 return;
             seat.said_yes = agenda_.now();
@@ -340,8 +340,8 @@
 }
 
 // The old one is the node again, but for what the new one had taken.
-void World::new_one_dies(std::uint32_t node) {
-    Seat& s = seats_[node];
+void Simulation::new_one_dies(std::uint32_t node) {
+    ProcessSlot& s = seats_[node];
     if (!s.old.process || !s.now.process || !s.old.process->runs()) return;
     stage_->town().note("new process dies", node, s.life);
     rules_.node_stalled(node, agenda_.now());
@@ -352,12 +352,12 @@
     s.said_yes = 0;
 }
 
-void World::look_at_figures(std::uint32_t node) {
-    const Seat& s = seats_[node];
+void Simulation::look_at_figures(std::uint32_t node) {
+    const ProcessSlot& s = seats_[node];
     agenda_.at(agenda_.now() + figures_every, *this, token(ask_figures, node));
     if (!s.now.node || !s.now.process->runs()) return;
     call(node, "GET /stats", [this, node, life = s.life, upgrades = s.upgrades](const auto& answer) {
-        const Tenths now = agenda_.now();
+        const Ticks now = agenda_.now();
         if (!is_one(node, life, upgrades) || starved(node) ||
             !rules_.undisturbed(node, now - answer.took - second, now))
             return;
@@ -368,8 +368,8 @@
     });
 }
 
-void World::drain(const Fault& f, std::uint64_t at) {
-    Seat& s = seats_[f.who];
+void Simulation::drain(const Fault& f, std::uint64_t at) {
+    ProcessSlot& s = seats_[f.who];
     if (!is_one(f.who, s.life, s.upgrades) || s.drained) return;
     s.drained = true;
     rules_.node_drained(f.who, true);
@@ -378,9 +378,9 @@
 }
 
 // Four seconds after the call nobody is sent there, and nobody is held there but where packets pass.
-void World::look_if_drained(const Fault& f, std::uint64_t at, std::uint32_t life) {
-    Seat& s = seats_[f.who];
-    const Tenths now = agenda_.now();
+void Simulation::look_if_drained(const Fault& f, std::uint64_t at, std::uint32_t life) {
+    ProcessSlot& s = seats_[f.who];
+    const Ticks now = agenda_.now();
     if (!s.now.node || s.life != life) return;
     const bool same =
         is_one(f.who, life, s.upgrades) && rules_.undisturbed(f.who, now - drained_by - second, now);
@@ -395,15 +395,15 @@
     agenda_.at(now + f.span, *this, token(look_back, at, life));
 }
 
-void World::look_if_back(const Fault& f, std::uint32_t life) {
-    Seat& s = seats_[f.who];
+void Simulation::look_if_back(const Fault& f, std::uint32_t life) {
+    ProcessSlot& s = seats_[f.who];
     if (!s.now.node || s.life != life || !s.drained) return;
     s.drained = false;
     rules_.node_drained(f.who, false);
     call(f.who, "POST /healthcheck/ok", [](const auto&) {});
     const auto ask = [this, node = f.who, life, upgrades = s.upgrades] {
         call(node, "GET /healthcheck", [this, node, life, upgrades](const auto& answer) {
-            const Tenths now = agenda_.now();
+            const Ticks now = agenda_.now();
             if (answer.status != 200 && is_one(node, life, upgrades) && !seats_[node].drained &&
                 !starved(node) && rules_.undisturbed(node, now - back_by - second, now))
                 rules_.broke("drained",
@@ -416,16 +416,16 @@
 
 // ---- faults
 
-void World::begin(const Fault& f, std::uint64_t at) {
+void Simulation::begin(const Fault& f, std::uint64_t at) {
     using K = FaultKind;
     stage_->town().note("fault", at, f.who, row_of(f.kind).name);
     if (f.kind == K::host_drain)
         agenda_.at(agenda_.now() + std::max(f.span, 3 * second), *this, token(late_fault, at));
     if (stage_->begin(f)) return;
-    const Seat& seat = seats_[f.who];
+    const ProcessSlot& seat = seats_[f.who];
     switch (f.kind) {
         case K::node_kill:
-            return end_node(f.who, Rules::NodeEnd::killed);
+            return end_node(f.who, Invariants::NodeEnd::killed);
         case K::node_leave:
             if (!seat.now.node || seat.leaving || seat.old.process) return;
             seats_[f.who].leaving = true;
@@ -459,7 +459,7 @@
     }
 }
 
-void World::end(const Fault& f) {
+void Simulation::end(const Fault& f) {
     using K = FaultKind;
     switch (f.kind) {
         case K::node_kill:
@@ -477,19 +477,19 @@
     }
 }
 
-void World::later(const Fault& f) {
+void Simulation::later(const Fault& f) {
     if (stage_->later(f))
         agenda_.at(agenda_.now() + 2 * second, *this,
                    token(late_fault, static_cast<std::uint64_t>(&f - day_.faults.data())));
 }
 
-void World::new_file(std::uint32_t node, const std::string& text) {
+void Simulation::new_file(std::uint32_t node, const std::string& text) {
     seats_[node].file = text;
     if (seats_[node].now.process) seats_[node].now.process->files()[file_name] = text;
     signal(node, SIGHUP);
 }
 
-void World::happen(std::uint64_t what) {
+void Simulation::happen(std::uint64_t what) {
     const auto kind = static_cast<Kind>(what >> 56);
     const std::uint64_t at = what & 0xffffffU;
     const auto life = static_cast<std::uint32_t>(what >> 24 & 0xffffffffU);
@@ -503,7 +503,7 @@
         case kill_late: {
             const std::uint32_t node = day_.faults[at].who;
             if (seats_[node].life != life) return;
-            end_node(node, Rules::NodeEnd::killed_late);
+            end_node(node, Invariants::NodeEnd::killed_late);
             return agenda_.at(agenda_.now() + day_.faults[at].span, *this, token(restart, node));
         }
         case restart:
@@ -528,9 +528,9 @@
     }
 }
 
-void World::check_leftovers() {
+void Simulation::check_leftovers() {
     for (std::uint32_t n = 0; n < seats_.size(); ++n) {
-        const Seat& s = seats_[n];
+        const ProcessSlot& s = seats_[n];
         if (!s.now.node || !s.now.process->runs() || s.leaving || s.old.process) continue;
         std::size_t clients = 0, calls = 0;
         s.now.process->each_end([&](simnet::End e) { ++(e.side == 1 ? clients : calls); });
@@ -548,21 +548,21 @@
     }
 }
 
-Verdict World::run() {
+Verdict Simulation::run() {
     stage_->open();
     for (std::uint32_t n = 0; n < seats_.size(); ++n) {
         seats_[n].file = stage_->file_for(n);
         start_node(n);
     }
     stage_->let_clients_come();
-    const Tenths evening = agenda_.dawn() + day_.span;
+    const Ticks evening = agenda_.dawn() + day_.span;
     for (std::uint64_t i = 0; i < day_.faults.size(); ++i) {
         const Fault& f = day_.faults[i];
         agenda_.at(agenda_.dawn() + f.at, *this, token(begin_fault, i));
         if (row_of(f.kind).spans)
             agenda_.at(std::min(evening, agenda_.dawn() + f.at + f.span), *this, token(end_fault, i));
     }
-    const auto go_on = [&](Tenths until) {
+    const auto go_on = [&](Ticks until) {
         while (agenda_.steps() < most_steps && agenda_.step(until)) continue;
         agenda_.pass_to(until);
         if (agenda_.steps() >= most_steps) rules_.broke("spin", "the day does not end");
@@ -572,7 +572,7 @@
     go_on(evening + quiet);
     check_leftovers();
     rules_.judge_bounds();
-    for (std::uint32_t n = 0; n < seats_.size(); ++n) end_node(n, Rules::NodeEnd::killed);
+    for (std::uint32_t n = 0; n < seats_.size(); ++n) end_node(n, Invariants::NodeEnd::killed);
     verdict_.seed = day_.seed;
     verdict_.broken = rules_.broken();
     verdict_.tally = rules_.tally();
@@ -589,9 +589,9 @@
 
 }  // namespace
 
-Verdict play(const Day& day, std::ostream* trace, Tamper* tamper) {
-    World world(day, trace, tamper);
+Verdict play(const Scenario& day, std::ostream* trace, Tamper* tamper) {
+    Simulation world(day, trace, tamper);
     return world.run();
 }
 
-}  // namespace lemonstair::lab
+}  // namespace lemonstair::simulation
--- a/src/simulation/simulation.h
+++ b/src/simulation/simulation.h
@@ -11,7 +11,7 @@
 #include "simulation/invariants.h"
 #include "simulation/scenario.h"
 
-namespace lemonstair::lab {
+namespace lemonstair::simulation {
 
 // What a test may put between a node and what it runs on, or in the place of what decides for it.
 class Tamper {
@@ -22,23 +22,23 @@
     virtual ~Tamper() = default;
     // What the node takes from the system; lives as long as that one.
     virtual std::unique_ptr<net::System> between(net::System& real) = 0;
-    virtual std::unique_ptr<Balancer> decides(Terms terms, Host& host, Tenths now) = 0;
+    virtual std::unique_ptr<Balancer> decides(BalancerConfig terms, BalancerDelegate& host, Ticks now) = 0;
 };
 
 struct Verdict {
     std::uint64_t seed = 0, hash = 0;
     std::vector<Broken> broken;
-    Rules::Tally tally;
-    stand::Members::Tally members;
+    Invariants::Tally tally;
+    fakes::FakeClients::Tally members;
     std::uint64_t steps = 0, passes = 0;
     std::size_t most_descriptors = 0, longest_spin = 0, most_timers = 0;
-    Tenths simulated = 0;
+    Ticks simulated = 0;
     double most_of_budget = 0;  // of a cold host's, in any window of the rule's length
     // The rule broken first; empty where all were kept.
     std::string rule() const { return broken.empty() ? std::string() : broken.front().rule; }
 };
 
 // Plays a day to its end. The same day gives the same trace, whatever else the process does.
-Verdict play(const Day& day, std::ostream* trace = nullptr, Tamper* tamper = nullptr);
+Verdict play(const Scenario& day, std::ostream* trace = nullptr, Tamper* tamper = nullptr);
 
-}  // namespace lemonstair::lab
+}  // namespace lemonstair::simulation
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -20,8 +20,8 @@
 namespace {
 
 using lemonstair::Balancer;
-using lemonstair::Ending;
-using lemonstair::Tenths;
+using lemonstair::Outcome;
+using lemonstair::Ticks;
 using lemonstair::config::figure;
 using lemonstair::config::pick;
 using lemonstair::config::up;
@@ -41,7 +41,7 @@
         text_.append(digits.data(), end);
         return *this;
     }
-    Reply& seconds(Tenths t) {
+    Reply& seconds(Ticks t) {
         if (t < 0) t = 0;
         whole(static_cast<std::uint64_t>(t / 10000)).raw(".");
         const auto part = static_cast<unsigned>(t % 10000);
@@ -79,29 +79,29 @@
 };
 
 // The Host of one instance: every action becomes a line of the reply.
-class Instance final : public lemonstair::Host {
+class Instance final : public lemonstair::BalancerDelegate {
   public:
     Instance(std::uint64_t who, Reply& out) : who_(who), out_(out) {}
-    void set_up(std::uint64_t tun, std::uint32_t ep, Tenths max_wait) override {
+    void start_attempt(std::uint64_t tun, std::uint32_t ep, Ticks max_wait) override {
         open("CallOut").raw(",\"ticket\":").whole(tun).raw(",\"host\":").whole(ep);
         out_.raw(",\"max_wait\":").seconds(max_wait).raw("}}\n");
     }
-    void decline(std::uint64_t tun, Tenths come_back_after) override {
+    void reject(std::uint64_t tun, Ticks come_back_after) override {
         open("SayNo").raw(",\"ticket\":").whole(tun);
         if (come_back_after > 0) out_.raw(",\"not_before_for\":").seconds(come_back_after);
         out_.raw("}}\n");
     }
-    void close_with_error(std::uint64_t tun) override { one("Surrender", "ticket", tun); }
-    void move(std::uint64_t tun) override { one("Reassign", "ticket", tun); }
-    void probe(std::uint32_t ep) override { one("Touch", "host", ep); }
-    void watch_list() override { open("StreamChanges").raw(",\"active\":true}}\n"); }
-    void wake(Tenths at, std::uint64_t label) override {
+    void fail(std::uint64_t tun) override { one("Surrender", "ticket", tun); }
+    void migrate(std::uint64_t tun) override { one("Reassign", "ticket", tun); }
+    void check_health(std::uint32_t ep) override { one("Touch", "host", ep); }
+    void request_endpoint_list() override { open("StreamChanges").raw(",\"active\":true}}\n"); }
+    void set_timer(Ticks at, std::uint64_t label) override {
         open("WakeMe").raw(",\"at\":").seconds(at).raw(",\"label\":\"").whole(label).raw("\"}}\n");
     }
-    void tell(std::uint32_t node, std::span<const std::uint8_t> bytes) override {
+    void send_gossip(std::uint32_t node, std::span<const std::uint8_t> bytes) override {
         open("Notify").raw(",\"to\":").whole(node).raw(",\"raw\":").hex(bytes).raw("}}\n");
     }
-    void tell_all(std::span<const std::uint8_t> bytes) override {
+    void broadcast_gossip(std::span<const std::uint8_t> bytes) override {
         open("Notify").raw(",\"to\":\"all\",\"raw\":").hex(bytes).raw("}}\n");
     }
     void log(std::string_view line) override { open("SayLog").raw(",\"what\":").quoted(line).raw("}}\n"); }
@@ -118,25 +118,25 @@
     Reply& out_;
 };
 
-lemonstair::Report read_report(const Value& f) {
-    lemonstair::Report report;
+lemonstair::LoadReport read_report(const Value& f) {
+    lemonstair::LoadReport report;
     f.inner("health_info").fields([&](std::string_view name, const Value& value) {
         if (double* at = figure(report, name)) *at = value.as_number();
     });
     return report;
 }
 
-Ending read_ending(const Value& f) {
-    return pick<Ending>(f.text("state_code"),
-                        {{"OK", Ending::ok},
-                         {"INTERNAL", Ending::error},
-                         {"RESOURCE_EXHAUSTED", Ending::full},
-                         {"DEADLINE_EXCEEDED", Ending::timed_out},
-                         {"UNAVAILABLE", Ending::unreachable},
-                         {"ABORTED", Ending::broken},
-                         {"CANCELLED", Ending::called_off},
-                         {"TOO_LATE", Ending::not_sent}},
-                        "state_code");
+Outcome read_ending(const Value& f) {
+    return pick<Outcome>(f.text("state_code"),
+                         {{"OK", Outcome::ok},
+                          {"INTERNAL", Outcome::error},
+                          {"RESOURCE_EXHAUSTED", Outcome::overloaded},
+                          {"DEADLINE_EXCEEDED", Outcome::timed_out},
+                          {"UNAVAILABLE", Outcome::unreachable},
+                          {"ABORTED", Outcome::connection_lost},
+                          {"CANCELLED", Outcome::cancelled},
+                          {"TOO_LATE", Outcome::not_sent}},
+                         "state_code");
 }
 
 class Adapter {
@@ -178,29 +178,29 @@
             throw Malformed(name + ": instance " + std::to_string(who) + " was never enlisted");
         if (name == "Stop") return instances_[who].reset();
         Balancer& b = *instances_[who]->balancer;
-        b.at(now_);
+        b.set_time(now_);
         if (name == "Interim")
             interim(b, f);
         else if (name == "Reply")
-            b.ended(f.whole("ticket"), static_cast<int>(f.small("hop")), f.small("host"), read_ending(f),
-                    up(f.number("duration", 0)), f.flag("settled"));
+            b.on_ended(f.whole("ticket"), static_cast<int>(f.small("hop")), f.small("host"), read_ending(f),
+                       up(f.number("duration", 0)), f.flag("settled"));
         else if (name == "CheckResult")
-            b.probed(f.small("host"), read_ending(f), up(f.number("duration", 0)), read_report(f));
+            b.on_health_check(f.small("host"), read_ending(f), up(f.number("duration", 0)), read_report(f));
         else if (name == "TimeoutFired")
-            woken(b, f.text("label"));
+            on_timer(b, f.text("label"));
         else if (name == "Peer")
-            told(b, f);
+            on_gossip(b, f);
         else if (name == "Incoming")
-            b.arrive(f.whole("ticket"), arrival(who, f));
+            b.on_request(f.whole("ticket"), arrival(who, f));
         else if (name == "Flowing")
-            b.begun(f.whole("ticket"), static_cast<int>(f.small("hop")), f.small("host"),
-                    up(f.number("duration", 0)));
+            b.on_opened(f.whole("ticket"), static_cast<int>(f.small("hop")), f.small("host"),
+                        up(f.number("duration", 0)));
         else if (name == "Fleet")
             fleet(b, f);
         else if (name == "ClientLeft")
-            b.client_left(f.whole("ticket"));
+            b.on_client_disconnected(f.whole("ticket"));
         else if (name == "Open")
-            b.adopt(f.whole("ticket"), arrival(who, f), f.small("host"));
+            b.adopt_open_tunnel(f.whole("ticket"), arrival(who, f), f.small("host"));
         else
             throw Malformed("event '" + name + "' is unknown");
     }
@@ -209,24 +209,24 @@
         if (who >= instances_.size()) instances_.resize(who + 1);
         auto instance = std::make_unique<Instance>(who, out_);
         if (!f.has("setup")) throw Malformed("Enlist: field 'setup' is missing");
-        auto terms = lemonstair::config::read_terms(f.inner("setup"), f.whole("salt"));
-        instance->profiles = terms.profiles.size();
+        auto terms = lemonstair::config::parse_settings(f.inner("setup"), f.whole("salt"));
+        instance->profiles = terms.traffic_classes.size();
         instance->balancer = Balancer::start(std::move(terms), *instance, now_);
         instances_[who] = std::move(instance);
     }
     static void interim(Balancer& b, const Value& f) {
         const auto what = f.whole("what");
-        if (what == 1) b.load_changed(f.whole("ticket"), f.number("amount") / 1e6);
-        if (what == 2) b.messages_slow(f.whole("ticket"), f.small("host"), up(f.number("amount") / 1e3));
+        if (what == 1) b.on_load_changed(f.whole("ticket"), f.number("amount") / 1e6);
+        if (what == 2) b.on_slow_messages(f.whole("ticket"), f.small("host"), up(f.number("amount") / 1e3));
     }
-    static void woken(Balancer& b, std::string_view label) {
+    static void on_timer(Balancer& b, std::string_view label) {
         std::uint64_t number = 0;
         const auto end = label.data() + label.size();
         if (std::from_chars(label.data(), end, number).ptr != end)
             throw Malformed("TimeoutFired: label was not set by this adapter");
-        b.woken(number);
+        b.on_timer(number);
     }
-    static void told(Balancer& b, const Value& f) {
+    static void on_gossip(Balancer& b, const Value& f) {
         const auto text = f.text("raw");
         if (text.size() % 2 != 0) throw Malformed("Peer: field 'raw' is not hex digits");
         std::array<std::uint8_t, 4096> bytes{};
@@ -236,44 +236,44 @@
             if (std::from_chars(p, p + 2, bytes[i], 16).ptr != p + 2)
                 throw Malformed("Peer: field 'raw' is not hex digits");
         }
-        b.told(f.small("src"), {bytes.data(), n});
+        b.on_gossip(f.small("src"), {bytes.data(), n});
     }
-    lemonstair::Arrival arrival(std::uint64_t who, const Value& f) {
+    lemonstair::TunnelRequest arrival(std::uint64_t who, const Value& f) {
         if (f.whole("qos") >= instances_[who]->profiles) throw Malformed("field 'qos' names no profile");
         const auto bits = f.whole("bitmap", 0);
         return {.key = f.text("path_key", ""),
                 .group = f.text("room", ""),
-                .give_up_at = lemonstair::config::down(f.number("valid_until")),
-                .load = (bits & 1) != 0 ? f.number("expected", 0) : 0,
-                .profile = f.small("qos"),
+                .deadline = lemonstair::config::down(f.number("valid_until")),
+                .expected_load = (bits & 1) != 0 ? f.number("expected", 0) : 0,
+                .traffic_class = f.small("qos"),
                 .mid_flow = (bits & 8) != 0,
-                .again = (bits & 16) != 0};
+                .reconnect = (bits & 16) != 0};
     }
     static void fleet(Balancer& b, const Value& f) {
-        using lemonstair::Life, lemonstair::ListKind;
-        b.list_begin(pick<ListKind>(f.text("kind"),
-                                    {{"D", ListKind::changes},
-                                     {"F", ListKind::whole},
-                                     {"C", ListKind::remembered},
-                                     {"X", ListKind::failed}},
-                                    "kind"));
+        using lemonstair::EndpointState, lemonstair::EndpointListKind;
+        b.begin_endpoint_list(pick<EndpointListKind>(f.text("kind"),
+                                                     {{"D", EndpointListKind::changes},
+                                                      {"F", EndpointListKind::complete},
+                                                      {"C", EndpointListKind::cached},
+                                                      {"X", EndpointListKind::failed}},
+                                                     "kind"));
         f.each("members_list", [&](const Value& m) {
-            b.listed(m.small("host"), m.small("site", 0), m.small("cohort", 0),
-                     pick<Life>(m.text("lifecycle"),
-                                {{"in_service", Life::in_service},
-                                 {"terminating", Life::draining},
-                                 {"terminated", Life::gone}},
-                                "lifecycle"),
-                     m.number("nominal", 1), up(m.number("online_since", 0)));
+            b.add_endpoint(m.small("host"), m.small("site", 0), m.small("cohort", 0),
+                           pick<EndpointState>(m.text("lifecycle"),
+                                               {{"in_service", EndpointState::active},
+                                                {"terminating", EndpointState::draining},
+                                                {"terminated", EndpointState::removed}},
+                                               "lifecycle"),
+                           m.number("nominal", 1), up(m.number("online_since", 0)));
         });
-        b.list_end();
+        b.end_endpoint_list();
     }
 
     lemonstair::json::Document message_;
     Reply out_;
     std::vector<std::unique_ptr<Instance>> instances_;
     std::string name_;
-    Tenths now_ = 0;
+    Ticks now_ = 0;
     bool in_batch_ = false;
 };
 
--- a/src/soak/main.cpp
+++ b/src/soak/main.cpp
@@ -18,8 +18,8 @@
 
 namespace {
 
-namespace lab = lemonstair::lab;
-namespace rig = lemonstair::rig;
+namespace simulation = lemonstair::simulation;
+namespace process_harness = lemonstair::process_harness;
 namespace soak = lemonstair::soak;
 
 constexpr int kept = 0, broken = 1, wrong_use = 2, too_busy = 3;
@@ -54,7 +54,7 @@
         for (const auto& entry : std::filesystem::directory_iterator(path_)) {
             std::ifstream log(entry.path());
             for (std::string line; std::getline(log, line);)
-                if (line.find(lemonstair::account::violation_mark) != std::string::npos)
+                if (line.find(lemonstair::metrics::violation_mark) != std::string::npos)
                     found.push_back(entry.path().stem().string() + " " + line);
         }
         return found;
@@ -70,10 +70,10 @@
     std::filesystem::path path_;
 };
 
-rig::Outcome play(const Options& options, std::uint64_t seed) {
-    const lab::Day day = soak::draw_soak_day(seed, options.nodes);
+process_harness::RunResult play(const Options& options, std::uint64_t seed) {
+    const simulation::Scenario day = soak::draw_soak_day(seed, options.nodes);
     const LogFolder logs;
-    rig::Wish wish{options.program, logs.path().string(), {}};
+    process_harness::HarnessOptions wish{options.program, logs.path().string(), {}};
     wish.environment = [&](std::uint32_t node, std::uint32_t life) {
         std::vector<std::string> more{"LEMONSTAIR_LOG=debug"};
         if (options.plain) return more;
@@ -83,22 +83,23 @@
         more.push_back("ASAN_OPTIONS=verify_asan_link_order=0");
         return more;
     };
-    rig::Outcome outcome = rig::play(day, wish, stop);
+    process_harness::RunResult outcome = process_harness::play(day, wish, stop);
     for (const std::string& line : logs.violations()) outcome.broken.push_back({0, "self_check", line});
     if (!outcome.broken.empty() && !options.keep.empty()) logs.keep_in(options.keep, seed);
     return outcome;
 }
 
-void tell(const Options& options, std::uint64_t seed, const rig::Outcome& outcome) {
-    const lab::Day day = soak::draw_soak_day(seed, options.nodes);
+void tell(const Options& options, std::uint64_t seed, const process_harness::RunResult& outcome) {
+    const simulation::Scenario day = soak::draw_soak_day(seed, options.nodes);
     std::cout << "seed " << seed << ": " << outcome.nodes << " processes, taken " << outcome.tally.taken
               << ", opened " << outcome.tally.opened << ", declined " << outcome.tally.declined
               << ", closed with error " << outcome.tally.failed << "; " << outcome.broken.size() << " broken"
               << (outcome.can_tell() ? "" : " (machine too busy)") << '\n';
     if (outcome.broken.empty()) return;
     std::cout << "  faults:";
-    for (const lab::Fault& fault : day.faults)
-        std::cout << ' ' << lab::row_of(fault.kind).name << '@' << static_cast<double>(fault.at) / 10000;
+    for (const simulation::Fault& fault : day.faults)
+        std::cout << ' ' << simulation::row_of(fault.kind).name << '@'
+                  << static_cast<double>(fault.at) / 10000;
     std::cout << "\n  first process: " << soak::write_plan(soak::draw_plan(seed, 0, 1)) << '\n';
     for (std::size_t i = 0; i < std::min(options.show, outcome.broken.size()); ++i)
         std::cout << "  " << static_cast<double>(outcome.broken[i].at) / 10000 << " s  "
@@ -106,22 +107,22 @@
 }
 
 int run(const Options& options) {
-    const lab::Seeds seeds = lab::parse_seeds(options.seeds);
+    const simulation::Seeds seeds = simulation::parse_seeds(options.seeds);
     std::ofstream json;
     if (!options.json.empty()) json.open(options.json, std::ios::app);
     std::map<std::string, int> seeds_of_rule;
     int days = 0, days_broken = 0, days_untold = 0;
     for (std::uint64_t seed = seeds.first; seed <= seeds.last && !stop; ++seed) {
-        const rig::Outcome outcome = play(options, seed);
+        const process_harness::RunResult outcome = play(options, seed);
         if (outcome.interrupted) break;
         ++days;
-        if (json.is_open()) json << rig::json_of(outcome) << std::flush;
+        if (json.is_open()) json << process_harness::json_of(outcome) << std::flush;
         tell(options, seed, outcome);
         std::cout << std::flush;
         if (outcome.broken.empty()) continue;
         ++(outcome.can_tell() ? days_broken : days_untold);
         std::map<std::string, int> rules;
-        for (const lab::Broken& one : outcome.broken) rules[one.rule] = 1;
+        for (const simulation::Broken& one : outcome.broken) rules[one.rule] = 1;
         for (const auto& [rule, one] : rules) seeds_of_rule[rule] += one;
     }
     std::cout << days << " days, " << days_broken << " with a broken rule, " << days_untold
--- a/src/soak/soak_scenario.cpp
+++ b/src/soak/soak_scenario.cpp
@@ -9,14 +9,14 @@
 
 namespace {
 
-using lab::Day;
-using lab::Fault;
-using lab::FaultKind;
-using simnet::Chance;
-using simnet::Tenths;
+using simnet::RandomSource;
+using simnet::Ticks;
+using simulation::Fault;
+using simulation::FaultKind;
+using simulation::Scenario;
 
-constexpr Tenths second = 10000, ms = 10;
-constexpr Tenths day_span = 9 * second;
+constexpr Ticks second = 10000, ms = 10;
+constexpr Ticks day_span = 9 * second;
 constexpr std::int64_t fewest_nodes = 10, most_nodes = 40;
 constexpr std::int64_t hour_ms = 3600000;
 
@@ -54,15 +54,15 @@
                               FaultKind::crowd,
                               FaultKind::rude};
 
-std::uint32_t whole(Chance& chance, std::int64_t from, std::int64_t to) {
+std::uint32_t whole(RandomSource& chance, std::int64_t from, std::int64_t to) {
     return static_cast<std::uint32_t>(chance.between(from, to));
 }
 
-Fault draw_fault(Chance& chance, const Day& day, Tenths at) {
+Fault draw_fault(RandomSource& chance, const Scenario& day, Ticks at) {
     Fault fault;
     fault.kind = troubles[whole(chance, 0, troubles.size() - 1)];
-    const lab::FaultRow& row = lab::row_of(fault.kind);
-    using Who = lab::FaultRow::Who;
+    const simulation::FaultRow& row = simulation::row_of(fault.kind);
+    using Who = simulation::FaultRow::Who;
     fault.at = at;
     if (row.spans) fault.span = chance.between(200 * ms, 3 * second);
     if (row.who == Who::node) fault.who = whole(chance, 0, day.nodes - 1);
@@ -86,7 +86,7 @@
             break;
         case FaultKind::rude:
             fault.count = whole(chance, 5, 60);
-            fault.other = whole(chance, 0, stand::Rude::kinds - 1);
+            fault.other = whole(chance, 0, fakes::Rude::kinds - 1);
             break;
         case FaultKind::discovery_spoilt:
             fault.count = whole(chance, 1, 3);
@@ -99,19 +99,19 @@
 
 // Many small tunnels, and hosts that bear few of them for as long as they are cold: the budget of a cold host
 // binds.
-void make_cold_fleet(Chance& chance, Day& day) {
+void make_cold_fleet(RandomSource& chance, Scenario& day) {
     day.hosts = 8;
     day.cold_hosts = 4;
     day.alike = true;
     day.groups = false;
-    day.packets_pass = false;
+    day.packet_passthrough = false;
     day.sockets = 512;
     day.members = day.nodes * whole(chance, 30, 45);
     day.tunnel_load = 0.02;
     day.least_life = 4 * second;
     day.more_life = 0;
     day.host.cores = 2.32;
-    day.host.cold_from = 0.172;
+    day.host.slow_start_initial_factor = 0.172;
     day.faults.push_back(draw_fault(chance, day, second / 2));
     Fault restart;
     restart.kind = FaultKind::host_kill;
@@ -122,22 +122,22 @@
 
 }  // namespace
 
-Day draw_soak_day(std::uint64_t seed, std::uint32_t nodes) {
-    Chance chance(seed * 0x9e3779b97f4a7c15U + 0x50a4);
-    Day day;
+Scenario draw_soak_day(std::uint64_t seed, std::uint32_t nodes) {
+    RandomSource chance(seed * 0x9e3779b97f4a7c15U + 0x50a4);
+    Scenario day;
     day.seed = seed;
     day.span = day_span;
     day.nodes = nodes > 0 ? nodes : whole(chance, fewest_nodes, most_nodes);
     day.hosts = whole(chance, 4, 12);
     day.cold_hosts = chance.odds(0.5) ? whole(chance, 1, 3) : 0;
     day.members = whole(chance, 200, 700);
-    day.packets_pass = chance.odds(0.4);
+    day.packet_passthrough = chance.odds(0.4);
     day.peers = chance.odds(0.7);
     day.probing = chance.odds(0.7);
     day.groups = chance.odds(0.4);
-    day.must_ask = chance.odds(0.4);
+    day.must_poll = chance.odds(0.4);
     day.sockets = whole(chance, 96, 384);
-    day.max_setups = static_cast<int>(chance.between(std::int64_t{1}, std::int64_t{4}));
+    day.max_attempts = static_cast<int>(chance.between(std::int64_t{1}, std::int64_t{4}));
     day.peer_price = chance.odds(0.5) ? 0.0001 : 0.05;
     day.load = chance.between(0.3, 0.6);
     day.arrive_within = 8 * second;
@@ -152,10 +152,10 @@
     if (chance.odds(0.3)) make_cold_fleet(chance, day);
     const std::int64_t collisions = chance.between(std::int64_t{1}, std::int64_t{2});
     for (std::int64_t c = 0; c < collisions; ++c) {
-        const Tenths at = chance.between(second, 5 * second);
+        const Ticks at = chance.between(second, 5 * second);
         const std::int64_t overlapping = chance.between(std::int64_t{2}, std::int64_t{3});
         for (std::int64_t i = 0; i < overlapping; ++i)
-            day.faults.push_back(draw_fault(chance, day, at + chance.between(Tenths{0}, second)));
+            day.faults.push_back(draw_fault(chance, day, at + chance.between(Ticks{0}, second)));
     }
     std::stable_sort(day.faults.begin(), day.faults.end(),
                      [](const Fault& a, const Fault& b) { return a.at < b.at; });
@@ -163,7 +163,7 @@
 }
 
 FaultPlan draw_plan(std::uint64_t seed, std::uint32_t node, std::uint32_t life) {
-    Chance day(seed * 0x2545f4914f6cdd1dU + 0xc10c);
+    RandomSource day(seed * 0x2545f4914f6cdd1dU + 0xc10c);
     // What meets the whole fleet, or a half of it, on this day.
     constexpr std::array<std::int64_t, 4> steps{hour_ms, -hour_ms, 5000, -5000};
     const bool clocks = day.odds(0.4), calls = day.odds(0.4), shorts = day.odds(0.3), holds = day.odds(0.3);
@@ -172,7 +172,7 @@
     const bool only_restarted = day.odds(0.5);
     const bool at_start = day.odds(0.2);
 
-    Chance own = Chance(seed ^ (std::uint64_t{node} << 32 | life)).part(3);
+    RandomSource own = RandomSource(seed ^ (std::uint64_t{node} << 32 | life)).part(3);
     FaultPlan plan;
     plan.seed = own.bits();
     if (clocks && own.odds(share) && (!only_restarted || life > 1)) plan.wall_offset_ms = step;
--- a/src/soak/soak_scenario.h
+++ b/src/soak/soak_scenario.h
@@ -10,7 +10,7 @@
 namespace lemonstair::soak {
 
 // `nodes`: so many processes; 0: drawn.
-lab::Day draw_soak_day(std::uint64_t seed, std::uint32_t nodes);
+simulation::Scenario draw_soak_day(std::uint64_t seed, std::uint32_t nodes);
 
 // Of one life of one process.
 FaultPlan draw_plan(std::uint64_t seed, std::uint32_t node, std::uint32_t life);
--- a/src/tunnel/acceptor.h
+++ b/src/tunnel/acceptor.h
@@ -10,9 +10,10 @@
 
 namespace lemonstair::tunnel {
 
-class TakeIn final : public net::Waiter {
+class Acceptor final : public net::EventHandler {
   public:
-    TakeIn(Floor& floor, Admit& admit, Book& book) : floor_(floor), admit_(admit), book_(book) {}
+    Acceptor(TunnelRegistry& floor, Admission& admit, Completion& book)
+        : floor_(floor), admit_(admit), book_(book) {}
     // Clients come through a socket of the node's own, or through one that the platform holds.
     void listen_on(const net::Address& at) { listen_on(floor_.loop.system().listen_on(at)); }
     void listen_on(int inherited) { listen_on(floor_.loop.system().inherited_listener(inherited)); }
@@ -23,8 +24,8 @@
     void ready(std::uint64_t, short) override { static_cast<void>(accept_waiting()); }
     void due(std::uint64_t token) override;
     // The connection of a client that has not sent its first line yet.
-    void tunnel_ready(Id id, Side side, short events);
-    void tunnel_due(Id id);
+    void tunnel_ready(TunnelId id, Side side, short events);
+    void tunnel_due(TunnelId id);
 
   private:
     void listen_on(net::Fd listener);
@@ -34,14 +35,14 @@
     void rest();
     bool take_name(Tunnel& t, std::string_view id, bool mid_flow);
     static bool has_left(const Tunnel& t);
-    bool line(Id id, std::string_view text);
+    bool line(TunnelId id, std::string_view text);
     bool say(Tunnel& t, std::string_view text);
-    Floor& floor_;
-    Admit& admit_;
-    Book& book_;
+    TunnelRegistry& floor_;
+    Admission& admit_;
+    Completion& book_;
     net::Socket listener_;
     bool open_ = false, resting_ = false;
-    Tenths rested_at_ = 0;
+    Ticks rested_at_ = 0;
 };
 
 }  // namespace lemonstair::tunnel
--- a/src/tunnel/admission.cpp
+++ b/src/tunnel/admission.cpp
@@ -8,19 +8,19 @@
 
 namespace lemonstair::tunnel {
 
-std::size_t Admit::room() const {
+std::size_t Admission::room() const {
     const std::size_t sockets = floor_.granted();
-    const std::size_t kept = Floor::fewest_left + floor_.launch.callers + floor_.for_other +
-                             probe::most_lines(floor_.hosts.size(), sockets) + sockets / 16;
+    const std::size_t kept = TunnelRegistry::fewest_left + floor_.launch.callers + floor_.for_other +
+                             health_check::most_lines(floor_.hosts.size(), sockets) + sockets / 16;
     return sockets > kept ? (sockets - kept) / 2 : 1;
 }
 
-void Admit::admit(Id id, Arrival arrival, std::string_view holder) {
+void Admission::admit(TunnelId id, TunnelRequest arrival, std::string_view holder) {
     Tunnel& t = *floor_.find(id);
     ++floor_.tally.taken;
-    t.give_up_at = arrival.give_up_at = std::min(arrival.give_up_at, floor_.answer_by);
+    t.give_up_at = arrival.deadline = std::min(arrival.deadline, floor_.answer_by);
     const bool full = floor_.admitted >= room();
-    floor_.go(id, State::deciding);
+    floor_.go(id, TunnelState::deciding);
     floor_.names.put(t.name, static_cast<std::uint32_t>(id));
     t.client.wait_for(POLLIN | POLLRDHUP);  // its next bytes wait, unless they are another command
     if (full) {
@@ -30,7 +30,7 @@
     }
     if (!holder.empty()) return route_.resume_standing(id);
     t.known = true;
-    floor_.mind().arrive(id, arrival);
+    floor_.mind().on_request(id, arrival);
 }
 
 }  // namespace lemonstair::tunnel
--- a/src/tunnel/admission.h
+++ b/src/tunnel/admission.h
@@ -9,17 +9,18 @@
 
 namespace lemonstair::tunnel {
 
-class Admit {
+class Admission {
   public:
-    Admit(Floor& floor, Route& route, Book& book) : floor_(floor), route_(route), book_(book) {}
-    void admit(Id id, Arrival arrival, std::string_view holder);
+    Admission(TunnelRegistry& floor, Dispatcher& route, Completion& book)
+        : floor_(floor), route_(route), book_(book) {}
+    void admit(TunnelId id, TunnelRequest arrival, std::string_view holder);
     // Tunnels that fit the descriptors granted: two each, beside what the node needs for itself.
     std::size_t room() const;
 
   private:
-    Floor& floor_;
-    Route& route_;
-    Book& book_;
+    TunnelRegistry& floor_;
+    Dispatcher& route_;
+    Completion& book_;
 };
 
 }  // namespace lemonstair::tunnel
--- a/src/tunnel/attempt.h
+++ b/src/tunnel/attempt.h
@@ -9,30 +9,31 @@
 
 namespace lemonstair::tunnel {
 
-class Send {
+class AttemptRunner {
   public:
-    Send(Floor& floor, Book& book, Relay& relay) : floor_(floor), book_(book), relay_(relay) {}
+    AttemptRunner(TunnelRegistry& floor, Completion& book, Relay& relay)
+        : floor_(floor), book_(book), relay_(relay) {}
     // The module's setup at the host in this place, to be given up after a while.
-    void start(Id id, std::uint32_t place, Tenths longest_wait);
+    void start(TunnelId id, std::uint32_t place, Ticks longest_wait);
     // A tunnel that is open at its host already goes there until it is up.
-    void resume_standing(Id id);
+    void resume_standing(TunnelId id);
     // Whoever waits has its final answer by then, and whoever comes.
-    void answer_by(Tenths when);
-    void tunnel_ready(Id id, Side side, short events);
-    void tunnel_due(Id id);
+    void answer_by(Ticks when);
+    void tunnel_ready(TunnelId id, Side side, short events);
+    void tunnel_due(TunnelId id);
 
   private:
-    void connect(Id id);
-    bool may_write(Id id);
-    void write_line(Id id);
-    void check_written(Id id);
-    void read_answer(Id id);
-    void answered(Id id, std::string_view line);
+    void connect(TunnelId id);
+    bool may_write(TunnelId id);
+    void write_line(TunnelId id);
+    void check_written(TunnelId id);
+    void read_answer(TunnelId id);
+    void answered(TunnelId id, std::string_view line);
     bool sends_command(const Tunnel& t) const;
-    void opened(Id id);
-    void failed(Id id, Ending ending);
-    Floor& floor_;
-    Book& book_;
+    void opened(TunnelId id);
+    void failed(TunnelId id, Outcome ending);
+    TunnelRegistry& floor_;
+    Completion& book_;
     Relay& relay_;
 };
 
--- a/src/tunnel/dispatcher.h
+++ b/src/tunnel/dispatcher.h
@@ -8,26 +8,26 @@
 
 namespace lemonstair::tunnel {
 
-class Route {
+class Dispatcher {
   public:
-    Route(Floor& floor, Send& send, Relay& relay, Book& book)
+    Dispatcher(TunnelRegistry& floor, AttemptRunner& send, Relay& relay, Completion& book)
         : floor_(floor), send_(send), relay_(relay), book_(book) {}
-    void set_up(Id id, std::uint32_t ep, Tenths longest_wait);
-    void decline(Id id, Tenths come_back_after);
-    void close_with_error(Id id);
-    void move(Id id);
+    void set_up(TunnelId id, std::uint32_t ep, Ticks longest_wait);
+    void decline(TunnelId id, Ticks come_back_after);
+    void close_with_error(TunnelId id);
+    void move(TunnelId id);
     // Open at this host before the start.
-    void resume_standing(Id id) { send_.resume_standing(id); }
+    void resume_standing(TunnelId id) { send_.resume_standing(id); }
 
   private:
-    bool waits(Id id) {
+    bool waits(TunnelId id) {
         const Tunnel* t = floor_.find(id);
-        return t != nullptr && t->state == State::deciding;
+        return t != nullptr && t->state == TunnelState::deciding;
     }
-    Floor& floor_;
-    Send& send_;
+    TunnelRegistry& floor_;
+    AttemptRunner& send_;
     Relay& relay_;
-    Book& book_;
+    Completion& book_;
 };
 
 }  // namespace lemonstair::tunnel
--- a/src/tunnel/relay.cpp
+++ b/src/tunnel/relay.cpp
@@ -17,10 +17,10 @@
 // Clients send a line every few seconds, and a sound host answers at once: a tunnel that has had none for
 // this long, and is owed one for half of it, will not have it. Long before that the module hears of a host
 // from which no tunnel has had a line.
-constexpr Tenths silent_after = 60000, owed_for = 30000, unheard_after = 5000;
-constexpr Tenths told_every = 10000;
+constexpr Ticks silent_after = 60000, owed_for = 30000, unheard_after = 5000;
+constexpr Ticks told_every = 10000;
 // When a host or a client has ended, the other side gets this long to take the last bytes and end too.
-constexpr Tenths longest_ending = 8000, longest_parting = 30000;
+constexpr Ticks longest_ending = 8000, longest_parting = 30000;
 constexpr int reads_a_pass = 4;
 constexpr std::uint32_t longest_line = 4096;
 
@@ -37,14 +37,15 @@
 
 }  // namespace
 
-Relay::Relay(Floor& floor, Book& book) : floor_(floor), book_(book) {
-    for (const auto& p : floor.launch.terms.profiles)
-        if (p.message_goal > 0) slow_from_ = std::min(slow_from_, p.message_goal / 3);
+Relay::Relay(TunnelRegistry& floor, Completion& book) : floor_(floor), book_(book) {
+    for (const auto& p : floor.launch.terms.traffic_classes)
+        if (p.message_latency_objective > 0)
+            slow_from_ = std::min(slow_from_, p.message_latency_objective / 3);
 }
 
-void Relay::begin(Id id) {
+void Relay::begin(TunnelId id) {
     Tunnel& t = *floor_.find(id);
-    floor_.go(id, State::relaying);
+    floor_.go(id, TunnelState::relaying);
     t.heard_at = floor_.loop.now();
     const auto answer = t.down.waiting.view();
     if (const auto more = answer.substr(answer.find('\n') + 1); !more.empty()) host_bytes(id, more);
@@ -56,7 +57,7 @@
     if (write(id, Side::client) && write(id, Side::host)) settle(id);
 }
 
-void Relay::tunnel_ready(Id id, Side side, short events) {
+void Relay::tunnel_ready(TunnelId id, Side side, short events) {
     Tunnel& t = *floor_.find(id);
     if ((events & POLLOUT) != 0 && !write(id, side)) return;
     if ((events & (POLLIN | POLLHUP | POLLERR)) != 0 && !out_of(t, side).ended && !read(id, side)) return;
@@ -67,7 +68,7 @@
 }
 
 // False once the tunnel is gone.
-bool Relay::read(Id id, Side from) {
+bool Relay::read(TunnelId id, Side from) {
     Tunnel& t = *floor_.find(id);
     Direction& way = out_of(t, from);
     for (int i = 0; i < reads_a_pass && way.waiting.empty(); ++i) {
@@ -88,20 +89,20 @@
         else
             host_bytes(id, {at, got.bytes});
         // What follows the end of the line at hand would begin one that a moved tunnel cannot end.
-        if (t.state == State::moving && way.line_size < got.bytes) {
+        if (t.state == TunnelState::moving && way.line_size < got.bytes) {
             way.waiting.cut_end(way.line_size);
             way.line_size = 0;
         }
         if (way.line_size > longest_line) return broken(id, from), false;  // a line without end
         if (!write(id, other(from))) return false;
-        if (t.state == State::moving && way.line_size == 0) break;
+        if (t.state == TunnelState::moving && way.line_size == 0) break;
     }
     if (way.waiting.empty()) way.waiting.give_back();
     return true;
 }
 
 // False once the tunnel is gone.
-bool Relay::write(Id id, Side to) {
+bool Relay::write(TunnelId id, Side to) {
     Tunnel& t = *floor_.find(id);
     Direction& way = into(t, to);
     if (!way.waiting.empty()) {
@@ -122,7 +123,7 @@
 }
 
 // Only the beginning of a line is kept: none that means something here is longer.
-void Relay::host_bytes(Id id, std::string_view bytes) {
+void Relay::host_bytes(TunnelId id, std::string_view bytes) {
     Tunnel& t = *floor_.find(id);
     measure(t.down, bytes);
     while (!bytes.empty()) {
@@ -139,46 +140,46 @@
     }
 }
 
-void Relay::host_line(Id id, std::string_view line) {
+void Relay::host_line(TunnelId id, std::string_view line) {
     Tunnel& t = *floor_.find(id);
     if (line.substr(0, 5) == "LOAD ") {
         double load = 0;
         const char* end = line.data() + line.size();
         const auto [stop, error] = std::from_chars(line.data() + 5, end, load);
         if (error == std::errc{} && stop == end && std::isfinite(load) && load >= 0 && t.known)
-            floor_.mind().load_changed(id, load / 1e6);
+            floor_.mind().on_load_changed(id, load / 1e6);
         return;
     }
     // A load is told by hosts that answer nothing, too, so it is not counted as heard.
     t.heard_at = spoken(t.place).heard_at = floor_.loop.now();
-    if (line == "BYE" || line.substr(0, 4) == "BYE ") t.ending = Ending::ok;
-    if (line == "MOVE") t.ending = Ending::called_off;
+    if (line == "BYE" || line.substr(0, 4) == "BYE ") t.ending = Outcome::ok;
+    if (line == "MOVE") t.ending = Outcome::cancelled;
     answered(id, t);
 }
 
-void Relay::answered(Id id, Tunnel& t) {
+void Relay::answered(TunnelId id, Tunnel& t) {
     if (t.owed == 0) return;
-    const Tenths took = floor_.loop.now() - t.waiting_since;
+    const Ticks took = floor_.loop.now() - t.waiting_since;
     tell_slow(id, t.place, took);
     --t.owed;
     t.waiting_since = floor_.loop.now();
 }
 
 // Once a second for a host while messages take long there, and once more when they no longer do.
-void Relay::tell_slow(Id id, std::uint32_t place, Tenths takes) {
+void Relay::tell_slow(TunnelId id, std::uint32_t place, Ticks takes) {
     Spoken& told = spoken(place);
     const bool slow = takes > slow_from_;
     if (slow ? floor_.loop.now() - told.told_at < told_every : !told.slow) return;
     told.told_at = floor_.loop.now();
     told.slow = slow;
     floor_.log.debug() << "a message takes " << takes / 10 << " ms at ep " << floor_.hosts[place].ep;
-    floor_.mind().messages_slow(id, floor_.hosts[place].ep, takes);
+    floor_.mind().on_slow_messages(id, floor_.hosts[place].ep, takes);
 }
 
 // What each side is waited for follows from what waits for it; ends are passed on behind the last byte.
-void Relay::settle(Id id) {
+void Relay::settle(TunnelId id) {
     Tunnel& t = *floor_.find(id);
-    const bool moving = t.state == State::moving;
+    const bool moving = t.state == TunnelState::moving;
     for (const Side side : {Side::client, Side::host}) {
         Direction& way = out_of(t, side);
         if (way.ended && way.waiting.empty() && !way.end_passed) {
@@ -187,7 +188,7 @@
         }
     }
     if (t.down.ended) {
-        if (t.up.ended && t.ending == Ending::broken) t.ending = Ending::called_off;
+        if (t.up.ended && t.ending == Outcome::connection_lost) t.ending = Outcome::cancelled;
         book_.over(id, t.ending);
         // The host has ended: what the client still sends finds nobody.
         if (t.down.end_passed) return book_.part(id);
@@ -209,27 +210,27 @@
     t.host.wait_for(static_cast<short>((read_host ? POLLIN : 0) | (t.up.waiting.empty() ? 0 : POLLOUT)));
 }
 
-void Relay::broken(Id id, Side side) {
+void Relay::broken(TunnelId id, Side side) {
     Tunnel& t = *floor_.find(id);
     // The client's going is no fault of the host, and a host that said why it ends has said it.
-    if (side == Side::client && t.ending == Ending::broken) t.ending = Ending::called_off;
+    if (side == Side::client && t.ending == Outcome::connection_lost) t.ending = Outcome::cancelled;
     book_.over(id, t.ending);
     socket(t, other(side)).reset();
     book_.drop(id);
 }
 
-void Relay::tunnel_due(Id id) {
+void Relay::tunnel_due(TunnelId id) {
     Tunnel& t = *floor_.find(id);
     if (floor_.loop.now() < t.due) return;
-    if (t.state == State::moving &&
+    if (t.state == TunnelState::moving &&
         !t.moves_on) {  // the host's side is stuck in a line: the client goes first
         t.moves_on = true;
         floor_.set_due(id, t, floor_.loop.now() + patience());
         return settle(id);
     }
     const bool ending = t.down.ended || t.up.ended;
-    if (t.state == State::relaying && !ending) return;
-    if (t.up.ended && t.ending == Ending::broken) t.ending = Ending::called_off;
+    if (t.state == TunnelState::relaying && !ending) return;
+    if (t.up.ended && t.ending == Outcome::connection_lost) t.ending = Outcome::cancelled;
     book_.over(id, t.ending);
     if (t.down.waiting.empty()) return book_.part(id);
     t.client.reset();  // it does not take what its host has sent
@@ -238,22 +239,22 @@
 
 // How long a move waits for one side's line to end: there are two such waits, and a node that empties has no
 // time for longer ones.
-Tenths Relay::patience() const {
-    return std::clamp<Tenths>((floor_.over_by - floor_.loop.now()) / 2, 0, longest_ending);
+Ticks Relay::patience() const {
+    return std::clamp<Ticks>((floor_.over_by - floor_.loop.now()) / 2, 0, longest_ending);
 }
 
-void Relay::move(Id id) {
+void Relay::move(TunnelId id) {
     Tunnel& t = *floor_.find(id);
-    if (t.state != State::relaying || t.down.ended || t.up.ended) return;
-    if (t.ending == Ending::broken && !t.moves_on) t.ending = Ending::called_off;
-    floor_.go(id, State::moving);
+    if (t.state != TunnelState::relaying || t.down.ended || t.up.ended) return;
+    if (t.ending == Outcome::connection_lost && !t.moves_on) t.ending = Outcome::cancelled;
+    floor_.go(id, TunnelState::moving);
     floor_.set_due(id, t, floor_.loop.now() + patience());
     settle(id);
 }
 
-void Relay::go_on(Id id) {
+void Relay::go_on(TunnelId id) {
     Tunnel& t = *floor_.find(id);
-    floor_.go(id, State::relaying);
+    floor_.go(id, TunnelState::relaying);
     Spoken& told = spoken(t.place);
     told.heard_at = std::max(told.heard_at, t.heard_at);
     if (write(id, Side::client) && write(id, Side::host)) settle(id);
@@ -268,12 +269,12 @@
     for (std::uint32_t at = 0; at < floor_.tunnels.places(); ++at) {
         if (!floor_.tunnels.used(at)) continue;
         const Tunnel& t = floor_.tunnels[at];
-        if (t.state != State::relaying || t.up.ended || t.down.ended) continue;
+        if (t.state != TunnelState::relaying || t.up.ended || t.down.ended) continue;
         Unheard& host = unheard_[t.place];
         ++host.tunnels;
         // Where its client takes nothing the host is not to blame.
         if (t.owed == 0 || !t.down.waiting.empty()) continue;
-        const Tenths age = floor_.loop.now() - t.waiting_since;
+        const Ticks age = floor_.loop.now() - t.waiting_since;
         if (age >= owed_for && floor_.loop.now() - t.heard_at >= silent_after)
             silent_.push_back(floor_.id_of(at));
         if (spoken(t.place).heard_at > t.waiting_since) continue;
@@ -282,12 +283,12 @@
     }
     // One tunnel that has stopped is not its host: where there are others, two must have waited.
     for (std::uint32_t place = 0; place < unheard_.size(); ++place) {
-        const Tenths span = unheard_[place].tunnels == 1 ? unheard_[place].longest : unheard_[place].second;
-        if (span >= unheard_after) floor_.mind().unheard(floor_.hosts[place].ep, span);
+        const Ticks span = unheard_[place].tunnels == 1 ? unheard_[place].longest : unheard_[place].second;
+        if (span >= unheard_after) floor_.mind().on_unresponsive(floor_.hosts[place].ep, span);
     }
-    for (const Id id : silent_) {
+    for (const TunnelId id : silent_) {
         Tunnel* t = floor_.find(id);
-        if (t == nullptr || t->state != State::relaying) continue;
+        if (t == nullptr || t->state != TunnelState::relaying) continue;
         ++floor_.tally.silent;
         t->moves_on = true;
         move(id);
--- a/src/tunnel/request_line.cpp
+++ b/src/tunnel/request_line.cpp
@@ -43,8 +43,8 @@
 
 }  // namespace
 
-bool read_opening(std::string_view line, const std::vector<std::string>& profiles, Tenths now,
-                  Arrival& arrival, std::string_view& holder) {
+bool read_opening(std::string_view line, const std::vector<std::string>& profiles, Ticks now,
+                  TunnelRequest& arrival, std::string_view& holder) {
     if (line.substr(0, word.size()) != word || !printable(line)) return false;
     line.remove_prefix(word.size());
     const std::string_view id = cut(line, ' ');
@@ -55,7 +55,7 @@
     const bool listed = each_value(line, [&](std::string_view name, std::string_view value) {
         if (name == "c") {
             const auto it = std::find(profiles.begin(), profiles.end(), value);
-            arrival.profile = static_cast<std::uint32_t>(it - profiles.begin());
+            arrival.traffic_class = static_cast<std::uint32_t>(it - profiles.begin());
             profile_told = it != profiles.end();
             return profile_told;
         }
@@ -63,12 +63,12 @@
         if (name == "g") arrival.group = value;
         if (name == "at") holder = value;
         if (name == "mid") arrival.mid_flow = value == "1";
-        if (name == "again") arrival.again = value == "1";
-        if (name == "h") return read_number(value, arrival.load) && arrival.load >= 0;
+        if (name == "again") arrival.reconnect = value == "1";
+        if (name == "h") return read_number(value, arrival.expected_load) && arrival.expected_load >= 0;
         return true;
     });
     if (!listed || !profile_told || wait_ms < 0) return false;
-    arrival.give_up_at = now + static_cast<Tenths>(std::floor(wait_ms * 10));
+    arrival.deadline = now + static_cast<Ticks>(std::floor(wait_ms * 10));
     return true;
 }
 
@@ -86,7 +86,7 @@
     return false;
 }
 
-bool write_opening(std::string_view line, Tenths wait, net::Buffer& into) {
+bool write_opening(std::string_view line, Ticks wait, net::Buffer& into) {
     const auto list = line.rfind(' ') + 1;
     auto at = list;
     while (at < line.size() && line.substr(at, 2) != "d=")
@@ -94,7 +94,7 @@
     const auto rest = std::min(line.find(',', at), line.size());
     std::array<char, 24> digits{};
     const char* end =
-        std::to_chars(digits.data(), digits.data() + digits.size(), std::max<Tenths>(wait, 0) / 10).ptr;
+        std::to_chars(digits.data(), digits.data() + digits.size(), std::max<Ticks>(wait, 0) / 10).ptr;
     bool fits = into.append(line.substr(0, at));
     if (at < line.size()) {
         fits = fits && into.append("d=") &&
--- a/src/tunnel/stages.h
+++ b/src/tunnel/stages.h
@@ -13,51 +13,51 @@
 
 namespace lemonstair::tunnel {
 
-class Stages final : public net::Waiter {
+class TunnelStages final : public net::EventHandler {
   public:
-    Stages(net::Loop& loop, const config::Launch& launch, discovery::Hosts& hosts, log::Log& log,
-           account::Costs& costs)
+    TunnelStages(net::EventLoop& loop, const config::NodeConfig& launch, discovery::EndpointDirectory& hosts,
+                 log::Log& log, metrics::ResourceCounters& costs)
         : floor(loop, *this, launch, hosts, log, costs) {}
     void ready(std::uint64_t token, short events) override {
-        const Id id = token >> 1;
+        const TunnelId id = token >> 1;
         const auto side = static_cast<Side>(token & 1);
         at_stage(id, [&](auto& stage) { stage.tunnel_ready(id, side, events); });
     }
     void due(std::uint64_t token) override {
-        const Id id = token >> 1;
+        const TunnelId id = token >> 1;
         at_stage(id, [&](auto& stage) { stage.tunnel_due(id); });
     }
 
-    Floor floor;
-    Book book{floor};
+    TunnelRegistry floor;
+    Completion book{floor};
     Relay relay{floor, book};
-    Carry carry{floor, relay, book};
-    Send send{floor, book, relay};
-    Route route{floor, send, relay, book};
-    Admit admit{floor, route, book};
-    TakeIn take_in{floor, admit, book};
+    Transfer carry{floor, relay, book};
+    AttemptRunner send{floor, book, relay};
+    Dispatcher route{floor, send, relay, book};
+    Admission admit{floor, route, book};
+    Acceptor take_in{floor, admit, book};
 
   private:
     // Calls tell(stage) with the stage that has a tunnel in its present state; not where it is no more.
     template <class Tell>
-    void at_stage(Id id, Tell&& tell) {
+    void at_stage(TunnelId id, Tell&& tell) {
         const Tunnel* t = floor.find(id);
         if (t == nullptr) return;
         switch (t->state) {
-            case State::free:
-            case State::handing:  // nothing is asked of its sockets meanwhile
+            case TunnelState::free:
+            case TunnelState::handing:  // nothing is asked of its sockets meanwhile
                 return;
-            case State::taking_in:
+            case TunnelState::taking_in:
                 return tell(take_in);
-            case State::deciding:
-            case State::connecting:
-            case State::sending_line:
-            case State::awaiting_answer:
+            case TunnelState::deciding:
+            case TunnelState::connecting:
+            case TunnelState::sending_line:
+            case TunnelState::awaiting_answer:
                 return tell(send);
-            case State::relaying:
-            case State::moving:
+            case TunnelState::relaying:
+            case TunnelState::moving:
                 return tell(relay);
-            case State::departing:
+            case TunnelState::departing:
                 return tell(book);
         }
     }
--- a/src/tunnel/transfer.cpp
+++ b/src/tunnel/transfer.cpp
@@ -25,12 +25,12 @@
 }  // namespace
 
 // One that ends, or is being moved, does so here, within seconds.
-bool Carry::can_go(const Tunnel& t) {
-    return t.state == State::relaying && !t.stays && !t.up.ended && !t.down.ended &&
-           t.ending == Ending::broken;
+bool Transfer::can_go(const Tunnel& t) {
+    return t.state == TunnelState::relaying && !t.stays && !t.up.ended && !t.down.ended &&
+           t.ending == Outcome::connection_lost;
 }
 
-bool Carry::next(Id& id, std::string& told) {
+bool Transfer::next(TunnelId& id, std::string& told) {
     for (std::uint32_t looked = 0; looked < floor_.tunnels.places(); ++looked) {
         if (next_ >= floor_.tunnels.places()) next_ = 0;
         const std::uint32_t at = next_++;
@@ -38,7 +38,7 @@
         id = floor_.id_of(at);
         Tunnel& t = floor_.tunnels[at];
         write(id, t, told);
-        floor_.go(id, State::handing);
+        floor_.go(id, TunnelState::handing);
         t.client.wait_for(0);
         t.host.wait_for(0);
         return true;
@@ -46,45 +46,45 @@
     return false;
 }
 
-void Carry::write(Id id, const Tunnel& t, std::string& into) const {
-    bytes::Writer out(into);
+void Transfer::write(TunnelId id, const Tunnel& t, std::string& into) const {
+    serialization::Writer out(into);
     out.text(floor_.hosts[t.place].id);
     figures(out, t);
     out.text({t.head.data(), t.head_size});
     out.text(t.up.waiting.view());
     out.text(t.down.waiting.view());
     std::string mind;
-    if (t.known && !floor_.mind().hand_over(id, mind)) mind.clear();
+    if (t.known && !floor_.mind().serialize_tunnel(id, mind)) mind.clear();
     out.text(mind);
 }
 
-void Carry::gone(Id id) {
+void Transfer::gone(TunnelId id) {
     if (floor_.find(id) == nullptr) return;
-    book_.over(id, Ending::called_off);
+    book_.over(id, Outcome::cancelled);
     book_.drop(id);
 }
 
 // The other process died, or does not know its host: it goes on here as if nothing had been.
-void Carry::comes_back(Id id, bool may_go) {
+void Transfer::comes_back(TunnelId id, bool may_go) {
     Tunnel* t = floor_.find(id);
-    if (t == nullptr || t->state != State::handing) return;
+    if (t == nullptr || t->state != TunnelState::handing) return;
     t->stays = !may_go;
     relay_.go_on(id);
 }
 
-bool Carry::take(std::string_view told, net::Fd client, net::Fd host) {
-    bytes::Reader in(told);
+bool Transfer::take(std::string_view told, net::Fd client, net::Fd host) {
+    serialization::Reader in(told);
     const std::uint32_t place = floor_.hosts.place_of(in.text());
     Tunnel read;
     figures(in, read);
-    for (Tenths* time : {&read.setup_from, &read.heard_at, &read.waiting_since})
+    for (Ticks* time : {&read.setup_from, &read.heard_at, &read.waiting_since})
         if (*time != 0) *time += clock_shift_;
     const auto head = in.text(), up = in.text(), down = in.text(), mind = in.text();
-    if (!in.good() || !in.at_end() || place == discovery::Hosts::none || head.size() > read.head.size() ||
-        up.size() > net::buffer_bytes || down.size() > net::buffer_bytes ||
+    if (!in.good() || !in.at_end() || place == discovery::EndpointDirectory::none ||
+        head.size() > read.head.size() || up.size() > net::buffer_bytes || down.size() > net::buffer_bytes ||
         read.profile >= floor_.launch.profiles.size() || read.setups < 1)
         return false;
-    const Id id = floor_.open(std::move(client), false);
+    const TunnelId id = floor_.open(std::move(client), false);
     Tunnel& t = *floor_.find(id);
     read.client = std::move(t.client);
     t = std::move(read);
@@ -98,8 +98,8 @@
         way->waiting.append(bytes);
     }
     if (t.name != 0) floor_.names.put(t.name, static_cast<std::uint32_t>(id));
-    floor_.go(id, State::handing);
-    t.known = !mind.empty() && floor_.mind().taken_over(id, mind, clock_shift_);
+    floor_.go(id, TunnelState::handing);
+    t.known = !mind.empty() && floor_.mind().restore_tunnel(id, mind, clock_shift_);
     relay_.go_on(id);
     return true;
 }
--- a/src/tunnel/transfer.h
+++ b/src/tunnel/transfer.h
@@ -10,28 +10,29 @@
 
 namespace lemonstair::tunnel {
 
-class Carry {
+class Transfer {
   public:
-    Carry(Floor& floor, Relay& relay, Book& book) : floor_(floor), relay_(relay), book_(book) {}
+    Transfer(TunnelRegistry& floor, Relay& relay, Completion& book)
+        : floor_(floor), relay_(relay), book_(book) {}
     // The next open tunnel that can go over, in no order; it is frozen until it has gone or comes back. False
     // where there is none.
-    bool next(Id& id, std::string& told);
-    void gone(Id id);
-    void comes_back(Id id, bool may_go);
+    bool next(TunnelId& id, std::string& told);
+    void gone(TunnelId id);
+    void comes_back(TunnelId id, bool may_go);
     // What this process's clock is ahead of that of the one that hands over.
-    void set_clock_shift(Tenths shift) { clock_shift_ = shift; }
-    Tenths clock_shift() const { return clock_shift_; }
+    void set_clock_shift(Ticks shift) { clock_shift_ = shift; }
+    Ticks clock_shift() const { return clock_shift_; }
     // False where it is not to be had here; the descriptors are closed then.
     bool take(std::string_view told, net::Fd client, net::Fd host);
 
   private:
     static bool can_go(const Tunnel& t);
-    void write(Id id, const Tunnel& t, std::string& into) const;
-    Floor& floor_;
+    void write(TunnelId id, const Tunnel& t, std::string& into) const;
+    TunnelRegistry& floor_;
     Relay& relay_;
-    Book& book_;
+    Completion& book_;
     std::uint32_t next_ = 0;  // place that is looked at next
-    Tenths clock_shift_ = 0;
+    Ticks clock_shift_ = 0;
 };
 
 }  // namespace lemonstair::tunnel
--- a/src/tunnel/tunnel_registry.cpp
+++ b/src/tunnel/tunnel_registry.cpp
@@ -6,37 +6,38 @@
 
 namespace lemonstair::tunnel {
 
-std::string_view name_of(State s) {
+std::string_view name_of(TunnelState s) {
     switch (s) {
-        case State::free:
+        case TunnelState::free:
             return "free";
-        case State::taking_in:
+        case TunnelState::taking_in:
             return "taking in";
-        case State::deciding:
+        case TunnelState::deciding:
             return "deciding";
-        case State::connecting:
+        case TunnelState::connecting:
             return "connecting";
-        case State::sending_line:
+        case TunnelState::sending_line:
             return "sending its line";
-        case State::awaiting_answer:
+        case TunnelState::awaiting_answer:
             return "awaiting an answer";
-        case State::relaying:
+        case TunnelState::relaying:
             return "relaying";
-        case State::moving:
+        case TunnelState::moving:
             return "moving";
-        case State::handing:
+        case TunnelState::handing:
             return "handing";
-        case State::departing:
+        case TunnelState::departing:
             return "departing";
     }
     return "";
 }
 
 // An id is new with every connection: one that was open lately is remembered, so that nobody opens it again.
-void Floor::let_go(Tunnel& t, std::uint32_t place) {
+void TunnelRegistry::let_go(Tunnel& t, std::uint32_t place) {
     if (names.find(t.name) != place) return;
     names.drop(t.name);
-    if (t.state != State::relaying && t.state != State::moving && t.state != State::handing) return;
+    if (t.state != TunnelState::relaying && t.state != TunnelState::moving && t.state != TunnelState::handing)
+        return;
     std::uint64_t& oldest = spent_names_[next_spent_++ % spent_names_.size()];
     if (oldest != 0 && names.find(oldest) == spent) names.drop(oldest);
     oldest = t.name;
@@ -44,42 +45,42 @@
 }
 
 // A tunnel counts once, as its client was answered; one whose line named no profile is nobody's.
-void Floor::count_outcome(Tunnel& t, State to) {
+void TunnelRegistry::count_outcome(Tunnel& t, TunnelState to) {
     if (!t.classed) return;
-    if (to == State::relaying) t.outcome = account::Outcome::opened;
-    if (t.outcome == account::Outcome::none) return;
+    if (to == TunnelState::relaying) t.outcome = metrics::FinalAnswer::opened;
+    if (t.outcome == metrics::FinalAnswer::none) return;
     outcomes.count(t.profile, t.outcome);
     t.classed = false;
 }
 
-void Floor::violated(account::Rule rule, Id id, std::string_view detail) {
+void TunnelRegistry::violated(metrics::Invariant rule, TunnelId id, std::string_view detail) {
     ++costs.violations[static_cast<std::size_t>(rule)];
-    log.error() << account::violation_mark << name_of(rule) << ", tunnel " << static_cast<std::uint32_t>(id)
+    log.error() << metrics::violation_mark << name_of(rule) << ", tunnel " << static_cast<std::uint32_t>(id)
                 << ": " << detail;
 }
 
-bool Floor::client_is_gone(const Tunnel& t) const { return !t.client.open() || t.client.hung_up(); }
+bool TunnelRegistry::client_is_gone(const Tunnel& t) const { return !t.client.open() || t.client.hung_up(); }
 
 // A connection that ends without last words: its client must have gone, or never have begun to speak.
-void Floor::check_ending(Id id, const Tunnel& t, State to) {
-    if (to != State::free || !t.client.open()) return;
-    const bool waits = t.state == State::deciding || t.state == State::connecting ||
-                       t.state == State::sending_line || t.state == State::awaiting_answer;
-    if (waits && !client_is_gone(t)) violated(account::Rule::closed_unanswered, id, name_of(t.state));
-    if (t.state != State::taking_in) return;
+void TunnelRegistry::check_ending(TunnelId id, const Tunnel& t, TunnelState to) {
+    if (to != TunnelState::free || !t.client.open()) return;
+    const bool waits = t.state == TunnelState::deciding || t.state == TunnelState::connecting ||
+                       t.state == TunnelState::sending_line || t.state == TunnelState::awaiting_answer;
+    if (waits && !client_is_gone(t)) violated(metrics::Invariant::closed_unanswered, id, name_of(t.state));
+    if (t.state != TunnelState::taking_in) return;
     std::array<char, 1> next{};
     const bool whole_line = t.opening.held() && t.opening.view().find('\n') != std::string_view::npos;
     const attempt_policy::PendingInput input{t.client.peek(next).bytes, whole_line};
     const Reason reason = attempt_policy::may_close_unanswered(input);
     if (reason != Reason::allowed && !client_is_gone(t))
-        violated(account::Rule::closed_unanswered, id, name_of(reason));
+        violated(metrics::Invariant::closed_unanswered, id, name_of(reason));
 }
 
-void Floor::go(Id id, State to) {
+void TunnelRegistry::go(TunnelId id, TunnelState to) {
     Tunnel& t = *find(id);
     check_ending(id, t, to);
-    const auto counts = [](State s) {
-        return s != State::free && s != State::taking_in && s != State::departing;
+    const auto counts = [](TunnelState s) {
+        return s != TunnelState::free && s != TunnelState::taking_in && s != TunnelState::departing;
     };
     if (!counts(t.state) && counts(to)) ++admitted;
     if (counts(t.state) && !counts(to)) {
@@ -87,13 +88,13 @@
         let_go(t, static_cast<std::uint32_t>(id));
     }
     count_outcome(t, to);
-    if (t.state == State::departing) --departing;
-    if (to == State::departing) ++departing;
+    if (t.state == TunnelState::departing) --departing;
+    if (to == TunnelState::departing) ++departing;
     log.debug() << "tunnel " << static_cast<std::uint32_t>(id) << ": " << name_of(t.state) << " -> "
                 << name_of(to);
     t.state = to;
     t.since = loop.now();
-    if (to != State::free) return;
+    if (to != TunnelState::free) return;
     --in_hand;
     const bool was_at_door = t.at_door;
     at_door -= was_at_door ? 1 : 0;
@@ -101,7 +102,7 @@
     if (was_at_door) keep_spares();
 }
 
-bool Floor::comes_in(Tunnel& t) {
+bool TunnelRegistry::comes_in(Tunnel& t) {
     keep_spares();
     for (const net::Fd& spare : spares_)
         if (!spare.open()) return false;
@@ -111,12 +112,12 @@
     return true;
 }
 
-void Floor::keep_spares() {
+void TunnelRegistry::keep_spares() {
     for (net::Fd& spare : spares_)
         if (!spare.open()) spare = loop.system().spare();
 }
 
-bool Floor::give_up_spare() {
+bool TunnelRegistry::give_up_spare() {
     for (net::Fd& spare : spares_)
         if (spare.open()) return spare.close(), true;
     keep_spares();
--- a/src/tunnel/tunnel_registry.h
+++ b/src/tunnel/tunnel_registry.h
@@ -22,17 +22,17 @@
 
 // A tunnel's number: its place in the slab and the use of that place, so that a late word about one never
 // reaches the next. It is the module's number for it too, and with the side the token of its sockets.
-using Id = std::uint64_t;
+using TunnelId = std::uint64_t;
 enum class Side : std::uint8_t { client, host };
 
-struct Tally {
+struct TunnelTotals {
     std::uint64_t taken = 0, opened = 0, declined = 0, failed = 0, busy = 0, moved = 0, silent = 0, bad = 0,
                   gave_way = 0;
 };
 
-struct Floor {
-    Floor(net::Loop& with, net::Waiter& stages, const config::Launch& by, discovery::Hosts& of, log::Log& to,
-          account::Costs& counts)
+struct TunnelRegistry {
+    TunnelRegistry(net::EventLoop& with, net::EventHandler& stages, const config::NodeConfig& by,
+                   discovery::EndpointDirectory& of, log::Log& to, metrics::ResourceCounters& counts)
         : loop(with),
           waiter(stages),
           launch(by),
@@ -41,13 +41,13 @@
           costs(counts),
           outcomes(by.profiles.size()) {}
 
-    Id id_of(std::uint32_t at) const { return Id{tunnels.serial(at) & 0x7fffffffU} << 32 | at; }
+    TunnelId id_of(std::uint32_t at) const { return TunnelId{tunnels.serial(at) & 0x7fffffffU} << 32 | at; }
     // Nothing where the tunnel is no more.
-    Tunnel* find(Id id) {
+    Tunnel* find(TunnelId id) {
         const auto at = static_cast<std::uint32_t>(id);
         return tunnels.used(at) && id_of(at) == id ? &tunnels[at] : nullptr;
     }
-    Id open(net::Fd client, bool by_the_door) {
+    TunnelId open(net::Fd client, bool by_the_door) {
         const std::uint32_t at = tunnels.take();
         tunnels[at].at_door = by_the_door;
         at_door += by_the_door ? 1 : 0;
@@ -55,15 +55,15 @@
         ++in_hand;
         return id_of(at);
     }
-    net::Socket socket(Id id, Side side, net::Fd fd, short events) {
+    net::Socket socket(TunnelId id, Side side, net::Fd fd, short events) {
         return {loop, std::move(fd), events, waiter, id << 1 | static_cast<std::uint64_t>(side)};
     }
     // The module, with the time told.
     Balancer& mind() {
-        balancer->at(loop.now());
+        balancer->set_time(loop.now());
         return *balancer;
     }
-    void set_due(Id id, Tunnel& t, Tenths when) {
+    void set_due(TunnelId id, Tunnel& t, Ticks when) {
         t.due = when;
         loop.at(when, waiter, id << 1);
     }
@@ -77,18 +77,18 @@
     // Another process of this node may hold a part of what both are granted together.
     std::size_t granted() const { return launch.sockets > elsewhere ? launch.sockets - elsewhere : 0; }
     std::size_t taking_in() const { return in_hand - admitted - departing; }
-    void go(Id id, State to);
+    void go(TunnelId id, TunnelState to);
     // Counts and tells an effect that should not have been.
-    void violated(account::Rule rule, Id id, std::string_view detail);
+    void violated(metrics::Invariant rule, TunnelId id, std::string_view detail);
     // Whether the client has ended its sending or its connection, asked of the system just now.
     bool client_is_gone(const Tunnel& t) const;
 
-    net::Loop& loop;
-    net::Waiter& waiter;
-    const config::Launch& launch;
-    discovery::Hosts& hosts;
+    net::EventLoop& loop;
+    net::EventHandler& waiter;
+    const config::NodeConfig& launch;
+    discovery::EndpointDirectory& hosts;
     log::Log& log;
-    account::Costs& costs;
+    metrics::ResourceCounters& costs;
     Balancer* balancer = nullptr;
     net::BufferPool pool;
     Slab<Tunnel> tunnels;
@@ -96,12 +96,12 @@
     // spent.
     static constexpr std::uint32_t spent = IdIndex::none - 1;
     IdIndex names;
-    account::Outcomes outcomes;
-    Tally tally;
+    metrics::TunnelCounters outcomes;
+    TunnelTotals tally;
     bool ready = false;  // what PING is told
     // A node that empties: final answers are due by then, and moved tunnels are over.
-    static constexpr Tenths no_end = std::numeric_limits<Tenths>::max() / 4;
-    Tenths answer_by = no_end, over_by = no_end;
+    static constexpr Ticks no_end = std::numeric_limits<Ticks>::max() / 4;
+    Ticks answer_by = no_end, over_by = no_end;
     std::size_t elsewhere = 0;  // descriptors that another process of this node holds
     std::size_t for_other = 0;  // left to one that may come, or for what it takes before it can say so
     std::size_t in_hand = 0;    // tunnels that are not free
@@ -117,8 +117,8 @@
     bool comes_in(Tunnel& t);
 
   private:
-    void check_ending(Id id, const Tunnel& t, State to);
-    void count_outcome(Tunnel& t, State to);
+    void check_ending(TunnelId id, const Tunnel& t, TunnelState to);
+    void count_outcome(Tunnel& t, TunnelState to);
     void let_go(Tunnel& t, std::uint32_t place);
     std::array<std::uint64_t, 1024> spent_names_{};
     std::size_t next_spent_ = 0;
--- a/tests/backoff.cpp
+++ b/tests/backoff.cpp
@@ -16,16 +16,16 @@
 
 namespace {
 
-Terms asking(std::uint32_t nodes) {
-    Terms t = Node::usual(0, nodes);
-    t.must_ask = true;
-    t.limits.peers = false;
+BalancerConfig asking(std::uint32_t nodes) {
+    BalancerConfig t = Node::usual(0, nodes);
+    t.must_poll = true;
+    t.limits.gossip_enabled = false;
     return t;
 }
 
 // Lets time pass until the module asks for the list; how long that took.
-Tenths until_asked(Node& n, Tenths limit) {
-    const Tenths from = n.now;
+Ticks until_asked(Node& n, Ticks limit) {
+    const Ticks from = n.now;
     const int before = n.watches;
     while (n.watches == before && n.now - from < limit) n.pass(5 * ms);
     return n.now - from;
@@ -35,12 +35,12 @@
 
 TEST_CASE("whatever a call hangs in when discovery returns, the next one is out with time for its answer") {
     // What is left of each phase, at the worst, and then the longest pause.
-    const Tenths phases[] = {0, backoff::patience_connecting, backoff::patience_asking,
-                             backoff::patience_standing};
-    for (const Tenths left : phases) {
+    const Ticks phases[] = {0, backoff::patience_connecting, backoff::patience_asking,
+                            backoff::patience_standing};
+    for (const Ticks left : phases) {
         for (int failures = 0; failures < 40; ++failures) {
             Backoff b;
-            Tenths pause = 0;
+            Ticks pause = 0;
             for (int i = 0; i <= failures; ++i) pause = b.failed(0.999999);
             CHECK(pause > 0);
             CHECK(left + pause + backoff::for_answer <= 6 * s);
@@ -63,13 +63,13 @@
 TEST_CASE(
     "300 nodes that find discovery down do not call it in one instant, nor more than twice a second each") {
     std::minstd_rand rng(7);
-    std::vector<Tenths> next(300);
+    std::vector<Ticks> next(300);
     std::vector<Backoff> backoffs(300);
     const auto chance = [&] { return static_cast<double>(rng()) / 2147483648.0; };
     for (auto& at : next) at = backoffs[0].failed(chance()), backoffs[0].answered();
     std::vector<int> calls(90);
     for (std::size_t i = 0; i < 300; ++i)
-        for (Tenths at = next[i]; at < 9 * s; at += backoffs[i].failed(chance())) ++calls[at / 1000];
+        for (Ticks at = next[i]; at < 9 * s; at += backoffs[i].failed(chance())) ++calls[at / 1000];
     for (std::size_t i = 30; i < 90; ++i) CHECK(calls[i] < 60);  // 33 in each tenth of a second on the mean
     int last = 0;
     for (std::size_t i = 50; i < 90; ++i) last += calls[i];
@@ -80,23 +80,23 @@
     "a process that starts asks for the list soon, however many nodes there are and whatever they may wait") {
     for (const std::uint32_t nodes : {1U, 3U, 30U, 300U, 1024U})
         for (const std::uint32_t seed : {1U, 77777777U, 1234567890U}) {
-            Terms t = asking(nodes);
+            BalancerConfig t = asking(nodes);
             t.seed = seed;
             Node n(t);
-            n.list({7, 8}, ListKind::remembered);
+            n.list({7, 8}, EndpointListKind::cached);
             CHECK(until_asked(n, 20 * s) <= 16 * s / 10);
         }
 }
 
 TEST_CASE("300 nodes that lose discovery together spread their first calls over a second, not a moment") {
-    std::vector<Tenths> after;
+    std::vector<Ticks> after;
     for (std::uint32_t i = 0; i < 60; ++i) {
-        Terms t = asking(300);
+        BalancerConfig t = asking(300);
         t.seed = 7919 * (i + 1);
         Node n(t);
-        n.list({7, 8}, ListKind::remembered);
+        n.list({7, 8}, EndpointListKind::cached);
         n.pass(2 * s);
-        n.list({}, ListKind::failed);
+        n.list({}, EndpointListKind::failed);
         after.push_back(until_asked(n, 20 * s));
     }
     std::sort(after.begin(), after.end());
@@ -106,14 +106,14 @@
 
 TEST_CASE("a node that must ask calls again within the bound, after each of many failures") {
     Node n(asking(300));
-    n.list({7, 8}, ListKind::remembered);
+    n.list({7, 8}, EndpointListKind::cached);
     n.pass(2 * s);
     for (int i = 0; i < 30; ++i) {
-        n.list({}, ListKind::failed);
+        n.list({}, EndpointListKind::failed);
         CHECK(until_asked(n, 20 * s) <= backoff::longest_pause + 100 * ms);
     }
     n.list({7, 8});
     const int before = n.watches;
-    n.list({}, ListKind::elsewhere);
+    n.list({}, EndpointListKind::moved);
     CHECK(n.watches == before + 1);  // another place: at once
 }
--- a/tests/codec.cpp
+++ b/tests/codec.cpp
@@ -8,7 +8,7 @@
 #include "metrics/resource_counters.h"
 
 namespace {
-struct Heard final : lemonstair::peer::Listener {
+struct Heard final : lemonstair::peer::MessageHandler {
     std::ostringstream said;
     void record(std::uint64_t key, std::uint32_t ep, std::int64_t stamp, std::uint32_t group,
                 double load) override {
@@ -88,11 +88,11 @@
     lemonstair::peer::Message m;
     m.hello();
     m.lost(3);
-    lemonstair::account::Costs before, costs;
+    lemonstair::metrics::ResourceCounters before, costs;
     costs.told(m.bytes(), 9);
-    costs.setup_ended(lemonstair::Ending::full);
+    costs.setup_ended(lemonstair::Outcome::overloaded);
     CHECK(costs.datagrams == 9);
     std::ostringstream line;
-    lemonstair::account::write_added(line, costs, before);
+    lemonstair::metrics::write_added(line, costs, before);
     CHECK(line.str() == " full=1 datagrams=9 sign=9 hello=9 lost=45");
 }
--- a/tests/dealing.cpp
+++ b/tests/dealing.cpp
@@ -12,24 +12,24 @@
 
 #include "fake.h"
 
-using lemonstair::budget::Dealing;
-using lemonstair::budget::Share;
-using lemonstair::budget::SlotNo;
-using lemonstair::budget::Tenths;
+using lemonstair::quota::Quota;
+using lemonstair::quota::QuotaSchedule;
+using lemonstair::quota::SlotNumber;
+using lemonstair::quota::Ticks;
 
 namespace {
 
-constexpr Tenths slot = 1000, keep = 8000;
+constexpr Ticks slot = 1000, keep = 8000;
 constexpr std::uint32_t budget = 77;
 
-std::vector<Dealing> fleet(std::uint32_t nodes, Tenths born) {
-    std::vector<Dealing> all;
+std::vector<QuotaSchedule> fleet(std::uint32_t nodes, Ticks born) {
+    std::vector<QuotaSchedule> all;
     for (std::uint32_t n = 0; n < nodes; ++n) all.push_back({n, nodes, slot, keep, born});
     return all;
 }
 
 // The first slot from one on that a node owns and that has a unit.
-SlotNo owned(const Dealing& d, double rate, SlotNo from) {
+SlotNumber owned(const QuotaSchedule& d, double rate, SlotNumber from) {
     while (d.owner(budget, from) != d.me || d.units(budget, from, rate) == 0) ++from;
     return from;
 }
@@ -39,12 +39,12 @@
 TEST_CASE("all nodes together, none of which hears anything, never pass a budget in any window") {
     for (const double rate : {0.7, 3.0, 40.0}) {
         const auto all = fleet(60, 0);
-        std::vector<Share> shares(all.size());
-        std::vector<Tenths> spent;
-        for (Tenths now = 2 * keep; now < 60 * keep; now += 100)
+        std::vector<Quota> shares(all.size());
+        std::vector<Ticks> spent;
+        for (Ticks now = 2 * keep; now < 60 * keep; now += 100)
             for (std::size_t n = 0; n < all.size(); ++n)
                 while (shares[n].spend(all[n], budget, rate, now)) spent.push_back(now);
-        const Tenths window = 15000;
+        const Ticks window = 15000;
         const double bears = rate * static_cast<double>(window + keep) / 10000;
         for (std::size_t first = 0, last = 0; last < spent.size(); ++last) {
             while (spent[last] - spent[first] > window) ++first;
@@ -57,24 +57,24 @@
 }
 
 TEST_CASE("a node that restarts has nothing of what its earlier life may have spent") {
-    Dealing d{0, 3, slot, keep, 0};
-    const SlotNo n = owned(d, 20, 100);
-    Share before, after;
+    QuotaSchedule d{0, 3, slot, keep, 0};
+    const SlotNumber n = owned(d, 20, 100);
+    Quota before, after;
     CHECK(before.spend(d, budget, 20, d.begin(n)));
     d.born = d.begin(n) + 10;
     CHECK(after.left(d, budget, 20, d.begin(n) + 10) == 0);
-    const SlotNo next = owned(d, 20, n + 1);
+    const SlotNumber next = owned(d, 20, n + 1);
     CHECK(after.left(d, budget, 20, d.begin(next)) > 0);
 }
 
 TEST_CASE("a process that was stopped wakes with nothing that has run out") {
-    const Dealing d{1, 3, slot, keep, 0};
-    const SlotNo n = owned(d, 20, 100);
-    Share share;
+    const QuotaSchedule d{1, 3, slot, keep, 0};
+    const SlotNumber n = owned(d, 20, 100);
+    Quota share;
     CHECK(share.left(d, budget, 20, d.begin(n)) >= 1);
-    const Tenths wakes = d.begin(n) + 50000;
+    const Ticks wakes = d.begin(n) + 50000;
     int live = 0;
-    for (SlotNo s = d.slot_at(wakes - keep); s <= d.slot_at(wakes); ++s)
+    for (SlotNumber s = d.slot_at(wakes - keep); s <= d.slot_at(wakes); ++s)
         live += d.live(s, wakes) && d.owner(budget, s) == 1 ? d.units(budget, s, 20) : 0;
     CHECK(share.left(d, budget, 20, wakes) == live);
 }
@@ -82,10 +82,10 @@
 TEST_CASE("a lent unit is the lender's no more, counts once, and is refused where it cannot be") {
     const auto all = fleet(3, 0);
     constexpr double rate = 10;  // a unit a slot
-    Share lender, taker;
-    SlotNo n = owned(all[0], rate, 100);
+    Quota lender, taker;
+    SlotNumber n = owned(all[0], rate, 100);
     while (all[0].owner(budget, n - 1) == 0) n = owned(all[0], rate, n + 1);
-    const Tenths now = all[0].begin(n);
+    const Ticks now = all[0].begin(n);
     const int had = lender.left(all[0], budget, rate, now);
     CHECK(!taker.borrow(all[1], budget, n, 0, now));  // nobody asked
     for (;;) {
@@ -103,20 +103,20 @@
     CHECK(taker.borrow(all[1], budget, n, 0, now));
     CHECK(taker.left(all[1], budget, rate, now) == own + 1);
     CHECK(!taker.borrow(all[1], budget, n, 0, now));  // doubled on its way
-    Share late;
+    Quota late;
     while (const auto ask = late.ask(all[1], budget, rate, now)) static_cast<void>(ask);
     CHECK(!late.borrow(all[1], budget, n, 0, now + keep));  // too late
-    Dealing restarted = all[1];
+    QuotaSchedule restarted = all[1];
     restarted.born = now + 1;
-    Share again;
+    Quota again;
     CHECK(!again.borrow(restarted, budget, n, 0, now + 2));  // lent to the life before
     CHECK(!taker.borrow(all[1], budget, n + 1000000, 0, now));
 }
 
 TEST_CASE("a slot's number is known by its last bits, and one from far away is none that lives") {
-    const Dealing d{0, 3, slot, keep, 0};
-    const Tenths now = 17'000'000'000'000;
-    for (const SlotNo off : {-8, 0, 3})
+    const QuotaSchedule d{0, 3, slot, keep, 0};
+    const Ticks now = 17'000'000'000'000;
+    for (const SlotNumber off : {-8, 0, 3})
         CHECK(d.whole(static_cast<std::uint32_t>(d.slot_at(now) + off), now) == d.slot_at(now) + off);
     CHECK(!d.live(d.whole(static_cast<std::uint32_t>(d.slot_at(now)) + 0x7fffffffU, now), now));
     CHECK(!d.live(d.whole(static_cast<std::uint32_t>(d.slot_at(now)) + 0x80000001U, now), now));
@@ -132,26 +132,26 @@
 // ask, restart; a message may come (and stay on its way: doubled, or come later: overtaken) or never come;
 // time may go on by a slot.
 constexpr std::uint32_t nodes = 3, budgets = 2;
-constexpr SlotNo first = 8, slots = 3;
-constexpr SlotNo lives = 1;  // so many slots at a time
-constexpr Tenths short_keep = lives * slot;
+constexpr SlotNumber first = 8, slots = 3;
+constexpr SlotNumber lives = 1;  // so many slots at a time
+constexpr Ticks short_keep = lives * slot;
 constexpr double unit_a_slot = 10;
 constexpr std::size_t most_messages = 2, most_restarts = 1;
 
-struct Letter {
+struct Datagram {
     std::uint8_t from, to, what, n;  // what: budget, and 128 where it lends
-    bool operator==(const Letter&) const = default;
+    bool operator==(const Datagram&) const = default;
 };
 
 struct World {
     std::uint8_t now = first, restarts = 0, letters = 0;
     std::array<std::uint8_t, nodes> born{};  // in half slots
-    std::array<std::array<Share, budgets>, nodes> share{};
-    std::array<std::array<Share, budgets>, nodes> replayed{};  // of a wilful mistake only
+    std::array<std::array<Quota, budgets>, nodes> share{};
+    std::array<std::array<Quota, budgets>, nodes> replayed{};  // of a wilful mistake only
     std::array<std::array<std::uint8_t, slots>, budgets> spent{};
-    std::array<Letter, most_messages> letter{};
-    Dealing dealing(std::uint32_t n) const { return {n, nodes, slot, short_keep, born[n] * slot / 2}; }
-    Tenths time() const { return now * slot; }
+    std::array<Datagram, most_messages> letter{};
+    QuotaSchedule dealing(std::uint32_t n) const { return {n, nodes, slot, short_keep, born[n] * slot / 2}; }
+    Ticks time() const { return now * slot; }
 };
 
 struct Found {
@@ -164,7 +164,7 @@
     const auto put = [&](const auto& x) { key.append(reinterpret_cast<const char*>(&x), sizeof x); };
     put(w.now), put(w.restarts), put(w.letters), put(w.born), put(w.letter);
     for (const auto& of : w.spent)
-        for (SlotNo s = std::max<SlotNo>(w.now - lives + 1 - first, 0); s < slots; ++s)
+        for (SlotNumber s = std::max<SlotNumber>(w.now - lives + 1 - first, 0); s < slots; ++s)
             put(of[static_cast<std::size_t>(s)]);
     for (std::uint32_t n = 0; n < nodes; ++n)
         for (std::uint32_t b = 0; b < budgets; ++b) {
@@ -194,19 +194,19 @@
         ++found_.states;
         open_.push_back(w);
     }
-    void post(World& w, const Letter& l) {
+    void post(World& w, const Datagram& l) {
         for (std::size_t i = 0; i < w.letters; ++i)
             if (w.letter[i] == l) return;
         if (w.letters < most_messages) w.letter[w.letters++] = l;
     }
     void spend(World w, std::uint32_t n, std::uint32_t b, bool of_replayed) {
-        Share& share = of_replayed ? w.replayed[n][b] : w.share[n][b];
-        const Dealing d = w.dealing(n);
+        Quota& share = of_replayed ? w.replayed[n][b] : w.share[n][b];
+        const QuotaSchedule d = w.dealing(n);
         std::array<int, slots> before{};
-        const auto left = [&](SlotNo s) { return share.left_of(d, b, unit_a_slot, first + s, w.time()); };
-        for (SlotNo s = 0; s < slots; ++s) before[static_cast<std::size_t>(s)] = left(s);
+        const auto left = [&](SlotNumber s) { return share.left_of(d, b, unit_a_slot, first + s, w.time()); };
+        for (SlotNumber s = 0; s < slots; ++s) before[static_cast<std::size_t>(s)] = left(s);
         if (!share.spend(d, b, unit_a_slot, w.time())) return;
-        for (SlotNo s = 0; s < slots; ++s)
+        for (SlotNumber s = 0; s < slots; ++s)
             if (left(s) < before[static_cast<std::size_t>(s)]) {
                 auto& spent = w.spent[b][static_cast<std::size_t>(s)];
                 if (++spent > d.units(b, first + s, unit_a_slot)) found_.passed = true;
@@ -215,7 +215,7 @@
     }
     void look(const World& w) {
         for (std::uint32_t n = 0; n < nodes; ++n) {
-            const Dealing d = w.dealing(n);
+            const QuotaSchedule d = w.dealing(n);
             for (std::uint32_t b = 0; b < budgets; ++b) {
                 spend(w, n, b, false);
                 if (mistake_ == Mistake::replay_counts) spend(w, n, b, true);
@@ -251,19 +251,19 @@
             seen(later);
         }
     }
-    void deliver(World& w, const Letter& l) {
-        const Dealing d = w.dealing(l.to);
+    void deliver(World& w, const Datagram& l) {
+        const QuotaSchedule d = w.dealing(l.to);
         const std::uint32_t b = l.what & 127U;
         if ((l.what & 128U) != 0) {
             if (w.share[l.to][b].borrow(d, b, l.n, l.from, w.time()) || mistake_ != Mistake::replay_counts)
                 return;
-            Share& more = w.replayed[l.to][b];
+            Quota& more = w.replayed[l.to][b];
             while (more.ask(d, b, unit_a_slot, w.time())) continue;
             static_cast<void>(more.borrow(d, b, l.n, l.from, w.time()));
             return;
         }
-        Share forgetful = w.share[l.to][b];
-        Share& share = mistake_ == Mistake::lends_without_debit ? forgetful : w.share[l.to][b];
+        Quota forgetful = w.share[l.to][b];
+        Quota& share = mistake_ == Mistake::lends_without_debit ? forgetful : w.share[l.to][b];
         if (share.lend(d, b, l.n, unit_a_slot, w.time()))
             post(w, {l.to, l.from, static_cast<std::uint8_t>(l.what | 128U), l.n});
     }
@@ -271,7 +271,7 @@
     void come_back(const World& w) {
         for (std::uint32_t n = 0; n < nodes; ++n)
             for (std::uint32_t b = 0; b < budgets; ++b) {
-                const Dealing d = w.dealing(n);
+                const QuotaSchedule d = w.dealing(n);
                 if (d.owner(b, w.now) == n && w.share[n][b].left_of(d, b, unit_a_slot, w.now, w.time()) !=
                                                   d.units(b, w.now, unit_a_slot))
                     found_.never_back = true;
@@ -305,12 +305,12 @@
 // How many of a hundred new tunnels go to a host that has just started, beside none other.
 int sent_cold(fake::Node& n, std::uint64_t first) {
     const auto before = n.sent.size();
-    for (std::uint64_t t = first; t < first + 100; ++t) n.arrive(t);
+    for (std::uint64_t t = first; t < first + 100; ++t) n.on_request(t);
     return static_cast<int>(n.sent.size() - before);
 }
-fake::Terms alone() {
+fake::BalancerConfig alone() {
     auto terms = fake::Node::usual(0, 1);
-    terms.rules.cold_from = 0.9;
+    terms.rules.slow_start_initial_factor = 0.9;
     return terms;
 }
 }  // namespace
@@ -319,9 +319,9 @@
     using namespace fake;
     for (const bool again : {false, true}) {
         Node n(alone());
-        n.list({7}, ListKind::whole, Life::in_service, 100 * s);
+        n.list({7}, EndpointListKind::complete, EndpointState::active, 100 * s);
         n.pass(3 * s);
-        if (again) n.b->again();
+        if (again) n.b->resume_ownership();
         const int sent = sent_cold(n, 1);
         CHECK((again ? sent == 0 : sent >= 1));
         n.pass(1 * s);
@@ -331,13 +331,13 @@
 
 TEST_CASE("a node that is told another time to fall over in has nothing of the slots before") {
     using namespace fake;
-    for (const Tenths fall : {15 * s / 10, 3 * s}) {
+    for (const Ticks fall : {15 * s / 10, 3 * s}) {
         Node n(alone());
-        n.list({7}, ListKind::whole, Life::in_service, 100 * s);
+        n.list({7}, EndpointListKind::complete, EndpointState::active, 100 * s);
         n.pass(3 * s);
         auto terms = alone();
-        terms.rules.fall = fall;
-        n.b->retold(terms);
+        terms.rules.overload_window = fall;
+        n.b->update_config(terms);
         const int sent = sent_cold(n, 1);
         CHECK((fall > 2 * s ? sent == 0 : sent >= 1));
         n.pass(2 * s);
@@ -348,13 +348,13 @@
 TEST_CASE("a mid-flow tunnel stays at a cold host that holds it and spends nothing there") {
     using namespace fake;
     Node n(alone());
-    n.list({7}, ListKind::whole, Life::in_service, 100 * s);
+    n.list({7}, EndpointListKind::complete, EndpointState::active, 100 * s);
     n.pass(3 * s);
-    n.arrive(1, "k1");
+    n.on_request(1, "k1");
     n.open(1);
     while (sent_cold(n, 1000 + n.sent.size() * 100) > 0) n.pass(0);
     const auto before = n.sent.size();
-    n.arrive(2, "k1", true);
+    n.on_request(2, "k1", true);
     CHECK(n.sent.size() == before + 1);
     CHECK(n.last().ep == 7);
 }
@@ -363,13 +363,13 @@
     using namespace fake;
     for (const bool restarted : {false, true}) {
         Node n(alone());
-        n.list({7, 8}, ListKind::whole, Life::in_service, 10 * s);
-        n.arrive(1, "k1");
+        n.list({7, 8}, EndpointListKind::complete, EndpointState::active, 10 * s);
+        n.on_request(1, "k1");
         n.open(1);
         const auto ep = n.last().ep;
         n.pass(2 * s);
-        if (restarted) n.list({ep}, ListKind::changes, Life::in_service, n.now);
-        n.arrive(2, "k1", true);
+        if (restarted) n.list({ep}, EndpointListKind::changes, EndpointState::active, n.now);
+        n.on_request(2, "k1", true);
         CHECK((n.last().ep == ep) == !restarted);
     }
 }
--- a/tests/fake.h
+++ b/tests/fake.h
@@ -31,106 +31,111 @@
 namespace fake {
 
 using namespace lemonstair;
-constexpr Tenths ms = 10, s = 10000;
+constexpr Ticks ms = 10, s = 10000;
 
 struct Sent {
     std::uint64_t tun;
     std::uint32_t ep;
-    Tenths wait, at;
+    Ticks wait, at;
 };
 
-struct Node : Host {
+struct Node : BalancerDelegate {
     std::vector<Sent> sent;
     std::vector<std::uint64_t> declined, errors, moved, probes;
     std::vector<std::pair<std::uint32_t, std::vector<std::uint8_t>>> post;  // 99: to all
-    std::vector<std::pair<Tenths, std::uint64_t>> timers;
+    std::vector<std::pair<Ticks, std::uint64_t>> timers;
     std::vector<std::string> lines;
     int watches = 0;
-    Tenths now = 100 * s;
+    Ticks now = 100 * s;
     std::unique_ptr<Balancer> b;
 
-    explicit Node(Terms terms) { b = Balancer::start(std::move(terms), *this, now); }
+    explicit Node(BalancerConfig terms) { b = Balancer::start(std::move(terms), *this, now); }
     Node() : Node(usual(0, 1)) {}
 
-    static Profile profile(Effect effect = Effect::repeatable, Scope scope = Scope::all) {
-        return {.setup_goal = 500 * ms,
+    static TrafficClass profile(Idempotency effect = Idempotency::idempotent,
+                                DeduplicationScope scope = DeduplicationScope::all) {
+        return {.latency_objective = 500 * ms,
                 .client_timeout = 3 * s,
-                .window = 5 * s,
-                .message_goal = 100 * ms,
-                .credit = 1,
-                .effect = effect,
-                .scope = scope,
+                .deduplication_window = 5 * s,
+                .message_latency_objective = 100 * ms,
+                .priority_weight = 1,
+                .idempotency = effect,
+                .deduplication_scope = scope,
                 .stream = true};
     }
-    static Terms usual() { return usual(0, 1); }
-    static Terms usual(std::uint32_t me, std::uint32_t nodes) {
-        Terms t;
-        t.profiles = {profile()};
-        t.rules = {.ask_within = 10 * s,
+    static BalancerConfig usual() { return usual(0, 1); }
+    static BalancerConfig usual(std::uint32_t me, std::uint32_t nodes) {
+        BalancerConfig t;
+        t.traffic_classes = {profile()};
+        t.rules = {.poll_interval = 10 * s,
                    .drain_grace = 3 * s,
-                   .cold = 8 * s,
-                   .fall = 15 * s / 10,
-                   .cold_from = 0.33,
-                   .tip_multiple = 2.5};
-        t.limits = {.max_come_back = 0, .max_setups = 3, .peers = nodes > 1, .probing = true};
-        t.tick = 5 * ms;
-        t.me = me;
-        t.nodes = nodes;
+                   .slow_start_duration = 8 * s,
+                   .overload_window = 15 * s / 10,
+                   .slow_start_initial_factor = 0.33,
+                   .overload_multiple = 2.5};
+        t.limits = {.max_retry_after = 0,
+                    .max_attempts = 3,
+                    .gossip_enabled = nodes > 1,
+                    .health_checks_enabled = true};
+        t.clock_resolution = 5 * ms;
+        t.own_node = me;
+        t.node_count = nodes;
         return t;
     }
-    void set_up(std::uint64_t t, std::uint32_t ep, Tenths wait) override {
+    void start_attempt(std::uint64_t t, std::uint32_t ep, Ticks wait) override {
         sent.push_back({t, ep, wait, now});
     }
-    void decline(std::uint64_t t, Tenths) override { declined.push_back(t); }
-    void close_with_error(std::uint64_t t) override { errors.push_back(t); }
-    void move(std::uint64_t t) override { moved.push_back(t); }
-    void probe(std::uint32_t ep) override { probes.push_back(ep); }
-    void watch_list() override { ++watches; }
-    void wake(Tenths at, std::uint64_t label) override { timers.emplace_back(at, label); }
-    void tell(std::uint32_t n, std::span<const std::uint8_t> m) override {
+    void reject(std::uint64_t t, Ticks) override { declined.push_back(t); }
+    void fail(std::uint64_t t) override { errors.push_back(t); }
+    void migrate(std::uint64_t t) override { moved.push_back(t); }
+    void check_health(std::uint32_t ep) override { probes.push_back(ep); }
+    void request_endpoint_list() override { ++watches; }
+    void set_timer(Ticks at, std::uint64_t label) override { timers.emplace_back(at, label); }
+    void send_gossip(std::uint32_t n, std::span<const std::uint8_t> m) override {
         post.emplace_back(n, std::vector(m.begin(), m.end()));
     }
-    void tell_all(std::span<const std::uint8_t> m) override { tell(99, m); }
+    void broadcast_gossip(std::span<const std::uint8_t> m) override { send_gossip(99, m); }
     void log(std::string_view l) override { lines.emplace_back(l); }
 
     // Lets time pass; timers fire on the way, earliest first.
-    void pass(Tenths span) {
-        const Tenths until = now + span;
+    void pass(Ticks span) {
+        const Ticks until = now + span;
         for (;;) {
             const auto next = std::min_element(timers.begin(), timers.end());
             if (next == timers.end() || next->first > until) break;
             const auto [at, label] = *next;
             timers.erase(next);
             now = std::max(now, at);
-            b->at(now);
-            b->woken(label);
+            b->set_time(now);
+            b->on_timer(label);
         }
         now = until;
-        b->at(now);
+        b->set_time(now);
     }
-    void list(std::vector<std::uint32_t> eps, ListKind kind = ListKind::whole, Life life = Life::in_service,
-              Tenths started = 0) {
-        b->list_begin(kind);
-        for (const auto e : eps) b->listed(e, 0, 0, life, 1, started);
-        b->list_end();
+    void list(std::vector<std::uint32_t> eps, EndpointListKind kind = EndpointListKind::complete,
+              EndpointState life = EndpointState::active, Ticks started = 0) {
+        b->begin_endpoint_list(kind);
+        for (const auto e : eps) b->add_endpoint(e, 0, 0, life, 1, started);
+        b->end_endpoint_list();
     }
-    void arrive(std::uint64_t t, std::string_view key = "", bool mid_flow = false, Tenths timeout = 3 * s) {
-        b->arrive(t, {.key = key, .group = {}, .give_up_at = now + timeout, .mid_flow = mid_flow});
+    void on_request(std::uint64_t t, std::string_view key = "", bool mid_flow = false,
+                    Ticks timeout = 3 * s) {
+        b->on_request(t, {.key = key, .group = {}, .deadline = now + timeout, .mid_flow = mid_flow});
     }
     const Sent& last() const { return sent.back(); }
     int setups_of(std::uint64_t t) const {
         return static_cast<int>(
             std::count_if(sent.begin(), sent.end(), [&](const Sent& x) { return x.tun == t; }));
     }
-    void open(std::uint64_t t) { b->begun(t, setups_of(t) - 1, last().ep, 10 * ms); }
-    void end(std::uint64_t t, Ending e, bool settled = false) {
-        b->ended(t, setups_of(t) - 1, last().ep, e, 10 * ms, settled);
+    void open(std::uint64_t t) { b->on_opened(t, setups_of(t) - 1, last().ep, 10 * ms); }
+    void end(std::uint64_t t, Outcome e, bool settled = false) {
+        b->on_ended(t, setups_of(t) - 1, last().ep, e, 10 * ms, settled);
     }
     void answer_probes(double load) {
         for (const auto p : std::exchange(probes, {})) {
-            Report r;
+            LoadReport r;
             r.load = load;
-            b->probed(static_cast<std::uint32_t>(p), Ending::ok, ms, r);
+            b->on_health_check(static_cast<std::uint32_t>(p), Outcome::ok, ms, r);
         }
     }
 };
@@ -147,7 +152,7 @@
             for (const auto& [to, bytes] : std::exchange(nodes[from]->post, {}))
                 for (std::uint32_t n = 0; n < nodes.size(); ++n)
                     if (n != from && nodes[n] != nullptr && (to == 99 || to == n)) {
-                        nodes[n]->b->told(from, bytes);
+                        nodes[n]->b->on_gossip(from, bytes);
                         any = true;
                     }
         }
@@ -223,21 +228,21 @@
         return Kernel::listen_on(at);
     }
     std::function<int(int fd)> connection_error;  // in place of what became of a connection
-    Tenths clock_ahead = 0;
-    Tenths now() override { return Kernel::now() + clock_ahead; }
-    Tenths clock_base() override { return Kernel::clock_base() + clock_ahead; }
+    Ticks clock_ahead = 0;
+    Ticks now() override { return Kernel::now() + clock_ahead; }
+    Ticks clock_base() override { return Kernel::clock_base() + clock_ahead; }
     net::Fd accept(int listener) override { return accepts.strikes() ? net::Fd() : Kernel::accept(listener); }
     net::Fd connect_to(const net::Address& to) override {
         return connects.strikes() ? net::Fd() : Kernel::connect_to(to);
     }
     int connected(int fd) override { return connection_error ? connection_error(fd) : Kernel::connected(fd); }
-    int poll(std::span<pollfd> set, Tenths longest) override {
+    int poll(std::span<pollfd> set, Ticks longest) override {
         if (!set.empty() && polls.strikes()) return -1;
-        const int n = Kernel::poll(set, shared ? std::min<Tenths>(longest, 10) : longest);
+        const int n = Kernel::poll(set, shared ? std::min<Ticks>(longest, 10) : longest);
         if (after_poll) std::exchange(after_poll, nullptr)();
         return n;
     }
-    net::Transfer write_some(int fd, std::string_view text) override {
+    net::IoResult write_some(int fd, std::string_view text) override {
         if (cut_lines_at > 0 && text.substr(0, 5) == "OPEN ")
             text = text.substr(0, std::exchange(cut_lines_at, 0));
         return Kernel::write_some(fd, text);
@@ -245,7 +250,7 @@
 };
 
 struct Town {
-    struct Terms {
+    struct BalancerConfig {
         std::string mode = "pass";
         int sockets = 256;
         bool probing = false;
@@ -270,8 +275,8 @@
     int lines = 0;
     int unreadable = 0;  // so many times the configuration cannot be read again
 
-    Town() : Town(Terms{}) {}
-    explicit Town(const Terms& t, Tenths clock_ahead = 0, Shared::Failing listens = {})
+    Town() : Town(BalancerConfig{}) {}
+    explicit Town(const BalancerConfig& t, Ticks clock_ahead = 0, Shared::Failing listens = {})
         : drain(t.log), log(log::Level::error, drain) {
         kernel.clock_ahead = clock_ahead;
         kernel.listens = listens;
@@ -284,8 +289,9 @@
                R"("},"limits":{"max_setups":3,"connect_timeout":0.25,"probing":)" +
                (t.probing ? "true" : "false") +
                R"(},"report":{"via":"probe","columns":["x0"]},"rules":{"stop_sending_within":)" + t.grace +
-               t.slow_start + R"(},)" + R"("profiles":[{"name":"chat","setup_goal":0.3,"client_timeout":)" +
-               t.timeout + R"(,"credit":1,)" + R"("effect":"read_like","stream":true}]}})";
+               t.slow_start + R"(},)" +
+               R"("profiles":[{"name":"chat","setup_goal":0.3,"client_timeout":)" + t.timeout +
+               R"(,"credit":1,)" + R"("effect":"read_like","stream":true}]}})";
         file.parse(text);
         if (t.inherits) {
             listener = net::listen_on(*net::parse_address(name));
@@ -301,16 +307,16 @@
         next.reset();
         if (!folder.empty()) std::filesystem::remove_all(folder);
     }
-    config::Launch launch() {
+    config::NodeConfig launch() {
         const std::string fd = std::to_string(listener.open() ? ::dup(listener.get()) : -1);
-        return config::read_launch(file.root(), {.inherited_fd = listener.open() ? fd.c_str() : nullptr,
-                                                 .tmpdir = folder.empty() ? nullptr : folder.c_str()});
+        return config::parse_node_config(file.root(), {.inherited_fd = listener.open() ? fd.c_str() : nullptr,
+                                                       .tmpdir = folder.empty() ? nullptr : folder.c_str()});
     }
     std::unique_ptr<node::Node> start(net::System& system) {
         return std::make_unique<node::Node>(system, launch(), file.root().inner("known"), log, [this] {
             if (unreadable > 0 && unreadable-- > 0) throw json::Malformed("cannot be read");
             if (!file.parse(text)) throw json::Malformed("not JSON");
-            return config::read_launch(file.root());
+            return config::parse_node_config(file.root());
         });
     }
     // A new version is started beside the old one, with an address for operators of its own.
--- a/tests/handover.cpp
+++ b/tests/handover.cpp
@@ -9,12 +9,12 @@
 #include "hot_restart/state_machine.h"
 
 using namespace fake;
-using handover::Event;
-using handover::Stand;
+using hot_restart::Event;
+using hot_restart::Role;
 
 namespace {
 
-Town::Terms upgraded(const std::string& mode = "pass", int sockets = 256) {
+Town::BalancerConfig upgraded(const std::string& mode = "pass", int sockets = 256) {
     return {.mode = mode, .sockets = sockets, .operators = true, .inherits = true};
 }
 
@@ -38,12 +38,12 @@
         return fd.open();
     }
     void say(std::string_view bytes) { kernel.send_packet(fd.get(), bytes, {}); }
-    void say(const handover::Packet& packet) { say(handover::encode(packet)); }
+    void say(const hot_restart::Packet& packet) { say(hot_restart::encode(packet)); }
     // The kinds of all that came, and whether the line is over.
-    std::vector<handover::Kind> heard;
+    std::vector<hot_restart::Kind> heard;
     bool over = false;
     bool hear(Town& town, const std::function<bool()>& enough, int ms = 3000) {
-        std::vector<char> room(handover::longest_packet);
+        std::vector<char> room(hot_restart::longest_packet);
         return town.until(
             [&] {
                 for (;;) {
@@ -51,48 +51,50 @@
                     const auto got = kernel.receive_packet(fd.get(), room, descriptors);
                     over = over || got.ended || got.error != 0;
                     if (got.bytes == 0) break;
-                    handover::Packet packet;
-                    if (handover::decode({room.data(), got.bytes}, packet) == handover::Read::good)
+                    hot_restart::Packet packet;
+                    if (hot_restart::decode({room.data(), got.bytes}, packet) == hot_restart::Read::good)
                         heard.push_back(packet.kind);
                 }
                 return enough();
             },
             ms);
     }
-    bool has(handover::Kind kind) const { return std::find(heard.begin(), heard.end(), kind) != heard.end(); }
+    bool has(hot_restart::Kind kind) const {
+        return std::find(heard.begin(), heard.end(), kind) != heard.end();
+    }
 };
 
 }  // namespace
 
 TEST_CASE("one process is the node in every stand that two can be in together") {
-    const std::pair<Stand, Stand> together[] = {
-        {Stand::offering, Stand::asking}, {Stand::handing, Stand::taking}, {Stand::done, Stand::taking}};
-    for (const auto& [old, fresh] : together) CHECK(handover::answers(old) != handover::answers(fresh));
-    CHECK(next(Stand::alone, Event::was_greeted) == Stand::offering);
-    CHECK(next(Stand::offering, Event::other_ready) == Stand::handing);
-    CHECK(!next(Stand::alone, Event::other_ready));
-    CHECK(!next(Stand::taking, Event::other_ready));
-    for (const Stand s : {Stand::asking, Stand::offering, Stand::handing, Stand::done, Stand::taking})
-        CHECK(next(s, Event::parted) == Stand::alone);
+    const std::pair<Role, Role> together[] = {
+        {Role::offering, Role::asking}, {Role::handing, Role::taking}, {Role::done, Role::taking}};
+    for (const auto& [old, fresh] : together) CHECK(hot_restart::answers(old) != hot_restart::answers(fresh));
+    CHECK(next(Role::alone, Event::was_greeted) == Role::offering);
+    CHECK(next(Role::offering, Event::other_ready) == Role::handing);
+    CHECK(!next(Role::alone, Event::other_ready));
+    CHECK(!next(Role::taking, Event::other_ready));
+    for (const Role s : {Role::asking, Role::offering, Role::handing, Role::done, Role::taking})
+        CHECK(next(s, Event::parted) == Role::alone);
 }
 
 TEST_CASE("a packet cut at any byte, or with one more, is torn; one of another version is told from it") {
-    const handover::Packet said{
-        .kind = handover::Kind::tunnel, .yes = true, .held = 7, .number = 1ULL << 40, .text = "abc"};
-    const std::string whole = handover::encode(said);
-    handover::Packet read;
-    REQUIRE(handover::decode(whole, read) == handover::Read::good);
+    const hot_restart::Packet said{
+        .kind = hot_restart::Kind::tunnel, .yes = true, .held = 7, .number = 1ULL << 40, .text = "abc"};
+    const std::string whole = hot_restart::encode(said);
+    hot_restart::Packet read;
+    REQUIRE(hot_restart::decode(whole, read) == hot_restart::Read::good);
     CHECK((read.kind == said.kind && read.yes && read.held == 7 && read.number == said.number &&
            read.text == "abc"));
     for (std::size_t n = 0; n < whole.size(); ++n)
-        CHECK(handover::decode(whole.substr(0, n), read) == handover::Read::torn);
-    CHECK(handover::decode(whole + "x", read) == handover::Read::torn);
+        CHECK(hot_restart::decode(whole.substr(0, n), read) == hot_restart::Read::torn);
+    CHECK(hot_restart::decode(whole + "x", read) == hot_restart::Read::torn);
     std::string other = whole;
     other[4] = 99;
-    CHECK(handover::decode(other, read) == handover::Read::other_version);
+    CHECK(hot_restart::decode(other, read) == hot_restart::Read::other_version);
     other = whole;
     other[5] = 0;
-    CHECK(handover::decode(other, read) == handover::Read::torn);
+    CHECK(hot_restart::decode(other, read) == hot_restart::Read::torn);
 }
 
 TEST_CASE("open tunnels go over with what is half read of them, and neither side notices") {
@@ -243,15 +245,17 @@
     Town town(upgraded());
     auto [c, h] = town.opened();
     Stranger stranger(town);
-    const std::string hello = handover::encode({.kind = handover::Kind::greet, .held = 10, .text = "n0"});
-    std::vector<std::string> words{"",
-                                   "GET / HTTP/1.1\r\n\r\n",
-                                   std::string(40000, 'x'),
-                                   hello.substr(0, 9),
-                                   handover::encode({.kind = handover::Kind::greet, .text = "another node"}),
-                                   handover::encode({.kind = handover::Kind::ready}),
-                                   handover::encode({.kind = handover::Kind::has, .number = 3}),
-                                   handover::encode({.kind = handover::Kind::tunnel, .text = "x"})};
+    const std::string hello =
+        hot_restart::encode({.kind = hot_restart::Kind::greet, .held = 10, .text = "n0"});
+    std::vector<std::string> words{
+        "",
+        "GET / HTTP/1.1\r\n\r\n",
+        std::string(40000, 'x'),
+        hello.substr(0, 9),
+        hot_restart::encode({.kind = hot_restart::Kind::greet, .text = "another node"}),
+        hot_restart::encode({.kind = hot_restart::Kind::ready}),
+        hot_restart::encode({.kind = hot_restart::Kind::has, .number = 3}),
+        hot_restart::encode({.kind = hot_restart::Kind::tunnel, .text = "x"})};
     words[0] = hello;
     words[0][4] = 99;
     for (const std::string& word : words) {
@@ -273,20 +277,20 @@
     auto [c, h] = town.opened();
     Stranger stranger(town), third(town);
     REQUIRE(stranger.call());
-    stranger.say({.kind = handover::Kind::greet, .held = 10, .text = "n0"});
-    CHECK(stranger.hear(town, [&] { return stranger.has(handover::Kind::told); }));
-    CHECK(stranger.has(handover::Kind::memory_part));
+    stranger.say({.kind = hot_restart::Kind::greet, .held = 10, .text = "n0"});
+    CHECK(stranger.hear(town, [&] { return stranger.has(hot_restart::Kind::told); }));
+    CHECK(stranger.has(hot_restart::Kind::memory_part));
     CHECK(state_of(town) == "serving");
     // A third one meanwhile is told to wait.
     REQUIRE(third.call());
-    CHECK(third.hear(town, [&] { return third.has(handover::Kind::refuse); }));
+    CHECK(third.hear(town, [&] { return third.has(hot_restart::Kind::refuse); }));
     stranger.fd.close();
     town.pass(5);
     REQUIRE(third.call());
-    third.say({.kind = handover::Kind::greet, .held = 10, .text = "n0"});
-    CHECK(third.hear(town, [&] { return third.has(handover::Kind::told); }));
-    third.say({.kind = handover::Kind::ready});
-    CHECK(third.hear(town, [&] { return third.has(handover::Kind::tunnel); }));
+    third.say({.kind = hot_restart::Kind::greet, .held = 10, .text = "n0"});
+    CHECK(third.hear(town, [&] { return third.has(hot_restart::Kind::told); }));
+    third.say({.kind = hot_restart::Kind::ready});
+    CHECK(third.hear(town, [&] { return third.has(hot_restart::Kind::tunnel); }));
     third.fd.close();  // before it has said that it has the tunnel
     CHECK(town.until([&] { return state_of(town) == "serving"; }));
     h.say("on\r\n");
@@ -317,7 +321,7 @@
 TEST_CASE("what the listener's number names must be a listening socket, else the start ends and says so") {
     Town town(upgraded());
     const auto with = [&](const char* fd) {
-        return node::Node(town.kernel, config::read_launch(town.file.root(), {.inherited_fd = fd}),
+        return node::Node(town.kernel, config::parse_node_config(town.file.root(), {.inherited_fd = fd}),
                           town.file.root().inner("known"), town.log, {});
     };
     for (const char* fd : {"x", "-1", "5x"})
@@ -330,7 +334,7 @@
 }
 
 TEST_CASE("with no listener handed down there is no meeting place, and nothing is held for one") {
-    Town with(upgraded()), without(Town::Terms{.operators = true});
+    Town with(upgraded()), without(Town::BalancerConfig{.operators = true});
     CHECK(without.launch().nearby.empty());
     CHECK(without.node->holds().descriptors + 1 == with.node->holds().descriptors);
 }
--- a/tests/lab.cpp
+++ b/tests/lab.cpp
@@ -13,23 +13,23 @@
 #include "spoilt.h"
 
 using namespace lemonstair;
-using lab::Day;
-using lab::Verdict;
-using simnet::Agenda;
+using simnet::EventQueue;
+using simulation::Scenario;
+using simulation::Verdict;
 
 namespace {
 
 // Two machines and an ear that only remembers.
-struct Wire final : simnet::Ear {
-    Agenda agenda;
+struct Wire final : simnet::StreamListener {
+    EventQueue agenda;
     simnet::Trace trace;
     simnet::Network network;
     simnet::Machine a, b;
     std::vector<simnet::End> accepted;
     std::size_t stirs = 0;
 
-    explicit Wire(const simnet::Weather& weather = {}, std::uint64_t seed = 1)
-        : network(agenda, trace, simnet::Chance(seed), weather) {
+    explicit Wire(const simnet::NetworkConditions& weather = {}, std::uint64_t seed = 1)
+        : network(agenda, trace, simnet::RandomSource(seed), weather) {
         a = network.add_machine();
         b = network.add_machine();
     }
@@ -41,7 +41,7 @@
         }
     }
     net::Address door() const { return simnet::Network::address(b, 80); }
-    void pass(simnet::Tenths span) {
+    void pass(simnet::Ticks span) {
         const auto until = agenda.now() + span;
         while (agenda.step(until)) continue;
         agenda.pass_to(until);
@@ -56,14 +56,15 @@
     std::string read(simnet::End e) {
         std::array<char, 8192> bytes;
         std::string all;
-        for (net::Transfer t; (t = network.read(e, bytes)).bytes > 0;) all.append(bytes.data(), t.bytes);
+        for (net::IoResult t; (t = network.read(e, bytes)).bytes > 0;) all.append(bytes.data(), t.bytes);
         return all;
     }
 };
 
 Verdict play_file(const std::string& name, std::string* trace = nullptr) {
     std::ostringstream out;
-    const Verdict v = lab::play(lab::read_day(std::string(LEMONSTAIR_SCENARIOS) + "/" + name + ".toml"), &out);
+    const Verdict v = simulation::play(
+        simulation::read_day(std::string(LEMONSTAIR_SCENARIOS) + "/" + name + ".toml"), &out);
     for (const auto& b : v.broken) MESSAGE(name << " " << b.at << ": " << b.rule << ": " << b.what);
     CHECK(v.broken.empty());
     CHECK(v.tally.opened > 0);
@@ -80,8 +81,8 @@
 // The fault of a day's text, in one sentence.
 std::string fault_of(const std::string& text) {
     try {
-        lab::parse_day(text, "day.toml");
-    } catch (const lab::BadDay& e) {
+        simulation::parse_day(text, "day.toml");
+    } catch (const simulation::InvalidScenario& e) {
         return e.what();
     }
     return "";
@@ -92,7 +93,7 @@
 // ---- the network
 
 TEST_CASE("simulated streams carry all bytes in order, cut anywhere, within their window") {
-    simnet::Weather rough;
+    simnet::NetworkConditions rough;
     rough.cut_reads = rough.cut_writes = 0.9;
     rough.window = 4096;
     for (std::uint64_t seed = 1; seed < 20; ++seed) {
@@ -155,7 +156,7 @@
 
 TEST_CASE("connections are refused where nobody listens, and wait where the queue is full") {
     Wire w;
-    struct Deaf final : simnet::Ear {
+    struct Deaf final : simnet::StreamListener {
         void stirred(simnet::End) override {}
         void called(const net::Address&) override {}
     } deaf;
@@ -175,12 +176,12 @@
 }
 
 TEST_CASE("datagrams are lost, doubled and overtaken as the weather says, and never past a cut") {
-    simnet::Weather rough;
+    simnet::NetworkConditions rough;
     rough.lost = 0.3;
     rough.doubled = 0.3;
     rough.datagram_jitter = 1000;
     Wire w(rough);
-    struct Post final : simnet::Ear {
+    struct Post final : simnet::StreamListener {
         std::vector<int> got;
         void stirred(simnet::End) override {}
         void called(const net::Address&) override {}
@@ -244,10 +245,10 @@
 
 TEST_CASE("a day that is drawn can be written, read again and plays the same") {
     for (const std::uint64_t seed : {3U, 17U, 40U, 41U}) {
-        const Day day = lab::draw_day(seed);
-        const Day again = lab::parse_day(lab::write_day(day), "again.toml");
-        CHECK(lab::write_day(again) == lab::write_day(day));
-        CHECK(lab::play(again).hash == lab::play(day).hash);
+        const Scenario day = simulation::draw_day(seed);
+        const Scenario again = simulation::parse_day(simulation::write_day(day), "again.toml");
+        CHECK(simulation::write_day(again) == simulation::write_day(day));
+        CHECK(simulation::play(again).hash == simulation::play(day).hash);
     }
 }
 
@@ -272,24 +273,25 @@
     CHECK(fault_of("[fleet]\nnodes = 1.5\n") == "day.toml:2: 'fleet.nodes' is not a whole number");
     CHECK(fault_of("[fleet]\npeers = 1\n") == "day.toml:2: 'fleet.peers' is not true or false");
     CHECK(fault_of("seed = \n").substr(0, 25) == "day.toml:1: is not TOML: ");
-    CHECK_THROWS_WITH_AS(lab::parse_seeds("9..3"), "'9..3' ends before it begins", std::invalid_argument);
-    CHECK_THROWS_AS(lab::parse_seeds("1..x"), std::invalid_argument);
+    CHECK_THROWS_WITH_AS(simulation::parse_seeds("9..3"), "'9..3' ends before it begins",
+                         std::invalid_argument);
+    CHECK_THROWS_AS(simulation::parse_seeds("1..x"), std::invalid_argument);
 }
 
 // ---- the same day twice
 
 TEST_CASE("a seed gives the same trace twice, on one thread and on many") {
     std::vector<std::uint64_t> alone, together;
-    const auto drawn = [](std::uint64_t seed) { return lab::draw_day(seed); };
-    lab::play_all({1, 24}, 1, drawn, [&](const Verdict& v) { alone.push_back(v.hash); });
-    lab::play_all({1, 24}, 7, drawn, [&](const Verdict& v) { together.push_back(v.hash); });
+    const auto drawn = [](std::uint64_t seed) { return simulation::draw_day(seed); };
+    simulation::play_all({1, 24}, 1, drawn, [&](const Verdict& v) { alone.push_back(v.hash); });
+    simulation::play_all({1, 24}, 7, drawn, [&](const Verdict& v) { together.push_back(v.hash); });
     CHECK(alone == together);
     std::sort(alone.begin(), alone.end());
     CHECK(std::unique(alone.begin(), alone.end()) == alone.end());
     // As on the build that this was written with, optimised or not: the trace depends on the seed alone.
     std::ostringstream one, two;
-    const Verdict v = lab::play(lab::draw_day(5), &one);
-    CHECK(lab::play(lab::draw_day(5), &two).hash == v.hash);
+    const Verdict v = simulation::play(simulation::draw_day(5), &one);
+    CHECK(simulation::play(simulation::draw_day(5), &two).hash == v.hash);
     CHECK(one.str() == two.str());
 }
 
@@ -397,19 +399,19 @@
 }
 
 TEST_CASE("a new version takes a node over while a crowd comes: nobody notices") {
-    Day day;
+    Scenario day;
     day.operated = true;
-    day.packets_pass = false;  // a connection that is cut off would not go on through another node
+    day.packet_passthrough = false;  // a connection that is cut off would not go on through another node
     for (std::uint32_t n = 0; n < day.nodes; ++n)
         for (int k = 0; k < 4; ++k) {
-            lab::Fault f;
-            f.kind = lab::FaultKind::node_upgrade;
-            f.at = 20000 + 40000 * k + 3000 * static_cast<lab::Tenths>(n);
+            simulation::Fault f;
+            f.kind = simulation::FaultKind::node_upgrade;
+            f.at = 20000 + 40000 * k + 3000 * static_cast<simulation::Ticks>(n);
             f.who = n;
             day.faults.push_back(f);
         }
     std::ostringstream out;
-    const Verdict v = lab::play(day, &out);
+    const Verdict v = simulation::play(day, &out);
     for (const auto& b : v.broken) MESSAGE(b.rule << ": " << b.what);
     CHECK(v.broken.empty());
     CHECK(count(out.str(), "hand-over: offering -> handing") == 12);
@@ -419,10 +421,10 @@
 }
 
 TEST_CASE("the same day with operators gives the same trace, and its TOML gives it again") {
-    const Day day = lab::draw_operated_day(7);
-    const Verdict a = lab::play(day), b = lab::play(day);
+    const Scenario day = simulation::draw_operated_day(7);
+    const Verdict a = simulation::play(day), b = simulation::play(day);
     CHECK(a.hash == b.hash);
-    CHECK(lab::play(lab::parse_day(lab::write_day(day), "day")).hash == a.hash);
+    CHECK(simulation::play(simulation::parse_day(simulation::write_day(day), "day")).hash == a.hash);
 }
 
 // ---- the rules can be broken
@@ -471,11 +473,11 @@
     };
     for (const Row& row : rows) {
         const auto draw = [&](std::uint64_t seed) {
-            return row.operated ? lab::draw_operated_day(seed) : lab::draw_day(seed);
+            return row.operated ? simulation::draw_operated_day(seed) : simulation::draw_day(seed);
         };
-        const auto player = [&](const Day& day) {
+        const auto player = [&](const Scenario& day) {
             spoilt::Spoiler spoiler(row.fault);
-            return lab::play(day, nullptr, &spoiler);
+            return simulation::play(day, nullptr, &spoiler);
         };
         const auto is_meant = [&](const Verdict& v) {
             return std::find(row.rules.begin(), row.rules.end(), v.rule()) != row.rules.end();
@@ -486,9 +488,9 @@
             if (is_meant(found = player(draw(seed)))) break;
         INFO(row.name);
         REQUIRE(seed <= row.last);
-        const Day day = draw(seed);
-        CHECK(lab::play(day).broken.empty());  // the node as it is keeps the rule on this very day
-        const auto small = lab::shrink(day, found.rule(), player, 120);
+        const Scenario day = draw(seed);
+        CHECK(simulation::play(day).broken.empty());  // the node as it is keeps the rule on this very day
+        const auto small = simulation::shrink(day, found.rule(), player, 120);
         MESSAGE(row.name << ": seed " << seed << " breaks '" << found.rule() << "', shrunk to "
                          << small.day.faults.size() << " of " << day.faults.size() << " faults, "
                          << small.day.members << " members");
@@ -496,6 +498,6 @@
         CHECK(small.day.members <= day.members);
         const Verdict again = player(small.day);
         CHECK(std::any_of(again.broken.begin(), again.broken.end(),
-                          [&](const lab::Broken& b) { return b.rule == found.rule(); }));
+                          [&](const simulation::Broken& b) { return b.rule == found.rule(); }));
     }
 }
--- a/tests/loads.cpp
+++ b/tests/loads.cpp
@@ -13,23 +13,23 @@
 // One of a hundred nodes whose words are dear, with ten eps.
 struct Far {
     Far() : n(terms()) { n.list({1, 2, 3, 4, 5, 6, 7, 8, 9, 10}); }
-    static Terms terms() {
+    static BalancerConfig terms() {
         auto t = Node::usual(0, 100);
-        t.limits.probing = false;
-        t.prices.peer = 0.05;
+        t.limits.health_checks_enabled = false;
+        t.costs.gossip_message = 0.05;
         return t;
     }
-    void told(std::uint32_t first, std::uint32_t last, double load) {
+    void on_gossip(std::uint32_t first, std::uint32_t last, double load) {
         peer::Message m;
         for (std::uint32_t ep = first; ep <= last; ++ep) m.report(ep, true, load);
-        n.b->told(1, m.bytes());
+        n.b->on_gossip(1, m.bytes());
     }
     // Two tunnels a second, that stay; how many went to the eps from first to last.
     long come(int tunnels, std::uint32_t first, std::uint32_t last) {
         const auto before = static_cast<std::ptrdiff_t>(n.sent.size());
         for (int i = 0; i < tunnels; ++i) {
             ++t;
-            n.arrive(t, key_of(t));
+            n.on_request(t, key_of(t));
             n.open(t);
             n.pass(500 * ms);
         }
@@ -43,7 +43,7 @@
 
 // What eps can do and carry, without any decision.
 struct Known : Loads {
-    Known(Terms given, Host& host) : Loads(std::move(given), host, 100 * s) {
+    Known(BalancerConfig given, BalancerDelegate& host) : Loads(std::move(given), host, 100 * s) {
         for (std::uint32_t i = 0; i < 10; ++i) {
             eps.emplace_back();
             eps[i].others.assign(peers.size(), 0);
@@ -59,19 +59,19 @@
 
 TEST_CASE("an ep that was reported light draws tunnels for a moment, not until the next report") {
     Far f;
-    f.told(1, 10, 0.5);
+    f.on_gossip(1, 10, 0.5);
     CHECK(f.come(20, 1, 10) == 20);  // what comes in a second is known by now
-    f.told(1, 1, 0.2);
-    f.told(2, 10, 0.5);
+    f.on_gossip(1, 1, 0.2);
+    f.on_gossip(2, 10, 0.5);
     CHECK(f.come(1, 1, 1) == 1);  // it is the lightest
     CHECK(f.come(30, 1, 1) <= 10);
-    f.told(1, 1, 0.2);  // still light, by a new report
+    f.on_gossip(1, 1, 0.2);  // still light, by a new report
     CHECK(f.come(1, 1, 1) == 1);
 }
 
 TEST_CASE("an ep that no report has come of is taken to carry what the others do") {
     Far f;
-    f.told(1, 5, 0.4);
+    f.on_gossip(1, 5, 0.4);
     f.n.pass(200 * ms);
     const auto reported = f.come(60, 1, 5);
     CHECK(reported >= 12);
@@ -105,7 +105,7 @@
     auto terms = Node::usual(0, 30);
     Known heard(terms, host);
     CHECK(heard.tunnels_a_sample() == doctest::Approx(10));
-    terms.limits.peers = false;
+    terms.limits.gossip_enabled = false;
     Known alone(terms, host);
     CHECK(alone.tunnels_a_sample() == doctest::Approx(30));
 }
@@ -126,23 +126,23 @@
     for (const bool reports : {false, true}) {
         INFO("reports: ", reports);
         auto terms = Node::usual(0, 3);
-        terms.limits.peers = false;
-        terms.limits.probing = reports;
-        terms.prices.cross_zone = 0.08;
-        terms.must_ask = false;
+        terms.limits.gossip_enabled = false;
+        terms.limits.health_checks_enabled = reports;
+        terms.costs.cross_zone = 0.08;
+        terms.must_poll = false;
         Node n(terms);
-        n.b->list_begin(ListKind::whole);
-        for (std::uint32_t i = 1; i <= 8; ++i) n.b->listed(i, i % 2, 0, Life::in_service, 1, 0);
-        n.b->list_end();
+        n.b->begin_endpoint_list(EndpointListKind::complete);
+        for (std::uint32_t i = 1; i <= 8; ++i) n.b->add_endpoint(i, i % 2, 0, EndpointState::active, 1, 0);
+        n.b->end_endpoint_list();
         int far = 0;
         for (std::uint64_t t = 1; t <= 200; ++t) {
             n.pass(500 * ms);
             n.answer_probes(0.3);
-            n.arrive(t, key_of(t));
+            n.on_request(t, key_of(t));
             REQUIRE(n.setups_of(t) == 1);
             far += n.last().ep % 2 != 0 ? 1 : 0;
             n.open(t);
-            n.end(t, Ending::ok, true);
+            n.end(t, Outcome::ok, true);
         }
         CHECK(far >= 30);
         CHECK(far < 100);  // but its own zone goes first
@@ -151,22 +151,22 @@
 
 TEST_CASE("a silent ep is probed each second until it answers, then no more often than others") {
     auto terms = Node::usual(0, 100);
-    terms.limits.peers = false;
-    terms.prices.probe = 1;  // eight seconds between two
+    terms.limits.gossip_enabled = false;
+    terms.costs.health_check = 1;  // eight seconds between two
     Node n(terms);
     n.list({1, 2, 3, 4, 5, 6, 7, 8});
-    const auto probes_of_1 = [&](int seconds, Ending ending) {
+    const auto probes_of_1 = [&](int seconds, Outcome ending) {
         int probes = 0;
         for (int i = 0; i < 10 * seconds; ++i) {
             n.pass(100 * ms);
             for (const auto p : std::exchange(n.probes, {})) {
                 probes += p == 1 ? 1 : 0;
-                n.b->probed(static_cast<std::uint32_t>(p), p == 1 ? ending : Ending::ok, ms, {});
+                n.b->on_health_check(static_cast<std::uint32_t>(p), p == 1 ? ending : Outcome::ok, ms, {});
             }
         }
         return probes;
     };
-    static_cast<void>(probes_of_1(40, Ending::timed_out));  // until it is set aside
-    CHECK(probes_of_1(20, Ending::timed_out) >= 18);
-    CHECK(probes_of_1(32, Ending::ok) <= 6);
+    static_cast<void>(probes_of_1(40, Outcome::timed_out));  // until it is set aside
+    CHECK(probes_of_1(20, Outcome::timed_out) >= 18);
+    CHECK(probes_of_1(32, Outcome::ok) <= 6);
 }
--- a/tests/node.cpp
+++ b/tests/node.cpp
@@ -239,7 +239,7 @@
 }
 
 TEST_CASE("a client whose line comes in pieces is not taken for a silent one when hundreds of those come") {
-    Town town(Town::Terms{.sockets = 64});
+    Town town(Town::BalancerConfig{.sockets = 64});
     const std::string line = town.line();
     End slow = town.client();
     std::vector<End> crowd;
@@ -520,15 +520,15 @@
 
 TEST_CASE("datagrams count from the listed addresses only, and none longer than the limit") {
     net::Kernel kernel;
-    net::Loop loop(kernel);
+    net::EventLoop loop(kernel);
     Door a, b;
-    config::Launch launch;
-    launch.terms.limits.peers = true;
-    launch.terms.me = 0;
+    config::NodeConfig launch;
+    launch.terms.limits.gossip_enabled = true;
+    launch.terms.own_node = 0;
     launch.peer_listen = a.at;
     launch.peers = {a.at, b.at};
     std::vector<std::size_t> sizes;
-    account::Costs costs;
+    metrics::ResourceCounters costs;
     node::PeerLink link(loop, launch, costs, [&](std::uint32_t node, std::span<const std::uint8_t> bytes) {
         CHECK(node == 1);
         sizes.push_back(bytes.size());
@@ -549,11 +549,11 @@
 
 TEST_CASE("an event of this pass never reaches who took the descriptor's slot in it") {
     net::Kernel kernel;
-    net::Loop loop(kernel);
-    struct Both final : net::Waiter {
+    net::EventLoop loop(kernel);
+    struct Both final : net::EventHandler {
         std::vector<std::uint64_t> called;
         std::vector<net::Socket> sockets;
-        net::Loop* loop = nullptr;
+        net::EventLoop* loop = nullptr;
         net::Fd quiet;
         void ready(std::uint64_t token, short) override {
             called.push_back(token);
--- a/tests/operators.cpp
+++ b/tests/operators.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-struct Answers final : operators::Staffed {
+struct Answers final : admin::AdminHandler {
     bool is_ready = true;
     bool ready() const override { return is_ready; }
     std::string_view phase() const override { return is_ready ? "serving" : "drained"; }
@@ -26,7 +26,7 @@
     http::Request request;
     request.feed(bytes);
     Answers node;
-    return request.whole() || request.fault() != http::Fault::none ? operators::answer(request, node) : "";
+    return request.whole() || request.fault() != http::Fault::none ? admin::answer(request, node) : "";
 }
 
 int status_of(std::string_view answer) {
@@ -40,7 +40,7 @@
     return call + "\r\n";
 }
 
-Town::Terms operated(int sockets = 256) { return {.sockets = sockets, .operators = true}; }
+Town::BalancerConfig operated(int sockets = 256) { return {.sockets = sockets, .operators = true}; }
 
 // A figure behind its name in an answer; -1: there is none.
 long figure(const std::string& answer, const std::string& name) {
@@ -248,25 +248,26 @@
     json::Document file;
     text.replace(text.find(town.desk), town.desk.size(), "nowhere");
     REQUIRE(file.parse(text));
-    CHECK_THROWS_WITH_AS(config::read_launch(file.root()), doctest::Contains("admin_addr"), json::Malformed);
-    CHECK_THROWS_WITH_AS(config::read_launch(file.root(), {.admin_addr = "x:y"}),
+    CHECK_THROWS_WITH_AS(config::parse_node_config(file.root()), doctest::Contains("admin_addr"),
+                         json::Malformed);
+    CHECK_THROWS_WITH_AS(config::parse_node_config(file.root(), {.admin_addr = "x:y"}),
                          doctest::Contains("NODE_ADMIN_ADDR"), json::Malformed);
     // The environment goes before the file.
-    CHECK(config::read_launch(file.root(), {.admin_addr = "127.0.0.1:7"}).admin ==
+    CHECK(config::parse_node_config(file.root(), {.admin_addr = "127.0.0.1:7"}).admin ==
           net::parse_address("127.0.0.1:7"));
     Door taken;
     text.replace(text.find("nowhere"), 7, taken.name());
     text.replace(text.find(town.name), town.name.size(), Door().name());
     REQUIRE(file.parse(text));
-    CHECK_THROWS_WITH_AS(
-        node::Node(town.kernel, config::read_launch(file.root()), file.root().inner("known"), town.log, {}),
-        doctest::Contains("admin_addr"), json::Malformed);
+    CHECK_THROWS_WITH_AS(node::Node(town.kernel, config::parse_node_config(file.root()),
+                                    file.root().inner("known"), town.log, {}),
+                         doctest::Contains("admin_addr"), json::Malformed);
 }
 
 TEST_CASE("without an address for operators there is no listener and nothing is set aside") {
     Town with(operated()), without;
-    CHECK(config::read_launch(without.file.root()).callers == 0);
-    CHECK(config::read_launch(with.file.root()).callers > 0);
+    CHECK(config::parse_node_config(without.file.root()).callers == 0);
+    CHECK(config::parse_node_config(with.file.root()).callers > 0);
     CHECK(!without.caller("GET /stats HTTP/1.1\r\n\r\n").heard("HTTP"));
     CHECK(without.node->holds().descriptors < with.node->holds().descriptors);
 }
--- a/tests/parsers.cpp
+++ b/tests/parsers.cpp
@@ -51,7 +51,7 @@
         text.replace(text.find(part), part.size(), by);
         json::Document d;
         REQUIRE(d.parse(text));
-        CHECK_THROWS_WITH_AS(config::read_launch(d.root()), doctest::Contains(key), json::Malformed);
+        CHECK_THROWS_WITH_AS(config::parse_node_config(d.root()), doctest::Contains(key), json::Malformed);
     };
     refuse(R"("listen":"127)", R"("listen":"x127)", "'listen'");
     refuse(R"("seed":"8c1f")", R"("seed":"8g1f")", "'seed'");
@@ -93,19 +93,19 @@
 TEST_CASE("a first line is read and written again with another wait; cut at any byte it does no harm") {
     const std::vector<std::string> profiles{"chat", "feed"};
     const std::string line = "OPEN 9b1f 7f3a c=feed,d=1500.75,g=5c0f,r=1,mid=1,h=0.02";
-    Arrival a;
+    TunnelRequest a;
     std::string_view holder;
     REQUIRE(tunnel::read_opening(line, profiles, 100, a, holder));
     CHECK(a.key == "7f3a");
     CHECK(a.group == "5c0f");
-    CHECK(a.profile == 1);
+    CHECK(a.traffic_class == 1);
     CHECK(a.mid_flow);
-    CHECK(a.load == 0.02);
-    CHECK(a.give_up_at == 100 + 15007);  // a limit is rounded down
+    CHECK(a.expected_load == 0.02);
+    CHECK(a.deadline == 100 + 15007);  // a limit is rounded down
     CHECK(holder.empty());
     net::BufferPool pool;
     for (std::size_t n = 0; n <= line.size(); ++n) {
-        Arrival cut;
+        TunnelRequest cut;
         net::Buffer out = pool.take();
         tunnel::read_opening(std::string_view(line).substr(0, n), profiles, 100, cut, holder);
         CHECK(tunnel::write_opening(std::string_view(line).substr(0, n), 7999, out));
@@ -116,16 +116,17 @@
 }
 
 TEST_CASE("a probe's answer gives the figures that it names") {
-    Report r;
-    CHECK(probe::read_pong("PONG queue=2,x0=0.75,what=1,util=", r));
+    LoadReport r;
+    CHECK(health_check::read_pong("PONG queue=2,x0=0.75,what=1,util=", r));
     CHECK(r.queue == 2);
     CHECK(r.load == 0.75);
-    CHECK(std::isnan(r.busy));
-    CHECK(probe::read_pong("PONG", r));
-    CHECK(!probe::read_pong("ERR", r));
-    CHECK(!probe::read_pong("PONGx", r));
+    CHECK(std::isnan(r.utilization));
+    CHECK(health_check::read_pong("PONG", r));
+    CHECK(!health_check::read_pong("ERR", r));
+    CHECK(!health_check::read_pong("PONGx", r));
     const std::string line = "PONG inflight=7,queue=2,util=0.61";
-    for (std::size_t n = 0; n < line.size(); ++n) probe::read_pong(std::string_view(line).substr(0, n), r);
+    for (std::size_t n = 0; n < line.size(); ++n)
+        health_check::read_pong(std::string_view(line).substr(0, n), r);
 }
 
 TEST_CASE(
@@ -133,7 +134,7 @@
     const std::vector<std::string> zones{"z"};
     log::Descriptor nowhere(-1);
     log::Log log(log::Level::error, nowhere);
-    discovery::Hosts hosts(zones, log);
+    discovery::EndpointDirectory hosts(zones, log);
     Node n;
     Door a, b;
     const auto hear = [&](int revision, bool whole, const std::string& members, bool known = false) {
@@ -144,7 +145,7 @@
         return hosts.take(d.root(), *n.b, known, n.now);
     };
     const auto goes_to = [&](std::uint64_t tun) {
-        n.arrive(tun);
+        n.on_request(tun);
         return n.sent.empty() || n.last().tun != tun ? "" : hosts.place_of(n.last().ep) == 0 ? "a" : "b";
     };
     CHECK(hear(4, true, Town::member("a", a) + "," + Town::member("b", b), true));
--- a/tests/rare_faults.cpp
+++ b/tests/rare_faults.cpp
@@ -90,19 +90,19 @@
 }
 
 TEST_CASE("attempts with next to no time say nothing of their endpoint") {
-    for (const Ending ending : {Ending::timed_out, Ending::withdrawn}) {
+    for (const Outcome ending : {Outcome::timed_out, Outcome::withdrawn}) {
         fake::Node node;
         node.list({1, 2});
         for (std::uint64_t tunnel = 1; tunnel <= 40; ++tunnel) {
-            node.arrive(tunnel, "", false, 5 * ms);
+            node.on_request(tunnel, "", false, 5 * ms);
             if (node.setups_of(tunnel) == 0) continue;
             node.pass(5 * ms);
-            node.b->ended(tunnel, 0, node.last().ep, ending, 5 * ms, false);
+            node.b->on_ended(tunnel, 0, node.last().ep, ending, 5 * ms, false);
         }
-        CHECK(node.b->census().avoided == 0);
+        CHECK(node.b->endpoint_counts().excluded == 0);
         // One that answers after it was out of reach is taken as cold until the list tells of it.
         for (std::uint64_t tunnel = 101; tunnel <= 110; ++tunnel) {
-            node.arrive(tunnel);
+            node.on_request(tunnel);
             REQUIRE(node.setups_of(tunnel) == 1);
             node.open(tunnel);
         }
@@ -175,9 +175,11 @@
 
 TEST_CASE(
     "a host that has just started is cold, and only for its time, whatever the wall clock of the node is") {
-    constexpr Tenths hour = 3600 * s;
-    for (const Tenths ahead : {Tenths{0}, hour, -hour, 5 * s}) {
-        Town town({.slow_start = R"(,"cold":2,"cold_from":0.1,"fall":1.0,"tip_multiple":1)"}, ahead);
+    constexpr Ticks hour = 3600 * s;
+    for (const Ticks ahead : {Ticks{0}, hour, -hour, 5 * s}) {
+        Town town(
+            {.slow_start = R"(,"cold":2,"cold_from":0.1,"fall":1.0,"tip_multiple":1)"},
+            ahead);
         Watch watch(town);
         watch.tell(Town::member("a", town.a) + "," + Town::member("b", town.b), true);
         town.pass(20);
@@ -195,8 +197,8 @@
 
 TEST_CASE(
     "a tunnel that goes over to a process with another wall clock is not taken for silent, nor forgotten") {
-    constexpr Tenths hour = 3600 * s;
-    for (const Tenths ahead : {hour, -hour}) {
+    constexpr Ticks hour = 3600 * s;
+    for (const Ticks ahead : {hour, -hour}) {
         Town town({.mode = "proxy", .operators = true, .inherits = true});
         town.newer.clock_ahead = ahead;
         auto [client, host] = town.opened();
@@ -234,7 +236,7 @@
 TEST_CASE("a node starts though its socket to listen on cannot be had for a moment") {
     for (const int error : {ENOBUFS, ENFILE}) {
         std::unique_ptr<Town> town;
-        CHECK_NOTHROW(town = std::make_unique<Town>(Town::Terms{}, 0, Shared::Failing{3, error}));
+        CHECK_NOTHROW(town = std::make_unique<Town>(Town::BalancerConfig{}, 0, Shared::Failing{3, error}));
         if (!town) continue;
         End client = town->client(town->line()), host = town->setup();
         host.say("UP r\r\n");
--- a/tests/sizes.cpp
+++ b/tests/sizes.cpp
@@ -57,11 +57,11 @@
         peer::Message m;
         for (const auto ep : eps) {
             if (add(m, ep)) continue;
-            to.b->told(1, m.bytes());
+            to.b->on_gossip(1, m.bytes());
             m = {};
             REQUIRE(add(m, ep));
         }
-        to.b->told(1, m.bytes());
+        to.b->on_gossip(1, m.bytes());
     };
     for (auto* n : {&first, &last})
         tell(*n, [&](peer::Message& m, std::uint32_t ep) {
@@ -72,7 +72,7 @@
     for (std::uint64_t t = 1; t <= 400; ++t)
         for (auto* n : {&first, &last}) {
             n->pass(25 * ms);
-            n->arrive(t, key_of(t));
+            n->on_request(t, key_of(t));
             REQUIRE(n->setups_of(t) == 1);
             if (t == 1) CHECK(n->last().ep == eps.back());
             used.insert(n->last().ep);
--- a/tests/spoilt.h
+++ b/tests/spoilt.h
@@ -41,10 +41,10 @@
 class Between final : public net::System {
   public:
     Between(net::System& real, Fault fault) : real_(real), fault_(fault) {}
-    Tenths now() override { return real_.now(); }
-    Tenths clock_base() override { return real_.clock_base(); }
+    Ticks now() override { return real_.now(); }
+    Ticks clock_base() override { return real_.clock_base(); }
     std::uint64_t processor_us() override { return real_.processor_us(); }
-    int poll(std::span<pollfd> set, Tenths longest) override {
+    int poll(std::span<pollfd> set, Ticks longest) override {
         for (auto& [fd, line] : doubles_)
             if (!line.empty()) line.erase(0, real_.write_some(fd, line).bytes);
         return real_.poll(set, longest);
@@ -74,10 +74,10 @@
     net::Fd spare() override { return mine(real_.spare()); }
     int connected(int fd) override { return real_.connected(fd); }
     bool hung_up(int fd) override { return real_.hung_up(fd); }
-    net::Transfer read_some(int fd, std::span<char> into) override { return real_.read_some(fd, into); }
-    net::Transfer peek(int fd, std::span<char> into) override { return real_.peek(fd, into); }
-    net::Transfer discard_some(int fd) override { return real_.discard_some(fd); }
-    net::Transfer write_some(int fd, std::string_view text) override {
+    net::IoResult read_some(int fd, std::span<char> into) override { return real_.read_some(fd, into); }
+    net::IoResult peek(int fd, std::span<char> into) override { return real_.peek(fd, into); }
+    net::IoResult discard_some(int fd) override { return real_.discard_some(fd); }
+    net::IoResult write_some(int fd, std::string_view text) override {
         if (fault_ == Fault::figures_untrue && text.find("\"operations\"") != std::string_view::npos) {
             std::string untrue(text);  // no tunnel was ever opened
             for (auto at = untrue.find("fulfilled"); at != std::string::npos;
@@ -102,7 +102,7 @@
         // Whole lines only: one waits until the next has gone.
         if (fault_ == Fault::line_overtaken && client && text.substr(0, 2) == "e " && text.back() == '\n') {
             std::string& held = held_[fd];
-            if (held.empty() && ++count_ % 10 == 0) return held = text, net::Transfer{.bytes = text.size()};
+            if (held.empty() && ++count_ % 10 == 0) return held = text, net::IoResult{.bytes = text.size()};
             if (!held.empty()) {
                 const auto sent = real_.write_some(fd, text);
                 if (sent.bytes == text.size()) real_.write_some(fd, std::exchange(held, {}));
@@ -126,17 +126,17 @@
     net::Fd listen_nearby(const std::string& name) override { return mine(real_.listen_nearby(name)); }
     net::Fd connect_nearby(const std::string& name) override { return mine(real_.connect_nearby(name)); }
     net::Fd accept_nearby(int listener) override { return mine(real_.accept_nearby(listener)); }
-    net::Transfer send_packet(int fd, std::string_view bytes, std::span<const int> descriptors) override {
+    net::IoResult send_packet(int fd, std::string_view bytes, std::span<const int> descriptors) override {
         constexpr std::size_t kind_at = 5;  // behind the mark and the version
         const bool ready =
-            bytes.size() > kind_at && bytes[kind_at] == static_cast<char>(handover::Kind::ready);
+            bytes.size() > kind_at && bytes[kind_at] == static_cast<char>(hot_restart::Kind::ready);
         const bool lost =
             (fault_ == Fault::handed_tunnel_lost && !descriptors.empty() && ++count_ % 3 == 0) ||
             (fault_ == Fault::readiness_unsaid && ready);
         if (lost) return {.bytes = bytes.size()};
         return real_.send_packet(fd, bytes, descriptors);
     }
-    net::Transfer receive_packet(int fd, std::span<char> into, std::vector<net::Fd>& descriptors) override {
+    net::IoResult receive_packet(int fd, std::span<char> into, std::vector<net::Fd>& descriptors) override {
         const std::size_t before = descriptors.size();
         const auto got = real_.receive_packet(fd, into, descriptors);
         for (std::size_t i = before; i < descriptors.size(); ++i)
@@ -160,92 +160,97 @@
 };
 
 // The module with a wrong view of the hosts, or whose setups go elsewhere.
-class Decider final : public Balancer, Host, peer::Listener {
+class Decider final : public Balancer, BalancerDelegate, peer::MessageHandler {
   public:
-    Decider(Terms terms, Host& host, Tenths now, Fault fault)
-        : host_(host), fault_(fault), cold_(terms.rules.cold), now_(now) {
+    Decider(BalancerConfig terms, BalancerDelegate& host, Ticks now, Fault fault)
+        : host_(host), fault_(fault), cold_(terms.rules.slow_start_duration), now_(now) {
         real_ = Balancer::start(std::move(terms), *this, now);
     }
     // ---- to the module
-    void at(Tenths now) override { real_->at(now_ = now); }
-    void retold(Terms terms) override { real_->retold(std::move(terms)); }
-    void list_begin(ListKind kind) override { real_->list_begin(kind); }
-    void listed(std::uint32_t ep, std::uint32_t zone, std::uint32_t cell, Life life, double size,
-                Tenths started) override {
-        if (fault_ == Fault::drained_host_used && life == Life::draining) life = Life::in_service;
+    void set_time(Ticks now) override { real_->set_time(now_ = now); }
+    void update_config(BalancerConfig terms) override { real_->update_config(std::move(terms)); }
+    void begin_endpoint_list(EndpointListKind kind) override { real_->begin_endpoint_list(kind); }
+    void add_endpoint(std::uint32_t ep, std::uint32_t zone, std::uint32_t cell, EndpointState life,
+                      double size, Ticks started) override {
+        if (fault_ == Fault::drained_host_used && life == EndpointState::draining)
+            life = EndpointState::active;
         if (fault_ == Fault::cold_host_flooded) {
             if (started > youngest_started_) youngest_ = ep, youngest_started_ = started;
             started = 0;
         }
-        real_->listed(ep, zone, cell, life, size, started);
+        real_->add_endpoint(ep, zone, cell, life, size, started);
     }
-    void list_end() override { real_->list_end(); }
-    void arrive(std::uint64_t tun, const Arrival& a) override {
+    void end_endpoint_list() override { real_->end_endpoint_list(); }
+    void on_request(std::uint64_t tun, const TunnelRequest& a) override {
         if (fault_ == Fault::old_record_believed && a.mid_flow) {
             const auto it = records_.find(hash_text(a.key));
             if (it != records_.end()) {
-                real_->arrive(tun, a);
+                real_->on_request(tun, a);
                 misled_[tun] = it->second;
                 return;
             }
         }
-        real_->arrive(tun, a);
+        real_->on_request(tun, a);
     }
-    void adopt(std::uint64_t tun, const Arrival& a, std::uint32_t ep) override { real_->adopt(tun, a, ep); }
-    void begun(std::uint64_t tun, int setup, std::uint32_t ep, Tenths took) override {
-        real_->begun(tun, setup, own(tun, ep), took);
+    void adopt_open_tunnel(std::uint64_t tun, const TunnelRequest& a, std::uint32_t ep) override {
+        real_->adopt_open_tunnel(tun, a, ep);
     }
-    void ended(std::uint64_t tun, int setup, std::uint32_t ep, Ending ending, Tenths took,
-               bool settled) override {
-        real_->ended(tun, setup, own(tun, ep), ending, took, settled);
+    void on_opened(std::uint64_t tun, int setup, std::uint32_t ep, Ticks took) override {
+        real_->on_opened(tun, setup, own(tun, ep), took);
     }
-    void client_left(std::uint64_t tun) override { real_->client_left(tun); }
-    Reason may_write(std::uint64_t tun, Tenths reserve) const override {
+    void on_ended(std::uint64_t tun, int setup, std::uint32_t ep, Outcome ending, Ticks took,
+                  bool settled) override {
+        real_->on_ended(tun, setup, own(tun, ep), ending, took, settled);
+    }
+    void on_client_disconnected(std::uint64_t tun) override { real_->on_client_disconnected(tun); }
+    Reason may_write(std::uint64_t tun, Ticks reserve) const override {
         return real_->may_write(tun, reserve);
     }
-    void answer_by(Tenths when) override { real_->answer_by(when); }
-    void load_changed(std::uint64_t tun, double load) override { real_->load_changed(tun, load); }
-    void messages_slow(std::uint64_t tun, std::uint32_t ep, Tenths takes) override {
-        real_->messages_slow(tun, own(tun, ep), takes);
+    void set_answer_deadline(Ticks when) override { real_->set_answer_deadline(when); }
+    void on_load_changed(std::uint64_t tun, double load) override { real_->on_load_changed(tun, load); }
+    void on_slow_messages(std::uint64_t tun, std::uint32_t ep, Ticks takes) override {
+        real_->on_slow_messages(tun, own(tun, ep), takes);
     }
-    void unheard(std::uint32_t ep, Tenths span) override { real_->unheard(ep, span); }
-    void probed(std::uint32_t ep, Ending ending, Tenths took, const Report& report) override {
-        real_->probed(ep, ending, took, report);
+    void on_unresponsive(std::uint32_t ep, Ticks span) override { real_->on_unresponsive(ep, span); }
+    void on_health_check(std::uint32_t ep, Outcome ending, Ticks took, const LoadReport& report) override {
+        real_->on_health_check(ep, ending, took, report);
     }
-    void told(std::uint32_t node, std::span<const std::uint8_t> bytes) override {
+    void on_gossip(std::uint32_t node, std::span<const std::uint8_t> bytes) override {
         if (fault_ == Fault::old_record_believed) peer::decode(bytes, *this);
-        real_->told(node, bytes);
+        real_->on_gossip(node, bytes);
     }
-    void woken(std::uint64_t label) override { real_->woken(label); }
-    Census census() const override { return real_->census(); }
-    void remember(std::string& into) const override { real_->remember(into); }
-    bool take_over(std::string_view told, Tenths clock_shift) override {
-        return real_->take_over(told, clock_shift);
+    void on_timer(std::uint64_t label) override { real_->on_timer(label); }
+    EndpointCounts endpoint_counts() const override { return real_->endpoint_counts(); }
+    void serialize_state(std::string& into) const override { real_->serialize_state(into); }
+    bool restore_state(std::string_view told, Ticks clock_shift) override {
+        return real_->restore_state(told, clock_shift);
     }
-    void again() override { real_->again(); }
-    bool hand_over(std::uint64_t tun, std::string& into) const override {
-        return real_->hand_over(tun, into);
+    void resume_ownership() override { real_->resume_ownership(); }
+    bool serialize_tunnel(std::uint64_t tun, std::string& into) const override {
+        return real_->serialize_tunnel(tun, into);
     }
-    bool taken_over(std::uint64_t tun, std::string_view told, Tenths clock_shift) override {
-        return real_->taken_over(tun, told, clock_shift);
+    bool restore_tunnel(std::uint64_t tun, std::string_view told, Ticks clock_shift) override {
+        return real_->restore_tunnel(tun, told, clock_shift);
     }
 
     // ---- from the module
-    void set_up(std::uint64_t tun, std::uint32_t ep, Tenths max_wait) override {
+    void start_attempt(std::uint64_t tun, std::uint32_t ep, Ticks max_wait) override {
         chosen_[tun] = ep;
         if (fault_ == Fault::cold_host_flooded && youngest_started_ != 0 && now_ - youngest_started_ < cold_)
             ep = youngest_;
         if (const auto it = misled_.find(tun); it != misled_.end()) ep = it->second;
-        host_.set_up(tun, ep, max_wait);
+        host_.start_attempt(tun, ep, max_wait);
+    }
+    void reject(std::uint64_t tun, Ticks after) override { host_.reject(tun, after); }
+    void fail(std::uint64_t tun) override { host_.fail(tun); }
+    void migrate(std::uint64_t tun) override { host_.migrate(tun); }
+    void check_health(std::uint32_t ep) override { host_.check_health(ep); }
+    void request_endpoint_list() override { host_.request_endpoint_list(); }
+    void set_timer(Ticks at, std::uint64_t label) override { host_.set_timer(at, label); }
+    void send_gossip(std::uint32_t node, std::span<const std::uint8_t> bytes) override {
+        host_.send_gossip(node, bytes);
     }
-    void decline(std::uint64_t tun, Tenths after) override { host_.decline(tun, after); }
-    void close_with_error(std::uint64_t tun) override { host_.close_with_error(tun); }
-    void move(std::uint64_t tun) override { host_.move(tun); }
-    void probe(std::uint32_t ep) override { host_.probe(ep); }
-    void watch_list() override { host_.watch_list(); }
-    void wake(Tenths at, std::uint64_t label) override { host_.wake(at, label); }
-    void tell(std::uint32_t node, std::span<const std::uint8_t> bytes) override { host_.tell(node, bytes); }
-    void tell_all(std::span<const std::uint8_t> bytes) override { host_.tell_all(bytes); }
+    void broadcast_gossip(std::span<const std::uint8_t> bytes) override { host_.broadcast_gossip(bytes); }
     void log(std::string_view line) override { host_.log(line); }
 
     // ---- records as nodes tell them; the first that was heard of a key is believed for ever
@@ -270,23 +275,23 @@
         const auto it = chosen_.find(tun);
         return it == chosen_.end() ? ep : it->second;
     }
-    Host& host_;
+    BalancerDelegate& host_;
     Fault fault_;
-    Tenths cold_, now_;
+    Ticks cold_, now_;
     std::unique_ptr<Balancer> real_;
     std::unordered_map<std::uint64_t, std::uint32_t> chosen_, misled_;
     std::unordered_map<std::uint64_t, std::uint32_t> records_;
     std::uint32_t youngest_ = 0;
-    Tenths youngest_started_ = 0;
+    Ticks youngest_started_ = 0;
 };
 
-class Spoiler final : public lab::Tamper {
+class Spoiler final : public simulation::Tamper {
   public:
     explicit Spoiler(Fault fault) : fault_(fault) {}
     std::unique_ptr<net::System> between(net::System& real) override {
         return decides_wrong() ? nullptr : std::make_unique<Between>(real, fault_);
     }
-    std::unique_ptr<Balancer> decides(Terms terms, Host& host, Tenths now) override {
+    std::unique_ptr<Balancer> decides(BalancerConfig terms, BalancerDelegate& host, Ticks now) override {
         if (!decides_wrong()) return nullptr;
         return std::make_unique<Decider>(std::move(terms), host, now, fault_);
     }
--- a/tests/witness.cpp
+++ b/tests/witness.cpp
@@ -11,15 +11,15 @@
 #include "peer/codec.h"
 
 using namespace fake;
-using witness::nobody;
-using witness::Words;
+using failure_detector::nobody;
+using failure_detector::Observations;
 
 namespace {
-constexpr Tenths at = 1000 * s;
+constexpr Ticks at = 1000 * s;
 
-Terms priced(std::uint32_t me, std::uint32_t nodes = 60) {
-    Terms terms = Node::usual(me, nodes);
-    terms.prices.peer = 0.01;
+BalancerConfig priced(std::uint32_t me, std::uint32_t nodes = 60) {
+    BalancerConfig terms = Node::usual(me, nodes);
+    terms.costs.gossip_message = 0.01;
     return terms;
 }
 // A node of sixty that has been among these eps for a while, and what it hears of them.
@@ -29,26 +29,25 @@
         n.list(std::move(eps));
         n.pass(5 * s);
     }
-    void hear(std::uint32_t from, std::uint32_t ep, std::uint32_t first, std::uint32_t other,
-              Tenths age = 0) {
+    void hear(std::uint32_t from, std::uint32_t ep, std::uint32_t first, std::uint32_t other, Ticks age = 0) {
         peer::Message m;
         m.dead(ep, n.now - age, first, other);
-        n.b->told(from, m.bytes());
+        n.b->on_gossip(from, m.bytes());
     }
     void report(std::uint32_t ep, bool good) {
         peer::Message m;
         m.report(ep, good, 0.3);
-        n.b->told(3, m.bytes());
+        n.b->on_gossip(3, m.bytes());
     }
     // Setups at an ep fail at other nodes, at each in turn.
     void fail_elsewhere(std::uint32_t ep, std::vector<std::uint32_t> nodes) {
         for (std::size_t i = 0; i < 6; ++i) {
             peer::Message m;
-            m.outcome(ep, static_cast<std::uint8_t>(Ending::error));
-            n.b->told(nodes[i % nodes.size()], m.bytes());
+            m.outcome(ep, static_cast<std::uint8_t>(Outcome::error));
+            n.b->on_gossip(nodes[i % nodes.size()], m.bytes());
         }
     }
-    std::uint32_t avoided() const { return n.b->census().avoided; }
+    std::uint32_t excluded() const { return n.b->endpoint_counts().excluded; }
 };
 std::size_t accusations(const Node& n) {
     std::size_t sum = 0;
@@ -62,33 +61,33 @@
 }  // namespace
 
 TEST_CASE("one node's word is one word, however often it is told; two nodes' are enough, until they lapse") {
-    Words w;
+    Observations w;
     CHECK(w.found(3, at, at));
     CHECK(!w.found(3, at, at + s));
     CHECK(w.found(3, at + s, at + s));
     CHECK(!w.dead(at + s));
     CHECK(w.found(4, at + s, at + s));
     CHECK(w.dead(at + s));
-    CHECK(w.dead(at + s + witness::word_lasts - 1));
-    CHECK(!w.dead(at + s + witness::word_lasts));
+    CHECK(w.dead(at + s + failure_detector::word_lasts - 1));
+    CHECK(!w.dead(at + s + failure_detector::word_lasts));
 }
 
 TEST_CASE(
     "a word of long ago, of a time to come, or of nobody has no effect, also an hour and five days later") {
-    Words w;
-    CHECK(!w.found(3, at - witness::word_lasts, at));
-    CHECK(!w.found(3, at + witness::clocks_apart + 1, at));
+    Observations w;
+    CHECK(!w.found(3, at - failure_detector::word_lasts, at));
+    CHECK(!w.found(3, at + failure_detector::clocks_apart + 1, at));
     CHECK(!w.found(nobody, at, at));
     CHECK(!w.found(nobody + 1, at, at));
     const auto told = static_cast<std::uint32_t>(at);
-    for (const Tenths later : {20 * s, 3600 * s, 100 * 3600 * s})
-        CHECK(!w.found(3, witness::whole_time(told, at + later), at + later));
-    CHECK(witness::whole_time(told, at + 3 * s) == at);
-    CHECK(witness::whole_time(told, at - 2000) == at);
+    for (const Ticks later : {20 * s, 3600 * s, 100 * 3600 * s})
+        CHECK(!w.found(3, failure_detector::whole_time(told, at + later), at + later));
+    CHECK(failure_detector::whole_time(told, at + 3 * s) == at);
+    CHECK(failure_detector::whole_time(told, at - 2000) == at);
 }
 
 TEST_CASE("an answer that anybody had counts more than what was found before it") {
-    Words w;
+    Observations w;
     w.found(3, at, at);
     w.found(4, at, at);
     w.found_sound(at + 1);
@@ -106,14 +105,14 @@
     std::minstd_rand rng(7);
     struct Said {
         std::uint32_t node;
-        Tenths when;
+        Ticks when;
     };
     for (int round = 0; round < 2000; ++round) {
         std::vector<Said> said;
         for (std::uint32_t i = 0; i < 12; ++i)  // of twice as many nodes as are kept
             said.push_back(
-                {1 + static_cast<std::uint32_t>(rng() % 8), at - static_cast<Tenths>(rng() % (15 * s))});
-        Words in_order, mixed;
+                {1 + static_cast<std::uint32_t>(rng() % 8), at - static_cast<Ticks>(rng() % (15 * s))});
+        Observations in_order, mixed;
         for (const auto& x : said) in_order.found(x.node, x.when, at);
         auto twice = said;
         twice.insert(twice.end(), said.begin(), said.end());
@@ -127,17 +126,17 @@
 }
 
 TEST_CASE("what fails everywhere is no host's fault; what fails on one host is") {
-    witness::Sums all;
-    witness::Outcomes good, bad;
+    failure_detector::OutcomeTotals all;
+    failure_detector::FailureLikelihood good, bad;
     for (int i = 0; i < 40; ++i) good.count(false, false, all, at);
     bad.count(true, false, all, at);
     bad.count(true, false, all, at);
-    CHECK(bad.doubt >= witness::doubt_limit);
-    witness::Sums jam;
-    std::array<witness::Outcomes, 4> each;
+    CHECK(bad.doubt >= failure_detector::doubt_limit);
+    failure_detector::OutcomeTotals jam;
+    std::array<failure_detector::FailureLikelihood, 4> each;
     for (int i = 0; i < 12; ++i)
         for (auto& o : each) o.count(true, false, jam, at);
-    for (const auto& o : each) CHECK(o.doubt < witness::doubt_limit);
+    for (const auto& o : each) CHECK(o.doubt < failure_detector::doubt_limit);
 }
 
 TEST_CASE("hearsay sets an ep aside with two nodes' words, not with one's told twice") {
@@ -146,9 +145,9 @@
     h.n.pass(100 * ms);
     h.hear(4, 7, 3, nobody);  // passed on by another
     h.hear(4, 7, 3, 3);       // and named twice
-    CHECK(h.avoided() == 0);
+    CHECK(h.excluded() == 0);
     h.hear(4, 7, 4, 3);
-    CHECK(h.avoided() == 1);
+    CHECK(h.excluded() == 1);
 }
 
 TEST_CASE("a word of no peer, of a time to come, or replayed an hour later changes nothing") {
@@ -158,64 +157,64 @@
     h.hear(3, 7, 3, 4, -1 * s);
     h.hear(3, 7, 3, 4, 3600 * s);
     h.hear(99, 7, 3, 4);
-    CHECK(h.avoided() == 0);
+    CHECK(h.excluded() == 0);
 }
 
 TEST_CASE("an older node's bare word that an ep is bad is no evidence") {
     Hearer h;
     h.report(7, false);
-    CHECK(h.avoided() == 0);
+    CHECK(h.excluded() == 0);
 }
 
 TEST_CASE("what was set aside by hearsay alone comes back once nobody says it any more") {
     Hearer h({7, 8, 9, 10});
     h.hear(3, 7, 3, 4);
     h.n.pass(8 * s);
-    CHECK(h.avoided() == 1);
+    CHECK(h.excluded() == 1);
     h.hear(3, 7, 3, 4);  // renewed
     h.n.pass(8 * s);
-    CHECK(h.avoided() == 1);
+    CHECK(h.excluded() == 1);
     h.n.pass(3 * s);
-    CHECK(h.avoided() == 0);
+    CHECK(h.excluded() == 0);
 }
 
 TEST_CASE("whoever has just had an answer of an ep does not believe that it is dead") {
     Hearer h;
     std::uint64_t t = 1;
     do {
-        h.n.arrive(t);
+        h.n.on_request(t);
         h.n.open(t);
     } while (h.n.last().ep != 7 && ++t < 100);
     REQUIRE(h.n.last().ep == 7);
     h.hear(3, 7, 3, 4);
-    CHECK(h.avoided() == 0);
+    CHECK(h.excluded() == 0);
 }
 
 TEST_CASE("of a zone and of a cell hearsay takes at most half, until the node finds one dead there itself") {
     Hearer h(std::vector<std::uint32_t>{});
-    h.n.b->list_begin(ListKind::whole);
+    h.n.b->begin_endpoint_list(EndpointListKind::complete);
     for (std::uint32_t ep = 1; ep <= 8; ++ep)
-        h.n.b->listed(ep, ep <= 4 ? 0 : 1, ep <= 4 ? 0 : ep / 7, Life::in_service, 1, 0);
-    h.n.b->list_end();
+        h.n.b->add_endpoint(ep, ep <= 4 ? 0 : 1, ep <= 4 ? 0 : ep / 7, EndpointState::active, 1, 0);
+    h.n.b->end_endpoint_list();
     h.n.pass(5 * s);
     for (std::uint32_t ep = 1; ep <= 4; ++ep) h.hear(3, ep, 3, 4);
-    CHECK(h.avoided() == 2);
+    CHECK(h.excluded() == 2);
     h.hear(3, 5, 3, 4);
     h.hear(3, 6, 3, 4);  // in the other zone, of another cell than the next two
-    CHECK(h.avoided() == 3);
-    h.n.b->unheard(1, 2 * s);  // set aside by hearsay before, now by its own sight
-    CHECK(h.avoided() == 3);
+    CHECK(h.excluded() == 3);
+    h.n.b->on_unresponsive(1, 2 * s);  // set aside by hearsay before, now by its own sight
+    CHECK(h.excluded() == 3);
     h.hear(5, 3, 5, 6);
-    CHECK(h.avoided() == 4);
+    CHECK(h.excluded() == 4);
 }
 
 TEST_CASE("who finds an ep dead tells those who report of it, once another ep has answered it since") {
     Hearer h({7, 8, 9, 10, 11});
-    h.n.arrive(1);
+    h.n.on_request(1);
     h.n.open(1);
     h.n.post.clear();
     h.n.probes.clear();
-    h.n.b->unheard(h.n.last().ep, 1 * s);
+    h.n.b->on_unresponsive(h.n.last().ep, 1 * s);
     h.n.pass(400 * ms);
     CHECK(accusations(h.n) == 0);
     CHECK(!h.n.probes.empty());  // it looks whether any other answers
@@ -232,15 +231,15 @@
 TEST_CASE("a node that is cut off from all eps accuses none, and says so once") {
     Hearer h({7, 8, 9, 10, 11, 12, 13, 14});
     for (std::uint64_t t = 1; t <= 40; ++t) {
-        h.n.arrive(t);
+        h.n.on_request(t);
         h.n.open(t);
     }
     h.n.post.clear();
     h.n.lines.clear();
     for (int i = 0; i < 40; ++i) {
-        for (std::uint32_t ep = 7; ep <= 14; ++ep) h.n.b->unheard(ep, 1 * s + i * 100 * ms);
+        for (std::uint32_t ep = 7; ep <= 14; ++ep) h.n.b->on_unresponsive(ep, 1 * s + i * 100 * ms);
         for (const auto p : std::exchange(h.n.probes, {}))
-            h.n.b->probed(static_cast<std::uint32_t>(p), Ending::timed_out, s, Report{});
+            h.n.b->on_health_check(static_cast<std::uint32_t>(p), Outcome::timed_out, s, LoadReport{});
         h.n.pass(100 * ms);
     }
     CHECK(accusations(h.n) == 0);
@@ -260,40 +259,40 @@
 TEST_CASE("failures of others' setups set an ep aside with two nodes failing, as hearsay does: for a time") {
     Hearer h({7, 8, 9, 10});
     h.fail_elsewhere(7, {1});
-    CHECK(h.avoided() == 0);
+    CHECK(h.excluded() == 0);
     h.fail_elsewhere(7, {1, 2});
-    CHECK(h.avoided() == 1);
+    CHECK(h.excluded() == 1);
     h.n.pass(11 * s);
-    CHECK(h.avoided() == 0);
+    CHECK(h.excluded() == 0);
     Hearer half({7, 8, 9, 10});
     for (const std::uint32_t ep : {8, 9}) half.hear(3, ep, 3, 4);
     half.fail_elsewhere(7, {1, 2});
-    CHECK(half.avoided() == 2);  // half of the zone is out by hearsay
+    CHECK(half.excluded() == 2);  // half of the zone is out by hearsay
 }
 
 TEST_CASE("what hearsay set aside is still hearsay after an upgrade: it comes back when nobody renews it") {
     Hearer h;
     h.hear(3, 7, 3, 4);
     std::string told;
-    h.n.b->remember(told);
+    h.n.b->serialize_state(told);
     Node next(priced(0));
     next.now = h.n.now;
-    next.b->at(next.now);
+    next.b->set_time(next.now);
     next.list({7, 8, 9});
-    REQUIRE(next.b->take_over(told, 0));
-    CHECK(next.b->census().avoided == 1);
+    REQUIRE(next.b->restore_state(told, 0));
+    CHECK(next.b->endpoint_counts().excluded == 1);
     next.pass(11 * s);
-    CHECK(next.b->census().avoided == 0);
+    CHECK(next.b->endpoint_counts().excluded == 0);
 }
 
 TEST_CASE("what a node found dead itself does not come back on hearsay before it answers this node") {
     Hearer h({7, 8, 9, 10});
-    h.n.b->unheard(7, 2 * s);
-    REQUIRE(h.avoided() == 1);
+    h.n.b->on_unresponsive(7, 2 * s);
+    REQUIRE(h.excluded() == 1);
     h.n.pass(2 * s);
     h.report(7, true);
-    CHECK(h.avoided() == 1);
+    CHECK(h.excluded() == 1);
     h.n.answer_probes(0.2);
     h.report(7, true);
-    CHECK(h.avoided() == 0);
+    CHECK(h.excluded() == 0);
 }
