--- a/example/example_server.cpp
+++ b/example/example_server.cpp
@@ -35,9 +35,9 @@
                             R"(","host_port":")" + name +
                             R"(","locality":"here","phase":"in_service","size":1.0,"up_since_ms":0})";
         }
-        loop.at(loop.now() + sign_every, *this, 0);
+        loop.schedule(loop.now() + sign_every, *this, 0);
     }
-    void ready(std::uint64_t token, short) override {
+    void on_ready(std::uint64_t token, short) override {
         if (token < doors_.size()) return accept(token);
         const auto it = lines_.find(token);
         if (it == lines_.end()) return;
@@ -53,10 +53,10 @@
         if (over || it->second.text.size() > 4096) close(it);
     }
     // A watch is told every two seconds that it stands.
-    void due(std::uint64_t) override {
+    void on_timer(std::uint64_t) override {
         for (auto& [token, line] : lines_)
             if (line.door == 0 && line.watches) line.socket.write("1\r\n\n\r\n");
-        loop_.at(loop_.now() + sign_every, *this, 0);
+        loop_.schedule(loop_.now() + sign_every, *this, 0);
     }
 
   private:
@@ -120,7 +120,7 @@
         net::Kernel kernel;
         net::EventLoop loop(kernel);
         Toy toy(loop, {argv + 1, argv + argc});
-        for (;;) loop.turn([] {});
+        for (;;) loop.run_once([] {});
     } catch (const std::exception& e) {
         std::cerr << "lemonstair_example_server: " << e.what() << '\n';
         return 1;
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -27,13 +27,13 @@
 void AdminServer::open(const net::Address& at, std::size_t callers) {
     callers_.resize(callers);
     net::Fd listener = loop_.system().listen_on(at);
-    loop_.system().will_hear_only_who_speaks(listener.get());
+    loop_.system().defer_accept(listener.get());
     listener_ =
         net::Socket(loop_, std::move(listener), POLLIN, *this, listener_token, net::EventPriority::first);
     loop_.set_aside(callers);
 }
 
-void AdminServer::ready(std::uint64_t token, short) {
+void AdminServer::on_ready(std::uint64_t token, short) {
     if (token == listener_token) return accept();
     Connection& caller = callers_[static_cast<std::uint32_t>(token)];
     switch (caller.state) {
@@ -68,7 +68,7 @@
     for (int i = 0; i < accepts_a_pass; ++i) {
         if (here_ == callers_.size() && !make_room()) return;
         net::Fd fd = listener_.accept();
-        if (!fd.open()) return net::none_left(errno) ? rest(rest_for) : void();
+        if (!fd.open()) return net::is_resource_exhausted(errno) ? rest(rest_for) : void();
         const auto place = std::find_if(callers_.begin(), callers_.end(),
                                         [](const Connection& c) { return c.state == State::away; });
         place->socket =
@@ -76,15 +76,15 @@
                         static_cast<std::uint64_t>(place - callers_.begin()), net::EventPriority::first);
         place->before_crowd = 2 * here_ < callers_.size();
         go(*place, State::calling);
-        if (!std::exchange(watched_, true)) loop_.at(loop_.now() + look_every, *this, look_timer);
+        if (!std::exchange(watched_, true)) loop_.schedule(loop_.now() + look_every, *this, look_timer);
         hear(*place);  // mostly its call is here already
     }
 }
 
 // Guards against spinning on a caller for whom the system has no descriptor.
 void AdminServer::rest(Ticks span) {
-    listener_.wait_for(0);
-    loop_.at(loop_.now() + span, *this, rest_timer);
+    listener_.set_events(0);
+    loop_.schedule(loop_.now() + span, *this, rest_timer);
 }
 
 // Guards against callers that come by thousands and say nothing, or half a call: who has been here longest
@@ -138,10 +138,10 @@
     const auto sent = caller.socket.write(caller.answer);
     if (sent.error != 0) return go(caller, State::away);
     caller.answer.erase(0, sent.bytes);
-    if (!caller.answer.empty()) return caller.socket.wait_for(POLLOUT);
+    if (!caller.answer.empty()) return caller.socket.set_events(POLLOUT);
     // Closing over unread input would make a reset, and that can overtake the answer.
-    caller.socket.end_sending();
-    caller.socket.wait_for(POLLIN);
+    caller.socket.shutdown_write();
+    caller.socket.set_events(POLLIN);
     go(caller, State::leaving);
 }
 
@@ -150,9 +150,9 @@
     if (got.ended || got.error != 0) go(caller, State::away);
 }
 
-void AdminServer::due(std::uint64_t token) {
+void AdminServer::on_timer(std::uint64_t token) {
     if (token == rest_timer) {
-        return listener_.wait_for(POLLIN);
+        return listener_.set_events(POLLIN);
     }
     for (Connection& caller : callers_) {
         const Ticks age = loop_.now() - caller.since;
@@ -167,7 +167,7 @@
         }
     }
     watched_ = here_ > 0;
-    if (watched_) loop_.at(loop_.now() + look_every, *this, look_timer);
+    if (watched_) loop_.schedule(loop_.now() + look_every, *this, look_timer);
 }
 
 }  // namespace lemonstair::admin
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -21,8 +21,8 @@
     void open(const net::Address& at, std::size_t callers);
     std::size_t callers() const { return here_; }
 
-    void ready(std::uint64_t token, short events) override;
-    void due(std::uint64_t token) override;
+    void on_ready(std::uint64_t token, short events) override;
+    void on_timer(std::uint64_t token) override;
 
   private:
     // Away; its call is awaited; its answer goes out; what it still says is thrown away until it ends.
--- a/src/config/source.cpp
+++ b/src/config/source.cpp
@@ -19,7 +19,7 @@
     errno = 0;
     if (const char* wrong = system_.read_file(path_, longest_file, text_)) {
         const int error = errno;
-        if (net::own_want(error) || error == EIO)
+        if (net::is_local_failure(error) || error == EIO)
             throw Unreadable(std::string("configuration: '").append(path_).append("' ").append(wrong));
         fail(wrong);
     }
@@ -27,7 +27,7 @@
     const json::Value file = file_.root().told_as("configuration");
     NodeConfig launch = parse_node_config(file, around_);
     // The system may allow fewer descriptors than the file grants.
-    launch.sockets = system_.allowed_descriptors(launch.sockets);
+    launch.sockets = system_.descriptor_limit(launch.sockets);
     if (launch.sockets < fewest_sockets)
         throw json::Malformed("configuration: the system allows fewer than 32 of the 'sockets' granted");
     return launch;
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -46,10 +46,10 @@
         costs_.call_waited_ms += static_cast<std::uint64_t>((loop_.now() - called_at_) / 10);
     phase_ = to;
     dead_at_ = loop_.now() + patience;
-    loop_.at(dead_at_, *this, call_);
+    loop_.schedule(dead_at_, *this, call_);
 }
 
-void Watch::ready(std::uint64_t, short) {
+void Watch::on_ready(std::uint64_t, short) {
     if (phase_ == Phase::connecting) {
         if (socket_.connected() != 0) return lose("not reached");
         go(Phase::asking, patience_asking);
@@ -62,7 +62,7 @@
     const auto sent = socket_.write(question_);
     if (sent.error != 0) return lose("broken");
     question_.erase(0, sent.bytes);
-    socket_.wait_for(question_.empty() ? POLLIN : POLLOUT);
+    socket_.set_events(question_.empty() ? POLLIN : POLLOUT);
 }
 
 void Watch::read() {
@@ -94,10 +94,10 @@
 }
 
 // Guards against a watch that stands silent on a cut-off line: nothing else would tell that it is over.
-void Watch::due(std::uint64_t token) {
+void Watch::on_timer(std::uint64_t token) {
     if (token != call_ || !is_open()) return;
     if (loop_.now() >= dead_at_) return lose("silent");
-    loop_.at(dead_at_, *this, call_);
+    loop_.schedule(dead_at_, *this, call_);
 }
 
 void Watch::lose(std::string_view why) {
--- a/src/discovery/watch.h
+++ b/src/discovery/watch.h
@@ -42,8 +42,8 @@
     // The list is kept elsewhere from now on: a call to the old place is over. False where it is no other.
     bool move_to(const net::Address& discovery);
 
-    void ready(std::uint64_t token, short events) override;
-    void due(std::uint64_t token) override;
+    void on_ready(std::uint64_t token, short events) override;
+    void on_timer(std::uint64_t token) override;
 
   private:
     enum class Phase : std::uint8_t { closed, connecting, asking, standing };
--- a/src/fakes/admin_client.cpp
+++ b/src/fakes/admin_client.cpp
@@ -13,18 +13,18 @@
 void Operators::call(const net::Address& at, std::string request, Told told) {
     const End end = town_.network.connect(machine_, at, *this);
     ones_[end.number()] = {end, std::move(request), {}, std::move(told), town_.now(), false};
-    town_.agenda.at(town_.now() + due_in, *this, end.number());
+    town_.events.schedule(town_.now() + due_in, *this, end.number());
 }
 
 void Operators::come_and_stay(const net::Address& at, int how_many) {
     for (int i = 0; i < how_many; ++i) {
         const End end = town_.network.connect(machine_, at, *this);
         ones_[end.number()] = {end, i % 2 == 0 ? "" : "GET /sta", {}, {}, town_.now(), true};
-        town_.agenda.at(town_.now() + stay_for, *this, end.number());
+        town_.events.schedule(town_.now() + stay_for, *this, end.number());
     }
 }
 
-void Operators::stirred(End end) {
+void Operators::on_stream_event(End end) {
     const auto it = ones_.find(end.number());
     if (it == ones_.end()) return;
     One& one = it->second;
@@ -39,7 +39,7 @@
     }
 }
 
-void Operators::happen(std::uint64_t number) { over(number, false); }
+void Operators::on_event(std::uint64_t number) { over(number, false); }
 
 void Operators::over(std::uint64_t number, bool whole) {
     const auto it = ones_.find(number);
--- a/src/fakes/admin_client.h
+++ b/src/fakes/admin_client.h
@@ -23,9 +23,9 @@
     // Callers who say nothing, or half a call, and stay for four seconds.
     void come_and_stay(const net::Address& at, int how_many);
 
-    void stirred(End end) override;
-    void called(const net::Address&) override {}
-    void happen(std::uint64_t token) override;
+    void on_stream_event(End end) override;
+    void on_connection(const net::Address&) override {}
+    void on_event(std::uint64_t token) override;
 
   private:
     struct One {
--- a/src/fakes/clients.cpp
+++ b/src/fakes/clients.cpp
@@ -41,21 +41,21 @@
     c.asking = true;
     c.asked = false;
     if (c.in && town_.now() - c.answered_at > notices_after_) c.in = false;
-    town_.agenda.at(town_.now() + check_every, *this, node);
+    town_.events.schedule(town_.now() + check_every, *this, node);
 }
 
 void Front::leaves(std::uint32_t node, Ticks after) {
-    town_.agenda.at(town_.now() + after, *this, std::uint64_t{1} << 32 | node);
+    town_.events.schedule(town_.now() + after, *this, std::uint64_t{1} << 32 | node);
 }
 
-void Front::happen(std::uint64_t token) {
+void Front::on_event(std::uint64_t token) {
     const auto node = static_cast<std::uint32_t>(token);
     if (token >> 32 == 0) return check(node);
     nodes_[node].in = false;
     nodes_[node].leaving = true;
 }
 
-void Front::stirred(End end) {
+void Front::on_stream_event(End end) {
     const auto it = by_end_.find(end.number());
     if (it == by_end_.end()) return;
     Checked& c = nodes_[it->second];
@@ -109,7 +109,7 @@
     for (std::uint32_t at = 0; at < members_.size(); ++at) {
         members_[at].machine = machines_[at % machines_.size()];
         members_[at].slow = chance_.odds(manners_.slow_readers);
-        town_.agenda.at(town_.agenda.dawn() + members_[at].wish.from, *this, token(come, at));
+        town_.events.schedule(town_.events.start_time() + members_[at].wish.from, *this, token(come, at));
     }
 }
 
@@ -119,7 +119,7 @@
         members_.emplace_back();
         members_[at].wish = std::move(w);
         members_[at].machine = machines_[at % machines_.size()];
-        town_.agenda.at(town_.agenda.dawn() + members_[at].wish.from, *this, token(come, at));
+        town_.events.schedule(town_.events.start_time() + members_[at].wish.from, *this, token(come, at));
     }
 }
 
@@ -147,7 +147,8 @@
     m.reader = {};
     m.waiting.clear();
     go(at, State::calling);
-    town_.agenda.at(town_.now() + town_.profiles[m.wish.profile].client_timeout, *this, token(time_up, at));
+    town_.events.schedule(town_.now() + town_.profiles[m.wish.profile].client_timeout, *this,
+                          token(time_up, at));
 }
 
 void FakeClients::ask(std::uint32_t at) {
@@ -174,10 +175,10 @@
                          m.resuming, m.slow, m.end});
     say(at, line + "\r\n");
     town_.network.tell_delivered(m.end, *this, token(taken_note, at));
-    town_.agenda.at(town_.now() + p.client_timeout + waits_on, *this, token(time_up, at));
+    town_.events.schedule(town_.now() + p.client_timeout + waits_on, *this, token(time_up, at));
     if (chance_.odds(manners_.impatient))
-        town_.agenda.at(town_.now() + chance_.between(std::int64_t{1}, p.client_timeout), *this,
-                        token(impatient, at));
+        town_.events.schedule(town_.now() + chance_.between(std::int64_t{1}, p.client_timeout), *this,
+                              token(impatient, at));
 }
 
 void FakeClients::say(std::uint32_t at, std::string_view text) {
@@ -198,7 +199,7 @@
     Member& m = members_[at];
     m.has_end = false;
     parting_[m.end.number()] = m.tunnel;
-    town_.agenda.at(town_.now() + last_look, *this, std::uint64_t{parted} << 56 | m.end.number());
+    town_.events.schedule(town_.now() + last_look, *this, std::uint64_t{parted} << 56 | m.end.number());
     read_parting(m.end);
 }
 
@@ -215,7 +216,7 @@
 
 void FakeClients::pause(std::uint32_t at, Ticks span) {
     go(at, State::pausing);
-    town_.agenda.at(town_.now() + std::max<Ticks>(span, 1), *this, token(come, at));
+    town_.events.schedule(town_.now() + std::max<Ticks>(span, 1), *this, token(come, at));
 }
 
 void FakeClients::try_again(std::uint32_t at, Ticks span) {
@@ -240,7 +241,7 @@
     }
 }
 
-void FakeClients::stirred(End end) {
+void FakeClients::on_stream_event(End end) {
     const auto it = by_end_.find(end.number());
     if (it == by_end_.end()) return;
     const std::uint32_t at = it->second;
@@ -314,13 +315,13 @@
             m.resuming = false;
             m.owed_since = 0;
             go(at, State::open);
-            town_.agenda.at(town_.now() + chance_.between(std::int64_t{1}, manners_.line_every), *this,
-                            token(talk, at));
-            const Ticks ends = town_.agenda.dawn() + m.wish.until;
-            town_.agenda.at(std::max(ends, town_.now() + second / 5), *this, token(leave_now, at));
+            town_.events.schedule(town_.now() + chance_.between(std::int64_t{1}, manners_.line_every), *this,
+                                  token(talk, at));
+            const Ticks ends = town_.events.start_time() + m.wish.until;
+            town_.events.schedule(std::max(ends, town_.now() + second / 5), *this, token(leave_now, at));
             if (m.slow)
-                town_.agenda.at(town_.now() + chance_.between(second, 3 * second), *this,
-                                token(read_again, at));
+                town_.events.schedule(town_.now() + chance_.between(second, 3 * second), *this,
+                                      token(read_again, at));
             return true;
         }
         ++(a == Answer::busy ? tally_.declined : tally_.failed);
@@ -364,7 +365,7 @@
     return true;
 }
 
-void FakeClients::happen(std::uint64_t what) {
+void FakeClients::on_event(std::uint64_t what) {
     const auto kind = static_cast<Kind>(what >> 56);
     if (kind == parted) {
         const std::uint64_t number = what & 0xffffffffffffffU;
@@ -379,7 +380,7 @@
         case parted:
             return;
         case come:
-            if (town_.since_dawn() >= m.wish.until) return go(at, State::done);
+            if (town_.elapsed() >= m.wish.until) return go(at, State::done);
             return call(at);
         case taken_note:
             return town_.witness.taken(m.tunnel);
@@ -404,13 +405,13 @@
                 town_.witness.unanswered(m.tunnel, owed);
             }
             say(at, text);
-            return town_.agenda.at(town_.now() + manners_.line_every, *this, token(talk, at));
+            return town_.events.schedule(town_.now() + manners_.line_every, *this, token(talk, at));
         }
         case read_again:
             m.reads = !m.reads;
             if (m.state == State::done) return read(at);
-            town_.agenda.at(town_.now() + chance_.between(second / 2, 2 * second), *this,
-                            token(read_again, at));
+            town_.events.schedule(town_.now() + chance_.between(second / 2, 2 * second), *this,
+                                  token(read_again, at));
             if (m.reads) read(at);
             return;
         case leave_now:
@@ -420,7 +421,7 @@
             m.reads = !m.slow;
             go(at, State::done);
             town_.network.finish(m.end);
-            if (m.slow) town_.agenda.at(town_.now() + 2 * second, *this, token(read_again, at));
+            if (m.slow) town_.events.schedule(town_.now() + 2 * second, *this, token(read_again, at));
             return;
     }
 }
@@ -470,13 +471,13 @@
     by_end_[ones_[at].end.number()] = at;
 }
 
-void Rude::stirred(End end) {
+void Rude::on_stream_event(End end) {
     const auto it = by_end_.find(end.number());
     if (it == by_end_.end() || ones_[it->second].over) return;
     const std::uint32_t at = it->second;
     if (town_.network.is_up(end) && !ones_[at].sent) {
         ones_[at].sent = true;
-        town_.agenda.at(town_.now() + rude_patience, *this, at);
+        town_.events.schedule(town_.now() + rude_patience, *this, at);
     }
     if (ones_[at].sent && !ones_[at].waiting.empty()) write_waiting(town_.network, end, ones_[at].waiting);
     std::array<char, 512> bytes;
@@ -500,7 +501,7 @@
     if (one.again) call(one.kind, chance_.odds(0.7));
 }
 
-void Rude::happen(std::uint64_t at) {
+void Rude::on_event(std::uint64_t at) {
     One& one = ones_[at];
     if (one.over) return;
     one.over = true;
--- a/src/fakes/clients.h
+++ b/src/fakes/clients.h
@@ -28,9 +28,9 @@
     // Told that a node leaves on purpose: it is dealt no one from a moment later on.
     void leaves(std::uint32_t node, Ticks after);
 
-    void stirred(End end) override;
-    void called(const net::Address&) override {}
-    void happen(std::uint64_t token) override;
+    void on_stream_event(End end) override;
+    void on_connection(const net::Address&) override {}
+    void on_event(std::uint64_t token) override;
 
   private:
     struct Checked {
@@ -76,9 +76,9 @@
     void add(std::vector<Wish> wishes);
     // All that still wait or talk go home.
     void go_home();
-    void stirred(End end) override;
-    void called(const net::Address&) override {}
-    void happen(std::uint64_t token) override;
+    void on_stream_event(End end) override;
+    void on_connection(const net::Address&) override {}
+    void on_event(std::uint64_t token) override;
 
     struct Tally {
         std::uint64_t opened = 0, declined = 0, failed = 0, timed_out = 0, moved = 0, cut = 0, resumed = 0,
@@ -153,9 +153,9 @@
     static constexpr int kinds = 9;
     void come(int how_many, Kind kind, bool again);
     void go_home();
-    void stirred(End end) override;
-    void called(const net::Address&) override {}
-    void happen(std::uint64_t token) override;
+    void on_stream_event(End end) override;
+    void on_connection(const net::Address&) override {}
+    void on_event(std::uint64_t token) override;
 
   private:
     struct One {
--- a/src/fakes/discovery.cpp
+++ b/src/fakes/discovery.cpp
@@ -39,13 +39,13 @@
     list_ = std::move(list);
     changed_.assign(list_.size(), revision_);
     town_.network.listen(address(), *this, 256);
-    if (!signs_) town_.agenda.at(town_.now() + sign_every, *this, token(sign, 0));
+    if (!signs_) town_.events.schedule(town_.now() + sign_every, *this, token(sign, 0));
     signs_ = true;
 }
 
 void Roster::change(std::uint32_t host, const Listed& entry, Ticks after) {
     coming_.push_back({host, entry});
-    town_.agenda.at(town_.now() + after, *this, token(change_comes, coming_.size() - 1));
+    town_.events.schedule(town_.now() + after, *this, token(change_comes, coming_.size() - 1));
 }
 
 void Roster::down(bool on) {
@@ -79,7 +79,7 @@
 void Roster::retire(Ticks after) {
     town_.network.unlisten(address());
     down_ = true;
-    town_.agenda.at(town_.now() + after, *this, token(retires, 0));
+    town_.events.schedule(town_.now() + after, *this, token(retires, 0));
 }
 
 void Roster::end(std::uint32_t at) {
@@ -88,18 +88,18 @@
     town_.network.close(calls_[at].end);
 }
 
-void Roster::called(const net::Address& at) {
+void Roster::on_connection(const net::Address& at) {
     while (const auto e = town_.network.accept(at)) {
         town_.network.own(*e, *this);
         by_end_[e->number()] = static_cast<std::uint32_t>(calls_.size());
         calls_.emplace_back();
         calls_.back().end = *e;
         calls_.back().node = town_.network.machine_of(e->other());
-        stirred(*e);
+        on_stream_event(*e);
     }
 }
 
-void Roster::stirred(End e) {
+void Roster::on_stream_event(End e) {
     const auto it = by_end_.find(e.number());
     if (it == by_end_.end() || calls_[it->second].over) return;
     const std::uint32_t at = it->second;
@@ -120,7 +120,7 @@
             }
             if (line.empty() && c.asked && !c.watches) {
                 c.watches = true;
-                town_.agenda.at(town_.now() + answer_after_, *this, token(answer_call, at));
+                town_.events.schedule(town_.now() + answer_after_, *this, token(answer_call, at));
             }
             return true;
         });
@@ -167,7 +167,7 @@
     town_.network.tell_delivered(calls_[at].end, *this, token(delivered, told_.size() - 1));
 }
 
-void Roster::happen(std::uint64_t what) {
+void Roster::on_event(std::uint64_t what) {
     const auto kind = static_cast<Kind>(what >> 56);
     const auto at = static_cast<std::uint32_t>(what);
     switch (kind) {
@@ -176,7 +176,7 @@
         case sign:
             for (std::uint32_t i = 0; i < calls_.size(); ++i)
                 if (!calls_[i].over && calls_[i].watches && !silent_) write_chunk(i, "");
-            return town_.agenda.at(town_.now() + sign_every, *this, what);
+            return town_.events.schedule(town_.now() + sign_every, *this, what);
         case change_comes: {
             const Change& c = coming_[at];
             list_[c.host] = c.entry;
@@ -189,7 +189,8 @@
                 if (spoil == 1) continue;
                 std::string text = list_json(calls_[i].node, false, {c.host});
                 if (spoil == 2)
-                    text.insert(text.find('[') + 1, R"({"host_port":"10.77.0.9:8443","phase":"in_service"},)");
+                    text.insert(text.find('[') + 1,
+                                R"({"host_port":"10.77.0.9:8443","phase":"in_service"},)");
                 if (spoil == 3) write_chunk(i, R"({"revision":1,"complete":true,"members":[]})");
                 write_chunk(i, text);
                 tell(i, {c.host});
--- a/src/fakes/discovery.h
+++ b/src/fakes/discovery.h
@@ -47,9 +47,9 @@
     // Takes no new call; those that stand end after a while.
     void retire(Ticks after);
 
-    void stirred(End end) override;
-    void called(const net::Address& at) override;
-    void happen(std::uint64_t token) override;
+    void on_stream_event(End end) override;
+    void on_connection(const net::Address& at) override;
+    void on_event(std::uint64_t token) override;
 
   private:
     struct Call {
--- a/src/fakes/environment.h
+++ b/src/fakes/environment.h
@@ -15,7 +15,7 @@
 namespace lemonstair::fakes {
 
 struct TestEnvironment {
-    simnet::EventQueue& agenda;
+    simnet::EventQueue& events;
     simnet::Streams& network;
     simnet::Trace& trace;
     ExecutionLog& witness;
@@ -23,10 +23,10 @@
     bool packet_passthrough = false;  // a connection goes on through another node when its own has died
     Ticks park = 60000;               // how long a host keeps such a connection whose packets have stopped
 
-    Ticks now() const { return agenda.now(); }
-    Ticks since_dawn() const { return agenda.now() - agenda.dawn(); }
+    Ticks now() const { return events.now(); }
+    Ticks elapsed() const { return events.now() - events.start_time(); }
     void note(std::string_view what, std::uint64_t a, std::uint64_t b, std::string_view text = {}) {
-        trace.note(since_dawn(), what, a, b, text);
+        trace.note(elapsed(), what, a, b, text);
     }
 };
 
--- a/src/fakes/server.cpp
+++ b/src/fakes/server.cpp
@@ -61,8 +61,8 @@
     fails_ = refuses_ = hangs_ = false;
     town_.network.listen(address(), *this, 256);
     town_.note("host up", number_, cold ? 1 : 0);
-    town_.agenda.at(town_.now() + 1, *this, token(report, 0));
-    if (cold) town_.agenda.at(town_.now() + check_cold_every, *this, token(judge_cold, 0));
+    town_.events.schedule(town_.now() + 1, *this, token(report, 0));
+    if (cold) town_.events.schedule(town_.now() + check_cold_every, *this, token(judge_cold, 0));
 }
 
 void FakeServer::stop() {
@@ -114,7 +114,7 @@
         state_ = State::fallen;
         return;
     }
-    town_.agenda.at(town_.now() + check_cold_every, *this, token(judge_cold, 0));
+    town_.events.schedule(town_.now() + check_cold_every, *this, token(judge_cold, 0));
 }
 
 void FakeServer::hang(bool on) {
@@ -137,10 +137,10 @@
 
 void FakeServer::ask_to_leave(Ticks within) {
     leave_every_ = std::max<Ticks>(1, within / static_cast<Ticks>(tunnels_ + 1));
-    town_.agenda.at(town_.now() + leave_every_, *this, token(leave_one, 0));
+    town_.events.schedule(town_.now() + leave_every_, *this, token(leave_one, 0));
 }
 
-void FakeServer::called(const net::Address& at) {
+void FakeServer::on_connection(const net::Address& at) {
     while (const auto end = town_.network.accept(at)) {
         if (state_ != State::up) return;
         town_.network.own(*end, *this);
@@ -153,10 +153,10 @@
     lines_.emplace_back();
     lines_.back().end = end;
     by_end_[end.number()] = at;
-    stirred(end);
+    on_stream_event(end);
 }
 
-void FakeServer::stirred(End end) {
+void FakeServer::on_stream_event(End end) {
     const auto it = by_end_.find(end.number());
     if (it == by_end_.end()) return;
     const std::uint32_t at = it->second;
@@ -231,8 +231,8 @@
             return false;
         }
         l.probe = true;
-        town_.agenda.at(work(word == "STATS" ? 0.1 : 0.05), *this,
-                        token(probe_answer, std::uint64_t{at} << 1 | (word == "STATS" ? 1U : 0U)));
+        town_.events.schedule(work(word == "STATS" ? 0.1 : 0.05), *this,
+                              token(probe_answer, std::uint64_t{at} << 1 | (word == "STATS" ? 1U : 0U)));
         return true;
     }
     if (l.step == Step::working) return true;  // a client that does not wait: it is answered later
@@ -249,7 +249,7 @@
     if (l.mid_flow && number > l.heard + 1) l.echoed = number - 1;
     l.mid_flow = false;
     l.heard = number;
-    town_.agenda.at(work(traits_.line_work_ms), *this, token(echo, at));
+    town_.events.schedule(work(traits_.line_work_ms), *this, token(echo, at));
     return true;
 }
 
@@ -297,7 +297,7 @@
         return true;
     }
     const double fails_in_ms = fails_ || refuses_ ? 0.1 : traits_.setup_work_ms;
-    town_.agenda.at(work(fails_in_ms), *this, token(answer_setup, at));
+    town_.events.schedule(work(fails_in_ms), *this, token(answer_setup, at));
     return true;
 }
 
@@ -326,7 +326,7 @@
     std::snprintf(receipt, sizeof receipt, "UP h%u-t%x\r\nLOAD %u\r\n", number_, l.tunnel,
                   static_cast<unsigned>(l.load * 1e6));
     say(at, receipt);
-    town_.agenda.at(town_.now() + chance_.between(push_from, push_to), *this, token(push, at));
+    town_.events.schedule(town_.now() + chance_.between(push_from, push_to), *this, token(push, at));
     read(at);
 }
 
@@ -344,13 +344,13 @@
     l.waiting.erase(0, town_.network.write(l.end, l.waiting, true).bytes);
 }
 
-void FakeServer::happen(std::uint64_t what) {
+void FakeServer::on_event(std::uint64_t what) {
     const auto kind = static_cast<Kind>(what >> 56);
     if ((what >> 40 & 0xffffU) != (life_ & 0xffffU) || state_ != State::up) return;
     const std::uint64_t at = what & 0xffffffffffU;
     const Ticks now = town_.now();
     if (hangs_ && kind != report && kind != judge_cold) {  // done when it goes on, if it ever does
-        return town_.agenda.at(now + second, *this, what);
+        return town_.events.schedule(now + second, *this, what);
     }
     switch (kind) {
         case answer_setup:
@@ -382,12 +382,12 @@
                     say(static_cast<std::uint32_t>(at), text);
                 }
             }
-            return town_.agenda.at(now + chance_.between(push_from, push_to), *this, what);
+            return town_.events.schedule(now + chance_.between(push_from, push_to), *this, what);
         }
         case report:
             reported_ = asked() / capacity() * (1 + traits_.report_noise * (2 * chance_.unit() - 1));
             if (traits_.reports_always > 0) reported_ = traits_.reports_always;
-            return town_.agenda.at(now + traits_.report_every, *this, what);
+            return town_.events.schedule(now + traits_.report_every, *this, what);
         case judge_cold:
             return check_cold();
         case probe_answer: {
@@ -402,7 +402,7 @@
                 say(i, word_of(Answer::move));
                 town_.network.finish(lines_[i].end);
                 over(i, true);
-                return town_.agenda.at(now + leave_every_, *this, what);
+                return town_.events.schedule(now + leave_every_, *this, what);
             }
             return;
         }
--- a/src/fakes/server.h
+++ b/src/fakes/server.h
@@ -68,9 +68,9 @@
     // Asks its clients to leave, a few at a time, within a span.
     void ask_to_leave(Ticks within);
 
-    void stirred(End end) override;
-    void called(const net::Address& at) override;
-    void happen(std::uint64_t token) override;
+    void on_stream_event(End end) override;
+    void on_connection(const net::Address& at) override;
+    void on_event(std::uint64_t token) override;
 
     static constexpr std::uint16_t port = 8443;
 
--- a/src/health_check/health_checker.cpp
+++ b/src/health_check/health_checker.cpp
@@ -96,7 +96,7 @@
 // probe would lie in the loop until the line would be closed for want of use.
 void HealthChecker::look_by(std::uint32_t place) {
     const Ticks longest = launch_.connect_timeout;
-    loop_.at(std::min(lines_[place].due, loop_.now() + longest), *this, token_of(place));
+    loop_.schedule(std::min(lines_[place].due, loop_.now() + longest), *this, token_of(place));
 }
 
 void HealthChecker::connect(std::uint32_t place) {
@@ -105,7 +105,7 @@
     if (!fd.open()) {
         l.state = State::closed;
         const int error = errno;
-        return found(place, net::own_want(error) ? Outcome::not_sent : Outcome::unreachable, {});
+        return found(place, net::is_local_failure(error) ? Outcome::not_sent : Outcome::unreachable, {});
     }
     l.socket = net::Socket(loop_, std::move(fd), POLLOUT, *this, token_of(place));
     ++open_;
@@ -131,7 +131,7 @@
     const auto sent = l.socket.write(l.question.substr(l.said));
     if (sent.error != 0) return lost(place, Outcome::unreachable), false;
     l.said += sent.bytes;
-    l.socket.wait_for(l.said < l.question.size() ? POLLOUT : POLLIN);
+    l.socket.set_events(l.said < l.question.size() ? POLLOUT : POLLIN);
     return true;
 }
 
@@ -145,13 +145,13 @@
     l.state = State::closed;
 }
 
-void HealthChecker::ready(std::uint64_t token, short) {
+void HealthChecker::on_ready(std::uint64_t token, short) {
     const auto place = static_cast<std::uint32_t>(token);
     if (place >= lines_.size() || token_of(place) != token) return;
     Line& l = lines_[place];
     if (l.state == State::connecting) {
         if (const int error = l.socket.connected(); error != 0)
-            return lost(place, net::own_want(error) ? Outcome::not_sent : Outcome::unreachable);
+            return lost(place, net::is_local_failure(error) ? Outcome::not_sent : Outcome::unreachable);
         return ask(place);
     }
     if (l.state == State::idle) return close(place);  // its host ends it, or says what nobody asked
@@ -193,7 +193,7 @@
     found(place, ending, {});
 }
 
-void HealthChecker::due(std::uint64_t token) {
+void HealthChecker::on_timer(std::uint64_t token) {
     const auto place = static_cast<std::uint32_t>(token);
     if (place >= lines_.size() || token_of(place) != token) return;
     if (loop_.now() < lines_[place].due) return look_by(place);
--- a/src/health_check/health_checker.h
+++ b/src/health_check/health_checker.h
@@ -35,8 +35,8 @@
     void probe(std::uint32_t ep);
     // Another process of this node probes from now on: no line is kept for later.
     void stop();
-    void ready(std::uint64_t token, short events) override;
-    void due(std::uint64_t token) override;
+    void on_ready(std::uint64_t token, short events) override;
+    void on_timer(std::uint64_t token) override;
 
   private:
     enum class State : std::uint8_t { closed, waiting, idle, connecting, asking };
--- a/src/hot_restart/packet_channel.cpp
+++ b/src/hot_restart/packet_channel.cpp
@@ -18,14 +18,14 @@
 }  // namespace
 
 bool PacketChannel::call() {
-    net::Fd fd = loop_.system().connect_nearby(name_);
+    net::Fd fd = loop_.system().connect_local(name_);
     if (!fd.open()) return false;
     socket_ = net::Socket(loop_, std::move(fd), POLLIN, *this, ++lines_, net::EventPriority::first);
     return true;
 }
 
 bool PacketChannel::listen() {
-    net::Fd fd = loop_.system().listen_nearby(name_);
+    net::Fd fd = loop_.system().listen_local(name_);
     if (fd.open())
         listener_ =
             net::Socket(loop_, std::move(fd), POLLIN, *this, listener_token, net::EventPriority::first);
@@ -43,7 +43,7 @@
     write();
 }
 
-void PacketChannel::ready(std::uint64_t token, short events) {
+void PacketChannel::on_ready(std::uint64_t token, short events) {
     if (token == listener_token) return answer_call();
     if (!stands()) return;
     if ((events & POLLOUT) != 0) write();
@@ -51,12 +51,12 @@
 }
 
 void PacketChannel::answer_call() {
-    net::Fd fd = loop_.system().accept_nearby(listener_.fd());
+    net::Fd fd = loop_.system().accept_local(listener_.fd());
     if (!fd.open()) {
-        if (!net::none_left(errno)) return;
+        if (!net::is_resource_exhausted(errno)) return;
         // Guards against spinning on a call for which there is no descriptor.
-        listener_.wait_for(0);
-        return loop_.at(loop_.now() + rest_for, *this, 0);
+        listener_.set_events(0);
+        return loop_.schedule(loop_.now() + rest_for, *this, 0);
     }
     if (!hearer_.takes_call()) {
         loop_.system().send_packet(fd.get(), refusal_, {});
@@ -74,7 +74,7 @@
         if (sent.bytes == 0) break;
         waiting_.pop_front();
     }
-    socket_.wait_for(static_cast<short>(POLLIN | (waiting_.empty() ? 0 : POLLOUT)));
+    socket_.set_events(static_cast<short>(POLLIN | (waiting_.empty() ? 0 : POLLOUT)));
 }
 
 void PacketChannel::read() {
--- a/src/hot_restart/packet_channel.h
+++ b/src/hot_restart/packet_channel.h
@@ -37,8 +37,8 @@
     void hang_up();
     std::size_t waiting() const { return waiting_.size(); }
 
-    void ready(std::uint64_t token, short events) override;
-    void due(std::uint64_t) override { listener_.wait_for(POLLIN); }
+    void on_ready(std::uint64_t token, short events) override;
+    void on_timer(std::uint64_t) override { listener_.set_events(POLLIN); }
 
   private:
     struct Word {
--- a/src/hot_restart/session.cpp
+++ b/src/hot_restart/session.cpp
@@ -45,7 +45,7 @@
 
 void Session::watch_over(Ticks longest) {
     give_up_at_ = loop_.now() + longest;
-    if (!std::exchange(looking_, true)) loop_.at(loop_.now() + look_every, *this, look_timer);
+    if (!std::exchange(looking_, true)) loop_.schedule(loop_.now() + look_every, *this, look_timer);
 }
 
 // One function for all changes; false where the event cannot come here.
@@ -96,7 +96,7 @@
     list_.clear();
     memory_.clear();
     if (loop_.now() - started_ < longest_waiting)
-        return loop_.at(loop_.now() + again_after, *this, again_timer);
+        return loop_.schedule(loop_.now() + again_after, *this, again_timer);
     begin_alone();
 }
 
@@ -234,7 +234,7 @@
     send({.kind = Kind::holds, .held = static_cast<std::uint32_t>(held)});
 }
 
-void Session::due(std::uint64_t token) {
+void Session::on_timer(std::uint64_t token) {
     if (token == again_timer) {
         if (stand_ != Role::asking || line_.stands()) return;
         if (line_.call()) return ask();
@@ -242,7 +242,7 @@
     }
     looking_ = stand_ != Role::alone || line_.stands();
     if (!looking_) return;
-    loop_.at(loop_.now() + look_every, *this, look_timer);
+    loop_.schedule(loop_.now() + look_every, *this, look_timer);
     // Guards against a process that is stuck, or greets and says no more.
     const bool waits = stand_ == Role::asking || stand_ == Role::offering || stand_ == Role::alone;
     if (waits && line_.stands() && loop_.now() >= give_up_at_) {
--- a/src/hot_restart/session.h
+++ b/src/hot_restart/session.h
@@ -60,8 +60,8 @@
     // Tunnels that have opened since may go over.
     void hand_over();
 
-    void ready(std::uint64_t, short) override {}
-    void due(std::uint64_t token) override;
+    void on_ready(std::uint64_t, short) override {}
+    void on_timer(std::uint64_t token) override;
 
   private:
     bool go(Event event);
--- a/src/net/kernel.cpp
+++ b/src/net/kernel.cpp
@@ -87,7 +87,7 @@
     return fd;
 }
 
-Fd datagrams_on(const Address& at) { return bound(SOCK_DGRAM, at); }
+Fd bind_datagrams(const Address& at) { return bound(SOCK_DGRAM, at); }
 
 Fd connect_to(const Address& to) {
     Fd fd(::socket(AF_INET, SOCK_STREAM | kind, 0));
@@ -103,7 +103,7 @@
     return fd;
 }
 
-void Kernel::will_hear_only_who_speaks(int listener) {
+void Kernel::defer_accept(int listener) {
     const int seconds = 1;
     ::setsockopt(listener, IPPROTO_TCP, TCP_DEFER_ACCEPT, &seconds, sizeof seconds);
 }
@@ -115,7 +115,7 @@
     return error;
 }
 
-bool Kernel::hung_up(int fd) {
+bool Kernel::peer_closed(int fd) {
     pollfd asked{fd, POLLRDHUP, 0};
     return ::poll(&asked, 1, 0) > 0 && (asked.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
 }
@@ -151,7 +151,7 @@
 
 void Kernel::close(int fd) { ::close(fd); }
 
-std::size_t Kernel::allowed_descriptors(std::size_t asked) {
+std::size_t Kernel::descriptor_limit(std::size_t asked) {
     rlimit now{};
     if (::getrlimit(RLIMIT_NOFILE, &now) != 0) return asked;
     if (now.rlim_cur < asked && now.rlim_cur < now.rlim_max) {
@@ -171,9 +171,9 @@
 
 Fd Kernel::spare() { return Fd(::open("/dev/null", O_RDONLY | O_CLOEXEC)); }
 
-void Kernel::end_sending(int fd) { ::shutdown(fd, SHUT_WR); }
+void Kernel::shutdown_write(int fd) { ::shutdown(fd, SHUT_WR); }
 
-void Kernel::will_reset(int fd) {
+void Kernel::reset_on_close(int fd) {
     const linger at_once{1, 0};
     ::setsockopt(fd, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
 }
@@ -199,7 +199,7 @@
 }
 
 // What a process that died left there is nobody's: its name is taken.
-Fd Kernel::listen_nearby(const std::string& name) {
+Fd Kernel::listen_local(const std::string& name) {
     sockaddr_un at{};
     if (!nearby(name, at)) return {};
     Fd fd(::socket(AF_UNIX, SOCK_SEQPACKET | kind, 0));
@@ -211,7 +211,7 @@
     return fd;
 }
 
-Fd Kernel::connect_nearby(const std::string& name) {
+Fd Kernel::connect_local(const std::string& name) {
     sockaddr_un at{};
     if (!nearby(name, at)) return {};
     Fd fd(::socket(AF_UNIX, SOCK_SEQPACKET | kind, 0));
@@ -219,7 +219,7 @@
     return fd;
 }
 
-Fd Kernel::accept_nearby(int listener) {
+Fd Kernel::accept_local(int listener) {
     Fd fd(::accept4(listener, nullptr, nullptr, kind));
     ucred who{};
     socklen_t size = sizeof who;
--- a/src/net/kernel.h
+++ b/src/net/kernel.h
@@ -12,7 +12,7 @@
 
 // The calls on streams by themselves, for what has no loop. The first two throw std::system_error.
 Fd listen_on(const Address& at);
-Fd datagrams_on(const Address& at);
+Fd bind_datagrams(const Address& at);
 Fd connect_to(const Address& to);
 IoResult read_some(int fd, std::span<char> into);
 IoResult write_some(int fd, std::string_view text);
@@ -24,27 +24,27 @@
     std::uint64_t processor_us() override;
     int poll(std::span<pollfd> set, Ticks longest) override;
     void close(int fd) override;
-    std::size_t allowed_descriptors(std::size_t asked) override;
+    std::size_t descriptor_limit(std::size_t asked) override;
     Fd listen_on(const Address& at) override { return net::listen_on(at); }
-    void will_hear_only_who_speaks(int listener) override;
-    Fd datagrams_on(const Address& at) override { return net::datagrams_on(at); }
+    void defer_accept(int listener) override;
+    Fd bind_datagrams(const Address& at) override { return net::bind_datagrams(at); }
     Fd connect_to(const Address& to) override { return net::connect_to(to); }
     Fd accept(int listener) override;
     Fd spare() override;
     int connected(int fd) override;
-    bool hung_up(int fd) override;
+    bool peer_closed(int fd) override;
     IoResult read_some(int fd, std::span<char> into) override { return net::read_some(fd, into); }
     IoResult peek(int fd, std::span<char> into) override;
     IoResult discard_some(int fd) override;
     IoResult write_some(int fd, std::string_view text) override { return net::write_some(fd, text); }
-    void end_sending(int fd) override;
-    void will_reset(int fd) override;
+    void shutdown_write(int fd) override;
+    void reset_on_close(int fd) override;
     std::ptrdiff_t send_to(int fd, const Address& to, std::span<const std::uint8_t> bytes) override;
     std::ptrdiff_t receive(int fd, Address& from, std::span<std::uint8_t> into) override;
     Fd inherited_listener(int fd) override;
-    Fd listen_nearby(const std::string& name) override;
-    Fd connect_nearby(const std::string& name) override;
-    Fd accept_nearby(int listener) override;
+    Fd listen_local(const std::string& name) override;
+    Fd connect_local(const std::string& name) override;
+    Fd accept_local(int listener) override;
     IoResult send_packet(int fd, std::string_view bytes, std::span<const int> descriptors) override;
     IoResult receive_packet(int fd, std::span<char> into, std::vector<Fd>& descriptors) override;
     Fd signals() override;
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-std::uint32_t EventLoop::add(int fd, short events, EventHandler& waiter, std::uint64_t token,
+std::uint32_t EventLoop::add(int fd, short events, EventHandler& handler, std::uint64_t token,
                              EventPriority turn) {
     if (free_.empty()) {
         free_.push_back(static_cast<std::uint32_t>(polled_.size()));
@@ -22,7 +22,7 @@
     const std::uint32_t slot = free_.back();
     free_.pop_back();
     polled_[slot] = {fd, events, 0};
-    uses_[slot].waiter = &waiter;
+    uses_[slot].handler = &handler;
     uses_[slot].token = token;
     uses_[slot].turn = turn;
     return slot;
@@ -30,7 +30,7 @@
 
 void EventLoop::remove(std::uint32_t slot) {
     polled_[slot] = {-1, 0, 0};  // poll passes over a negative descriptor
-    uses_[slot].waiter = nullptr;
+    uses_[slot].handler = nullptr;
     ++uses_[slot].serial;
     free_.push_back(slot);
 }
@@ -70,7 +70,7 @@
 
 void Socket::reset() {
     if (!open()) return;
-    loop_->system().will_reset(fd_.get());
+    loop_->system().reset_on_close(fd_.get());
     close();
 }
 
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -20,8 +20,8 @@
     EventHandler(const EventHandler&) = delete;
     EventHandler& operator=(const EventHandler&) = delete;
     virtual ~EventHandler() = default;
-    virtual void ready(std::uint64_t token, short events) = 0;
-    virtual void due(std::uint64_t token) = 0;
+    virtual void on_ready(std::uint64_t token, short events) = 0;
+    virtual void on_timer(std::uint64_t token) = 0;
 };
 
 // Whose events go first in a pass: what must be answered soon whatever the rest brings. The end of a
@@ -38,39 +38,40 @@
         tick();
         return now_;
     }
-    std::uint32_t add(int fd, short events, EventHandler& waiter, std::uint64_t token,
+    std::uint32_t add(int fd, short events, EventHandler& handler, std::uint64_t token,
                       EventPriority turn = EventPriority::usual);
-    void wait_for(std::uint32_t slot, short events) {
+    void set_events(std::uint32_t slot, short events) {
         polled_[slot].events = events;
         if (events != 0 && polled_[slot].fd < 0) polled_[slot].fd = ~polled_[slot].fd;
     }
     void remove(std::uint32_t slot);
-    // There is no way to unset a timer: its waiter tells by the token whether it still counts.
-    void at(Ticks when, EventHandler& waiter, std::uint64_t token) {
-        timers_.push({when, order_++, &waiter, token});
+    // There is no way to unset a timer: its handler tells by the token whether it still counts.
+    void schedule(Ticks when, EventHandler& handler, std::uint64_t token) {
+        timers_.push({when, order_++, &handler, token});
     }
     std::size_t timers() const { return timers_.size(); }
     // In the loop, and beside those held back for a purpose.
     std::size_t descriptors() const { return in_use() + set_aside_; }
     std::size_t in_use() const { return polled_.size() - free_.size(); }
     void set_aside(std::size_t descriptors) { set_aside_ = descriptors; }
-    // One pass: waits, then calls each waiter whose descriptor is ready or whose timer is due, and `after`
+    // One pass: waits, then calls each handler whose descriptor is ready or whose timer is due, and `after`
     // when it returns.
     template <class After>
-    void turn(After&& after) {
+    void run_once(After&& after) {
         wait();
         for (const auto* events : {&first_, &happened_})
             for (const auto& event : *events) {
-                if (uses_[event.slot].serial != event.serial || uses_[event.slot].waiter == nullptr) continue;
+                if (uses_[event.slot].serial != event.serial || uses_[event.slot].handler == nullptr)
+                    continue;
                 tick();
-                uses_[event.slot].waiter->ready(uses_[event.slot].token, event.events);
+                uses_[event.slot].handler->on_ready(uses_[event.slot].token, event.events);
                 after();
             }
         tick();
         while (!timers_.empty() && timers_.top().at <= now_) {
             const Timer timer = timers_.top();
             timers_.pop();
-            timer.waiter->due(timer.token);
+            timer.handler->on_timer(timer.token);
             after();
             tick();
         }
@@ -78,7 +79,7 @@
 
   private:
     struct Use {
-        EventHandler* waiter = nullptr;
+        EventHandler* handler = nullptr;
         std::uint64_t token = 0;
         std::uint32_t serial = 0;
         EventPriority turn = EventPriority::usual;
@@ -90,7 +91,7 @@
     struct Timer {
         Ticks at;
         std::uint64_t order;
-        EventHandler* waiter;
+        EventHandler* handler;
         std::uint64_t token;
         bool operator<(const Timer& other) const {
             return at != other.at ? at > other.at : order > other.order;
@@ -115,11 +116,11 @@
 class Socket {
   public:
     Socket() = default;
-    Socket(EventLoop& loop, Fd fd, short events, EventHandler& waiter, std::uint64_t token,
+    Socket(EventLoop& loop, Fd fd, short events, EventHandler& handler, std::uint64_t token,
            EventPriority turn = EventPriority::usual)
         : loop_(&loop),
           fd_(std::move(fd)),
-          slot_(loop.add(fd_.get(), events, waiter, token, turn)),
+          slot_(loop.add(fd_.get(), events, handler, token, turn)),
           events_(events) {}
     Socket(Socket&& other) noexcept
         : loop_(other.loop_), fd_(std::move(other.fd_)), slot_(other.slot_), events_(other.events_) {}
@@ -141,10 +142,10 @@
     }
     // The other side sees a reset.
     void reset();
-    void wait_for(short events) {
+    void set_events(short events) {
         if (!open() || events == events_) return;
         events_ = events;
-        loop_->wait_for(slot_, events);
+        loop_->set_events(slot_, events);
     }
     IoResult read(std::span<char> into) const { return loop_->system().read_some(fd_.get(), into); }
     IoResult peek(std::span<char> into) const { return loop_->system().peek(fd_.get(), into); }
@@ -152,8 +153,8 @@
     IoResult write(std::string_view text) const { return loop_->system().write_some(fd_.get(), text); }
     // What became of a connection under way, as an errno; 0: it is up.
     int connected() const { return loop_->system().connected(fd_.get()); }
-    bool hung_up() const { return loop_->system().hung_up(fd_.get()); }
-    void end_sending() const { loop_->system().end_sending(fd_.get()); }
+    bool peer_closed() const { return loop_->system().peer_closed(fd_.get()); }
+    void shutdown_write() const { loop_->system().shutdown_write(fd_.get()); }
     Fd accept() const { return loop_->system().accept(fd_.get()); }
     bool open() const { return fd_.open(); }
     int fd() const { return fd_.get(); }
--- a/src/net/system.h
+++ b/src/net/system.h
@@ -36,13 +36,13 @@
     virtual int poll(std::span<pollfd> set, Ticks longest) = 0;
     virtual void close(int fd) = 0;
     // Descriptors that the process may hold when it asks for so many; never more than it asks for.
-    virtual std::size_t allowed_descriptors(std::size_t asked) = 0;
+    virtual std::size_t descriptor_limit(std::size_t asked) = 0;
 
     // These throw std::system_error: at the start a socket that cannot be had is final.
     virtual Fd listen_on(const Address& at) = 0;
     // Who calls there and says nothing may be kept from the process for a few seconds.
-    virtual void will_hear_only_who_speaks(int listener) = 0;
-    virtual Fd datagrams_on(const Address& at) = 0;
+    virtual void defer_accept(int listener) = 0;
+    virtual Fd bind_datagrams(const Address& at) = 0;
     // A connection under way; not open where the system had no descriptor or address for it.
     virtual Fd connect_to(const Address& to) = 0;
     // Not open where none waits, or the system has no descriptor for it.
@@ -52,16 +52,16 @@
     // What became of a connection under way, as an errno; 0: it is up.
     virtual int connected(int fd) = 0;
     // Whether the other side has ended its sending, or the connection is over, also behind unread bytes.
-    virtual bool hung_up(int fd) = 0;
+    virtual bool peer_closed(int fd) = 0;
     virtual IoResult read_some(int fd, std::span<char> into) = 0;
     // The same, but the bytes stay unread.
     virtual IoResult peek(int fd, std::span<char> into) = 0;
     // Reads and throws away what there is, up to a limit, without copying it.
     virtual IoResult discard_some(int fd) = 0;
     virtual IoResult write_some(int fd, std::string_view text) = 0;
-    virtual void end_sending(int fd) = 0;
+    virtual void shutdown_write(int fd) = 0;
     // When it is closed, the other side sees a reset.
-    virtual void will_reset(int fd) = 0;
+    virtual void reset_on_close(int fd) = 0;
 
     // Bytes sent or received; negative where the system took or had none.
     virtual std::ptrdiff_t send_to(int fd, const Address& to, std::span<const std::uint8_t> bytes) = 0;
@@ -72,10 +72,10 @@
 
     // Packets between two processes of one user on this machine, which may hold descriptors. A name is a path
     // in the file system. Not open, with errno, where nobody listens or the name cannot be had.
-    virtual Fd listen_nearby(const std::string& name) = 0;
-    virtual Fd connect_nearby(const std::string& name) = 0;
+    virtual Fd listen_local(const std::string& name) = 0;
+    virtual Fd connect_local(const std::string& name) = 0;
     // Nobody but a process of the same user.
-    virtual Fd accept_nearby(int listener) = 0;
+    virtual Fd accept_local(int listener) = 0;
     virtual IoResult send_packet(int fd, std::string_view bytes, std::span<const int> descriptors) = 0;
     // One whole packet; longer ones are an error. The descriptors are the receiver's from then on.
     virtual IoResult receive_packet(int fd, std::span<char> into, std::vector<Fd>& descriptors) = 0;
--- a/src/net/transfer.cpp
+++ b/src/net/transfer.cpp
@@ -31,14 +31,16 @@
     return std::string(host.data()) + ":" + std::to_string(ntohs(at.at.sin_port));
 }
 
-bool none_left(int error) {
+bool is_resource_exhausted(int error) {
     return error == EMFILE || error == ENFILE || error == ENOBUFS || error == ENOMEM;
 }
 
-bool one_call_only(int error) { return error == ECONNABORTED || error == EINTR || error == EPROTO; }
+bool is_per_call_accept_error(int error) {
+    return error == ECONNABORTED || error == EINTR || error == EPROTO;
+}
 
-bool own_want(int error) {
-    return none_left(error) || error == EADDRNOTAVAIL || error == EAGAIN || error == EINTR ||
+bool is_local_failure(int error) {
+    return is_resource_exhausted(error) || error == EADDRNOTAVAIL || error == EAGAIN || error == EINTR ||
            error == ENETUNREACH || error == ENETDOWN;
 }
 
--- a/src/net/transfer.h
+++ b/src/net/transfer.h
@@ -30,9 +30,9 @@
 
 // Errors that say that the system has no descriptor or memory left, and those that, like them, keep a
 // connection from being tried at all: neither tells anything of the other side.
-bool none_left(int error);
+bool is_resource_exhausted(int error);
 // Errors of accept that end one call and tell nothing of the next.
-bool one_call_only(int error);
-bool own_want(int error);
+bool is_per_call_accept_error(int error);
+bool is_local_failure(int error);
 
 }  // namespace lemonstair::net
--- a/src/node/deferred_actions.h
+++ b/src/node/deferred_actions.h
@@ -55,7 +55,7 @@
     void migrate(std::uint64_t tun) override { waiting_.push_back({Kind::move, 0, tun}); }
     void check_health(std::uint32_t ep) override { waiting_.push_back({Kind::probe, ep}); }
     void request_endpoint_list() override { waiting_.push_back({Kind::watch}); }
-    void set_timer(Ticks at, std::uint64_t label) override { loop_.at(at, *minds_.back(), label); }
+    void set_timer(Ticks at, std::uint64_t label) override { loop_.schedule(at, *minds_.back(), label); }
     void send_gossip(std::uint32_t node, std::span<const std::uint8_t> bytes) override {
         peers_.tell(node, bytes);
     }
@@ -65,8 +65,8 @@
   private:
     struct Mind final : net::EventHandler {
         explicit Mind(net::EventLoop& with) : loop(with) {}
-        void ready(std::uint64_t, short) override {}
-        void due(std::uint64_t label) override {
+        void on_ready(std::uint64_t, short) override {}
+        void on_timer(std::uint64_t label) override {
             if (balancer == nullptr) return;
             balancer->set_time(loop.now());
             balancer->on_timer(label);
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -40,7 +40,7 @@
         try {
             return open();
         } catch (const std::system_error& e) {
-            if (!net::own_want(e.code().value()) || tries == most_tries)
+            if (!net::is_local_failure(e.code().value()) || tries == most_tries)
                 throw json::Malformed(
                     std::string("configuration: field '").append(key).append("': ").append(e.what()));
         }
@@ -84,7 +84,7 @@
     for (const auto& [timer, every] : {std::pair{look_over_timer, look_over_every},
                                        {tally_timer, tally_every},
                                        {costs_timer, costs_every}})
-        loop_.at(loop_.now() + every, *this, timer);
+        loop_.schedule(loop_.now() + every, *this, timer);
     succession_.start();
 }
 
@@ -129,11 +129,11 @@
     try {
         peers_.open();
     } catch (const std::system_error& e) {
-        const bool transient = net::own_want(e.code().value());
+        const bool transient = net::is_local_failure(e.code().value());
         if (!transient && phase_ == Phase::starting)
             throw json::Malformed(std::string("configuration: field 'peer_listen': ").append(e.what()));
         log_.error() << "no socket for the other nodes yet: " << e.what();
-        loop_.at(loop_.now() + between_tries, *this, peers_timer);
+        loop_.schedule(loop_.now() + between_tries, *this, peers_timer);
     }
 }
 
@@ -199,7 +199,7 @@
     departure_ = phase_ == Phase::leaving ? DrainSchedule::on_term(launch_.terms) : DrainSchedule::on_drain();
     emptying_since_ = loop_.now();
     empty_at_ = emptying_since_ + DrainSchedule::move_from;
-    loop_.at(empty_at_, *this, empty_timer);
+    loop_.schedule(empty_at_, *this, empty_timer);
     // A drained node stays and serves who comes, however long that lasts: nothing has to be over by a time.
     if (phase_ == Phase::drained) return;
     floor.over_by = emptying_since_ + departure_.over_by;
@@ -236,7 +236,7 @@
 }
 
 bool Node::turn() {
-    loop_.turn(
+    loop_.run_once(
         [this] { orders_.carry_out([this](const DeferredActions::Order& order) { carry_out(order); }); });
     log_.write_out();
     return phase_ != Phase::left;
@@ -285,14 +285,14 @@
     if (launch_.terms.must_poll) return;
     const double drawn = static_cast<double>(rng_() - std::minstd_rand::min());
     const double chance = drawn / static_cast<double>(std::minstd_rand::max());
-    loop_.at(loop_.now() + backoff_.failed(chance), *this, list_timer);
+    loop_.schedule(loop_.now() + backoff_.failed(chance), *this, list_timer);
 }
 
 void Node::on_health_check(std::uint32_t ep, Outcome ending, Ticks took, const LoadReport& report) {
     stages_.floor.mind().on_health_check(ep, ending, took, report);
 }
 
-void Node::ready(std::uint64_t, short) {
+void Node::on_ready(std::uint64_t, short) {
     while (const int signal = loop_.system().next_signal(signals_.fd())) {
         if (signal == SIGHUP)
             renew();
@@ -323,7 +323,7 @@
 // soon.
 void Node::renew_later() {
     renew_at_ = loop_.now() + renew_pause;
-    if (renew_at_ <= renew_until_) loop_.at(renew_at_, *this, renew_timer);
+    if (renew_at_ <= renew_until_) loop_.schedule(renew_at_, *this, renew_timer);
 }
 
 // False where the file cannot be taken.
@@ -355,7 +355,7 @@
     if (!launch_.terms.must_poll) watch_.open(hosts_.revision());
 }
 
-void Node::due(std::uint64_t token) {
+void Node::on_timer(std::uint64_t token) {
     if (token == look_over_timer) return look_over();
     if (token == costs_timer) return tell_costs();
     if (token == empty_timer) return empty_out();
@@ -373,7 +373,7 @@
         if (hot_restart::answers(succession_.stand())) watch_.open(hosts_.revision());
         return;
     }
-    loop_.at(loop_.now() + tally_every, *this, tally_timer);
+    loop_.schedule(loop_.now() + tally_every, *this, tally_timer);
     const auto& floor = stages_.floor;
     const auto& n = floor.tally;
     log_.info() << "tunnels in hand " << floor.in_hand << ", buffers out " << floor.pool.out()
@@ -384,7 +384,7 @@
 }
 
 void Node::tell_costs() {
-    loop_.at(loop_.now() + costs_every, *this, costs_timer);
+    loop_.schedule(loop_.now() + costs_every, *this, costs_timer);
     if (costs_ == costs_told_) return;  // nothing but processor time
     costs_.processor_us = loop_.system().processor_us();
     std::ostringstream added;
@@ -395,7 +395,7 @@
 }
 
 void Node::look_over() {
-    loop_.at(loop_.now() + look_over_every, *this, look_over_timer);
+    loop_.schedule(loop_.now() + look_over_every, *this, look_over_timer);
     stages_.relay.look_over();
 }
 
@@ -403,7 +403,7 @@
 void Node::empty_out() {
     if ((phase_ != Phase::drained && phase_ != Phase::leaving) || loop_.now() < empty_at_) return;
     empty_at_ = loop_.now() + DrainSchedule::look_every;
-    loop_.at(empty_at_, *this, empty_timer);
+    loop_.schedule(empty_at_, *this, empty_timer);
     const bool handed = hot_restart::hands_over(succession_.stand());
     const auto& floor = stages_.floor;
     if (phase_ == Phase::leaving && (handed ? floor.in_hand : floor.admitted + floor.departing) == 0 &&
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -98,8 +98,8 @@
     std::size_t held() const override { return loop_.in_use() + tunnel::TunnelRegistry::outside_loop; }
     std::size_t granted() const override { return launch_.sockets; }
     void held_elsewhere(std::size_t descriptors) override { stages_.floor.elsewhere = descriptors; }
-    void ready(std::uint64_t token, short events) override;
-    void due(std::uint64_t token) override;
+    void on_ready(std::uint64_t token, short events) override;
+    void on_timer(std::uint64_t token) override;
 
     // What a new process needs to begin, and what either may take between two words about what it holds.
     // Guards against both together holding more than is granted.
--- a/src/node/peer_link.cpp
+++ b/src/node/peer_link.cpp
@@ -21,7 +21,7 @@
 
 void PeerLink::open() {
     if (launch_.terms.limits.gossip_enabled && launch_.peer_listen)
-        socket_ = net::Socket(loop_, loop_.system().datagrams_on(*launch_.peer_listen), POLLIN, *this, 0);
+        socket_ = net::Socket(loop_, loop_.system().bind_datagrams(*launch_.peer_listen), POLLIN, *this, 0);
 }
 
 // One that cannot go now is lost: the module counts on no datagram.
@@ -40,7 +40,7 @@
     for (std::uint32_t n = 0; n < launch_.peers.size(); ++n) tell(n, bytes);
 }
 
-void PeerLink::ready(std::uint64_t, short) {
+void PeerLink::on_ready(std::uint64_t, short) {
     std::array<std::uint8_t, longest + 1> bytes{};
     for (int i = 0; i < reads_a_pass; ++i) {
         net::Address from;
--- a/src/node/peer_link.h
+++ b/src/node/peer_link.h
@@ -26,8 +26,8 @@
     }
     void tell(std::uint32_t node, std::span<const std::uint8_t> bytes);
     void tell_all(std::span<const std::uint8_t> bytes);
-    void ready(std::uint64_t token, short events) override;
-    void due(std::uint64_t) override {}
+    void on_ready(std::uint64_t token, short events) override;
+    void on_timer(std::uint64_t) override {}
 
   private:
     void send(const net::Address& to, std::span<const std::uint8_t> bytes, std::size_t hearers);
--- a/src/process_harness/datagram_proxy.cpp
+++ b/src/process_harness/datagram_proxy.cpp
@@ -15,9 +15,9 @@
 
 }  // namespace
 
-DatagramProxy::DatagramProxy(EventQueue& agenda, Poller& poller, const AddressPlan& places,
+DatagramProxy::DatagramProxy(EventQueue& events, Poller& poller, const AddressPlan& places,
                              std::uint16_t peer_port, simnet::RandomSource chance, Passes passes)
-    : agenda_(agenda),
+    : events_(events),
       places_(places),
       peer_port_(peer_port),
       chance_(chance),
@@ -25,14 +25,14 @@
       counts_(places.nodes()),
       kept_(places.nodes()) {
     for (Machine n = 0; n <= places.nodes(); ++n) {
-        net::Fd fd = net::datagrams_on(n < places.nodes() ? places.door(n) : places.door_to_all());
+        net::Fd fd = net::bind_datagrams(n < places.nodes() ? places.door(n) : places.door_to_all());
         ::setsockopt(fd.get(), SOL_SOCKET, SO_RCVBUF, &room, sizeof room);
         poller.add(fd.get(), EPOLLIN, *this, n, false);
         (n < places.nodes() ? doors_.emplace_back() : to_all_) = std::move(fd);
     }
 }
 
-void DatagramProxy::ready(std::uint64_t token, std::uint32_t) {
+void DatagramProxy::on_ready(std::uint64_t token, std::uint32_t) {
     const auto to = static_cast<Machine>(token);
     const int fd = to < doors_.size() ? doors_[to].get() : to_all_.get();
     std::array<std::uint8_t, 2048> bytes;
@@ -72,11 +72,11 @@
         const std::uint32_t place = free_.back();
         free_.pop_back();
         under_way_[place] = {from, to, {bytes.begin(), bytes.end()}};
-        agenda_.at(agenda_.now() + delay + jitter, *this, place);
+        events_.schedule(events_.now() + delay + jitter, *this, place);
     }
 }
 
-void DatagramProxy::happen(std::uint64_t token) {
+void DatagramProxy::on_event(std::uint64_t token) {
     const auto place = static_cast<std::uint32_t>(token);
     const Datagram letter = std::move(under_way_[place]);
     free_.push_back(place);
--- a/src/process_harness/datagram_proxy.h
+++ b/src/process_harness/datagram_proxy.h
@@ -20,7 +20,7 @@
     };
     // Whether anything passes from one machine to another now.
     using Passes = std::function<bool(Machine from, Machine to)>;
-    DatagramProxy(EventQueue& agenda, Poller& poller, const AddressPlan& places, std::uint16_t peer_port,
+    DatagramProxy(EventQueue& events, Poller& poller, const AddressPlan& places, std::uint16_t peer_port,
                   simnet::RandomSource chance, Passes passes);
     simnet::DatagramFaults& faults() { return faults_; }
     void slow_by(double times) { slow_ = times; }
@@ -28,8 +28,8 @@
     const Counts& counts(Machine node) const { return counts_[node]; }
     std::uint64_t too_long() const { return too_long_; }
 
-    void ready(std::uint64_t token, std::uint32_t events) override;
-    void happen(std::uint64_t token) override;
+    void on_ready(std::uint64_t token, std::uint32_t events) override;
+    void on_event(std::uint64_t token) override;
 
   private:
     struct Datagram {
@@ -39,7 +39,7 @@
     void carry(Machine from, Machine to, std::span<const std::uint8_t> bytes);
     void hand_out(const Datagram& letter);
 
-    EventQueue& agenda_;
+    EventQueue& events_;
     const AddressPlan& places_;
     std::uint16_t peer_port_;
     simnet::RandomSource chance_;
--- a/src/process_harness/process_harness.cpp
+++ b/src/process_harness/process_harness.cpp
@@ -49,7 +49,7 @@
   public:
     ProcessHarness(const Scenario& day, const HarnessOptions& wish);
     RunResult run(const volatile bool& stop);
-    void happen(std::uint64_t token) override;
+    void on_event(std::uint64_t token) override;
 
     // ---- Ground
     simnet::DatagramFaults& datagrams() override { return post_.faults(); }
@@ -76,7 +76,7 @@
     const Scenario day_;
     const HarnessOptions wish_;
     net::Clock clock_;
-    EventQueue agenda_;
+    EventQueue events_;
     Poller poller_;
     AddressPlan places_;
     simnet::Trace trace_;
@@ -93,19 +93,19 @@
 ProcessHarness::ProcessHarness(const Scenario& day, const HarnessOptions& wish)
     : day_(day),
       wish_(wish),
-      agenda_(clock_.now(), clock_.now() + start_takes + start_takes_each * day.nodes),
+      events_(clock_.now(), clock_.now() + start_takes + start_takes_each * day.nodes),
       places_(day.nodes),
       chance_(day.seed ^ 0xda71a8),
-      wires_(agenda_, poller_, places_),
-      post_(agenda_, poller_, places_, Fixture::peer_port, chance_.part(1),
+      wires_(events_, poller_, places_),
+      post_(events_, poller_, places_, Fixture::peer_port, chance_.part(1),
             [this](Machine from, Machine to) { return !wires_.is_cut(from) && !wires_.is_cut(to); }),
-      rules_(day_, agenda_, wires_),
+      rules_(day_, events_, wires_),
       seats_(day.nodes) {
     post_.faults().lost = day_.weather.lost;
     post_.faults().doubled = day_.weather.doubled;
     post_.faults().jitter = day_.weather.datagram_jitter;
     for (std::uint32_t n = 0; n < day_.nodes; ++n) wires_.add_machine();
-    stage_ = std::make_unique<Fixture>(day_, agenda_, trace_, wires_, rules_, chance_, *this);
+    stage_ = std::make_unique<Fixture>(day_, events_, trace_, wires_, rules_, chance_, *this);
 }
 
 // ---- nodes
@@ -140,7 +140,7 @@
 
 // Ends that nobody asked for, and what the nodes used since the last look.
 void ProcessHarness::look_at_nodes() {
-    agenda_.at(agenda_.now() + second, *this, token(look, 0));
+    events_.schedule(events_.now() + second, *this, token(look, 0));
     for (std::uint32_t n = 0; n < seats_.size(); ++n) {
         ProcessSlot& s = seats_[n];
         if (!s.process) continue;
@@ -166,7 +166,7 @@
 void ProcessHarness::begin(const Fault& f, std::uint64_t at) {
     using K = FaultKind;
     if (f.kind == K::host_drain)
-        agenda_.at(agenda_.now() + std::max(f.span, 3 * second), *this, token(late_fault, at));
+        events_.schedule(events_.now() + std::max(f.span, 3 * second), *this, token(late_fault, at));
     if (stage_->begin(f)) return;
     const std::uint32_t last = std::min(f.who + std::max(f.count, 1U), day_.nodes);
     for (std::uint32_t n = f.who; n < last; ++n) {
@@ -181,12 +181,12 @@
                 rules_.node_told_to_leave(n);
                 s.process->signal(SIGTERM);
                 stage_->front().leaves(n, chance_.between(second / 5, second * 2 / 5));
-                agenda_.at(agenda_.now() + kill_after_leave, *this, token(kill_late, n, s.life));
-                agenda_.at(agenda_.now() + kill_after_leave + f.span, *this, token(restart, n, s.life));
+                events_.schedule(events_.now() + kill_after_leave, *this, token(kill_late, n, s.life));
+                events_.schedule(events_.now() + kill_after_leave + f.span, *this, token(restart, n, s.life));
                 break;
             case K::node_stall:
                 s.stalled = true;
-                rules_.node_stalled(n, agenda_.now() + f.span + second / 2);
+                rules_.node_stalled(n, events_.now() + f.span + second / 2);
                 s.process->signal(SIGSTOP);
                 break;
             case K::node_reload:
@@ -224,7 +224,7 @@
     }
 }
 
-void ProcessHarness::happen(std::uint64_t what) {
+void ProcessHarness::on_event(std::uint64_t what) {
     const auto kind = static_cast<Kind>(what >> 56);
     const std::uint64_t at = what & 0xffffffU;
     const auto life = static_cast<std::uint32_t>(what >> 24 & 0xffffffffU);
@@ -234,7 +234,7 @@
         case end_fault:
             return end(day_.faults[at]);
         case late_fault:
-            if (stage_->later(day_.faults[at])) agenda_.at(agenda_.now() + 2 * second, *this, what);
+            if (stage_->later(day_.faults[at])) events_.schedule(events_.now() + 2 * second, *this, what);
             return;
         case kill_late:
             if (seats_[at].life == life && seats_[at].process)
@@ -254,16 +254,16 @@
 bool ProcessHarness::go_on(Ticks until, const volatile bool& stop) {
     while (!stop) {
         const Ticks now = clock_.now();
-        while (agenda_.next() && *agenda_.next() <= now) {
-            if (agenda_.now() > played_from_ && played_from_ != 0)
-                outcome_.latest = std::max(outcome_.latest, clock_.now() - *agenda_.next());
-            agenda_.step(now);
+        while (events_.next() && *events_.next() <= now) {
+            if (events_.now() > played_from_ && played_from_ != 0)
+                outcome_.latest = std::max(outcome_.latest, clock_.now() - *events_.next());
+            events_.step(now);
         }
-        agenda_.pass_to(now);
+        events_.pass_to(now);
         if (now >= until) return true;
-        const Ticks next = std::min(until, agenda_.next().value_or(until));
+        const Ticks next = std::min(until, events_.next().value_or(until));
         poller_.turn(std::clamp<Ticks>(next - clock_.now(), 0, longest_wait),
-                     [this] { agenda_.pass_to(clock_.now()); });
+                     [this] { events_.pass_to(clock_.now()); });
     }
     return false;
 }
@@ -271,21 +271,22 @@
 RunResult ProcessHarness::run(const volatile bool& stop) {
     stage_->open();
     for (std::uint32_t n = 0; n < seats_.size(); ++n) seats_[n].file = stage_->file_for(n);
-    const Ticks dawn = agenda_.dawn();
+    const Ticks start_time = events_.start_time();
     bool played = true;
     for (std::uint32_t n = 0; n < seats_.size() && !stop; ++n) start_node(n);
     stage_->let_clients_come();
     look_at_nodes();
     for (std::uint64_t i = 0; i < day_.faults.size(); ++i) {
         const Fault& f = day_.faults[i];
-        agenda_.at(dawn + f.at, *this, token(begin_fault, i));
+        events_.schedule(start_time + f.at, *this, token(begin_fault, i));
         if (simulation::row_of(f.kind).spans)
-            agenda_.at(std::min(dawn + day_.span, dawn + f.at + f.span), *this, token(end_fault, i));
+            events_.schedule(std::min(start_time + day_.span, start_time + f.at + f.span), *this,
+                             token(end_fault, i));
     }
-    played_from_ = dawn;
-    played = go_on(dawn + day_.span, stop);
+    played_from_ = start_time;
+    played = go_on(start_time + day_.span, stop);
     stage_->go_home();
-    if (played) played = go_on(dawn + day_.span + settle, stop);
+    if (played) played = go_on(start_time + day_.span + settle, stop);
     outcome_.interrupted = !played;
     return told(day_.span + settle);
 }
--- a/src/process_harness/stream_proxy.cpp
+++ b/src/process_harness/stream_proxy.cpp
@@ -48,7 +48,7 @@
 void Poller::tell(int happened) {
     const auto& e = events_[static_cast<std::size_t>(happened)];
     const Use use = uses_[e.data.u64 & 0xffffffffU];
-    if (use.who != nullptr && use.serial == e.data.u64 >> 32) use.who->ready(use.token, e.events);
+    if (use.who != nullptr && use.serial == e.data.u64 >> 32) use.who->on_ready(use.token, e.events);
 }
 
 // ---- listening
@@ -124,12 +124,12 @@
         s.side = 1;
         s.up = true;
         s.owner = it->second.ear;
-        s.came_from = agenda_.now();
+        s.came_from = events_.now();
         s.fd = std::move(fd);
         ++calls_of_nodes_;
         it->second.waiting.push_back(end);
     }
-    if (!it->second.waiting.empty()) it->second.ear->called(it->second.at);
+    if (!it->second.waiting.empty()) it->second.ear->on_connection(it->second.at);
 }
 
 std::optional<End> StreamProxy::accept(const Address& at) {
@@ -157,27 +157,27 @@
         poller_.add(s.fd.get(), EPOLLIN | EPOLLOUT | EPOLLRDHUP, *this, end.stream, true);
     } else {
         s.failed = errno != 0 ? errno : ECONNREFUSED;
-        agenda_.at(agenda_.now() + 1, *this, end.stream);
+        events_.schedule(events_.now() + 1, *this, end.stream);
     }
     return end;
 }
 
-void StreamProxy::ready(std::uint64_t token, std::uint32_t events) {
+void StreamProxy::on_ready(std::uint64_t token, std::uint32_t events) {
     if ((token & door_bit) != 0) return call_on(static_cast<std::uint32_t>(token));
     const auto number = static_cast<std::uint32_t>(token);
     Stream& s = streams_[number];
     if (!passes(s)) return;  // looked at again when it is healed
     if ((events & (EPOLLERR | EPOLLHUP)) != 0 && !s.up) s.failed = kernel_.connected(s.fd.get());
     if ((events & EPOLLOUT) != 0 && s.failed == 0) s.up = true;
-    if ((events & (EPOLLIN | EPOLLRDHUP | EPOLLERR)) != 0) s.came_from = agenda_.now();
+    if ((events & (EPOLLIN | EPOLLRDHUP | EPOLLERR)) != 0) s.came_from = events_.now();
     stir(number);
 }
 
-void StreamProxy::happen(std::uint64_t number) { stir(static_cast<std::uint32_t>(number)); }
+void StreamProxy::on_event(std::uint64_t number) { stir(static_cast<std::uint32_t>(number)); }
 
 void StreamProxy::stir(std::uint32_t number) {
     const Stream& s = streams_[number];
-    if (s.owner != nullptr && !s.over) s.owner->stirred({number, s.side});
+    if (s.owner != nullptr && !s.over) s.owner->on_stream_event({number, s.side});
 }
 
 net::IoResult StreamProxy::read(End end, std::span<char> into, bool) {
@@ -198,7 +198,7 @@
     Stream& s = streams_[end.stream];
     if (s.over || !s.up || s.sent_end || !s.fd.open()) return;
     s.sent_end = true;
-    kernel_.end_sending(s.fd.get());
+    kernel_.shutdown_write(s.fd.get());
 }
 
 // What is cut off stays open and silent for the other side until it is healed.
@@ -208,7 +208,7 @@
     s.over = true;
     s.owner = nullptr;
     if (!s.fd.open()) return;
-    if (with_reset) kernel_.will_reset(s.fd.get());
+    if (with_reset) kernel_.reset_on_close(s.fd.get());
     if (!passes(s)) {
         s.ends_when_healed = true;
         return;
@@ -219,7 +219,7 @@
 
 // On the loopback what is written is at the other's machine at once.
 void StreamProxy::tell_delivered(End end, EventTarget& actor, std::uint64_t token) {
-    if (passes(streams_[end.stream])) return agenda_.at(agenda_.now(), actor, token);
+    if (passes(streams_[end.stream])) return events_.schedule(events_.now(), actor, token);
     undelivered_[end.stream].push_back({&actor, token});
 }
 
@@ -259,10 +259,10 @@
             continue;
         }
         pollfd p{s.fd.get(), POLLIN | POLLOUT | POLLRDHUP, 0};
-        if (!s.over && ::poll(&p, 1, 0) > 0) ready(i, static_cast<std::uint32_t>(p.revents));
+        if (!s.over && ::poll(&p, 1, 0) > 0) on_ready(i, static_cast<std::uint32_t>(p.revents));
         const auto it = undelivered_.find(i);
         if (it == undelivered_.end()) continue;
-        for (const Delivery& d : it->second) agenda_.at(agenda_.now(), *d.actor, d.token);
+        for (const Delivery& d : it->second) events_.schedule(events_.now(), *d.actor, d.token);
         undelivered_.erase(it);
     }
 }
--- a/src/process_harness/stream_proxy.h
+++ b/src/process_harness/stream_proxy.h
@@ -33,7 +33,7 @@
     Ready(const Ready&) = delete;
     Ready& operator=(const Ready&) = delete;
     virtual ~Ready() = default;
-    virtual void ready(std::uint64_t token, std::uint32_t events) = 0;
+    virtual void on_ready(std::uint64_t token, std::uint32_t events) = 0;
 };
 
 // epoll(7): thousands of descriptors, few of them ready.
@@ -69,8 +69,8 @@
 
 class StreamProxy final : public simnet::Streams, public Ready, public EventTarget {
   public:
-    StreamProxy(EventQueue& agenda, Poller& poller, const AddressPlan& places)
-        : agenda_(agenda), poller_(poller), places_(places) {}
+    StreamProxy(EventQueue& events, Poller& poller, const AddressPlan& places)
+        : events_(events), poller_(poller), places_(places) {}
 
     // ---- faults; a pair is a node and a machine that is none, or one of the clients'
     void cut_off(Machine machine, bool on);
@@ -100,8 +100,8 @@
     Machine machine_of(End end) const override;
     bool is_open(End end) const override;
 
-    void ready(std::uint64_t token, std::uint32_t events) override;
-    void happen(std::uint64_t token) override;
+    void on_ready(std::uint64_t token, std::uint32_t events) override;
+    void on_event(std::uint64_t token) override;
 
   private:
     struct Stream {
@@ -149,7 +149,7 @@
     void drop(End end, bool with_reset);
     void stir(std::uint32_t stream);
 
-    EventQueue& agenda_;
+    EventQueue& events_;
     Poller& poller_;
     const AddressPlan& places_;
     net::Kernel kernel_;
--- a/src/simnet/event_queue.h
+++ b/src/simnet/event_queue.h
@@ -19,20 +19,20 @@
     EventTarget(const EventTarget&) = delete;
     EventTarget& operator=(const EventTarget&) = delete;
     virtual ~EventTarget() = default;
-    virtual void happen(std::uint64_t token) = 0;
+    virtual void on_event(std::uint64_t token) = 0;
 };
 
 class EventQueue {
   public:
     // Simulated days begin at a fixed time, in Unix time, as the stamps of records want it.
-    static constexpr Ticks usual_dawn = 17'000'000'000'000;
-    EventQueue() : EventQueue(usual_dawn, usual_dawn) {}
-    EventQueue(Ticks now, Ticks dawn) : dawn_(dawn), now_(now) {}
-    Ticks dawn() const { return dawn_; }
+    static constexpr Ticks default_start_time = 17'000'000'000'000;
+    EventQueue() : EventQueue(default_start_time, default_start_time) {}
+    EventQueue(Ticks now, Ticks start_time) : dawn_(start_time), now_(now) {}
+    Ticks start_time() const { return dawn_; }
     Ticks now() const { return now_; }
     // Never before now. There is no way to take it back: the actor tells by the token whether it still
     // counts.
-    void at(Ticks when, EventTarget& actor, std::uint64_t token) {
+    void schedule(Ticks when, EventTarget& actor, std::uint64_t token) {
         queue_.push({when < now_ ? now_ : when, order_++, &actor, token});
     }
     // Lets the next thing happen; false where there is none, or none until a time.
@@ -42,7 +42,7 @@
         queue_.pop();
         now_ = next.at > now_ ? next.at : now_;  // by a real clock things may come late
         ++steps_;
-        next.actor->happen(next.token);
+        next.actor->on_event(next.token);
         return true;
     }
     // When the next thing is to happen; nothing: there is none.
--- a/src/simnet/local_socket.cpp
+++ b/src/simnet/local_socket.cpp
@@ -18,7 +18,7 @@
     lines_.emplace_back();
     lines_.back().who[0] = &who;
     it->second.calls.push_back(line);
-    it->second.who->stirred_nearby();
+    it->second.who->on_local_event();
     return line;
 }
 
--- a/src/simnet/local_socket.h
+++ b/src/simnet/local_socket.h
@@ -21,7 +21,7 @@
     LocalSocketListener(const LocalSocketListener&) = delete;
     LocalSocketListener& operator=(const LocalSocketListener&) = delete;
     virtual ~LocalSocketListener() = default;
-    virtual void stirred_nearby() = 0;
+    virtual void on_local_event() = 0;
 };
 
 // A listener that lives as long as its machine: each process that has it hears of each call.
@@ -33,9 +33,9 @@
     void add(LocalSocketListener& one) { holders_.push_back(&one); }
     void remove(LocalSocketListener& one) { std::erase(holders_, &one); }
     const Address& at() const { return at_; }
-    void stirred(End) override {}
-    void called(const Address&) override {
-        for (LocalSocketListener* one : holders_) one->stirred_nearby();
+    void on_stream_event(End) override {}
+    void on_connection(const Address&) override {
+        for (LocalSocketListener* one : holders_) one->on_local_event();
     }
 
   private:
@@ -66,8 +66,8 @@
     Packet receive(std::uint32_t line, int side, StreamListener& owner);
     void close(std::uint32_t line, int side);
 
-    void stirred(End) override {}
-    void called(const Address&) override {}
+    void on_stream_event(End) override {}
+    void on_connection(const Address&) override {}
 
   private:
     struct Door {
@@ -80,7 +80,7 @@
         std::deque<Packet> to[2];
     };
     void stir(const Line& line, int side) {
-        if (line.who[side] != nullptr && line.open[side]) line.who[side]->stirred_nearby();
+        if (line.who[side] != nullptr && line.open[side]) line.who[side]->on_local_event();
     }
     void drop(std::deque<Packet>& packets);
     Network& network_;
--- a/src/simnet/network.cpp
+++ b/src/simnet/network.cpp
@@ -69,7 +69,7 @@
     Side& s = at(end);
     if (s.owner != nullptr) s.before.push_back(s.owner);
     s.owner = &also;
-    if (s.open && !s.forgotten) also.stirred(end);
+    if (s.open && !s.forgotten) also.on_stream_event(end);
 }
 
 bool Network::let_go(End end, StreamListener& one) {
@@ -96,9 +96,9 @@
     s.side[1].machine = machine_at(to);
     if (s.side[1].machine >= machines_.size()) {
         s.side[1].machine = from;
-        later(agenda_.now() + 1, refused, end);
+        later(events_.now() + 1, refused, end);
     } else {
-        later(agenda_.now() + delay(from, s.side[1].machine), call, end);
+        later(events_.now() + delay(from, s.side[1].machine), call, end);
     }
     return end;
 }
@@ -110,19 +110,19 @@
     const Machine to = s.side[1].machine;
     const auto again = [&] {
         if (++s.tries > most_calls) return fail(end, ETIMEDOUT);
-        later(agenda_.now() + (call_again << std::min(s.tries - 1, 4)), call, end);
+        later(events_.now() + (call_again << std::min(s.tries - 1, 4)), call, end);
     };
     if (!passes(from.machine, to)) return again();
     const auto it = listeners_.find(key(s.to));
-    if (it == listeners_.end()) return later(agenda_.now() + delay(to, from.machine), refused, end);
+    if (it == listeners_.end()) return later(events_.now() + delay(to, from.machine), refused, end);
     if (it->second.waiting.size() >= it->second.backlog) return again();  // the queue is full: dropped
     Side& there = s.side[1];
     there.phase = Phase::up;
     there.owner = it->second.ear;
     it->second.waiting.push_back(end.other());
-    trace_.note(agenda_.now() - agenda_.dawn(), "call", end.stream, to);
-    later(agenda_.now() + delay(to, from.machine), called_back, end);
-    it->second.ear->called(s.to);
+    trace_.note(events_.now() - events_.start_time(), "call", end.stream, to);
+    later(events_.now() + delay(to, from.machine), called_back, end);
+    it->second.ear->on_connection(s.to);
 }
 
 void Network::fail(End end, int error) {
@@ -130,13 +130,14 @@
     if (s.phase == Phase::failed || !s.open) return;
     s.phase = Phase::failed;
     s.error = error;
-    trace_.note(agenda_.now() - agenda_.dawn(), "fail", end.number(), static_cast<std::uint64_t>(error));
+    trace_.note(events_.now() - events_.start_time(), "fail", end.number(),
+                static_cast<std::uint64_t>(error));
     stir(end);
 }
 
 void Network::stir(End end) {
     const Side& s = at(end);
-    if (s.open && !s.forgotten && s.owner != nullptr) s.owner->stirred(end);
+    if (s.open && !s.forgotten && s.owner != nullptr) s.owner->on_stream_event(end);
 }
 
 net::IoResult Network::peek(End end, std::span<char> into) const {
@@ -167,7 +168,7 @@
     peer.used -= n;
     if (peer.wants_room && peer.used * 3 <= weather_.window * 2) {
         peer.wants_room = false;
-        later(agenda_.now() + delay(s.machine, peer.machine), room, end.other());
+        later(events_.now() + delay(s.machine, peer.machine), room, end.other());
     }
     return {.bytes = n};
 }
@@ -189,8 +190,8 @@
 
 void Network::send_segment(End end, std::string_view bytes, bool ends) {
     Side& s = at(end);
-    s.last_arrival = std::max(s.last_arrival, agenda_.now() + delay(s.machine, at(end.other()).machine));
-    s.under_way.push_back({s.last_arrival, agenda_.now(), std::string(bytes), ends});
+    s.last_arrival = std::max(s.last_arrival, events_.now() + delay(s.machine, at(end.other()).machine));
+    s.under_way.push_back({s.last_arrival, events_.now(), std::string(bytes), ends});
     if (!s.will_deliver) {
         s.will_deliver = true;
         later(s.last_arrival, deliver, end);
@@ -203,16 +204,16 @@
     s.will_deliver = false;
     Side& there = at(end.other());
     bool came = false;
-    while (!s.under_way.empty() && s.under_way.front().arrives <= agenda_.now()) {
+    while (!s.under_way.empty() && s.under_way.front().arrives <= events_.now()) {
         if (!passes(s.machine, there.machine)) {  // lost: it is sent again, later each time
             s.retry = std::min(longest_retry, std::max(first_retry, 2 * s.retry));
             s.will_deliver = true;
-            return later(agenda_.now() + s.retry, deliver, end);
+            return later(events_.now() + s.retry, deliver, end);
         }
         s.retry = 0;
         const Segment next = std::move(s.under_way.front());
         s.under_way.pop_front();
-        trace_.note(agenda_.now() - agenda_.dawn(), next.end ? "end" : "bytes", end.number(),
+        trace_.note(events_.now() - events_.start_time(), next.end ? "end" : "bytes", end.number(),
                     next.bytes.size(), next.bytes);
         if (!there.open || there.forgotten) {
             if (next.end && next.bytes.empty() && !there.forgotten) continue;  // both have closed
@@ -224,19 +225,19 @@
         there.inbox.append(next.bytes);
         there.came_from = next.sent;
         if (next.end) there.end_came = true;
-        if (next.tells != nullptr) agenda_.at(agenda_.now(), *next.tells, next.token);
+        if (next.tells != nullptr) events_.schedule(events_.now(), *next.tells, next.token);
         came = true;
     }
     if (!s.under_way.empty()) {
         s.will_deliver = true;
-        later(std::max(s.under_way.front().arrives, agenda_.now() + 1), deliver, end);
+        later(std::max(s.under_way.front().arrives, events_.now() + 1), deliver, end);
     }
     if (came) stir(end.other());
 }
 
 // From this end's machine to the other end: it overtakes what is under way.
 void Network::send_reset(End end) {
-    later(agenda_.now() + delay(at(end).machine, at(end.other()).machine), reset_comes, end);
+    later(events_.now() + delay(at(end).machine, at(end.other()).machine), reset_comes, end);
 }
 
 void Network::come_reset(End end) {
@@ -302,7 +303,7 @@
 
 void Network::tell_delivered(End end, EventTarget& actor, std::uint64_t token) {
     auto& under_way = at(end).under_way;
-    if (under_way.empty()) return agenda_.at(agenda_.now(), actor, token);
+    if (under_way.empty()) return events_.schedule(events_.now(), actor, token);
     under_way.back().tells = &actor;
     under_way.back().token = token;
 }
@@ -348,8 +349,8 @@
         datagrams_[place].bytes.assign(bytes.begin(), bytes.end());
         const Ticks jitter =
             datagram_faults_.jitter > 0 ? chance_.between(std::int64_t{0}, datagram_faults_.jitter) : 0;
-        agenda_.at(agenda_.now() + delay(machine_at(from), there) + jitter, *this,
-                   static_cast<std::uint64_t>(datagram) << 56 | place);
+        events_.schedule(events_.now() + delay(machine_at(from), there) + jitter, *this,
+                         static_cast<std::uint64_t>(datagram) << 56 | place);
     }
 }
 
@@ -359,7 +360,7 @@
         send(kept[i].from, kept[i].to, kept[i].bytes);
 }
 
-void Network::happen(std::uint64_t token) {
+void Network::on_event(std::uint64_t token) {
     const auto kind = static_cast<Kind>(token >> 56);
     const End end{static_cast<std::uint32_t>((token & ~(std::uint64_t{255} << 56)) >> 1),
                   static_cast<std::uint8_t>(token & 1)};
@@ -374,13 +375,13 @@
                 return;
             }
             if (!passes(at(end.other()).machine, s.machine))  // lost: it is said again
-                return later(agenda_.now() + call_again, called_back, end);
+                return later(events_.now() + call_again, called_back, end);
             s.phase = Phase::up;
             return stir(end);
         }
         case refused:
             if (passes(at(end.other()).machine, at(end).machine)) return fail(end, ECONNREFUSED);
-            return later(agenda_.now() + call_again, call, end);
+            return later(events_.now() + call_again, call, end);
         case deliver:
             return come_bytes(end);
         case reset_comes:
@@ -394,10 +395,11 @@
             if (!passes(machine_at(got.from), machine_at(got.to)) ||
                 !datagram_faults_.passes(machine_at(got.from), machine_at(got.to)))
                 return;
-            trace_.note(agenda_.now() - agenda_.dawn(), "datagram", machine_at(got.from), machine_at(got.to),
+            trace_.note(events_.now() - events_.start_time(), "datagram", machine_at(got.from),
+                        machine_at(got.to),
                         {reinterpret_cast<const char*>(got.bytes.data()), got.bytes.size()});
             const auto it = bound_.find(key(got.to));
-            if (it != bound_.end()) it->second->heard(got.to, got.from, got.bytes);
+            if (it != bound_.end()) it->second->on_datagram(got.to, got.from, got.bytes);
             return;
         }
     }
--- a/src/simnet/network.h
+++ b/src/simnet/network.h
@@ -33,8 +33,8 @@
 
 class Network final : public Streams, public EventTarget {
   public:
-    Network(EventQueue& agenda, Trace& trace, RandomSource chance, const NetworkConditions& weather)
-        : agenda_(agenda), trace_(trace), chance_(chance), weather_(weather) {
+    Network(EventQueue& events, Trace& trace, RandomSource chance, const NetworkConditions& weather)
+        : events_(events), trace_(trace), chance_(chance), weather_(weather) {
         datagram_faults_.lost = weather.lost;
         datagram_faults_.doubled = weather.doubled;
         datagram_faults_.jitter = weather.datagram_jitter;
@@ -101,7 +101,7 @@
     void keep_datagrams() { keeps_ = true; }
     void send_again(Machine from, std::size_t most);
 
-    void happen(std::uint64_t token) override;
+    void on_event(std::uint64_t token) override;
 
   private:
     enum class Phase : std::uint8_t { connecting, up, failed };
@@ -162,7 +162,7 @@
     const Side& at(End end) const { return streams_[end.stream].side[end.side]; }
     Ticks delay(Machine from, Machine to);
     void later(Ticks when, Kind kind, End end) {
-        agenda_.at(when, *this, static_cast<std::uint64_t>(kind) << 56 | end.number());
+        events_.schedule(when, *this, static_cast<std::uint64_t>(kind) << 56 | end.number());
     }
     void stir(End end);
     void send_segment(End end, std::string_view bytes, bool ends);
@@ -177,7 +177,7 @@
                    : n;
     }
 
-    EventQueue& agenda_;
+    EventQueue& events_;
     Trace& trace_;
     RandomSource chance_;
     NetworkConditions weather_;
--- a/src/simnet/process.cpp
+++ b/src/simnet/process.cpp
@@ -37,7 +37,7 @@
 }
 
 void Process::stall(Ticks span) {
-    const Ticks until = agenda_.now() + span;
+    const Ticks until = events_.now() + span;
     if (until <= busy_until_) return;
     busy_until_ = until;
     if (next_run_ != 0) run_at(busy_until_);
@@ -49,17 +49,17 @@
     if (next_run_ != 0 && run_due_ <= when && run_due_ >= busy_until_) return;
     next_run_ = ++runs_;
     run_due_ = when;
-    agenda_.at(when, *this, next_run_);
+    events_.schedule(when, *this, next_run_);
 }
 
 // A wait that is over early costs nothing: the node asks again. It is told of nothing that is not so.
-void Process::happen(std::uint64_t token) {
+void Process::on_event(std::uint64_t token) {
     if (token != next_run_ || !pass_) return;
     next_run_ = 0;
     running_ = true;
     effects_ = 0;
     found_ready_ = 0;
-    sleeps_until_ = agenda_.now();
+    sleeps_until_ = events_.now();
     ++passes_;
     const bool goes_on = pass_();
     running_ = false;
@@ -69,7 +69,7 @@
         longest_spin_ = std::max(longest_spin_, ++spin_);
     else
         spin_ = 0;
-    busy_until_ = std::max(busy_until_, agenda_.now() + traits_.pass_takes);
+    busy_until_ = std::max(busy_until_, events_.now() + traits_.pass_takes);
     run_at(found_ready_ > 0 ? busy_until_ : std::max(sleeps_until_, busy_until_));
 }
 
@@ -107,7 +107,7 @@
         n += p.revents != 0 ? 1 : 0;
     }
     found_ready_ = n;
-    if (n == 0) sleeps_until_ = agenda_.now() + longest;
+    if (n == 0) sleeps_until_ = events_.now() + longest;
     return n;
 }
 
@@ -168,7 +168,7 @@
     return net::Fd(fd, this);
 }
 
-net::Fd Process::datagrams_on(const Address& at) {
+net::Fd Process::bind_datagrams(const Address& at) {
     const int fd = take(Use::datagrams);
     if (fd < 0) throw std::system_error(errno, std::generic_category(), "a socket to listen on");
     slot(fd).at = at;
@@ -221,16 +221,16 @@
     return had(network_.write(slot(fd).end, text));
 }
 
-void Process::end_sending(int fd) { network_.finish(slot(fd).end); }
+void Process::shutdown_write(int fd) { network_.finish(slot(fd).end); }
 
-void Process::will_reset(int fd) { slot(fd).resets = true; }
+void Process::reset_on_close(int fd) { slot(fd).resets = true; }
 
 std::ptrdiff_t Process::send_to(int fd, const Address& to, std::span<const std::uint8_t> bytes) {
     network_.send(slot(fd).at, to, bytes);
     return static_cast<std::ptrdiff_t>(bytes.size());
 }
 
-void Process::heard(const Address& at, const Address& from, std::span<const std::uint8_t> bytes) {
+void Process::on_datagram(const Address& at, const Address& from, std::span<const std::uint8_t> bytes) {
     for (Slot& s : slots_)
         if (s.use == Use::datagrams && s.at == at && s.post.size() < most_post)
             s.post.emplace_back(from, std::vector<std::uint8_t>(bytes.begin(), bytes.end()));
@@ -266,7 +266,7 @@
     return net::Fd(fd, this);
 }
 
-net::Fd Process::listen_nearby(const std::string& name) {
+net::Fd Process::listen_local(const std::string& name) {
     const int fd = nearby_ == nullptr ? (errno = EACCES, -1) : take(Use::near_door);
     if (fd < 0) return net::Fd();
     slot(fd).name = name;
@@ -274,12 +274,12 @@
     return net::Fd(fd, this);
 }
 
-net::Fd Process::connect_nearby(const std::string& name) {
+net::Fd Process::connect_local(const std::string& name) {
     const std::uint32_t line = nearby_ == nullptr ? LocalSockets::none : nearby_->connect(name, *this);
     return near_line(line, 0);
 }
 
-net::Fd Process::accept_nearby(int listener) {
+net::Fd Process::accept_local(int listener) {
     return near_line(nearby_->accept(slot(listener).name, *this), 1);
 }
 
--- a/src/simnet/process.h
+++ b/src/simnet/process.h
@@ -27,8 +27,8 @@
         Ticks pass_takes = 1;            // at least 1
         std::size_t descriptors = 1024;  // the system's limit
     };
-    Process(EventQueue& agenda, Network& network, Machine machine, const Traits& traits)
-        : agenda_(agenda), network_(network), machine_(machine), traits_(traits) {}
+    Process(EventQueue& events, Network& network, Machine machine, const Traits& traits)
+        : events_(events), network_(network), machine_(machine), traits_(traits) {}
     ~Process() override;
 
     // What runs: called for each pass of the loop, as long as it says true.
@@ -64,34 +64,32 @@
     }
 
     // ---- net::System
-    Ticks now() override { return agenda_.now() + traits_.clock_ahead; }
+    Ticks now() override { return events_.now() + traits_.clock_ahead; }
     Ticks clock_base() override { return traits_.clock_ahead; }
     std::uint64_t processor_us() override { return 0; }
     int poll(std::span<pollfd> set, Ticks longest) override;
     void close(int fd) override;
-    std::size_t allowed_descriptors(std::size_t asked) override {
-        return std::min(asked, traits_.descriptors);
-    }
+    std::size_t descriptor_limit(std::size_t asked) override { return std::min(asked, traits_.descriptors); }
     net::Fd listen_on(const Address& at) override;
-    void will_hear_only_who_speaks(int) override {}  // as a system that does not know how
-    net::Fd datagrams_on(const Address& at) override;
+    void defer_accept(int) override {}  // as a system that does not know how
+    net::Fd bind_datagrams(const Address& at) override;
     net::Fd connect_to(const Address& to) override;
     net::Fd accept(int listener) override;
     net::Fd spare() override;
     int connected(int fd) override;
-    bool hung_up(int fd) override { return ready({fd, POLLRDHUP, 0}) != 0; }
+    bool peer_closed(int fd) override { return ready({fd, POLLRDHUP, 0}) != 0; }
     net::IoResult read_some(int fd, std::span<char> into) override;
     net::IoResult peek(int fd, std::span<char> into) override;
     net::IoResult discard_some(int fd) override;
     net::IoResult write_some(int fd, std::string_view text) override;
-    void end_sending(int fd) override;
-    void will_reset(int fd) override;
+    void shutdown_write(int fd) override;
+    void reset_on_close(int fd) override;
     std::ptrdiff_t send_to(int fd, const Address& to, std::span<const std::uint8_t> bytes) override;
     std::ptrdiff_t receive(int fd, Address& from, std::span<std::uint8_t> into) override;
     net::Fd inherited_listener(int fd) override;
-    net::Fd listen_nearby(const std::string& name) override;
-    net::Fd connect_nearby(const std::string& name) override;
-    net::Fd accept_nearby(int listener) override;
+    net::Fd listen_local(const std::string& name) override;
+    net::Fd connect_local(const std::string& name) override;
+    net::Fd accept_local(int listener) override;
     net::IoResult send_packet(int fd, std::string_view bytes, std::span<const int> descriptors) override;
     net::IoResult receive_packet(int fd, std::span<char> into, std::vector<net::Fd>& descriptors) override;
     net::Fd signals() override;
@@ -99,11 +97,11 @@
     const char* read_file(const std::string& path, std::size_t longest, std::string& into) override;
 
     // ---- Ear, Actor
-    void stirred(End) override { wake(); }
-    void called(const Address&) override { wake(); }
-    void stirred_nearby() override { wake(); }
-    void heard(const Address& at, const Address& from, std::span<const std::uint8_t> bytes) override;
-    void happen(std::uint64_t token) override;
+    void on_stream_event(End) override { wake(); }
+    void on_connection(const Address&) override { wake(); }
+    void on_local_event() override { wake(); }
+    void on_datagram(const Address& at, const Address& from, std::span<const std::uint8_t> bytes) override;
+    void on_event(std::uint64_t token) override;
 
   private:
     enum class Use : std::uint8_t {
@@ -131,14 +129,14 @@
     int take(Use use);  // the lowest free number; -1 with errno
     Slot& slot(int fd) { return slots_[static_cast<std::size_t>(fd)]; }
     short ready(const pollfd& p) const;
-    void wake() { run_at(agenda_.now()); }
+    void wake() { run_at(events_.now()); }
     void run_at(Ticks when);
     net::IoResult had(net::IoResult t) {
         if (t.bytes > 0 || t.error != 0) ++effects_;
         return t;
     }
 
-    EventQueue& agenda_;
+    EventQueue& events_;
     Network& network_;
     Machine machine_;
     Traits traits_;
--- a/src/simnet/streams.h
+++ b/src/simnet/streams.h
@@ -32,10 +32,10 @@
     StreamListener& operator=(const StreamListener&) = delete;
     virtual ~StreamListener() = default;
     // The end came up or failed, has bytes, an end, a reset, or room again.
-    virtual void stirred(End end) = 0;
+    virtual void on_stream_event(End end) = 0;
     // A connection waits to be accepted at this address.
-    virtual void called(const Address& at) = 0;
-    virtual void heard(const Address& at, const Address& from, std::span<const std::uint8_t> bytes) {
+    virtual void on_connection(const Address& at) = 0;
+    virtual void on_datagram(const Address& at, const Address& from, std::span<const std::uint8_t> bytes) {
         static_cast<void>(at), static_cast<void>(from), static_cast<void>(bytes);
     }
 };
--- a/src/simulation/fixture.cpp
+++ b/src/simulation/fixture.cpp
@@ -18,15 +18,15 @@
 
 }  // namespace
 
-Fixture::Fixture(const Scenario& day, simnet::EventQueue& agenda, simnet::Trace& trace,
+Fixture::Fixture(const Scenario& day, simnet::EventQueue& events, simnet::Trace& trace,
                  simnet::Streams& network, Invariants& rules, simnet::RandomSource& chance, Topology& ground)
     : day_(day),
-      agenda_(agenda),
+      events_(events),
       network_(network),
       rules_(rules),
       chance_(chance),
       ground_(ground),
-      town_{agenda, network, trace, rules, {}, day.packet_passthrough} {
+      town_{events, network, trace, rules, {}, day.packet_passthrough} {
     using fakes::DeduplicationScope;
     using fakes::Idempotency;
     town_.profiles = {
@@ -82,7 +82,7 @@
 void Fixture::open() {
     for (std::uint32_t h = 0; h < hosts_.size(); ++h) {
         const bool cold = h + day_.cold_hosts >= hosts_.size();
-        hosts_[h]->start(cold, agenda_.dawn());
+        hosts_[h]->start(cold, events_.start_time());
         rules_.ledger().host_stands(h, cold);
         entries_[h].up_since_ms = hosts_[h]->up_since_ms();
     }
@@ -159,11 +159,10 @@
             std::to_string(day_.max_attempts) + R"(,"connect_timeout":0.25,"probing":)" + flag(day_.probing) +
             R"(,"peers":)" + flag(day_.peers) + R"(},"report":{"via":"probe","columns":["x0"]},)" +
             R"("rules":{"stop_sending_within":3.0,"cold":)" + in_seconds(day_.host.cold) +
-            R"(,"cold_from":)" + std::to_string(day_.host.slow_start_initial_factor) +
-            R"(,"fall":)" + in_seconds(day_.host.fall) + R"(,"tip_multiple":)" +
-            std::to_string(day_.host.overload_multiple) + R"(},"costs":{"probe":)" +
-            std::to_string(day_.probe_price) + R"(,"peer":)" + std::to_string(day_.peer_price) +
-            R"(},"profiles":[)" + profiles + "]}}";
+            R"(,"cold_from":)" + std::to_string(day_.host.slow_start_initial_factor) + R"(,"fall":)" +
+            in_seconds(day_.host.fall) + R"(,"tip_multiple":)" + std::to_string(day_.host.overload_multiple) +
+            R"(},"costs":{"probe":)" + std::to_string(day_.probe_price) + R"(,"peer":)" +
+            std::to_string(day_.peer_price) + R"(},"profiles":[)" + profiles + "]}}";
     return text;
 }
 
--- a/src/simulation/fixture.h
+++ b/src/simulation/fixture.h
@@ -39,7 +39,7 @@
     static constexpr std::uint16_t client_port = 8443, peer_port = 8444, discovery_port = 8500;
 
     // Machines 0 to `nodes` - 1 of the network are the nodes'; the stage adds the others.
-    Fixture(const Scenario& day, simnet::EventQueue& agenda, simnet::Trace& trace, simnet::Streams& network,
+    Fixture(const Scenario& day, simnet::EventQueue& events, simnet::Trace& trace, simnet::Streams& network,
             Invariants& rules, simnet::RandomSource& chance, Topology& ground);
     // Hosts and list, before the nodes start; then the front and the clients.
     void open();
@@ -67,7 +67,7 @@
     void set_apart(const Fault& fault, bool on);
 
     const Scenario& day_;
-    simnet::EventQueue& agenda_;
+    simnet::EventQueue& events_;
     simnet::Streams& network_;
     Invariants& rules_;
     simnet::RandomSource& chance_;
--- a/src/simulation/invariants.cpp
+++ b/src/simulation/invariants.cpp
@@ -56,9 +56,9 @@
     return rows;
 }
 
-Invariants::Invariants(const Scenario& day, simnet::EventQueue& agenda, simnet::Streams& network)
+Invariants::Invariants(const Scenario& day, simnet::EventQueue& events, simnet::Streams& network)
     : day_(day),
-      agenda_(agenda),
+      events_(events),
       network_(network),
       nodes_(day.nodes),
       hosts_(day.hosts),
@@ -72,7 +72,7 @@
 
 void Invariants::broke(std::string rule, std::string what) {
     if (broken_.size() < most_broken)
-        broken_.push_back({agenda_.now() - agenda_.dawn(), std::move(rule), std::move(what)});
+        broken_.push_back({events_.now() - events_.start_time(), std::move(rule), std::move(what)});
 }
 
 void Invariants::judge_bounds() {
@@ -105,33 +105,33 @@
 // ---- disturbances
 
 void Invariants::node_started(std::uint32_t node) {
-    nodes_[node].lives.push_back({agenda_.now(), 0, NodeEnd::killed, 0});
+    nodes_[node].lives.push_back({events_.now(), 0, NodeEnd::killed, 0});
     nodes_[node].not_in_service.assign(day_.hosts, 0);
     nodes_[node].told_at.assign(day_.hosts, 0);
 }
 
 void Invariants::node_told_to_leave(std::uint32_t node) {
-    if (!nodes_[node].lives.empty()) nodes_[node].lives.back().leaving_since = agenda_.now();
+    if (!nodes_[node].lives.empty()) nodes_[node].lives.back().leaving_since = events_.now();
 }
 
 void Invariants::node_ended(std::uint32_t node, NodeEnd how) {
     Life& life = nodes_[node].lives.back();
-    life.until = agenda_.now();
+    life.until = events_.now();
     life.how = how;
     for (const Book& b : books_)
         if (b.state == State::taken && b.asked.node == node) ++tally_.orphaned;
 }
 
 void Invariants::node_stalled(std::uint32_t node, Ticks until) {
-    nodes_[node].stalls.emplace_back(agenda_.now(), until);
+    nodes_[node].stalls.emplace_back(events_.now(), until);
 }
 
 void Invariants::machine_cut(simnet::Machine machine, bool on) {
     auto& cuts = cuts_[machine];
     if (on)
-        cuts.emplace_back(agenda_.now(), 0);
+        cuts.emplace_back(events_.now(), 0);
     else if (!cuts.empty() && cuts.back().second == 0)
-        cuts.back().second = agenda_.now();
+        cuts.back().second = events_.now();
 }
 
 const Invariants::Life* Invariants::life_at(std::uint32_t node, Ticks when) const {
@@ -164,8 +164,8 @@
     to(b, State::asked);
     b.asked = what;
     b.attempt = attempts_.size();
-    attempts_.push_back({what.node, what.profile, agenda_.now(), 0, Answer::none});
-    b.asked_at = agenda_.now();
+    attempts_.push_back({what.node, what.profile, events_.now(), 0, Answer::none});
+    b.asked_at = events_.now();
     b.taken_at = b.left_at = 0;
     if (what.mid_flow) ++tally_.resumed;
 }
@@ -174,7 +174,7 @@
     Book& b = book(tunnel);
     if (b.state != State::asked) return;
     to(b, State::taken);
-    b.taken_at = agenda_.now();
+    b.taken_at = events_.now();
     ++tally_.taken;
 }
 
@@ -187,7 +187,7 @@
     }
     if (!waited) return broke("twice", named(tunnel) + " was answered though it is not waiting");
     attempts_[b.attempt].answer = answer;
-    attempts_[b.attempt].answered_at = agenda_.now();
+    attempts_[b.attempt].answered_at = events_.now();
     if (b.taken_at != 0 && written_at > b.taken_at + b.asked.wait + day_.answer_slack &&
         undisturbed(b.asked.node, b.taken_at, written_at))
         broke("answer", named(tunnel) + " was answered " +
@@ -197,7 +197,7 @@
     if (answer == Answer::up) {
         ++tally_.opened;
         to(b, State::open);
-        b.opened_at = agenda_.now();
+        b.opened_at = events_.now();
         if (std::none_of(b.setups.begin(), b.setups.end(),
                          [](const Setup& s) { return s.answer == Answer::up; }))
             broke("twice", named(tunnel) + " was opened by no host");
@@ -222,15 +222,15 @@
 void Invariants::left(fakes::TunnelNo tunnel) {
     Book& b = book(tunnel);
     to(b, State::over);
-    b.left_at = agenda_.now();
+    b.left_at = events_.now();
 }
 
 void Invariants::gave_up(fakes::TunnelNo tunnel) {
     Book& b = book(tunnel);
     const bool owed = b.state == State::taken;
     to(b, State::over);
-    b.left_at = agenda_.now();
-    if (owed && undisturbed(b.asked.node, b.taken_at, agenda_.now()))
+    b.left_at = events_.now();
+    if (owed && undisturbed(b.asked.node, b.taken_at, events_.now()))
         broke("answer", named(tunnel) + " got no answer in its time");
 }
 
@@ -251,7 +251,7 @@
             broke("leave", named(tunnel) + " was cut off when its node left");
         return;
     }
-    if (!undisturbed(b.asked.node, b.asked_at, agenda_.now())) return;
+    if (!undisturbed(b.asked.node, b.asked_at, events_.now())) return;
     // Where its host opened it and reset it at once, the reset is passed on and may overtake the answer.
     const bool host_reset = b.host_ended_at != 0 && by_reset;
     if (was == State::taken && !b.asked.mid_flow && !host_reset)
@@ -261,27 +261,27 @@
         const Ticks late =
             written - b.host_ended_at - end_passed_in - 2 * day_.weather.most_delay - day_.held_up;
         if (!by_reset && late > margin && !b.asked.slow_reader &&
-            machine_reached(machine_of_host(b.holder), b.host_ended_at - 1, agenda_.now()))
+            machine_reached(machine_of_host(b.holder), b.host_ended_at - 1, events_.now()))
             broke("end_late", named(tunnel) + " was ended " + std::to_string((late + end_passed_in) / 10) +
                                   " ms after its host had ended it");
         return;
     }
     // The host keeps it, and can be reached, and says something.
     if (hosts_[b.holder].mute || b.asked.slow_reader ||
-        !machine_reached(machine_of_host(b.holder), b.asked_at, agenda_.now()))
+        !machine_reached(machine_of_host(b.holder), b.asked_at, events_.now()))
         return;
     broke("cut_off", named(tunnel) + " was cut off though host " + std::to_string(b.holder) + " keeps it");
 }
 
 void Invariants::unanswered(fakes::TunnelNo tunnel, Ticks span) {
     const Book& b = book(tunnel);
-    if (b.state != State::open || !undisturbed(b.asked.node, agenda_.now() - span - second, agenda_.now()))
+    if (b.state != State::open || !undisturbed(b.asked.node, events_.now() - span - second, events_.now()))
         return;
     broke("silent", named(tunnel) + " has had no line for " + std::to_string(span / 10) + " ms");
 }
 
 void Invariants::rude_left_waiting(std::uint32_t node, std::string_view how) {
-    if (undisturbed(node, agenda_.now() - 3 * second, agenda_.now()))
+    if (undisturbed(node, events_.now() - 3 * second, events_.now()))
         broke("bad_client", "a bad client at node " + std::to_string(node) + " had " + std::string(how));
 }
 
@@ -292,8 +292,8 @@
     for (const Book& b : books_) {
         if (b.asked.node != node || b.state != State::open || b.asked.slow_reader) continue;
         // One that opened late is moved within a moment; one whose host has ended it ends by itself.
-        if (agenda_.now() - b.opened_at < second || b.host_ended_at != 0) continue;
-        if (!machine_reached(machine_of_host(b.holder), b.opened_at, agenda_.now()) || hosts_[b.holder].mute)
+        if (events_.now() - b.opened_at < second || b.host_ended_at != 0) continue;
+        if (!machine_reached(machine_of_host(b.holder), b.opened_at, events_.now()) || hosts_[b.holder].mute)
             continue;
         broke("drained", named(b.asked.tunnel) + " is held 4 s after its node was told to drain");
     }
@@ -316,7 +316,7 @@
 // do.
 void Invariants::figures_told(std::uint32_t node, const std::string& body, Ticks since, bool mixed) {
     constexpr Ticks old = 6000, ending = 45000;
-    const Ticks now = agenda_.now();
+    const Ticks now = events_.now();
     const auto check = [&](std::string_view what, long told, long seen, long missing, long more,
                            double part) {
         const long slack = std::max(3L, static_cast<long>(part * static_cast<double>(seen)));
@@ -377,8 +377,8 @@
     if (b.left_at == 0 || sent <= b.left_at + allowed + margin) return;
     // A host that hung meanwhile read it late: when its first byte was sent is not known.
     if (hosts_[host].mute || hosts_[host].mute_until >= b.asked_at) return;
-    if (!machine_reached(machine_of_host(host), b.left_at, agenda_.now()) ||
-        !machine_reached(node, b.left_at, agenda_.now()))
+    if (!machine_reached(machine_of_host(host), b.left_at, events_.now()) ||
+        !machine_reached(node, b.left_at, events_.now()))
         return;
     broke("late_attempt", named(b.asked.tunnel) + " went to host " + std::to_string(host) + " " +
                               std::to_string((sent - b.left_at) / 10) + " ms after its client had left");
@@ -412,20 +412,20 @@
         // What a host that hung reads long after the node gave it up is no longer out.
         for (const Setup& s : b.setups)
             if (network_.is_open(end.other()) && s.answer == Answer::none &&
-                network_.is_open(s.end.other()) && machine_reached(node, s.sent, agenda_.now()))
+                network_.is_open(s.end.other()) && machine_reached(node, s.sent, events_.now()))
                 broke("at_once", named(tunnel) + " is set up at host " + std::to_string(host) + " while " +
                                      std::to_string(s.host) + " still has it");
         judge_late_attempt(b, host, node, first);
         judge_effect(b, host, first);
         const Ticks since = nodes_[node].not_in_service[host];
-        if (since != 0 && first > since + drain_grace + margin && undisturbed(node, since, agenda_.now()))
+        if (since != 0 && first > since + drain_grace + margin && undisturbed(node, since, events_.now()))
             broke("drain", named(tunnel) + " went to host " + std::to_string(host) + " " +
                                std::to_string((first - since) / 10) + " ms after its node was told");
     }
     b.setups.push_back({host, end, first});
     // Whoever has not been told of its start takes it for warm.
     const bool told = nodes_[node].told_at[host] > hosts_[host].started_at;
-    ledger_.setup_came(host, first - agenda_.dawn(), mid_flow, budget_ ? budget_(host) : 0, told);
+    ledger_.setup_came(host, first - events_.start_time(), mid_flow, budget_ ? budget_(host) : 0, told);
     setups_came_.emplace_back(node, first);
 }
 
@@ -459,7 +459,7 @@
 void Invariants::not_held(fakes::TunnelNo tunnel, std::uint32_t host) {
     ++tally_.not_held;
     const Book& b = book(tunnel);
-    const Ticks now = agenda_.now();
+    const Ticks now = events_.now();
     if (!told_surely() || b.opened_at == 0 || b.asked_at - b.opened_at < 2 * second) return;
     // Its record is on a chain of two nodes and at its placer: any one of them may have ended.
     constexpr Ticks refreshed = 120000, settled = 30000, parked = 40000;
@@ -468,7 +468,7 @@
     for (const Node& n : nodes_)
         for (const Life& l : n.lives) {
             if (l.until != 0 && now - l.until < refreshed) ++ended, last_end = l.until;
-            if (l.from != agenda_.dawn() && now - l.from < settled) return;
+            if (l.from != events_.start_time() && now - l.from < settled) return;
         }
     if (ended != 1 || now - last_end > parked) return;
     // A client that reads nothing may not know yet that it was moved.
@@ -485,7 +485,7 @@
 
 void Invariants::host_ended(fakes::TunnelNo tunnel, std::uint32_t host) {
     Book& b = book(tunnel);
-    if (b.holder == host && b.host_ended_at == 0) b.host_ended_at = agenda_.now();
+    if (b.holder == host && b.host_ended_at == 0) b.host_ended_at = events_.now();
 }
 
 void Invariants::pushed_over(std::uint32_t host, double asked, double bears) {
@@ -499,14 +499,14 @@
 
 void Invariants::told(std::uint32_t node, std::uint32_t host, bool active) {
     if (node >= nodes_.size()) return;
-    nodes_[node].told_at[host] = agenda_.now();
+    nodes_[node].told_at[host] = events_.now();
     Ticks& since = nodes_[node].not_in_service[host];
     if (since == 0 && !active)
         for (const Book& b : books_)
             if (b.state == State::taken && b.asked.node == node && !b.setups.empty() &&
                 b.setups.back().host == host && b.setups.back().answer == Answer::none)
                 ++tally_.raced;
-    since = active ? 0 : since != 0 ? since : agenda_.now();
+    since = active ? 0 : since != 0 ? since : events_.now();
 }
 
 void Invariants::line_wrong(fakes::TunnelNo tunnel, std::string_view what, std::string_view line) {
@@ -515,8 +515,8 @@
     if (what == "cut within a line") {
         const Life* life = life_at(b.asked.node, b.asked_at);
         if (life == nullptr || life->until != 0 || b.host_ended_at != 0 || b.asked.slow_reader ||
-            !undisturbed(b.asked.node, b.asked_at, agenda_.now()) || hosts_[b.holder].mute ||
-            !machine_reached(machine_of_host(b.holder), b.asked_at, agenda_.now()))
+            !undisturbed(b.asked.node, b.asked_at, events_.now()) || hosts_[b.holder].mute ||
+            !machine_reached(machine_of_host(b.holder), b.asked_at, events_.now()))
             return;
     }
     broke("line", named(tunnel) + ": " + std::string(what) + ": '" + std::string(line.substr(0, 40)) + "'");
--- a/src/simulation/invariants.h
+++ b/src/simulation/invariants.h
@@ -27,7 +27,7 @@
 
 class Invariants final : public fakes::ExecutionLog {
   public:
-    Invariants(const Scenario& day, simnet::EventQueue& agenda, simnet::Streams& network);
+    Invariants(const Scenario& day, simnet::EventQueue& events, simnet::Streams& network);
     void begin(const fakes::TestEnvironment& town) { town_ = &town; }
 
     // ---- what the day does to the nodes and machines, so that nobody is blamed for it
@@ -37,7 +37,7 @@
     void node_ended(std::uint32_t node, NodeEnd how);
     void node_stalled(std::uint32_t node, Ticks until);
     // Operators send its clients away, or take them again.
-    void node_drained(std::uint32_t node, bool on) { nodes_[node].drained_since = on ? agenda_.now() : 0; }
+    void node_drained(std::uint32_t node, bool on) { nodes_[node].drained_since = on ? events_.now() : 0; }
     void judge_drained(std::uint32_t node);
     // What `GET /stats` said, of a process that has run since; mixed: another answered some meanwhile.
     void figures_told(std::uint32_t node, const std::string& body, Ticks since, bool mixed);
@@ -45,10 +45,10 @@
     bool undisturbed(std::uint32_t node, Ticks from, Ticks until) const;
     void machine_cut(simnet::Machine machine, bool on);
     // Its process has started and counts as cold from now on.
-    void host_started(std::uint32_t host) { hosts_[host].started_at = agenda_.now(); }
+    void host_started(std::uint32_t host) { hosts_[host].started_at = events_.now(); }
     void host_answers_nothing(std::uint32_t host, bool on) {
         hosts_[host].mute = on;
-        if (!on) hosts_[host].mute_until = agenda_.now();
+        if (!on) hosts_[host].mute_until = events_.now();
     }
     void broke(std::string rule, std::string what);
 
@@ -132,7 +132,7 @@
     Book& book(fakes::TunnelNo tunnel);
     void to(Book& b, State state) {
         b.state = state;
-        b.changed_at = agenda_.now();
+        b.changed_at = events_.now();
     }
     bool machine_reached(simnet::Machine machine, Ticks from, Ticks until) const;
     const Life* life_at(std::uint32_t node, Ticks when) const;
@@ -145,7 +145,7 @@
     std::string named(fakes::TunnelNo tunnel) const;
 
     const Scenario& day_;
-    simnet::EventQueue& agenda_;
+    simnet::EventQueue& events_;
     simnet::Streams& network_;
     const fakes::TestEnvironment* town_ = nullptr;
     std::deque<Book> books_;
--- a/src/simulation/simulation.cpp
+++ b/src/simulation/simulation.cpp
@@ -82,7 +82,7 @@
         for (ProcessSlot& s : seats_) s.now.node.reset(), s.old.node.reset();
     }
     Verdict run();
-    void happen(std::uint64_t token) override;
+    void on_event(std::uint64_t token) override;
 
     // ---- Ground
     simnet::DatagramFaults& datagrams() override { return network_.datagram_faults(); }
@@ -145,7 +145,7 @@
     void check_leftovers();
 
     const Scenario day_;
-    EventQueue agenda_;
+    EventQueue events_;
     simnet::Trace trace_;
     RandomSource chance_;
     simnet::Network network_;
@@ -163,22 +163,22 @@
     : day_(day),
       trace_(trace),
       chance_(day.seed ^ 0xda71a8),
-      network_(agenda_, trace_, chance_.part(1), day.weather),
-      rules_(day_, agenda_, network_),
+      network_(events_, trace_, chance_.part(1), day.weather),
+      rules_(day_, events_, network_),
       tamper_(tamper) {
     seats_.resize(day_.nodes);
     for (ProcessSlot& s : seats_) {
         s.machine = network_.add_machine();
         if (day_.clocks_apart > 0) s.clock_ahead = chance_.between(Ticks{0}, day_.clocks_apart);
     }
-    stage_ = std::make_unique<Fixture>(day_, agenda_, trace_, network_, rules_, chance_, *this);
+    stage_ = std::make_unique<Fixture>(day_, events_, trace_, network_, rules_, chance_, *this);
     if (day_.operated) {
         operators_ = std::make_unique<fakes::Operators>(stage_->town(), network_.add_machine());
         for (std::uint32_t n = 0; n < day_.nodes; ++n) {
             seats_[n].listener =
                 std::make_unique<simnet::SharedListener>(network_, network_.place(n, client_port), backlog);
             seats_[n].nearby = std::make_unique<simnet::LocalSockets>(network_);
-            agenda_.at(agenda_.dawn() + figures_every, *this, token(ask_figures, n));
+            events_.schedule(events_.start_time() + figures_every, *this, token(ask_figures, n));
         }
     }
     for (const Fault& f : day_.faults)
@@ -201,11 +201,11 @@
     ProcessSlot& s = seats_[node];
     Running& r = s.now;
     const simnet::Process::Traits traits{s.clock_ahead, day_.pass_takes, day_.sockets};
-    r.process = std::make_unique<simnet::Process>(agenda_, network_, s.machine, traits);
+    r.process = std::make_unique<simnet::Process>(events_, network_, s.machine, traits);
     r.process->files()[file_name] = s.file;
     r.drain = std::make_unique<TraceDrain>(stage_->town(), rules_, node);
     r.log = std::make_unique<log::Log>(log::Level::info, *r.drain);
-    r.since = agenda_.now();
+    r.since = events_.now();
     r.mixed = s.old.process != nullptr;
     config::Environment around;
     if (day_.operated) {
@@ -309,18 +309,18 @@
     if (!s.now.node || !s.now.process->runs() || s.leaving || s.old.process) return;
     s.old = std::exchange(s.now, {});
     ++s.upgrades;
-    s.upgrade_began = agenda_.now();
+    s.upgrade_began = events_.now();
     s.said_yes = 0;
     s.drained = false;  // the new one begins serving
     rules_.node_drained(node, false);
     if (!start_process(node)) return end_node(node, Invariants::NodeEnd::crashed);
-    agenda_.at(agenda_.now() + ask_ready_every, *this, token(ask_ready, fault, s.upgrades));
+    events_.schedule(events_.now() + ask_ready_every, *this, token(ask_ready, fault, s.upgrades));
 }
 
 void Simulation::look_ready(std::uint32_t node, bool goes_on) {
     ProcessSlot& s = seats_[node];
     if (!s.old.process || !s.now.process || s.said_yes != 0) return;
-    const Ticks now = agenda_.now();
+    const Ticks now = events_.now();
     if (now - s.upgrade_began > yes_within) {
         if (!starved(node) && rules_.undisturbed(node, s.upgrade_began, now))
             rules_.broke("upgrade",
@@ -331,10 +331,10 @@
             ProcessSlot& seat = seats_[node];
             if (answer.status != 200 || seat.upgrades != upgrades || seat.said_yes != 0 || !seat.old.process)
                 return;
-            seat.said_yes = agenda_.now();
+            seat.said_yes = events_.now();
             if (!goes_on) return;
             seat.old.process->signal(SIGTERM);
-            agenda_.at(agenda_.now() + kill_after_leave, *this, token(kill_old, node, seat.upgrades));
+            events_.schedule(events_.now() + kill_after_leave, *this, token(kill_old, node, seat.upgrades));
         });
     }
 }
@@ -344,7 +344,7 @@
     ProcessSlot& s = seats_[node];
     if (!s.old.process || !s.now.process || !s.old.process->runs()) return;
     stage_->town().note("new process dies", node, s.life);
-    rules_.node_stalled(node, agenda_.now());
+    rules_.node_stalled(node, events_.now());
     end_process(node, s.now);
     s.now = std::exchange(s.old, {});
     s.now.mixed = true;
@@ -354,10 +354,10 @@
 
 void Simulation::look_at_figures(std::uint32_t node) {
     const ProcessSlot& s = seats_[node];
-    agenda_.at(agenda_.now() + figures_every, *this, token(ask_figures, node));
+    events_.schedule(events_.now() + figures_every, *this, token(ask_figures, node));
     if (!s.now.node || !s.now.process->runs()) return;
     call(node, "GET /stats", [this, node, life = s.life, upgrades = s.upgrades](const auto& answer) {
-        const Ticks now = agenda_.now();
+        const Ticks now = events_.now();
         if (!is_one(node, life, upgrades) || starved(node) ||
             !rules_.undisturbed(node, now - answer.took - second, now))
             return;
@@ -374,13 +374,13 @@
     s.drained = true;
     rules_.node_drained(f.who, true);
     call(f.who, "POST /healthcheck/fail", [](const auto&) {});
-    agenda_.at(agenda_.now() + drained_by, *this, token(look_drained, at, s.life));
+    events_.schedule(events_.now() + drained_by, *this, token(look_drained, at, s.life));
 }
 
 // Four seconds after the call nobody is sent there, and nobody is held there but where packets pass.
 void Simulation::look_if_drained(const Fault& f, std::uint64_t at, std::uint32_t life) {
     ProcessSlot& s = seats_[f.who];
-    const Ticks now = agenda_.now();
+    const Ticks now = events_.now();
     if (!s.now.node || s.life != life) return;
     const bool same =
         is_one(f.who, life, s.upgrades) && rules_.undisturbed(f.who, now - drained_by - second, now);
@@ -392,7 +392,7 @@
                              "node " + std::to_string(node) + " still says yes 4 s after the call");
         });
     }
-    agenda_.at(now + f.span, *this, token(look_back, at, life));
+    events_.schedule(now + f.span, *this, token(look_back, at, life));
 }
 
 void Simulation::look_if_back(const Fault& f, std::uint32_t life) {
@@ -403,7 +403,7 @@
     call(f.who, "POST /healthcheck/ok", [](const auto&) {});
     const auto ask = [this, node = f.who, life, upgrades = s.upgrades] {
         call(node, "GET /healthcheck", [this, node, life, upgrades](const auto& answer) {
-            const Ticks now = agenda_.now();
+            const Ticks now = events_.now();
             if (answer.status != 200 && is_one(node, life, upgrades) && !seats_[node].drained &&
                 !starved(node) && rules_.undisturbed(node, now - back_by - second, now))
                 rules_.broke("drained",
@@ -411,7 +411,7 @@
         });
     };
     afterwards_.push_back(ask);
-    agenda_.at(agenda_.now() + back_by, *this, token(afterwards, afterwards_.size() - 1));
+    events_.schedule(events_.now() + back_by, *this, token(afterwards, afterwards_.size() - 1));
 }
 
 // ---- faults
@@ -420,7 +420,7 @@
     using K = FaultKind;
     stage_->town().note("fault", at, f.who, row_of(f.kind).name);
     if (f.kind == K::host_drain)
-        agenda_.at(agenda_.now() + std::max(f.span, 3 * second), *this, token(late_fault, at));
+        events_.schedule(events_.now() + std::max(f.span, 3 * second), *this, token(late_fault, at));
     if (stage_->begin(f)) return;
     const ProcessSlot& seat = seats_[f.who];
     switch (f.kind) {
@@ -432,10 +432,10 @@
             rules_.node_told_to_leave(f.who);
             signal(f.who, SIGTERM);
             stage_->front().leaves(f.who, chance_.between(second / 5, second * 2 / 5));
-            return agenda_.at(agenda_.now() + kill_after_leave, *this, token(kill_late, at, seat.life));
+            return events_.schedule(events_.now() + kill_after_leave, *this, token(kill_late, at, seat.life));
         case K::node_stall:
             if (!seat.now.process || !seat.now.process->runs()) return;
-            rules_.node_stalled(f.who, agenda_.now() + f.span);
+            rules_.node_stalled(f.who, events_.now() + f.span);
             if (seat.old.process) seats_[f.who].old.process->stall(f.span);
             return seats_[f.who].now.process->stall(f.span);
         case K::node_starve:
@@ -479,8 +479,8 @@
 
 void Simulation::later(const Fault& f) {
     if (stage_->later(f))
-        agenda_.at(agenda_.now() + 2 * second, *this,
-                   token(late_fault, static_cast<std::uint64_t>(&f - day_.faults.data())));
+        events_.schedule(events_.now() + 2 * second, *this,
+                         token(late_fault, static_cast<std::uint64_t>(&f - day_.faults.data())));
 }
 
 void Simulation::new_file(std::uint32_t node, const std::string& text) {
@@ -489,7 +489,7 @@
     signal(node, SIGHUP);
 }
 
-void Simulation::happen(std::uint64_t what) {
+void Simulation::on_event(std::uint64_t what) {
     const auto kind = static_cast<Kind>(what >> 56);
     const std::uint64_t at = what & 0xffffffU;
     const auto life = static_cast<std::uint32_t>(what >> 24 & 0xffffffffU);
@@ -504,7 +504,7 @@
             const std::uint32_t node = day_.faults[at].who;
             if (seats_[node].life != life) return;
             end_node(node, Invariants::NodeEnd::killed_late);
-            return agenda_.at(agenda_.now() + day_.faults[at].span, *this, token(restart, node));
+            return events_.schedule(events_.now() + day_.faults[at].span, *this, token(restart, node));
         }
         case restart:
             return start_node(static_cast<std::uint32_t>(at));
@@ -514,7 +514,7 @@
             const Fault& f = day_.faults[at];
             if (seats_[f.who].upgrades != life || !seats_[f.who].old.process) return;
             look_ready(f.who, f.kind == FaultKind::node_upgrade);
-            return agenda_.at(agenda_.now() + ask_ready_every, *this, token(ask_ready, at, life));
+            return events_.schedule(events_.now() + ask_ready_every, *this, token(ask_ready, at, life));
         }
         case kill_old:
             if (seats_[at].upgrades == life) end_process(static_cast<std::uint32_t>(at), seats_[at].old);
@@ -555,17 +555,18 @@
         start_node(n);
     }
     stage_->let_clients_come();
-    const Ticks evening = agenda_.dawn() + day_.span;
+    const Ticks evening = events_.start_time() + day_.span;
     for (std::uint64_t i = 0; i < day_.faults.size(); ++i) {
         const Fault& f = day_.faults[i];
-        agenda_.at(agenda_.dawn() + f.at, *this, token(begin_fault, i));
+        events_.schedule(events_.start_time() + f.at, *this, token(begin_fault, i));
         if (row_of(f.kind).spans)
-            agenda_.at(std::min(evening, agenda_.dawn() + f.at + f.span), *this, token(end_fault, i));
+            events_.schedule(std::min(evening, events_.start_time() + f.at + f.span), *this,
+                             token(end_fault, i));
     }
     const auto go_on = [&](Ticks until) {
-        while (agenda_.steps() < most_steps && agenda_.step(until)) continue;
-        agenda_.pass_to(until);
-        if (agenda_.steps() >= most_steps) rules_.broke("spin", "the day does not end");
+        while (events_.steps() < most_steps && events_.step(until)) continue;
+        events_.pass_to(until);
+        if (events_.steps() >= most_steps) rules_.broke("spin", "the day does not end");
     };
     go_on(evening);
     stage_->go_home();
@@ -580,7 +581,7 @@
     for (std::uint32_t h = 0; h < day_.hosts; ++h)
         verdict_.most_of_budget =
             std::max(verdict_.most_of_budget, rules_.ledger().most_of_budget(h, day_.host.fall));
-    verdict_.steps = agenda_.steps();
+    verdict_.steps = events_.steps();
     verdict_.simulated = day_.span + quiet;
     for (const Broken& b : verdict_.broken) trace_.note(b.at, "broken", 0, 0, b.rule + ": " + b.what);
     verdict_.hash = trace_.hash();
--- a/src/tunnel/acceptor.cpp
+++ b/src/tunnel/acceptor.cpp
@@ -37,7 +37,7 @@
     wait();
 }
 
-void Acceptor::wait() { listener_.wait_for(open_ && !resting_ ? POLLIN : 0); }
+void Acceptor::wait() { listener_.set_events(open_ && !resting_ ? POLLIN : 0); }
 
 // True where the system said that no client waits; false where some may, whatever kept them from being
 // accepted.
@@ -56,8 +56,8 @@
         if (!fd.open()) {
             const int error = errno;
             if (error == EAGAIN || error == EWOULDBLOCK) return true;
-            if (net::one_call_only(error)) continue;
-            if (!net::none_left(error)) return rest(), false;
+            if (net::is_per_call_accept_error(error)) continue;
+            if (!net::is_resource_exhausted(error)) return rest(), false;
             if (book_.make_room()) continue;
             if (!floor_.give_up_spare()) return rest(), false;
             fd = listener_.accept();
@@ -102,10 +102,10 @@
         floor_.log.error() << "no descriptor for another client, " << floor_.loop.descriptors() << " in use";
     rested_at_ = floor_.loop.now();
     wait();
-    floor_.loop.at(floor_.loop.now() + rest_for, *this, 0);
+    floor_.loop.schedule(floor_.loop.now() + rest_for, *this, 0);
 }
 
-void Acceptor::due(std::uint64_t) {
+void Acceptor::on_timer(std::uint64_t) {
     resting_ = false;
     wait();
 }
@@ -194,7 +194,7 @@
     const auto sent = t.client.write(waiting.view());
     if (sent.error != 0) return false;
     waiting.take(sent.bytes);
-    t.client.wait_for(waiting.empty() ? POLLIN : POLLOUT);
+    t.client.set_events(waiting.empty() ? POLLIN : POLLOUT);
     if (waiting.empty()) waiting.give_back();
     return true;
 }
--- a/src/tunnel/acceptor.h
+++ b/src/tunnel/acceptor.h
@@ -21,8 +21,8 @@
     void open(bool yes);
     // What an exit in this pass would leave unanswered, in the listener's queue too.
     attempt_policy::Debts debts();
-    void ready(std::uint64_t, short) override { static_cast<void>(accept_waiting()); }
-    void due(std::uint64_t token) override;
+    void on_ready(std::uint64_t, short) override { static_cast<void>(accept_waiting()); }
+    void on_timer(std::uint64_t token) override;
     // The connection of a client that has not sent its first line yet.
     void tunnel_ready(TunnelId id, Side side, short events);
     void tunnel_due(TunnelId id);
--- a/src/tunnel/admission.cpp
+++ b/src/tunnel/admission.cpp
@@ -22,7 +22,7 @@
     const bool full = floor_.admitted >= room();
     floor_.go(id, TunnelState::deciding);
     floor_.names.put(t.name, static_cast<std::uint32_t>(id));
-    t.client.wait_for(POLLIN | POLLRDHUP);  // its next bytes wait, unless they are another command
+    t.client.set_events(POLLIN | POLLRDHUP);  // its next bytes wait, unless they are another command
     if (full) {
         ++floor_.tally.busy;
         floor_.costs.explained(Reason::node_full);
--- a/src/tunnel/attempt.cpp
+++ b/src/tunnel/attempt.cpp
@@ -65,7 +65,7 @@
     const int error = errno;
     if (!fd.open()) {
         // Without a descriptor or a port of its own the node has nothing to hold against the host.
-        return failed(id, net::own_want(error) ? Outcome::not_sent : Outcome::unreachable);
+        return failed(id, net::is_local_failure(error) ? Outcome::not_sent : Outcome::unreachable);
     }
     t.host = floor_.socket(id, Side::host, std::move(fd), POLLOUT);
     floor_.set_due(id, t, std::min(t.setup_until, floor_.loop.now() + floor_.launch.connect_timeout));
@@ -76,12 +76,12 @@
     if (side == Side::client) {
         if ((events & (POLLRDHUP | POLLHUP | POLLERR)) != 0) return book_.client_left(id);
         if (sends_command(t)) return book_.turn_away(id);
-        t.client.wait_for(POLLRDHUP);  // what it says is for its host
+        t.client.set_events(POLLRDHUP);  // what it says is for its host
         return;
     }
     if (t.state == TunnelState::connecting) {
         if (const int error = t.host.connected(); error != 0)
-            return failed(id, net::own_want(error) ? Outcome::not_sent : Outcome::unreachable);
+            return failed(id, net::is_local_failure(error) ? Outcome::not_sent : Outcome::unreachable);
         if (!may_write(id)) return;
         floor_.go(id, TunnelState::sending_line);
         // For the host: how long this node will still wait.
@@ -119,7 +119,7 @@
     t.up.waiting.take(sent.bytes);
     if (!t.up.waiting.empty()) return;
     t.up.waiting.give_back();
-    t.host.wait_for(POLLIN);
+    t.host.set_events(POLLIN);
     ++floor_.outcomes.of[t.profile].setups_written;
     floor_.go(id, TunnelState::awaiting_answer);
     floor_.set_due(id, t, t.setup_until);
--- a/src/tunnel/completion.cpp
+++ b/src/tunnel/completion.cpp
@@ -57,17 +57,17 @@
     const auto sent = t.client.write(line);
     if (sent.error != 0) return drop(id);
     depart(id);
-    if (sent.bytes == line.size()) return end_sending(t);
+    if (sent.bytes == line.size()) return shutdown_write(t);
     t.down.waiting = floor_.pool.take();
     t.down.waiting.append(line.substr(sent.bytes));
-    t.client.wait_for(POLLIN | POLLOUT);
+    t.client.set_events(POLLIN | POLLOUT);
 }
 
-void Completion::end_sending(Tunnel& t) {
+void Completion::shutdown_write(Tunnel& t) {
     for (net::Socket* s : {&t.client, &t.host}) {
         if (!s->open()) continue;
-        s->end_sending();
-        s->wait_for(POLLIN);
+        s->shutdown_write();
+        s->set_events(POLLIN);
     }
 }
 
@@ -154,7 +154,7 @@
         t.down.waiting.take(sent.bytes);
         if (t.down.waiting.empty()) {
             t.down.waiting.give_back();
-            end_sending(t);
+            shutdown_write(t);
         }
     }
     drain(t, side == Side::client ? t.client : t.host);
@@ -169,7 +169,7 @@
     if (got.ended || got.error != 0) return socket.close();
     t.discarded += static_cast<std::uint32_t>(got.bytes);
     if (t.discarded >= most_discarded)
-        for (net::Socket* s : {&t.client, &t.host}) s->wait_for(0);
+        for (net::Socket* s : {&t.client, &t.host}) s->set_events(0);
 }
 
 }  // namespace lemonstair::tunnel
--- a/src/tunnel/completion.h
+++ b/src/tunnel/completion.h
@@ -30,7 +30,7 @@
     // Closing with unread input would make a reset, and that can overtake the last line.
     void part(TunnelId id) {
         depart(id);
-        end_sending(*floor_.find(id));
+        shutdown_write(*floor_.find(id));
     }
     // Both sides are dropped at once.
     void drop(TunnelId id);
@@ -42,7 +42,7 @@
   private:
     void answer(TunnelId id, std::string_view line);
     void depart(TunnelId id);
-    static void end_sending(Tunnel& t);
+    static void shutdown_write(Tunnel& t);
     void drain(Tunnel& t, net::Socket& socket);
     void tell_left(TunnelId id);
     TunnelRegistry& floor_;
--- a/src/tunnel/relay.cpp
+++ b/src/tunnel/relay.cpp
@@ -184,7 +184,7 @@
         Direction& way = out_of(t, side);
         if (way.ended && way.waiting.empty() && !way.end_passed) {
             way.end_passed = true;
-            socket(t, other(side)).end_sending();
+            socket(t, other(side)).shutdown_write();
         }
     }
     if (t.down.ended) {
@@ -205,9 +205,9 @@
     // A client that is moved is read no further than to the end of its line.
     const bool read_client = !t.up.ended && t.up.waiting.empty() && (!moving || t.up.line_size > 0);
     const bool read_host = !t.down.ended && t.down.waiting.empty() && (!moving || t.down.line_size > 0);
-    t.client.wait_for(
+    t.client.set_events(
         static_cast<short>((read_client ? POLLIN : 0) | (t.down.waiting.empty() ? 0 : POLLOUT)));
-    t.host.wait_for(static_cast<short>((read_host ? POLLIN : 0) | (t.up.waiting.empty() ? 0 : POLLOUT)));
+    t.host.set_events(static_cast<short>((read_host ? POLLIN : 0) | (t.up.waiting.empty() ? 0 : POLLOUT)));
 }
 
 void Relay::broken(TunnelId id, Side side) {
--- a/src/tunnel/stages.h
+++ b/src/tunnel/stages.h
@@ -18,12 +18,12 @@
     TunnelStages(net::EventLoop& loop, const config::NodeConfig& launch, discovery::EndpointDirectory& hosts,
                  log::Log& log, metrics::ResourceCounters& costs)
         : floor(loop, *this, launch, hosts, log, costs) {}
-    void ready(std::uint64_t token, short events) override {
+    void on_ready(std::uint64_t token, short events) override {
         const TunnelId id = token >> 1;
         const auto side = static_cast<Side>(token & 1);
         at_stage(id, [&](auto& stage) { stage.tunnel_ready(id, side, events); });
     }
-    void due(std::uint64_t token) override {
+    void on_timer(std::uint64_t token) override {
         const TunnelId id = token >> 1;
         at_stage(id, [&](auto& stage) { stage.tunnel_due(id); });
     }
--- a/src/tunnel/transfer.cpp
+++ b/src/tunnel/transfer.cpp
@@ -39,8 +39,8 @@
         Tunnel& t = floor_.tunnels[at];
         write(id, t, told);
         floor_.go(id, TunnelState::handing);
-        t.client.wait_for(0);
-        t.host.wait_for(0);
+        t.client.set_events(0);
+        t.host.set_events(0);
         return true;
     }
     return false;
--- a/src/tunnel/tunnel_registry.cpp
+++ b/src/tunnel/tunnel_registry.cpp
@@ -59,7 +59,9 @@
                 << ": " << detail;
 }
 
-bool TunnelRegistry::client_is_gone(const Tunnel& t) const { return !t.client.open() || t.client.hung_up(); }
+bool TunnelRegistry::client_is_gone(const Tunnel& t) const {
+    return !t.client.open() || t.client.peer_closed();
+}
 
 // A connection that ends without last words: its client must have gone, or never have begun to speak.
 void TunnelRegistry::check_ending(TunnelId id, const Tunnel& t, TunnelState to) {
--- a/src/tunnel/tunnel_registry.h
+++ b/src/tunnel/tunnel_registry.h
@@ -65,7 +65,7 @@
     }
     void set_due(TunnelId id, Tunnel& t, Ticks when) {
         t.due = when;
-        loop.at(when, waiter, id << 1);
+        loop.schedule(when, waiter, id << 1);
     }
     // Descriptors that are left when no more connections are accepted, if only to be told to go: for what the
     // node needs beside tunnels, the listener, discovery, the peers, the log and others, and for setups.
--- a/tests/fake.h
+++ b/tests/fake.h
@@ -289,9 +289,8 @@
                R"("},"limits":{"max_setups":3,"connect_timeout":0.25,"probing":)" +
                (t.probing ? "true" : "false") +
                R"(},"report":{"via":"probe","columns":["x0"]},"rules":{"stop_sending_within":)" + t.grace +
-               t.slow_start + R"(},)" +
-               R"("profiles":[{"name":"chat","setup_goal":0.3,"client_timeout":)" + t.timeout +
-               R"(,"credit":1,)" + R"("effect":"read_like","stream":true}]}})";
+               t.slow_start + R"(},)" + R"("profiles":[{"name":"chat","setup_goal":0.3,"client_timeout":)" +
+               t.timeout + R"(,"credit":1,)" + R"("effect":"read_like","stream":true}]}})";
         file.parse(text);
         if (t.inherits) {
             listener = net::listen_on(*net::parse_address(name));
--- a/tests/handover.cpp
+++ b/tests/handover.cpp
@@ -34,7 +34,7 @@
     std::string name;
     explicit Stranger(Town& town) : name(town.launch().nearby) {}
     bool call() {
-        fd = kernel.connect_nearby(name);
+        fd = kernel.connect_local(name);
         return fd.open();
     }
     void say(std::string_view bytes) { kernel.send_packet(fd.get(), bytes, {}); }
--- a/tests/lab.cpp
+++ b/tests/lab.cpp
@@ -21,7 +21,7 @@
 
 // Two machines and an ear that only remembers.
 struct Wire final : simnet::StreamListener {
-    EventQueue agenda;
+    EventQueue events;
     simnet::Trace trace;
     simnet::Network network;
     simnet::Machine a, b;
@@ -29,12 +29,12 @@
     std::size_t stirs = 0;
 
     explicit Wire(const simnet::NetworkConditions& weather = {}, std::uint64_t seed = 1)
-        : network(agenda, trace, simnet::RandomSource(seed), weather) {
+        : network(events, trace, simnet::RandomSource(seed), weather) {
         a = network.add_machine();
         b = network.add_machine();
     }
-    void stirred(simnet::End) override { ++stirs; }
-    void called(const net::Address& at) override {
+    void on_stream_event(simnet::End) override { ++stirs; }
+    void on_connection(const net::Address& at) override {
         while (const auto e = network.accept(at)) {
             network.own(*e, *this);
             accepted.push_back(*e);
@@ -42,9 +42,9 @@
     }
     net::Address door() const { return simnet::Network::address(b, 80); }
     void pass(simnet::Ticks span) {
-        const auto until = agenda.now() + span;
-        while (agenda.step(until)) continue;
-        agenda.pass_to(until);
+        const auto until = events.now() + span;
+        while (events.step(until)) continue;
+        events.pass_to(until);
     }
     // A connection that is up: its end at a; the other is the last accepted.
     simnet::End up() {
@@ -157,8 +157,8 @@
 TEST_CASE("connections are refused where nobody listens, and wait where the queue is full") {
     Wire w;
     struct Deaf final : simnet::StreamListener {
-        void stirred(simnet::End) override {}
-        void called(const net::Address&) override {}
+        void on_stream_event(simnet::End) override {}
+        void on_connection(const net::Address&) override {}
     } deaf;
     const auto e = w.network.connect(w.a, w.door(), w);
     w.pass(100);
@@ -183,9 +183,10 @@
     Wire w(rough);
     struct Post final : simnet::StreamListener {
         std::vector<int> got;
-        void stirred(simnet::End) override {}
-        void called(const net::Address&) override {}
-        void heard(const net::Address&, const net::Address&, std::span<const std::uint8_t> bytes) override {
+        void on_stream_event(simnet::End) override {}
+        void on_connection(const net::Address&) override {}
+        void on_datagram(const net::Address&, const net::Address&,
+                         std::span<const std::uint8_t> bytes) override {
             got.push_back(bytes[0]);
         }
     } post;
@@ -205,7 +206,7 @@
 TEST_CASE("a simulated process has no more descriptors than it is granted, and is told so as by the kernel") {
     Wire w;
     w.network.listen(w.door(), w, 100);
-    simnet::Process p(w.agenda, w.network, w.a, {0, 1, 8});
+    simnet::Process p(w.events, w.network, w.a, {0, 1, 8});
     std::vector<net::Fd> held;
     for (int i = 0; i < 5; ++i) held.push_back(p.connect_to(w.door()));
     CHECK(held.back().open());
@@ -225,7 +226,7 @@
     for (const bool reads : {false, true}) {
         Wire w;
         w.network.listen(w.door(), w, 4);
-        simnet::Process p(w.agenda, w.network, w.a, {0, 1, 16});
+        simnet::Process p(w.events, w.network, w.a, {0, 1, 16});
         const net::Fd fd = p.connect_to(w.door());
         std::array<char, 64> bytes;
         p.start([&] {
--- a/tests/node.cpp
+++ b/tests/node.cpp
@@ -538,11 +538,11 @@
         const std::string text(n, 'x');
         ::sendto(from.get(), text.data(), n, 0, reinterpret_cast<const sockaddr*>(&a.at.at), sizeof a.at.at);
     };
-    const net::Fd peer = net::datagrams_on(b.at), stranger = net::datagrams_on(Door().at);
+    const net::Fd peer = net::bind_datagrams(b.at), stranger = net::bind_datagrams(Door().at);
     send(stranger, 5), send(peer, 300), send(peer, 256), send(peer, 0);
     for (int i = 0; i < 4; ++i) {
-        loop.at(loop.now() + 100, link, 0);
-        loop.turn([] {});
+        loop.schedule(loop.now() + 100, link, 0);
+        loop.run_once([] {});
     }
     CHECK(sizes == std::vector<std::size_t>{256, 0});
 }
@@ -555,12 +555,12 @@
         std::vector<net::Socket> sockets;
         net::EventLoop* loop = nullptr;
         net::Fd quiet;
-        void ready(std::uint64_t token, short) override {
+        void on_ready(std::uint64_t token, short) override {
             called.push_back(token);
             sockets[1 - token].close();  // and its slot goes to one that has nothing to read
             sockets[1 - token] = net::Socket(*loop, std::move(quiet), POLLIN, *this, 9);
         }
-        void due(std::uint64_t) override {}
+        void on_timer(std::uint64_t) override {}
     } both;
     both.loop = &loop;
     std::array<int, 2> x{}, y{}, z{};
@@ -573,7 +573,7 @@
     both.sockets.emplace_back(loop, net::Fd(y[0]), POLLIN, both, 1);
     CHECK(::write(wx.get(), "x", 1) == 1);
     CHECK(::write(wy.get(), "x", 1) == 1);
-    loop.turn([] {});
+    loop.run_once([] {});
     CHECK(both.called == std::vector<std::uint64_t>{0});
 }
 
--- a/tests/rare_faults.cpp
+++ b/tests/rare_faults.cpp
@@ -177,9 +177,7 @@
     "a host that has just started is cold, and only for its time, whatever the wall clock of the node is") {
     constexpr Ticks hour = 3600 * s;
     for (const Ticks ahead : {Ticks{0}, hour, -hour, 5 * s}) {
-        Town town(
-            {.slow_start = R"(,"cold":2,"cold_from":0.1,"fall":1.0,"tip_multiple":1)"},
-            ahead);
+        Town town({.slow_start = R"(,"cold":2,"cold_from":0.1,"fall":1.0,"tip_multiple":1)"}, ahead);
         Watch watch(town);
         watch.tell(Town::member("a", town.a) + "," + Town::member("b", town.b), true);
         town.pass(20);
--- a/tests/spoilt.h
+++ b/tests/spoilt.h
@@ -57,10 +57,10 @@
         if (fault_ == Fault::descriptors_hoarded && !client) return;
         real_.close(fd);
     }
-    std::size_t allowed_descriptors(std::size_t asked) override { return real_.allowed_descriptors(asked); }
+    std::size_t descriptor_limit(std::size_t asked) override { return real_.descriptor_limit(asked); }
     net::Fd listen_on(const net::Address& at) override { return mine(real_.listen_on(at)); }
-    void will_hear_only_who_speaks(int listener) override { real_.will_hear_only_who_speaks(listener); }
-    net::Fd datagrams_on(const net::Address& at) override { return mine(real_.datagrams_on(at)); }
+    void defer_accept(int listener) override { real_.defer_accept(listener); }
+    net::Fd bind_datagrams(const net::Address& at) override { return mine(real_.bind_datagrams(at)); }
     net::Fd connect_to(const net::Address& to) override {
         net::Fd fd = mine(real_.connect_to(to));
         if (fd.open()) called_[fd.get()] = to;
@@ -73,7 +73,7 @@
     }
     net::Fd spare() override { return mine(real_.spare()); }
     int connected(int fd) override { return real_.connected(fd); }
-    bool hung_up(int fd) override { return real_.hung_up(fd); }
+    bool peer_closed(int fd) override { return real_.peer_closed(fd); }
     net::IoResult read_some(int fd, std::span<char> into) override { return real_.read_some(fd, into); }
     net::IoResult peek(int fd, std::span<char> into) override { return real_.peek(fd, into); }
     net::IoResult discard_some(int fd) override { return real_.discard_some(fd); }
@@ -111,11 +111,11 @@
         }
         return real_.write_some(fd, text);
     }
-    void end_sending(int fd) override {
+    void shutdown_write(int fd) override {
         if (fault_ == Fault::answer_after_the_last && said_.count(fd) > 0) real_.write_some(fd, "BUSY\r\n");
-        real_.end_sending(fd);
+        real_.shutdown_write(fd);
     }
-    void will_reset(int fd) override { real_.will_reset(fd); }
+    void reset_on_close(int fd) override { real_.reset_on_close(fd); }
     std::ptrdiff_t send_to(int fd, const net::Address& to, std::span<const std::uint8_t> bytes) override {
         return real_.send_to(fd, to, bytes);
     }
@@ -123,9 +123,9 @@
         return real_.receive(fd, from, into);
     }
     net::Fd inherited_listener(int fd) override { return mine(real_.inherited_listener(fd)); }
-    net::Fd listen_nearby(const std::string& name) override { return mine(real_.listen_nearby(name)); }
-    net::Fd connect_nearby(const std::string& name) override { return mine(real_.connect_nearby(name)); }
-    net::Fd accept_nearby(int listener) override { return mine(real_.accept_nearby(listener)); }
+    net::Fd listen_local(const std::string& name) override { return mine(real_.listen_local(name)); }
+    net::Fd connect_local(const std::string& name) override { return mine(real_.connect_local(name)); }
+    net::Fd accept_local(int listener) override { return mine(real_.accept_local(listener)); }
     net::IoResult send_packet(int fd, std::string_view bytes, std::span<const int> descriptors) override {
         constexpr std::size_t kind_at = 5;  // behind the mark and the version
         const bool ready =
