--- a/src/net/system.h
+++ b/src/net/system.h
@@ -1,6 +1,6 @@
 // The one place through which a node takes anything from the system that it runs on: the clock, poll,
 // streams, datagrams, signals, descriptors, the configuration file. It has two sides: `Kernel`, for a process
-// of its own, and `simnet::Process`, a process on a simulated machine. docs/lab.md says why it is a virtual
+// of its own, and `simnet::Process`, a process on a simulated machine. docs/simulation.md says why it is a virtual
 // class. A call that fails leaves its reason in errno, as the call of the kernel does.
 #pragma once
 
--- a/src/simnet/network.h
+++ b/src/simnet/network.h
@@ -1,6 +1,6 @@
 // A simulated network of machines: streams as TCP makes them, and datagrams. Bytes wait in windows, come
 // after a delay, cut anywhere; ends come in order, resets overtake; a machine that has vanished says nothing.
-// Times are tenths of a ms of the agenda. docs/lab.md says what is not simulated.
+// Times are tenths of a ms of the agenda. docs/simulation.md says what is not simulated.
 #pragma once
 
 #include <cstdint>
