--- a/tools/upgrades.py
+++ b/tools/upgrades.py
@@ -8,6 +8,7 @@
 started. Exit status: 0 none noticed, 1 some did, 2 wrong use.
 
     tools/upgrades.py build --upgrades 10 --rate 100
+    tools/upgrades.py build --other ../before/build/lemonstair     # two versions hand over to each other in turn
 """
 import argparse
 import asyncio
@@ -44,8 +45,11 @@
 
 
 class Platform:
-    def __init__(self, build, folder, wish_rate):
+    def __init__(self, build, other, folder, wish_rate):
         self.build, self.folder = build, folder
+        # Programs that take turns: each new process runs the next one.
+        self.programs = [os.path.join(build, "lemonstair")] + ([other] if other else [])
+        self.nodes_started = 0
         # Discovery and so many hosts that the toys' load (a tenth for each tunnel) gives no reason to move or decline.
         self.ports = Ports()
         self.toy_ports = [self.ports.free() for _ in range(1 + max(2, int(wish_rate * MEAN_LIFE * 0.1 / 0.4)))]
@@ -90,7 +94,9 @@
 
         environment = {"NODE_CONFIG": self.config, "TMPDIR": self.folder, "NODE_INHERITED_FD": str(LISTENER_FD),
                        "NODE_ADMIN_ADDR": f"{self.ports.host}:{admin}", "PATH": os.environ.get("PATH", "")}
-        return self.run([os.path.join(self.build, "lemonstair")], env=environment, pass_fds=[LISTENER_FD],
+        program = self.programs[self.nodes_started % len(self.programs)]
+        self.nodes_started += 1
+        return self.run([program], env=environment, pass_fds=[LISTENER_FD],
                         close_fds=True, preexec_fn=hand_down), admin
 
     def end(self):
@@ -213,12 +219,13 @@
 def main():
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("build", help="the folder with lemonstair and lemonstair_example_server")
+    parser.add_argument("--other", help="the program of another version: processes of both take turns")
     parser.add_argument("--upgrades", type=int, default=10)
     parser.add_argument("--rate", type=float, default=100, help="clients a second")
     parser.add_argument("--pause", type=float, default=0.3, help="seconds between upgrades")
     wish = parser.parse_args()
     with tempfile.TemporaryDirectory(prefix="lemonstair-upgrades-") as folder:
-        platform = Platform(wish.build, folder, wish.rate)
+        platform = Platform(wish.build, wish.other, folder, wish.rate)
         try:
             return asyncio.run(asyncio.wait_for(play(platform, wish), 60 + 8 * wish.upgrades))
         finally:
