--- a/src/fakes/clients.cpp
+++ b/src/fakes/clients.cpp
@@ -1,7 +1,6 @@
 #include "fakes/clients.h"
 
 #include <algorithm>
-#include <cerrno>
 #include <cstdio>
 
 namespace lemonstair::fakes {
@@ -9,93 +8,12 @@
 namespace {
 
 constexpr Ticks second = 10000;
-constexpr Ticks check_every = 5000;
 constexpr Ticks longest_silence = 70000;  // of a connection that owes lines
-constexpr Ticks rude_patience = 30000;
 // A client waits a little longer than it said, so that an answer that is late is seen.
 constexpr Ticks waits_on = 2000, last_look = 12000;
 
 }  // namespace
 
-// ---- the front
-
-Front::Front(TestEnvironment& town, Machine machine, std::vector<net::Address> nodes, Ticks notices_after,
-             simnet::RandomSource chance)
-    : town_(town), machine_(machine), notices_after_(notices_after), chance_(chance) {
-    for (const auto& at : nodes) {
-        nodes_.emplace_back();
-        nodes_.back().at = at;
-    }
-}
-
-void Front::start() {
-    for (std::uint32_t n = 0; n < nodes_.size(); ++n) check(n);
-}
-
-void Front::check(std::uint32_t node) {
-    Checked& c = nodes_[node];
-    if (c.asking) town_.network.close(c.end);
-    c.got.clear();
-    c.end = town_.network.connect(machine_, c.at, *this);
-    by_end_[c.end.number()] = node;
-    c.asking = true;
-    c.asked = false;
-    if (c.in && town_.now() - c.answered_at > notices_after_) c.in = false;
-    town_.events.schedule(town_.now() + check_every, *this, node);
-}
-
-void Front::leaves(std::uint32_t node, Ticks after) {
-    town_.events.schedule(town_.now() + after, *this, std::uint64_t{1} << 32 | node);
-}
-
-void Front::on_event(std::uint64_t token) {
-    const auto node = static_cast<std::uint32_t>(token);
-    if (token >> 32 == 0) return check(node);
-    nodes_[node].in = false;
-    nodes_[node].leaving = true;
-}
-
-void Front::on_stream_event(End end) {
-    const auto it = by_end_.find(end.number());
-    if (it == by_end_.end()) return;
-    Checked& c = nodes_[it->second];
-    if (!(c.end == end) || !c.asking) return;
-    if (town_.network.is_up(end) && !c.asked) {
-        town_.network.write(end, "PING\r\n", true);
-        c.asked = true;
-    }
-    std::array<char, 64> bytes;
-    const auto got = town_.network.read(end, bytes, true);
-    c.got.append(bytes.data(), got.bytes);
-    if (c.got.find("PONG\r\n") != std::string::npos) {
-        c.answered_at = town_.now();
-        if (!c.leaving) c.in = true;
-    }
-    if (c.got.find("BUSY\r\n") != std::string::npos) c.in = false;
-    if (got.error != 0 && got.error != ECONNRESET) {
-        c.leaving = false;  // nobody listens: whoever comes up there next is another
-        c.in = c.in && town_.now() - c.answered_at <= notices_after_;
-    }
-    if (got.error != 0 || got.ended || c.got.size() >= 6) {
-        town_.network.close(end);
-        c.asking = false;
-    }
-}
-
-std::uint32_t Front::deal() { return deal_but(none); }
-
-std::uint32_t Front::deal_but(std::uint32_t node) {
-    std::uint32_t in = 0;
-    for (std::uint32_t n = 0; n < nodes_.size(); ++n) in += nodes_[n].in && n != node ? 1 : 0;
-    if (in == 0) return none;
-    auto left = static_cast<std::uint32_t>(chance_.between(std::int64_t{0}, std::int64_t{in} - 1));
-    for (std::uint32_t n = 0; n < nodes_.size(); ++n)
-        if (nodes_[n].in && n != node && left-- == 0) return n;
-    return none;
-}
-
-// ---- members
-
 FakeClients::FakeClients(TestEnvironment& town, Front& front, std::vector<Machine> machines,
                          std::vector<Wish> wishes, const ClientBehavior& manners, simnet::RandomSource chance)
     : town_(town), front_(front), machines_(std::move(machines)), manners_(manners), chance_(chance) {
@@ -426,96 +344,4 @@
     }
 }
 
-// ---- rude clients
-
-std::string Rude::words(Kind kind) {
-    char text[96];
-    std::snprintf(text, sizeof text, "OPEN r%llx k", static_cast<unsigned long long>(chance_.bits()));
-    const std::string open = text;
-    switch (kind) {
-        case Kind::garbage:
-            return "\x01\x02 frob \xff\r\n";
-        case Kind::endless:
-            return std::string(6000, 'x');
-        case Kind::half:
-            return open;
-        case Kind::twice:
-            return open + " c=chat,d=2000\r\n" + open + " c=chat,d=2000\r\n";
-        case Kind::no_profile:
-            return open + " c=nobody,d=2000\r\n";
-        case Kind::bad_wait:
-            return open + " c=chat,d=-1e99\r\n";
-        case Kind::pings: {
-            std::string all;
-            for (int i = 0; i < 60; ++i) all += "PING\r\n";
-            return all;
-        }
-        case Kind::silent:
-            return "";
-        case Kind::again:
-            return open + "\r\n";
-    }
-    return "";
-}
-
-void Rude::come(int how_many, Kind kind, bool again) {
-    for (int i = 0; i < how_many; ++i) call(kind, again);
-}
-
-void Rude::call(Kind kind, bool again) {
-    const std::uint32_t node = front_.deal();
-    if (node == Front::none || home_) return;
-    const auto at = static_cast<std::uint32_t>(ones_.size());
-    ones_.push_back({town_.network.connect(machine_, front_.address(node), *this), kind, false, false, again,
-                     node, words(kind)});
-    by_end_[ones_[at].end.number()] = at;
-}
-
-void Rude::on_stream_event(End end) {
-    const auto it = by_end_.find(end.number());
-    if (it == by_end_.end() || ones_[it->second].over) return;
-    const std::uint32_t at = it->second;
-    if (town_.network.is_up(end) && !ones_[at].sent) {
-        ones_[at].sent = true;
-        town_.events.schedule(town_.now() + rude_patience, *this, at);
-    }
-    if (ones_[at].sent && !ones_[at].waiting.empty()) write_waiting(town_.network, end, ones_[at].waiting);
-    std::array<char, 512> bytes;
-    for (;;) {
-        const auto got = town_.network.read(end, bytes, true);
-        const std::string_view text(bytes.data(), got.bytes);
-        if (text.find("UP ") != std::string_view::npos)
-            town_.witness.line_wrong(0, "a rude client was served", text.substr(0, 40));
-        if (got.ended || got.error != 0 || text.find("ERR") != std::string_view::npos ||
-            text.find("BUSY") != std::string_view::npos)
-            return this->end(at);
-        if (got.bytes == 0) return;
-    }
-}
-
-void Rude::end(std::uint32_t at) {
-    One& one = ones_[at];
-    if (one.over) return;
-    one.over = true;
-    town_.network.close(one.end);
-    if (one.again) call(one.kind, chance_.odds(0.7));
-}
-
-void Rude::on_event(std::uint64_t at) {
-    One& one = ones_[at];
-    if (one.over) return;
-    one.over = true;
-    town_.network.close(one.end);
-    town_.witness.rude_left_waiting(one.node, "no answer and no end");
-}
-
-void Rude::go_home() {
-    home_ = true;
-    for (std::uint32_t at = 0; at < ones_.size(); ++at) {
-        if (ones_[at].over) continue;
-        ones_[at].over = true;
-        town_.network.close(ones_[at].end);
-    }
-}
-
 }  // namespace lemonstair::fakes
--- a/src/fakes/clients.h
+++ b/src/fakes/clients.h
@@ -1,5 +1,4 @@
-// Stand-ins of the clients and of the front that deals them out among the nodes: members who want a
-// connection, keep it, lose it and come again; and clients who send what no client should, or say nothing.
+// Fakes of the clients: each wants one connection, keeps it, loses it and comes again until its time is over.
 #pragma once
 
 #include <array>
@@ -9,46 +8,11 @@
 #include <vector>
 
 #include "fakes/environment.h"
+#include "fakes/front.h"
 #include "simnet/random_source.h"
 
 namespace lemonstair::fakes {
 
-// The front takes in a node that answers PING, and notices after a while that one has died.
-class Front final : public simnet::StreamListener, public simnet::EventTarget {
-  public:
-    static constexpr std::uint32_t none = 0xffffffffU;
-    Front(TestEnvironment& town, Machine machine, std::vector<net::Address> nodes, Ticks notices_after,
-          simnet::RandomSource chance);
-    void start();
-    // A node that is dealt clients; none where no node is.
-    std::uint32_t deal();
-    std::uint32_t deal_but(std::uint32_t node);
-    const net::Address& address(std::uint32_t node) const { return nodes_[node].at; }
-    std::size_t size() const { return nodes_.size(); }
-    // Told that a node leaves on purpose: it is dealt no one from a moment later on.
-    void leaves(std::uint32_t node, Ticks after);
-
-    void on_stream_event(End end) override;
-    void on_connection(const net::Address&) override {}
-    void on_event(std::uint64_t token) override;
-
-  private:
-    struct Checked {
-        net::Address at;
-        End end;
-        bool asking = false, asked = false, in = false, leaving = false;
-        Ticks answered_at = 0;
-        std::string got;
-    };
-    void check(std::uint32_t node);
-    TestEnvironment& town_;
-    Machine machine_;
-    std::vector<Checked> nodes_;
-    std::unordered_map<std::uint64_t, std::uint32_t> by_end_;
-    Ticks notices_after_;
-    simnet::RandomSource chance_;
-};
-
 // One member's wish for a connection.
 struct Wish {
     std::string key;
@@ -134,47 +98,4 @@
     Tally tally_;
 };
 
-// Clients that no node need serve.
-class Rude final : public simnet::StreamListener, public simnet::EventTarget {
-  public:
-    Rude(TestEnvironment& town, Front& front, Machine machine, simnet::RandomSource chance)
-        : town_(town), front_(front), machine_(machine), chance_(chance) {}
-    enum class Kind : std::uint8_t {
-        garbage,
-        endless,
-        half,
-        twice,
-        no_profile,
-        bad_wait,
-        pings,
-        silent,
-        again
-    };
-    static constexpr int kinds = 9;
-    void come(int how_many, Kind kind, bool again);
-    void go_home();
-    void on_stream_event(End end) override;
-    void on_connection(const net::Address&) override {}
-    void on_event(std::uint64_t token) override;
-
-  private:
-    struct One {
-        End end;
-        Kind kind;
-        bool sent = false, over = false, again = false;
-        std::uint32_t node;
-        std::string waiting;
-    };
-    void call(Kind kind, bool again);
-    void end(std::uint32_t at);
-    std::string words(Kind kind);
-    TestEnvironment& town_;
-    Front& front_;
-    Machine machine_;
-    simnet::RandomSource chance_;
-    std::vector<One> ones_;
-    std::unordered_map<std::uint64_t, std::uint32_t> by_end_;
-    bool home_ = false;
-};
-
 }  // namespace lemonstair::fakes
--- a/src/simnet/network.cpp
+++ b/src/simnet/network.cpp
@@ -324,42 +324,6 @@
     }
 }
 
-// ---- datagrams
-
-void Network::send(const Address& from, const Address& to, std::span<const std::uint8_t> bytes) {
-    const Machine there = machine_at(to);
-    if (there >= machines_.size()) return;
-    if (keeps_) {
-        auto& kept = kept_[machine_at(from)];
-        kept.push_back({from, to, {bytes.begin(), bytes.end()}});
-        if (kept.size() > 64) kept.pop_front();
-    }
-    const int copies = chance_.odds(datagram_faults_.lost)      ? 0
-                       : chance_.odds(datagram_faults_.doubled) ? 2
-                                                                : 1;
-    for (int i = 0; i < copies; ++i) {
-        if (free_datagrams_.empty()) {
-            free_datagrams_.push_back(static_cast<std::uint32_t>(datagrams_.size()));
-            datagrams_.emplace_back();
-        }
-        const std::uint32_t place = free_datagrams_.back();
-        free_datagrams_.pop_back();
-        datagrams_[place].from = from;
-        datagrams_[place].to = to;
-        datagrams_[place].bytes.assign(bytes.begin(), bytes.end());
-        const Ticks jitter =
-            datagram_faults_.jitter > 0 ? chance_.between(std::int64_t{0}, datagram_faults_.jitter) : 0;
-        events_.schedule(events_.now() + delay(machine_at(from), there) + jitter, *this,
-                         static_cast<std::uint64_t>(datagram) << 56 | place);
-    }
-}
-
-void Network::send_again(Machine from, std::size_t most) {
-    const auto kept = kept_[from];
-    for (std::size_t i = 0; i < std::min(most, kept.size()); ++i)
-        send(kept[i].from, kept[i].to, kept[i].bytes);
-}
-
 void Network::on_event(std::uint64_t token) {
     const auto kind = static_cast<Kind>(token >> 56);
     const End end{static_cast<std::uint32_t>((token & ~(std::uint64_t{255} << 56)) >> 1),
--- a/src/simulation/fixture.h
+++ b/src/simulation/fixture.h
@@ -6,7 +6,10 @@
 #include <string>
 #include <vector>
 
+#include "fakes/clients.h"
 #include "fakes/discovery.h"
+#include "fakes/front.h"
+#include "fakes/misbehaving_clients.h"
 #include "simnet/datagram_faults.h"
 #include "simulation/invariants.h"
 #include "simulation/scenario.h"
--- /dev/null
+++ b/src/simulation/invariants_clients.cpp
@@ -0,0 +1,147 @@
+// Rules judged from what clients see: answers, cut connections, lines.
+#include <algorithm>
+
+#include "simulation/invariants.h"
+
+namespace lemonstair::simulation {
+
+namespace {
+
+using fakes::Answer;
+
+constexpr Ticks second = 10000;
+constexpr Ticks margin = 500;  // each time limit is 50 ms longer on sockets
+constexpr Ticks end_passed_in = 10000;
+constexpr Ticks leaving_takes = 37000;
+
+bool may_have_run(Answer a) { return a != Answer::busy; }
+
+}  // namespace
+
+void Invariants::asked(const fakes::Asked& what) {
+    Book& b = book(what.tunnel);
+    to(b, State::asked);
+    b.asked = what;
+    b.attempt = attempts_.size();
+    attempts_.push_back({what.node, what.profile, events_.now(), 0, Answer::none});
+    b.asked_at = events_.now();
+    b.taken_at = b.left_at = 0;
+    if (what.mid_flow) ++tally_.resumed;
+}
+
+void Invariants::taken(fakes::TunnelNo tunnel) {
+    Book& b = book(tunnel);
+    if (b.state != State::asked) return;
+    to(b, State::taken);
+    b.taken_at = events_.now();
+    ++tally_.taken;
+}
+
+void Invariants::answered(fakes::TunnelNo tunnel, Answer answer, Ticks written_at) {
+    Book& b = book(tunnel);
+    const bool waited = b.state == State::asked || b.state == State::taken;
+    if (answer == Answer::move) {
+        to(b, State::over);
+        return;
+    }
+    if (!waited) return broke("twice", named(tunnel) + " was answered though it is not waiting");
+    attempts_[b.attempt].answer = answer;
+    attempts_[b.attempt].answered_at = events_.now();
+    if (b.taken_at != 0 && written_at > b.taken_at + b.asked.wait + day_.answer_slack &&
+        undisturbed(b.asked.node, b.taken_at, written_at))
+        broke("answer", named(tunnel) + " was answered " +
+                            std::to_string((written_at - b.taken_at - b.asked.wait) / 10) + " ms late");
+    const bool ran =
+        std::any_of(b.setups.begin(), b.setups.end(), [](const Setup& s) { return may_have_run(s.answer); });
+    if (answer == Answer::up) {
+        ++tally_.opened;
+        to(b, State::open);
+        b.opened_at = events_.now();
+        if (std::none_of(b.setups.begin(), b.setups.end(),
+                         [](const Setup& s) { return s.answer == Answer::up; }))
+            broke("twice", named(tunnel) + " was opened by no host");
+        return;
+    }
+    to(b, State::over);
+    ++(answer == Answer::busy ? tally_.declined : tally_.failed);
+    if (answer == Answer::busy) ledger_.declined(any_idle_ && any_idle_());
+    if (answer != Answer::busy || !ran || b.asked.mid_flow) return;
+    const fakes::Profile& p = profile(b);
+    const bool safe =
+        p.effect == fakes::Idempotency::idempotent ||
+        (p.effect == fakes::Idempotency::idempotent_with_key && p.scope == fakes::DeduplicationScope::all &&
+         written_at <= b.setups.front().sent + p.window + margin + day_.held_up);
+    if (!safe) broke("effect", named(tunnel) + " was declined though it may have run");
+}
+
+void Invariants::said_on(fakes::TunnelNo tunnel, std::string_view text) {
+    broke("twice", named(tunnel) + " heard '" + std::string(text.substr(0, 20)) + "' after its last words");
+}
+
+void Invariants::left(fakes::TunnelNo tunnel) {
+    Book& b = book(tunnel);
+    to(b, State::over);
+    b.left_at = events_.now();
+}
+
+void Invariants::gave_up(fakes::TunnelNo tunnel) {
+    Book& b = book(tunnel);
+    const bool owed = b.state == State::taken;
+    to(b, State::over);
+    b.left_at = events_.now();
+    if (owed && undisturbed(b.asked.node, b.taken_at, events_.now()))
+        broke("answer", named(tunnel) + " got no answer in its time");
+}
+
+void Invariants::cut(fakes::TunnelNo tunnel, bool by_reset, Ticks written) {
+    Book& b = book(tunnel);
+    const State was = b.state;
+    to(b, State::over);
+    ++tally_.cut;
+    const Life* life = life_at(b.asked.node, b.asked_at);
+    const bool gone = life == nullptr || life->until != 0;
+    if (gone) {
+        const bool had_time =
+            life != nullptr && life->leaving_since != 0 && life->until - life->leaving_since >= leaving_takes;
+        const bool owes = life != nullptr &&
+                          (life->how == NodeEnd::left || (life->how == NodeEnd::killed_late && had_time));
+        if (was == State::open && owes && !day_.packet_passthrough && !b.asked.slow_reader &&
+            undisturbed(b.asked.node, life->leaving_since, life->until - 1))
+            broke("leave", named(tunnel) + " was cut off when its node left");
+        return;
+    }
+    if (!undisturbed(b.asked.node, b.asked_at, events_.now())) return;
+    // Where its host opened it and reset it at once, the reset is passed on and may overtake the answer.
+    const bool host_reset = b.host_ended_at != 0 && by_reset;
+    if (was == State::taken && !b.asked.mid_flow && !host_reset)
+        return broke("answer", named(tunnel) + " was closed without an answer");
+    if (was != State::open) return;
+    if (b.host_ended_at != 0) {
+        const Ticks late =
+            written - b.host_ended_at - end_passed_in - 2 * day_.weather.most_delay - day_.held_up;
+        if (!by_reset && late > margin && !b.asked.slow_reader &&
+            machine_reached(machine_of_host(b.holder), b.host_ended_at - 1, events_.now()))
+            broke("end_late", named(tunnel) + " was ended " + std::to_string((late + end_passed_in) / 10) +
+                                  " ms after its host had ended it");
+        return;
+    }
+    // The host keeps it, and can be reached, and says something.
+    if (hosts_[b.holder].mute || b.asked.slow_reader ||
+        !machine_reached(machine_of_host(b.holder), b.asked_at, events_.now()))
+        return;
+    broke("cut_off", named(tunnel) + " was cut off though host " + std::to_string(b.holder) + " keeps it");
+}
+
+void Invariants::unanswered(fakes::TunnelNo tunnel, Ticks span) {
+    const Book& b = book(tunnel);
+    if (b.state != State::open || !undisturbed(b.asked.node, events_.now() - span - second, events_.now()))
+        return;
+    broke("silent", named(tunnel) + " has had no line for " + std::to_string(span / 10) + " ms");
+}
+
+void Invariants::rude_left_waiting(std::uint32_t node, std::string_view how) {
+    if (undisturbed(node, events_.now() - 3 * second, events_.now()))
+        broke("bad_client", "a bad client at node " + std::to_string(node) + " had " + std::string(how));
+}
+
+}  // namespace lemonstair::simulation
