--- a/src/process_harness/process_harness.cpp
+++ b/src/process_harness/process_harness.cpp
@@ -10,7 +10,9 @@
 #include "process_harness/datagram_proxy.h"
 #include "process_harness/process.h"
 #include "process_harness/stream_proxy.h"
+#include "simulation/fault_injector.h"
 #include "simulation/fixture.h"
+#include "simulation/timed_event.h"
 
 namespace lemonstair::process_harness {
 
@@ -45,13 +47,15 @@
     bool leaving = false, stalled = false;
 };
 
-class ProcessHarness final : public simnet::EventTarget, public simulation::Topology {
+class ProcessHarness final : public simnet::EventTarget,
+                             public simulation::Topology,
+                             public simulation::NodeFaults {
   public:
     ProcessHarness(const Scenario& day, const HarnessOptions& wish);
     RunResult run(const volatile bool& stop);
     void on_event(std::uint64_t token) override;
 
-    // ---- Ground
+    // ---- Topology
     simnet::DatagramFaults& datagrams() override { return post_.faults(); }
     void cut_off(Machine machine, bool on) override { wires_.cut_off(machine, on); }
     void forget(Machine machine) override { wires_.forget(machine); }
@@ -60,16 +64,25 @@
     void send_again(Machine from, std::size_t most) override { post_.send_again(from, most); }
     void new_file(std::uint32_t node, const std::string& text) override;
 
+    // ---- NodeFaults: of `count` nodes from the fault's node on
+    void begin_node_fault(const Fault& f, std::uint64_t index) override;
+    bool end_node_fault(const Fault& f) override;
+
   private:
-    enum Kind : std::uint64_t { begin_fault, end_fault, late_fault, restart, kill_late, look };
-    static std::uint64_t token(Kind kind, std::uint64_t at, std::uint64_t life = 0) {
-        return std::uint64_t{kind} << 56 | life << 24 | at;
+    enum class Kind : std::uint8_t { restart, kill_late, check_nodes };
+    void schedule(Ticks when, Kind kind, std::uint64_t index = 0, std::uint32_t incarnation = 0) {
+        events_.schedule(when, *this,
+                         simulation::encode(simulation::TimedEvent<Kind>{kind, index, incarnation}));
     }
     void start_node(std::uint32_t node);
     void end_node(std::uint32_t node, simulation::Invariants::NodeEnd how);
-    void begin(const Fault& f, std::uint64_t at);
-    void end(const Fault& f);
-    void look_at_nodes();
+    void begin_at(std::uint32_t node, const Fault& f);
+    void leave(std::uint32_t node, const Fault& f);
+    void check_nodes();
+    bool check_ended(std::uint32_t node);
+    std::uint32_t last_node(const Fault& f) const {
+        return std::min(f.who + std::max(f.count, 1U), day_.nodes);
+    }
     bool go_on(Ticks until, const volatile bool& stop);
     RunResult told(Ticks played_for);
 
@@ -85,6 +98,7 @@
     DatagramProxy post_;
     simulation::Invariants rules_;
     std::unique_ptr<Fixture> stage_;
+    std::unique_ptr<simulation::FaultInjector> injector_;
     std::vector<ProcessSlot> seats_;
     RunResult outcome_;
     Ticks played_from_ = 0;
@@ -106,6 +120,7 @@
     post_.faults().jitter = day_.weather.datagram_jitter;
     for (std::uint32_t n = 0; n < day_.nodes; ++n) wires_.add_machine();
     stage_ = std::make_unique<Fixture>(day_, events_, trace_, wires_, rules_, chance_, *this);
+    injector_ = std::make_unique<simulation::FaultInjector>(day_, events_, *stage_, *this);
 }
 
 // ---- nodes
@@ -138,21 +153,22 @@
     s.process->signal(SIGHUP);
 }
 
-// Ends that nobody asked for, and what the nodes used since the last look.
-void ProcessHarness::look_at_nodes() {
-    events_.schedule(events_.now() + second, *this, token(look, 0));
+// True: its process had ended, as it was told to or unasked.
+bool ProcessHarness::check_ended(std::uint32_t node) {
+    ProcessSlot& s = seats_[node];
+    if (s.process->runs()) return false;
+    const bool left = s.leaving && s.process->ended_well();
+    if (!left) rules_.broke("crash", "node " + std::to_string(node) + " " + s.process->how_it_ended());
+    end_node(node, left ? simulation::Invariants::NodeEnd::left : simulation::Invariants::NodeEnd::crashed);
+    return true;
+}
+
+// Ends that nobody asked for, and what the nodes used since the last check.
+void ProcessHarness::check_nodes() {
+    schedule(events_.now() + second, Kind::check_nodes);
     for (std::uint32_t n = 0; n < seats_.size(); ++n) {
         ProcessSlot& s = seats_[n];
-        if (!s.process) continue;
-        if (!s.process->runs()) {
-            if (s.leaving && s.process->ended_well()) {
-                end_node(n, simulation::Invariants::NodeEnd::left);
-                continue;
-            }
-            rules_.broke("crash", "node " + std::to_string(n) + " " + s.process->how_it_ended());
-            end_node(n, simulation::Invariants::NodeEnd::crashed);
-            continue;
-        }
+        if (!s.process || check_ended(n)) continue;
         const Process::Used used = s.process->used();
         if (s.before.waited_s > 0 && !s.stalled)
             outcome_.waited_most_s = std::max(outcome_.waited_most_s, used.waited_s - s.before.waited_s);
@@ -163,88 +179,79 @@
 
 // ---- faults
 
-void ProcessHarness::begin(const Fault& f, std::uint64_t at) {
+void ProcessHarness::leave(std::uint32_t node, const Fault& f) {
+    ProcessSlot& s = seats_[node];
+    s.leaving = true;
+    rules_.node_told_to_leave(node);
+    s.process->signal(SIGTERM);
+    stage_->front().leaves(node, chance_.between(second / 5, second * 2 / 5));
+    schedule(events_.now() + kill_after_leave, Kind::kill_late, node, s.life);
+    schedule(events_.now() + kill_after_leave + f.span, Kind::restart, node, s.life);
+}
+
+void ProcessHarness::begin_at(std::uint32_t node, const Fault& f) {
     using K = FaultKind;
-    if (f.kind == K::host_drain)
-        events_.schedule(events_.now() + std::max(f.span, 3 * second), *this, token(late_fault, at));
-    if (stage_->begin(f)) return;
-    const std::uint32_t last = std::min(f.who + std::max(f.count, 1U), day_.nodes);
-    for (std::uint32_t n = f.who; n < last; ++n) {
-        ProcessSlot& s = seats_[n];
-        if (!s.process) continue;
-        switch (f.kind) {
-            case K::node_kill:
-                end_node(n, simulation::Invariants::NodeEnd::killed);
-                break;
-            case K::node_leave:
-                s.leaving = true;
-                rules_.node_told_to_leave(n);
-                s.process->signal(SIGTERM);
-                stage_->front().leaves(n, chance_.between(second / 5, second * 2 / 5));
-                events_.schedule(events_.now() + kill_after_leave, *this, token(kill_late, n, s.life));
-                events_.schedule(events_.now() + kill_after_leave + f.span, *this, token(restart, n, s.life));
-                break;
-            case K::node_stall:
-                s.stalled = true;
-                rules_.node_stalled(n, events_.now() + f.span + second / 2);
-                s.process->signal(SIGSTOP);
-                break;
-            case K::node_reload:
-                s.process->signal(SIGHUP);
-                break;
-            case K::node_reload_broken:
-                s.process->configure(s.file.substr(0, s.file.size() / 2));
-                s.process->signal(SIGHUP);
-                break;
-            default:
-                break;
-        }
+    ProcessSlot& s = seats_[node];
+    switch (f.kind) {
+        case K::node_kill:
+            return end_node(node, simulation::Invariants::NodeEnd::killed);
+        case K::node_leave:
+            return leave(node, f);
+        case K::node_stall:
+            s.stalled = true;
+            rules_.node_stalled(node, events_.now() + f.span + second / 2);
+            return s.process->signal(SIGSTOP);
+        case K::node_reload:
+            return s.process->signal(SIGHUP);
+        case K::node_reload_broken:
+            s.process->configure(s.file.substr(0, s.file.size() / 2));
+            return s.process->signal(SIGHUP);
+        default:
+            return;
     }
 }
 
-void ProcessHarness::end(const Fault& f) {
+void ProcessHarness::begin_node_fault(const Fault& f, std::uint64_t) {
+    const std::uint32_t last = last_node(f);
+    for (std::uint32_t n = f.who; n < last; ++n)
+        if (seats_[n].process) begin_at(n, f);
+}
+
+bool ProcessHarness::end_node_fault(const Fault& f) {
     using K = FaultKind;
-    const std::uint32_t last = std::min(f.who + std::max(f.count, 1U), day_.nodes);
+    const std::uint32_t last = last_node(f);
     switch (f.kind) {
         case K::node_kill:
             for (std::uint32_t n = f.who; n < last; ++n) start_node(n);
-            return;
+            return true;
         case K::node_stall:
             for (std::uint32_t n = f.who; n < last; ++n) {
                 if (seats_[n].process) seats_[n].process->signal(SIGCONT);
                 seats_[n].stalled = false;
                 seats_[n].before = {};
             }
-            return;
+            return true;
         case K::node_reload_broken:
             for (std::uint32_t n = f.who; n < last; ++n) new_file(n, seats_[n].file);
-            return;
+            return true;
         default:
-            return stage_->end(f);
+            return false;
     }
 }
 
-void ProcessHarness::on_event(std::uint64_t what) {
-    const auto kind = static_cast<Kind>(what >> 56);
-    const std::uint64_t at = what & 0xffffffU;
-    const auto life = static_cast<std::uint32_t>(what >> 24 & 0xffffffffU);
-    switch (kind) {
-        case begin_fault:
-            return begin(day_.faults[at], at);
-        case end_fault:
-            return end(day_.faults[at]);
-        case late_fault:
-            if (stage_->later(day_.faults[at])) events_.schedule(events_.now() + 2 * second, *this, what);
-            return;
-        case kill_late:
-            if (seats_[at].life == life && seats_[at].process)
-                end_node(static_cast<std::uint32_t>(at), simulation::Invariants::NodeEnd::killed_late);
+void ProcessHarness::on_event(std::uint64_t token) {
+    const auto event = simulation::decode<Kind>(token);
+    const auto node = static_cast<std::uint32_t>(event.index);
+    switch (event.kind) {
+        case Kind::kill_late:
+            if (seats_[node].life == event.incarnation && seats_[node].process)
+                end_node(node, simulation::Invariants::NodeEnd::killed_late);
             return;
-        case restart:
-            if (seats_[at].life == life) start_node(static_cast<std::uint32_t>(at));
+        case Kind::restart:
+            if (seats_[node].life == event.incarnation) start_node(node);
             return;
-        case look:
-            return look_at_nodes();
+        case Kind::check_nodes:
+            return check_nodes();
     }
 }
 
@@ -275,14 +282,8 @@
     bool played = true;
     for (std::uint32_t n = 0; n < seats_.size() && !stop; ++n) start_node(n);
     stage_->let_clients_come();
-    look_at_nodes();
-    for (std::uint64_t i = 0; i < day_.faults.size(); ++i) {
-        const Fault& f = day_.faults[i];
-        events_.schedule(start_time + f.at, *this, token(begin_fault, i));
-        if (simulation::row_of(f.kind).spans)
-            events_.schedule(std::min(start_time + day_.span, start_time + f.at + f.span), *this,
-                             token(end_fault, i));
-    }
+    check_nodes();
+    injector_->schedule_all();
     played_from_ = start_time;
     played = go_on(start_time + day_.span, stop);
     stage_->go_home();
--- /dev/null
+++ b/src/simulation/fault_injector.cpp
@@ -0,0 +1,53 @@
+#include "simulation/fault_injector.h"
+
+#include <algorithm>
+
+#include "simulation/timed_event.h"
+
+namespace lemonstair::simulation {
+
+namespace {
+
+constexpr Ticks second = 10000;
+// A draining server stops once the nodes have had time to learn of it, and is back a little later.
+constexpr Ticks least_drain = 3 * second, restart_after_drain = 2 * second;
+
+}  // namespace
+
+void FaultInjector::schedule(Ticks when, Kind kind, std::uint64_t index) {
+    events_.schedule(when, *this, encode(TimedEvent<Kind>{kind, index}));
+}
+
+void FaultInjector::schedule_all() {
+    const Ticks start = events_.start_time(), last = start + day_.span;
+    for (std::uint64_t i = 0; i < day_.faults.size(); ++i) {
+        const Fault& f = day_.faults[i];
+        schedule(start + f.at, Kind::begin, i);
+        if (row_of(f.kind).spans) schedule(std::min(last, start + f.at + f.span), Kind::end, i);
+    }
+}
+
+void FaultInjector::begin(const Fault& f, std::uint64_t index) {
+    fixture_.town().note("fault", index, f.who, row_of(f.kind).name);
+    if (f.kind == FaultKind::host_drain)
+        schedule(events_.now() + std::max(f.span, least_drain), Kind::drain_step, index);
+    if (!fixture_.begin(f)) nodes_.begin_node_fault(f, index);
+}
+
+void FaultInjector::on_event(std::uint64_t token) {
+    const auto event = decode<Kind>(token);
+    const Fault& f = day_.faults[event.index];
+    switch (event.kind) {
+        case Kind::begin:
+            return begin(f, event.index);
+        case Kind::end:
+            if (!nodes_.end_node_fault(f)) fixture_.end(f);
+            return;
+        case Kind::drain_step:
+            if (fixture_.later(f))
+                schedule(events_.now() + restart_after_drain, Kind::drain_step, event.index);
+            return;
+    }
+}
+
+}  // namespace lemonstair::simulation
--- /dev/null
+++ b/src/simulation/operator_actions.cpp
@@ -0,0 +1,191 @@
+#include "simulation/operator_actions.h"
+
+#include <algorithm>
+#include <csignal>
+#include <utility>
+
+#include "simulation/timed_event.h"
+
+namespace lemonstair::simulation {
+
+namespace {
+
+constexpr Ticks second = 10000;
+constexpr Ticks metrics_interval = second, health_interval = second / 10, healthy_within = 6 * second;
+constexpr Ticks kill_after_leave = 37000;
+constexpr Ticks drained_within = 4 * second, undrained_within = 2 * second;
+
+}  // namespace
+
+OperatorActions::OperatorActions(const Scenario& day, simnet::EventQueue& events, simnet::Network& network,
+                                 fakes::TestEnvironment& town, Invariants& rules, SimulatedNodes& nodes)
+    : day_(day), events_(events), rules_(rules), nodes_(nodes), upgrades_(day.nodes) {
+    if (!day_.operated) return;
+    client_ = std::make_unique<fakes::Operators>(town, network.add_machine());
+    for (std::uint32_t n = 0; n < day_.nodes; ++n) {
+        nodes_.share_listener(n);
+        schedule(events_.start_time() + metrics_interval, Kind::read_metrics, n);
+    }
+}
+
+void OperatorActions::schedule(Ticks when, Kind kind, std::uint64_t index, std::uint32_t incarnation) {
+    events_.schedule(when, *this, encode(TimedEvent<Kind>{kind, index, incarnation}));
+}
+
+// A node that has no descriptors to spare cannot answer operators.
+bool OperatorActions::starved(std::uint32_t node) const {
+    return std::any_of(day_.faults.begin(), day_.faults.end(),
+                       [&](const Fault& f) { return f.kind == FaultKind::node_starve && f.who == node; });
+}
+
+void OperatorActions::call(std::uint32_t node, const char* line, fakes::Operators::Told told) {
+    client_->call(nodes_.slot(node).current.admin_address, std::string(line) + " HTTP/1.1\r\nHost: n\r\n\r\n",
+                  std::move(told));
+}
+
+void OperatorActions::open_idle_connections(std::uint32_t node, int count) {
+    client_->come_and_stay(nodes_.slot(node).current.admin_address, count);
+}
+
+// ---- metrics
+
+void OperatorActions::read_metrics(std::uint32_t node) {
+    const ProcessSlot& s = nodes_.slot(node);
+    schedule(events_.now() + metrics_interval, Kind::read_metrics, node);
+    if (!s.current.node || !s.current.process->runs()) return;
+    call(node, "GET /stats",
+         [this, node, incarnation = s.incarnation, upgrades = s.upgrades](const auto& answer) {
+             const Ticks now = events_.now();
+             if (!nodes_.is_single_process(node, incarnation, upgrades) || starved(node) ||
+                 !rules_.undisturbed(node, now - answer.took - second, now))
+                 return;
+             if (answer.status != 200)
+                 return rules_.broke("call", "node " + std::to_string(node) + " gave no figures in a second");
+             const NodeProcess& current = nodes_.slot(node).current;
+             rules_.figures_told(node, answer.body, current.started_at, current.shared_clients);
+         });
+}
+
+// ---- upgrade
+
+void OperatorActions::upgrade(std::uint32_t node, std::uint64_t fault) {
+    const ProcessSlot& s = nodes_.slot(node);
+    if (!s.current.node || !s.current.process->runs() || s.leaving || s.previous.process) return;
+    upgrades_[node] = {events_.now(), 0};
+    if (!nodes_.start_upgrade(node)) return;
+    schedule(events_.now() + health_interval, Kind::poll_health, fault, s.upgrades);
+}
+
+void OperatorActions::poll_health(std::uint64_t fault, std::uint32_t upgrades) {
+    const Fault& f = day_.faults[fault];
+    const ProcessSlot& s = nodes_.slot(f.who);
+    if (s.upgrades != upgrades || !s.previous.process) return;
+    check_health(f.who, f.kind == FaultKind::node_upgrade);
+    schedule(events_.now() + health_interval, Kind::poll_health, fault, upgrades);
+}
+
+// `completes`: the previous process is told to leave once the new one is healthy.
+void OperatorActions::check_health(std::uint32_t node, bool completes) {
+    const ProcessSlot& s = nodes_.slot(node);
+    Upgrade& upgrade = upgrades_[node];
+    if (!s.previous.process || !s.current.process || upgrade.healthy_at != 0) return;
+    const Ticks now = events_.now();
+    if (now - upgrade.began <= healthy_within) {
+        call(node, "GET /healthcheck", [this, node, upgrades = s.upgrades, completes](const auto& answer) {
+            if (answer.status == 200 && nodes_.slot(node).upgrades == upgrades) on_healthy(node, completes);
+        });
+        return;
+    }
+    if (!starved(node) && rules_.undisturbed(node, upgrade.began, now))
+        rules_.broke("upgrade", "the new process of node " + std::to_string(node) + " says no yes in 6 s");
+    upgrade.healthy_at = now;
+}
+
+void OperatorActions::on_healthy(std::uint32_t node, bool completes) {
+    const ProcessSlot& s = nodes_.slot(node);
+    if (upgrades_[node].healthy_at != 0 || !s.previous.process) return;
+    upgrades_[node].healthy_at = events_.now();
+    if (!completes) return;
+    s.previous.process->signal(SIGTERM);
+    schedule(events_.now() + kill_after_leave, Kind::kill_previous, node, s.upgrades);
+}
+
+void OperatorActions::fail_upgrade(std::uint32_t node) {
+    const ProcessSlot& s = nodes_.slot(node);
+    if (!s.previous.process || !s.current.process || !s.previous.process->runs()) return;
+    nodes_.abort_upgrade(node);
+    call(node, "POST /healthcheck/ok", [](const auto&) {});
+    upgrades_[node].healthy_at = 0;
+}
+
+// ---- drain
+
+void OperatorActions::drain(const Fault& f, std::uint64_t fault) {
+    ProcessSlot& s = nodes_.slot(f.who);
+    if (!nodes_.is_single_process(f.who, s.incarnation, s.upgrades) || s.drained) return;
+    s.drained = true;
+    rules_.node_drained(f.who, true);
+    call(f.who, "POST /healthcheck/fail", [](const auto&) {});
+    schedule(events_.now() + drained_within, Kind::check_drained, fault, s.incarnation);
+}
+
+// By then no client is sent there, and none is held there but where packets pass.
+void OperatorActions::check_drained(std::uint64_t fault, std::uint32_t incarnation) {
+    const Fault& f = day_.faults[fault];
+    const ProcessSlot& s = nodes_.slot(f.who);
+    const Ticks now = events_.now();
+    if (!s.current.node || s.incarnation != incarnation) return;
+    const bool same = nodes_.is_single_process(f.who, incarnation, s.upgrades) &&
+                      rules_.undisturbed(f.who, now - drained_within - second, now);
+    if (same && s.drained && !starved(f.who)) {
+        rules_.judge_drained(f.who);
+        call(f.who, "GET /healthcheck", [this, node = f.who](const auto& answer) {
+            if (answer.status == 200 && nodes_.slot(node).drained)
+                rules_.broke("drained",
+                             "node " + std::to_string(node) + " still says yes 4 s after the call");
+        });
+    }
+    schedule(now + f.span, Kind::end_drain, fault, incarnation);
+}
+
+void OperatorActions::end_drain(const Fault& f, std::uint32_t incarnation) {
+    ProcessSlot& s = nodes_.slot(f.who);
+    if (!s.current.node || s.incarnation != incarnation || !s.drained) return;
+    s.drained = false;
+    rules_.node_drained(f.who, false);
+    call(f.who, "POST /healthcheck/ok", [](const auto&) {});
+    const auto check = [this, node = f.who, incarnation, upgrades = s.upgrades] {
+        call(node, "GET /healthcheck", [this, node, incarnation, upgrades](const auto& answer) {
+            const Ticks now = events_.now();
+            if (answer.status != 200 && nodes_.is_single_process(node, incarnation, upgrades) &&
+                !nodes_.slot(node).drained && !starved(node) &&
+                rules_.undisturbed(node, now - undrained_within - second, now))
+                rules_.broke("drained",
+                             "node " + std::to_string(node) + " says no 2 s after the drain's end");
+        });
+    };
+    undrained_checks_.emplace_back(check);
+    schedule(events_.now() + undrained_within, Kind::check_undrained, undrained_checks_.size() - 1);
+}
+
+void OperatorActions::on_event(std::uint64_t token) {
+    const auto event = decode<Kind>(token);
+    const auto node = static_cast<std::uint32_t>(event.index);
+    switch (event.kind) {
+        case Kind::read_metrics:
+            return read_metrics(node);
+        case Kind::poll_health:
+            return poll_health(event.index, event.incarnation);
+        case Kind::kill_previous:
+            if (nodes_.slot(node).upgrades == event.incarnation) nodes_.end_previous(node);
+            return;
+        case Kind::check_drained:
+            return check_drained(event.index, event.incarnation);
+        case Kind::end_drain:
+            return end_drain(day_.faults[event.index], event.incarnation);
+        case Kind::check_undrained:
+            return undrained_checks_[event.index]();
+    }
+}
+
+}  // namespace lemonstair::simulation
--- /dev/null
+++ b/src/simulation/operator_actions.h
@@ -0,0 +1,62 @@
+// What operators do in a simulation: upgrade nodes, drain them, read their metrics each second; and whether
+// the nodes answer them as they must. Times are tenths of a ms.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <memory>
+#include <vector>
+
+#include "fakes/admin_client.h"
+#include "simulation/simulated_nodes.h"
+
+namespace lemonstair::simulation {
+
+class OperatorActions final : public simnet::EventTarget {
+  public:
+    // In a scenario with operators: adds their machine, and schedules the first reading of metrics.
+    OperatorActions(const Scenario& day, simnet::EventQueue& events, simnet::Network& network,
+                    fakes::TestEnvironment& town, Invariants& rules, SimulatedNodes& nodes);
+
+    // `fault`: its place in the scenario. As the platform does it: the previous process has SIGTERM once the
+    // new one says that it is healthy.
+    void upgrade(std::uint32_t node, std::uint64_t fault);
+    // The new process dies before it has taken over.
+    void fail_upgrade(std::uint32_t node);
+    void drain(const Fault& f, std::uint64_t fault);
+    // Connections that say nothing, or half a request.
+    void open_idle_connections(std::uint32_t node, int count);
+    void on_event(std::uint64_t token) override;
+
+  private:
+    enum class Kind : std::uint8_t {
+        read_metrics,
+        poll_health,
+        kill_previous,
+        check_drained,
+        end_drain,
+        check_undrained
+    };
+    struct Upgrade {
+        Ticks began = 0, healthy_at = 0;  // 0: not yet
+    };
+    void schedule(Ticks when, Kind kind, std::uint64_t index, std::uint32_t incarnation = 0);
+    void call(std::uint32_t node, const char* line, fakes::Operators::Told told);
+    bool starved(std::uint32_t node) const;
+    void read_metrics(std::uint32_t node);
+    void poll_health(std::uint64_t fault, std::uint32_t upgrades);
+    void check_health(std::uint32_t node, bool completes);
+    void on_healthy(std::uint32_t node, bool completes);
+    void check_drained(std::uint64_t fault, std::uint32_t incarnation);
+    void end_drain(const Fault& f, std::uint32_t incarnation);
+
+    const Scenario& day_;
+    simnet::EventQueue& events_;
+    Invariants& rules_;
+    SimulatedNodes& nodes_;
+    std::unique_ptr<fakes::Operators> client_;  // null in a scenario without operators
+    std::vector<Upgrade> upgrades_;             // by node: the last
+    std::vector<std::function<void()>> undrained_checks_;
+};
+
+}  // namespace lemonstair::simulation
--- /dev/null
+++ b/src/simulation/simulated_nodes.cpp
@@ -0,0 +1,258 @@
+#include "simulation/simulated_nodes.h"
+
+#include <algorithm>
+#include <exception>
+#include <utility>
+
+#include "metrics/violations.h"
+
+namespace lemonstair::simulation {
+
+namespace {
+
+using simnet::Process;
+
+constexpr std::size_t backlog = 1024, most_spin = 40, most_idle_timers = 120;
+constexpr std::uint16_t admin_port = 10250;
+const std::string file_name = "node.json";
+
+// Log lines of a node go into the trace; a violation that the node found itself breaks a rule.
+class TraceDrain final : public log::Drain {
+  public:
+    TraceDrain(fakes::TestEnvironment& town, Invariants& rules, std::uint32_t node)
+        : town_(town), rules_(rules), node_(node) {}
+    std::size_t take(std::string_view text) override {
+        town_.note("log", node_, 0, text.substr(0, text.size() - (text.empty() ? 0 : 1)));
+        if (const auto at = text.find(metrics::violation_mark); at != std::string_view::npos)
+            rules_.broke("self_check",
+                         "node " + std::to_string(node_) + ": " + std::string(text.substr(at, 100)));
+        return text.size();
+    }
+
+  private:
+    fakes::TestEnvironment& town_;
+    Invariants& rules_;
+    std::uint32_t node_;
+};
+
+}  // namespace
+
+SimulatedNodes::SimulatedNodes(const Scenario& day, simnet::EventQueue& events, simnet::Network& network,
+                               simnet::RandomSource& chance, Invariants& rules, Tamper* tamper)
+    : day_(day), events_(events), network_(network), rules_(rules), tamper_(tamper), slots_(day.nodes) {
+    for (ProcessSlot& s : slots_) {
+        s.machine = network_.add_machine();
+        if (day_.clocks_apart > 0) s.clock_ahead = chance.between(Ticks{0}, day_.clocks_apart);
+    }
+}
+
+// Nodes go before what they run on.
+SimulatedNodes::~SimulatedNodes() {
+    for (ProcessSlot& s : slots_) s.current.node.reset(), s.previous.node.reset();
+}
+
+void SimulatedNodes::share_listener(std::uint32_t node) {
+    slots_[node].listener = std::make_unique<simnet::SharedListener>(
+        network_, network_.place(node, Fixture::client_port), backlog);
+    slots_[node].local_sockets = std::make_unique<simnet::LocalSockets>(network_);
+}
+
+bool SimulatedNodes::is_single_process(std::uint32_t node, std::uint32_t incarnation,
+                                       std::uint32_t upgrades) const {
+    const ProcessSlot& s = slots_[node];
+    return s.current.node && s.current.process->runs() && !s.previous.process && !s.leaving &&
+           s.incarnation == incarnation && s.upgrades == upgrades;
+}
+
+// ---- start
+
+void SimulatedNodes::start(std::uint32_t node) {
+    ProcessSlot& s = slots_[node];
+    if (s.current.node) return;
+    ++s.incarnation;
+    s.leaving = s.drained = false;
+    rules_.node_started(node);
+    if (!start_process(node)) end(node, Invariants::NodeEnd::crashed);
+}
+
+void SimulatedNodes::make_process(std::uint32_t node, NodeProcess& running) {
+    const ProcessSlot& s = slots_[node];
+    const Process::Traits traits{s.clock_ahead, day_.pass_takes, day_.sockets};
+    running.process = std::make_unique<Process>(events_, network_, s.machine, traits);
+    running.process->files()[file_name] = s.file;
+    running.drain = std::make_unique<TraceDrain>(*town_, rules_, node);
+    running.log = std::make_unique<log::Log>(log::Level::info, *running.drain);
+    running.started_at = events_.now();
+    running.shared_clients = s.previous.process != nullptr;
+}
+
+config::Environment SimulatedNodes::make_environment(ProcessSlot& s) {
+    if (!day_.operated) return {};
+    NodeProcess& running = s.current;
+    running.process->live_beside(*s.local_sockets);
+    running.inherited = std::to_string(running.process->inherit(*s.listener));
+    // Two processes of a node have admin addresses of their own.
+    running.admin_address = simnet::Network::address(s.machine, admin_port);
+    if (s.previous.process && s.previous.admin_address == running.admin_address)
+        running.admin_address = simnet::Network::address(s.machine, admin_port + 1);
+    running.admin_text = net::address_text(running.admin_address);
+    return {.admin_addr = running.admin_text.c_str(),
+            .inherited_fd = running.inherited.c_str(),
+            .tmpdir = "/tmp"};
+}
+
+std::unique_ptr<node::Node> SimulatedNodes::make_node(NodeProcess& running, net::System& system) {
+    auto launch = running.source->read();
+    config::ConfigSource* source = running.source.get();
+    const auto decides = [this](BalancerConfig config, BalancerDelegate& delegate, Ticks now) {
+        auto other = tamper_ == nullptr ? nullptr : tamper_->decides(config, delegate, now);
+        return other != nullptr ? std::move(other) : Balancer::start(std::move(config), delegate, now);
+    };
+    return std::make_unique<node::Node>(
+        system, std::move(launch), source->known(), *running.log, [source] { return source->read(); },
+        decides);
+}
+
+// False where it does not start.
+bool SimulatedNodes::start_process(std::uint32_t node) {
+    ProcessSlot& s = slots_[node];
+    NodeProcess& running = s.current;
+    make_process(node, running);
+    const config::Environment around = make_environment(s);
+    net::System* system = running.process.get();
+    if (tamper_ != nullptr && (running.tampered = tamper_->between(*running.process)) != nullptr)
+        system = running.tampered.get();
+    town_->note("node starts", node, s.incarnation);
+    try {
+        running.source = std::make_unique<config::ConfigSource>(*system, file_name, around);
+        running.node = make_node(running, *system);
+    } catch (const std::exception& e) {
+        rules_.broke("crash", "node " + std::to_string(node) + " does not start: " + e.what());
+        return false;
+    }
+    running.process->start([this, node, process = running.process.get()] { return pass(node, process); });
+    return true;
+}
+
+// ---- run
+
+void SimulatedNodes::check_descriptors(std::uint32_t node) {
+    const ProcessSlot& s = slots_[node];
+    if (!s.previous.process || !s.previous.process->runs() || !s.current.process) return;
+    const std::size_t current = s.current.process->held(), previous = s.previous.process->held();
+    if (current + previous <= day_.sockets) return;
+    rules_.broke("descriptors", "both processes of node " + std::to_string(node) + " held " +
+                                    std::to_string(current) + " and " + std::to_string(previous) + " of " +
+                                    std::to_string(day_.sockets));
+}
+
+// A process that has left is kept: it must not be destroyed while a call of it is on the stack.
+bool SimulatedNodes::pass(std::uint32_t node, const Process* process) {
+    ProcessSlot& s = slots_[node];
+    NodeProcess& running = s.previous.process.get() == process ? s.previous : s.current;
+    try {
+        const bool goes_on = running.node->turn();
+        check_descriptors(node);
+        if (goes_on) return true;
+        town_->note("node left", node, s.incarnation);
+        if (&running == &s.current) rules_.node_ended(node, Invariants::NodeEnd::left);
+    } catch (const std::exception& e) {
+        rules_.broke("crash", "node " + std::to_string(node) + ": " + e.what());
+        rules_.node_ended(node, Invariants::NodeEnd::crashed);
+    }
+    return false;
+}
+
+void SimulatedNodes::signal(std::uint32_t node, int number) {
+    if (slots_[node].runs()) slots_[node].current.process->signal(number);
+}
+
+void SimulatedNodes::write_file(std::uint32_t node, const std::string& text) {
+    slots_[node].file = text;
+    if (slots_[node].current.process) slots_[node].current.process->files()[file_name] = text;
+}
+
+void SimulatedNodes::write_half_file(std::uint32_t node) {
+    const ProcessSlot& s = slots_[node];
+    s.current.process->files()[file_name] = s.file.substr(0, s.file.size() / 2);
+}
+
+// ---- upgrade
+
+bool SimulatedNodes::start_upgrade(std::uint32_t node) {
+    ProcessSlot& s = slots_[node];
+    s.previous = std::exchange(s.current, {});
+    ++s.upgrades;
+    s.drained = false;  // the new one begins serving
+    rules_.node_drained(node, false);
+    const bool started = start_process(node);
+    if (!started) end(node, Invariants::NodeEnd::crashed);
+    return started;
+}
+
+// What the new one had taken over is lost to the clients, as in a stall.
+void SimulatedNodes::abort_upgrade(std::uint32_t node) {
+    ProcessSlot& s = slots_[node];
+    town_->note("new process dies", node, s.incarnation);
+    rules_.node_stalled(node, events_.now());
+    end_process(node, s.current);
+    s.current = std::exchange(s.previous, {});
+    s.current.shared_clients = true;
+}
+
+// ---- end
+
+void SimulatedNodes::end(std::uint32_t node, Invariants::NodeEnd how) {
+    ProcessSlot& s = slots_[node];
+    if (!s.current.process) return;
+    if (s.current.process->runs() || !s.current.node) rules_.node_ended(node, how);
+    town_->note("node ends", node, s.incarnation);
+    end_process(node, s.previous);
+    end_process(node, s.current);
+}
+
+void SimulatedNodes::end_process(std::uint32_t node, NodeProcess& running) {
+    if (!running.process) return;
+    const Process& process = *running.process;
+    usage_.passes += process.passes();
+    usage_.most_descriptors = std::max(usage_.most_descriptors, process.most_held());
+    usage_.longest_spin = std::max(usage_.longest_spin, process.longest_spin());
+    if (process.most_held() > day_.sockets)
+        rules_.broke("descriptors", "node " + std::to_string(node) + " held " +
+                                        std::to_string(process.most_held()) + " of " +
+                                        std::to_string(day_.sockets));
+    if (process.longest_spin() > most_spin)
+        rules_.broke("spin", "node " + std::to_string(node) + " made " +
+                                 std::to_string(process.longest_spin()) + " passes for nothing");
+    running.process->die();
+    running.node.reset();
+    running.source.reset();
+    running.tampered.reset();
+    ended_.push_back(std::move(running.process));
+}
+
+void SimulatedNodes::check_leftovers() {
+    constexpr std::size_t allowed = 3;  // a client that comes and goes at this moment
+    for (std::uint32_t n = 0; n < size(); ++n) {
+        const ProcessSlot& s = slots_[n];
+        if (!s.current.node || !s.current.process->runs() || s.leaving || s.previous.process) continue;
+        std::size_t clients = 0, calls = 0;
+        s.current.process->each_end([&](simnet::End end) { ++(end.side == 1 ? clients : calls); });
+        const auto holds = s.current.node->holds();
+        usage_.most_timers = std::max(usage_.most_timers, holds.timers);
+        const auto check = [&](std::size_t held, std::size_t most, const char* what) {
+            if (held > most)
+                rules_.broke("left_over", "node " + std::to_string(n) + " is empty and holds " +
+                                              std::to_string(held) + what);
+        };
+        check(clients, allowed, " connections of clients");
+        check(calls, day_.hosts + 1, " calls");
+        check(holds.tunnels, allowed, " tunnels");
+        check(holds.buffers, allowed, " buffers");
+        // Timers of tunnels that are gone fall due within their clients' time: two for each tunnel at most.
+        const std::size_t of_tunnels = 2 * std::size_t{day_.members} / day_.nodes;
+        check(holds.timers, std::max(most_idle_timers, of_tunnels), " timers");
+    }
+}
+
+}  // namespace lemonstair::simulation
--- /dev/null
+++ b/src/simulation/simulated_nodes.h
@@ -0,0 +1,113 @@
+// The nodes of a simulation: the product's own node code, each in a process on a simulated machine. Owns the
+// processes through kills, restarts and upgrades; judges what a process does wrong by itself (crash,
+// descriptors, spin). Times are tenths of a ms.
+#pragma once
+
+#include <cstdint>
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "config/source.h"
+#include "node/node.h"
+#include "simnet/local_socket.h"
+#include "simnet/process.h"
+#include "simulation/fixture.h"
+#include "simulation/simulation.h"
+
+namespace lemonstair::simulation {
+
+// One process of a node, and what it runs on.
+struct NodeProcess {
+    std::unique_ptr<log::Drain> drain;
+    std::unique_ptr<log::Log> log;
+    std::unique_ptr<simnet::Process> process;
+    std::unique_ptr<net::System> tampered;
+    std::unique_ptr<config::ConfigSource> source;
+    std::unique_ptr<node::Node> node;
+    net::Address admin_address;
+    std::string inherited, admin_text;
+    Ticks started_at = 0;
+    bool shared_clients = false;  // another process answered some of its node's clients meanwhile
+};
+
+// One node of the tier, through its incarnations.
+struct ProcessSlot {
+    simnet::Machine machine = 0;
+    Ticks clock_ahead = 0;
+    std::string file;  // the configuration that the next process reads
+    NodeProcess current;
+    NodeProcess previous;  // the process that an upgrade is replacing
+    std::unique_ptr<simnet::SharedListener> listener;
+    std::unique_ptr<simnet::LocalSockets> local_sockets;
+    std::uint32_t incarnation = 0, upgrades = 0;
+    bool leaving = false, drained = false;
+
+    bool runs() const { return current.process && current.process->runs(); }
+};
+
+class SimulatedNodes {
+  public:
+    // What the processes needed at most; part of the verdict.
+    struct Usage {
+        std::uint64_t passes = 0;
+        std::size_t most_descriptors = 0, longest_spin = 0, most_timers = 0;
+    };
+
+    // Adds a machine for each node to the network.
+    SimulatedNodes(const Scenario& day, simnet::EventQueue& events, simnet::Network& network,
+                   simnet::RandomSource& chance, Invariants& rules, Tamper* tamper);
+    SimulatedNodes(const SimulatedNodes&) = delete;
+    SimulatedNodes& operator=(const SimulatedNodes&) = delete;
+    ~SimulatedNodes();
+    // Before the first start.
+    void attach(fakes::TestEnvironment& town) { town_ = &town; }
+    // The platform holds the node's listener, so that two processes of it can run at once.
+    void share_listener(std::uint32_t node);
+
+    std::uint32_t size() const { return static_cast<std::uint32_t>(slots_.size()); }
+    ProcessSlot& slot(std::uint32_t node) { return slots_[node]; }
+    const ProcessSlot& slot(std::uint32_t node) const { return slots_[node]; }
+    const Usage& usage() const { return usage_; }
+    // Whether a node is one process, and was all the time since that incarnation and upgrade.
+    bool is_single_process(std::uint32_t node, std::uint32_t incarnation, std::uint32_t upgrades) const;
+
+    // Nothing happens where it runs.
+    void start(std::uint32_t node);
+    // All its processes.
+    void end(std::uint32_t node, Invariants::NodeEnd how);
+    // Starts a new process beside the current one, which becomes the previous one. False: it does not start,
+    // and the node has ended.
+    bool start_upgrade(std::uint32_t node);
+    // The new process of an upgrade dies: the previous one is the node again.
+    void abort_upgrade(std::uint32_t node);
+    // The previous process of an upgrade is killed.
+    void end_previous(std::uint32_t node) { end_process(node, slots_[node].previous); }
+    void signal(std::uint32_t node, int number);
+    void write_file(std::uint32_t node, const std::string& text);
+    // Broken from now on: half of the file. The slot keeps the whole one.
+    void write_half_file(std::uint32_t node);
+    // After the clients have gone: whether the nodes still hold something for them.
+    void check_leftovers();
+
+  private:
+    bool start_process(std::uint32_t node);
+    void make_process(std::uint32_t node, NodeProcess& running);
+    std::unique_ptr<node::Node> make_node(NodeProcess& running, net::System& system);
+    config::Environment make_environment(ProcessSlot& slot);
+    void end_process(std::uint32_t node, NodeProcess& running);
+    bool pass(std::uint32_t node, const simnet::Process* process);
+    void check_descriptors(std::uint32_t node);
+
+    const Scenario& day_;
+    simnet::EventQueue& events_;
+    simnet::Network& network_;
+    Invariants& rules_;
+    Tamper* tamper_;
+    fakes::TestEnvironment* town_ = nullptr;
+    std::vector<ProcessSlot> slots_;
+    std::vector<std::unique_ptr<simnet::Process>> ended_;  // the event queue may still name them
+    Usage usage_;
+};
+
+}  // namespace lemonstair::simulation
