--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -66,20 +66,20 @@
       stages_(loop_, launch_, hosts_, log_, costs_),
       peers_(loop_, launch_, costs_,
              [this](std::uint32_t node, std::span<const std::uint8_t> bytes) {
-                 stages_.floor.mind().on_gossip(node, bytes);
+                 stages_.registry.balancer_now().on_gossip(node, bytes);
              }),
       orders_(loop_, peers_, log_, costs_),
-      watch_(loop_, stages_.floor.pool, launch_.discovery, *this, log_, costs_),
-      prober_(loop_, stages_.floor.pool, hosts_, *this, launch_, costs_),
+      watch_(loop_, stages_.registry.pool, launch_.discovery, *this, log_, costs_),
+      prober_(loop_, stages_.registry.pool, hosts_, *this, launch_, costs_),
       desk_(loop_, *this, log_),
       succession_(loop_, *this, log_, launch_.name, launch_.nearby),
       decider_(std::move(decider)),
       rng_(launch_.terms.seed),
       signals_(loop_, system.signals(), POLLIN, *this, 0) {
     if (launch_.inherited)
-        open_at(system, "NODE_INHERITED_FD", [&] { stages_.take_in.listen_on(*launch_.inherited); });
+        open_at(system, "NODE_INHERITED_FD", [&] { stages_.acceptor.listen_on(*launch_.inherited); });
     else
-        open_at(system, "listen", [&] { stages_.take_in.listen_on(launch_.listen); });
+        open_at(system, "listen", [&] { stages_.acceptor.listen_on(launch_.listen); });
     if (launch_.admin) open_at(system, "admin_addr", [&] { desk_.open(*launch_.admin, launch_.callers); });
     for (const auto& [timer, every] : {std::pair{look_over_timer, look_over_every},
                                        {tally_timer, tally_every},
@@ -93,23 +93,26 @@
     orders_.expect_another();
     balancer_ = decider_(launch_.terms, orders_, loop_.now());
     orders_.decide_by(*balancer_);
-    stages_.floor.balancer = balancer_.get();
-    if (known_.type() == json::Type::object) hosts_.take(known_, stages_.floor.mind(), true, loop_.now());
+    stages_.registry.balancer = balancer_.get();
+    if (known_.type() == json::Type::object)
+        hosts_.take(known_, stages_.registry.balancer_now(), true, loop_.now());
     json::Document told;
     if (!list.empty() && told.parse(list))
-        hosts_.take_over(told.root().told_as("list handed over"), stages_.floor.mind(),
-                         stages_.carry.clock_shift(), loop_.now());
+        hosts_.take_over(told.root().told_as("list handed over"), stages_.registry.balancer_now(),
+                         stages_.transfer.clock_shift(), loop_.now());
 }
 
 // The node's place is this process's, alone or after an old one.
 void Node::begin(std::string_view list, std::string_view memory) {
     think(list);
-    if (!memory.empty() && !stages_.floor.mind().restore_state(memory, stages_.carry.clock_shift())) {
+    if (!memory.empty() &&
+        !stages_.registry.balancer_now().restore_state(memory, stages_.transfer.clock_shift())) {
         log_.error() << "hand-over: what the old process remembers cannot be read, the node begins anew";
         think(list);
     }
     const bool alone = succession_.stand() == hot_restart::Role::alone;
-    if (!launch_.nearby.empty()) stages_.floor.for_other = alone ? for_a_new_one : for_the_other;
+    if (!launch_.nearby.empty())
+        stages_.registry.descriptors.set_sibling_reserve(alone ? for_a_new_one : for_the_other);
     speak();
     // What the old process was told last may be some time ago: the list is asked for at once.
     if (!list.empty() && !watch_.is_open()) watch_.open(hosts_.revision());
@@ -120,7 +123,7 @@
 void Node::speak() {
     open_peers();
     if (!launch_.terms.must_poll) watch_.open(hosts_.revision());
-    stages_.take_in.open(true);
+    stages_.acceptor.set_accepting(true);
 }
 
 // Guards against an end of the process, with tunnels open, where it becomes the node again and has no
@@ -138,63 +141,65 @@
 }
 
 void Node::fall_silent() {
-    stages_.take_in.open(false);
+    stages_.acceptor.set_accepting(false);
     peers_.close();
     watch_.stop();
     prober_.stop();
 }
 
 void Node::stand_changed(hot_restart::Role from, hot_restart::Role to) {
-    stages_.floor.ready = ready();
-    stages_.floor.for_other = to == hot_restart::Role::alone ? for_a_new_one : for_the_other;
+    stages_.registry.ready = ready();
+    stages_.registry.descriptors.set_sibling_reserve(to == hot_restart::Role::alone ? for_a_new_one
+                                                                                    : for_the_other);
     if (hot_restart::answers(from) == hot_restart::answers(to)) return;
     if (!hot_restart::answers(to)) return fall_silent();
     // Guards against a new version that dies just after its yes: this one is the node again.
-    stages_.floor.mind().resume_ownership();
+    stages_.registry.balancer_now().resume_ownership();
     speak();
     tell_list(EndpointListKind::moved);
 }
 
 void Node::tell_state(std::string& list, std::string& memory) {
     list = hosts_.list();
-    stages_.floor.mind().serialize_state(memory);
+    stages_.registry.balancer_now().serialize_state(memory);
 }
 
 bool Node::next_tunnel(hot_restart::TransferredTunnel& into) {
-    if (!stages_.carry.next(into.number, into.bytes)) return false;
-    const tunnel::Tunnel& t = *stages_.floor.find(into.number);
+    if (!stages_.transfer.next_transferable(into.number, into.bytes)) return false;
+    const tunnel::Tunnel& t = *stages_.registry.find(into.number);
     into.client = t.client.fd();
-    into.host = t.host.fd();
+    into.host = t.endpoint.fd();
     return true;
 }
 
 void Node::tunnel_gone(std::uint64_t number, bool taken) {
-    if (taken) return stages_.carry.gone(number);
-    stages_.carry.comes_back(number, !hot_restart::hands_over(succession_.stand()));
+    if (taken) return stages_.transfer.complete(number);
+    stages_.transfer.cancel(number, !hot_restart::hands_over(succession_.stand()));
 }
 
 bool Node::take_tunnel(std::string_view bytes, net::Fd client, net::Fd host) {
-    return stages_.carry.take(bytes, std::move(client), std::move(host));
+    return stages_.transfer.adopt(bytes, std::move(client), std::move(host));
 }
 
 void Node::go(Phase to) {
-    auto& floor = stages_.floor;
-    const std::size_t owed = floor.admitted + floor.departing;
+    auto& registry = stages_.registry;
+    const std::size_t owed = registry.admitted_count() + registry.closing_count();
     if (to == Phase::left && phase_ != Phase::starting && owed > 0 &&
         !hot_restart::hands_over(succession_.stand()))
-        floor.violated(metrics::Invariant::exited_with_debts, 0, std::to_string(owed) + " tunnels in hand");
+        registry.report_violation(metrics::Invariant::exited_with_debts, 0,
+                                  std::to_string(owed) + " tunnels in hand");
     log_.info() << launch_.name << ": " << name_of(static_cast<int>(phase_)) << " -> "
-                << name_of(static_cast<int>(to)) << ", " << hosts_.size() << " hosts known, " << floor.in_hand
-                << " tunnels, room for " << stages_.admit.room();
+                << name_of(static_cast<int>(to)) << ", " << hosts_.size() << " hosts known, "
+                << registry.tunnel_count() << " tunnels, room for " << stages_.admission.capacity();
     phase_ = to;
-    stages_.floor.ready = ready();
+    stages_.registry.ready = ready();
     floor_empties();
 }
 
 // What is in hand has to be over by a time; who comes from now on has no longer either.
 void Node::floor_empties() {
-    auto& floor = stages_.floor;
-    floor.answer_by = floor.over_by = tunnel::TunnelRegistry::no_end;
+    auto& registry = stages_.registry;
+    registry.answer_deadline = registry.close_deadline = tunnel::TunnelRegistry::no_deadline;
     if (phase_ != Phase::drained && phase_ != Phase::leaving) return;
     departure_ = phase_ == Phase::leaving ? DrainSchedule::on_term(launch_.terms) : DrainSchedule::on_drain();
     emptying_since_ = loop_.now();
@@ -202,8 +207,8 @@
     loop_.schedule(empty_at_, *this, empty_timer);
     // A drained node stays and serves who comes, however long that lasts: nothing has to be over by a time.
     if (phase_ == Phase::drained) return;
-    floor.over_by = emptying_since_ + departure_.over_by;
-    stages_.send.answer_by(emptying_since_ + departure_.answer_by);
+    registry.close_deadline = emptying_since_ + departure_.over_by;
+    stages_.attempts.set_answer_deadline(emptying_since_ + departure_.answer_by);
 }
 
 std::string_view Node::phase() const {
@@ -214,8 +219,8 @@
 std::string Node::figures() const {
     const EndpointCounts hosts = balancer_ ? balancer_->endpoint_counts() : EndpointCounts{};
     return admin::write_figures({.profiles = launch_.profiles,
-                                 .outcomes = stages_.floor.outcomes,
-                                 .open = stages_.floor.admitted,
+                                 .outcomes = stages_.registry.tunnel_counters,
+                                 .open = stages_.registry.admitted_count(),
                                  .listed = hosts.listed,
                                  .excluded = hosts.excluded});
 }
@@ -245,16 +250,16 @@
 void Node::carry_out(const DeferredActions::Order& order) {
     switch (order.kind) {
         case DeferredActions::Kind::set_up:
-            return stages_.route.set_up(order.tun, order.ep, order.span);
+            return stages_.dispatcher.start_attempt(order.tun, order.ep, order.span);
         case DeferredActions::Kind::decline:
-            return stages_.route.decline(order.tun, order.span);
+            return stages_.dispatcher.reject(order.tun, order.span);
         case DeferredActions::Kind::close_with_error:
-            return stages_.route.close_with_error(order.tun);
+            return stages_.dispatcher.fail(order.tun);
         case DeferredActions::Kind::move:
-            return stages_.route.move(order.tun);
+            return stages_.dispatcher.migrate(order.tun);
         case DeferredActions::Kind::probe:
             if (hot_restart::answers(succession_.stand())) return prober_.probe(order.ep);
-            return stages_.floor.mind().on_health_check(order.ep, Outcome::not_sent, 0, {});
+            return stages_.registry.balancer_now().on_health_check(order.ep, Outcome::not_sent, 0, {});
         case DeferredActions::Kind::watch:
             if (hot_restart::answers(succession_.stand())) watch_.open(hosts_.revision());
             return;
@@ -262,13 +267,13 @@
 }
 
 bool Node::list_heard(const json::Value& list) {
-    const bool taken = hosts_.take(list, stages_.floor.mind(), false, loop_.now());
+    const bool taken = hosts_.take(list, stages_.registry.balancer_now(), false, loop_.now());
     if (taken) backoff_.answered();
     return taken;
 }
 
 void Node::tell_list(EndpointListKind kind) {
-    Balancer& mind = stages_.floor.mind();
+    Balancer& mind = stages_.registry.balancer_now();
     mind.begin_endpoint_list(kind);
     mind.end_endpoint_list();
 }
@@ -289,7 +294,7 @@
 }
 
 void Node::on_health_check(std::uint32_t ep, Outcome ending, Ticks took, const LoadReport& report) {
-    stages_.floor.mind().on_health_check(ep, ending, took, report);
+    stages_.registry.balancer_now().on_health_check(ep, ending, took, report);
 }
 
 void Node::on_ready(std::uint64_t, short) {
@@ -304,7 +309,7 @@
 void Node::leave() {
     if (phase_ == Phase::starting) return go(Phase::left);
     // Who could not take this process's place serves beside it: clients are left to it.
-    if (succession_.displaced()) stages_.take_in.open(false);
+    if (succession_.displaced()) stages_.acceptor.set_accepting(false);
     if (phase_ == Phase::serving || phase_ == Phase::drained) go(Phase::leaving);
 }
 
@@ -344,10 +349,10 @@
 // new; until then the last list stands.
 void Node::take_renewed(const std::string& kept) {
     if (!kept.empty()) log_.error() << "not changed before the next start: " << kept;
-    stages_.floor.mind().update_config(launch_.terms);
+    stages_.registry.balancer_now().update_config(launch_.terms);
     const bool moved = watch_.move_to(launch_.discovery);
     log_.info() << "configuration read again" << (moved ? ", discovery has moved" : "") << ", room for "
-                << stages_.admit.room();
+                << stages_.admission.capacity();
     if (moved) hosts_.forget_revision();
     if (watch_.is_open()) return;
     backoff_.answered();
@@ -374,13 +379,13 @@
         return;
     }
     loop_.schedule(loop_.now() + tally_every, *this, tally_timer);
-    const auto& floor = stages_.floor;
-    const auto& n = floor.tally;
-    log_.info() << "tunnels in hand " << floor.in_hand << ", buffers out " << floor.pool.out()
-                << ", descriptors " << loop_.descriptors() << "; so far taken " << n.taken << ", opened "
-                << n.opened << ", declined " << n.declined << " (" << n.busy
-                << " for want of room), closed with error " << n.failed << ", moved " << n.moved << " ("
-                << n.silent << " off silent hosts), bad clients " << n.bad << ", gave way " << n.gave_way;
+    const auto& registry = stages_.registry;
+    const auto& n = registry.totals;
+    log_.info() << "tunnels in hand " << registry.tunnel_count() << ", buffers out " << registry.pool.out()
+                << ", descriptors " << loop_.descriptors() << "; so far taken " << n.accepted << ", opened "
+                << n.opened << ", declined " << n.rejected << " (" << n.over_capacity
+                << " for want of room), closed with error " << n.failed << ", moved " << n.migrated << " ("
+                << n.stalled << " off silent hosts), bad clients " << n.protocol_errors << ", gave way " << n.evicted;
 }
 
 void Node::tell_costs() {
@@ -389,14 +394,14 @@
     costs_.processor_us = loop_.system().processor_us();
     std::ostringstream added;
     metrics::write_added(added, costs_, costs_told_);
-    log_.info() << "second:" << added.str() << " tunnels_held=" << stages_.floor.admitted
+    log_.info() << "second:" << added.str() << " tunnels_held=" << stages_.registry.admitted_count()
                 << " probe_lines_held=" << prober_.lines();
     costs_told_ = costs_;
 }
 
 void Node::look_over() {
     loop_.schedule(loop_.now() + look_over_every, *this, look_over_timer);
-    stages_.relay.look_over();
+    stages_.relay.check_endpoints();
 }
 
 // Often, since the last tunnels to open are to be moved in what is left of the time.
@@ -405,8 +410,9 @@
     empty_at_ = loop_.now() + DrainSchedule::look_every;
     loop_.schedule(empty_at_, *this, empty_timer);
     const bool handed = hot_restart::hands_over(succession_.stand());
-    const auto& floor = stages_.floor;
-    if (phase_ == Phase::leaving && (handed ? floor.in_hand : floor.admitted + floor.departing) == 0 &&
+    const auto& registry = stages_.registry;
+    if (phase_ == Phase::leaving &&
+        (handed ? registry.tunnel_count() : registry.admitted_count() + registry.closing_count()) == 0 &&
         may_leave())
         return go(Phase::left);
     // Its clients go over to the new version, and notice nothing.
@@ -417,22 +423,22 @@
 
 // Who could not be accepted in its last moments would keep the node for ever.
 bool Node::may_leave() {
-    const Reason reason = attempt_policy::may_exit(stages_.take_in.debts());
+    const Reason reason = attempt_policy::may_exit(stages_.acceptor.outstanding_work());
     if (reason != Reason::allowed)
         log_.debug() << launch_.name << ": does not leave yet, " << lemonstair::name_of(reason);
-    const bool too_late = loop_.now() >= stages_.floor.over_by;
+    const bool too_late = loop_.now() >= stages_.registry.close_deadline;
     return reason == Reason::allowed || (reason == Reason::queue_unread && too_late);
 }
 
 // Spread, so that not all clients come again at once, and over well before the end.
 void Node::move_all() {
-    auto& floor = stages_.floor;
+    auto& registry = stages_.registry;
     const Ticks left = std::max<Ticks>(emptying_since_ + departure_.move_until - loop_.now(), 0);
     const auto rounds = static_cast<std::size_t>(1 + left / DrainSchedule::look_every);
-    std::size_t quota = floor.in_hand / rounds + 1;
-    for (std::uint32_t at = 0; at < floor.tunnels.places() && quota > 0; ++at) {
-        if (!floor.tunnels.used(at) || floor.tunnels[at].state != tunnel::TunnelState::relaying) continue;
-        stages_.relay.move(floor.id_of(at));
+    std::size_t quota = registry.tunnel_count() / rounds + 1;
+    for (std::uint32_t at = 0; at < registry.tunnels.places() && quota > 0; ++at) {
+        if (!registry.tunnels.used(at) || registry.tunnels[at].state != tunnel::TunnelState::open) continue;
+        stages_.relay.migrate(registry.id_of(at));
         --quota;
     }
 }
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -48,7 +48,7 @@
     };
     const metrics::ResourceCounters& costs() const { return costs_; }
     Holds holds() const {
-        return {stages_.floor.in_hand, stages_.floor.pool.out(), loop_.timers(), desk_.callers(),
+        return {stages_.registry.tunnel_count(), stages_.registry.pool.out(), loop_.timers(), desk_.callers(),
                 loop_.descriptors()};
     }
 
@@ -90,14 +90,16 @@
     void begin(std::string_view list, std::string_view memory) override;
     void stand_changed(hot_restart::Role from, hot_restart::Role to) override;
     net::Ticks clock_base() override { return loop_.system().clock_base(); }
-    void other_clock_base(net::Ticks base) override { stages_.carry.set_clock_shift(clock_base() - base); }
+    void other_clock_base(net::Ticks base) override { stages_.transfer.set_clock_shift(clock_base() - base); }
     bool next_tunnel(hot_restart::TransferredTunnel& into) override;
     void tunnel_gone(std::uint64_t number, bool taken) override;
     bool take_tunnel(std::string_view bytes, net::Fd client, net::Fd host) override;
-    bool has_tunnels() const override { return stages_.floor.in_hand > 0; }
-    std::size_t held() const override { return loop_.in_use() + tunnel::TunnelRegistry::outside_loop; }
+    bool has_tunnels() const override { return stages_.registry.tunnel_count() > 0; }
+    std::size_t held() const override { return loop_.in_use() + tunnel::DescriptorBudget::outside_loop; }
     std::size_t granted() const override { return launch_.sockets; }
-    void held_elsewhere(std::size_t descriptors) override { stages_.floor.elsewhere = descriptors; }
+    void held_elsewhere(std::size_t descriptors) override {
+        stages_.registry.descriptors.set_sibling_held(descriptors);
+    }
     void on_ready(std::uint64_t token, short events) override;
     void on_timer(std::uint64_t token) override;
 
--- a/src/tunnel/acceptor.cpp
+++ b/src/tunnel/acceptor.cpp
@@ -10,204 +10,239 @@
 #include "net/lines.h"
 #include "net/transfer.h"
 #include "tunnel/request_line.h"
+#include "tunnel/wire_protocol.h"
 
 namespace lemonstair::tunnel {
 
 namespace {
 
-constexpr Ticks rest_for = 200, longest_silence = 25000, silence_after_pong = 10000,
-                longest_standing_wait = 400000;
-// A few more clients are let in when there is no descriptor for them, to be told so: what waits in the
-// listener's queue would have no answer in its time.
-constexpr std::size_t most_at_door = 6;
-constexpr Ticks longest_silence_at_door = 5000;
-constexpr int most_pings = 16;
-constexpr int accepts_a_pass = 64;
-constexpr std::size_t longest_line = 4096;
+constexpr Ticks accept_pause = 200, pause_logged_every = 50 * accept_pause;
+// How long a client may take to send its request.
+constexpr Ticks request_timeout = 25000, request_timeout_after_check = 10000;
+constexpr Ticks request_timeout_reject_only = 5000;
+// How long a tunnel that is open at its endpoint already may take to be resumed there.
+constexpr Ticks resume_timeout = 400000;
+// Some clients are accepted without a descriptor to serve them, only to be told that the node is full: in the
+// listener's queue they would have no answer in their time.
+constexpr std::size_t max_reject_only = 6;
+constexpr int max_readiness_checks = 16;
+constexpr int max_accepts_per_pass = 64;
+
+// Asks the system, since the client may have left while its request waited in the queue of a process that was
+// stopped, or that is new. An end behind further bytes shows in the next pass, before any endpoint is sent
+// the request.
+bool has_disconnected(const Tunnel& tunnel) {
+    std::array<char, 1> next{};
+    const auto peeked = tunnel.client.peek(next);
+    return peeked.ended || peeked.error != 0;
+}
 
 }  // namespace
 
 void Acceptor::listen_on(net::Fd listener) {
-    listener_ = net::Socket(floor_.loop, std::move(listener), 0, *this, 0);
-    floor_.keep_spares();
+    listener_ = net::Socket(registry_.loop, std::move(listener), 0, *this, 0);
+    registry_.descriptors.refill_spares();
 }
 
-void Acceptor::open(bool yes) {
-    open_ = yes;
-    wait();
+void Acceptor::set_accepting(bool accepting) {
+    accepting_ = accepting;
+    update_listener_events();
 }
 
-void Acceptor::wait() { listener_.set_events(open_ && !resting_ ? POLLIN : 0); }
+void Acceptor::update_listener_events() { listener_.set_events(accepting_ && !paused_ ? POLLIN : 0); }
 
 // True where the system said that no client waits; false where some may, whatever kept them from being
 // accepted.
-bool Acceptor::accept_waiting() {
-    for (int i = 0; i < accepts_a_pass && open_; ++i) {
-        // Each pass of the loop costs as much as there are connections: the silent have a part of them.
-        const bool crowded = floor_.taking_in() > floor_.launch.sockets / 4;
-        bool at_door = false;
-        if ((crowded || floor_.down_to(TunnelRegistry::fewest_left)) && !book_.make_room() &&
-            floor_.down_to(TunnelRegistry::fewest_left))
-            at_door = true;
-        if (at_door && floor_.at_door >= most_at_door) return rest(), false;
-        // Of what two processes are granted together the system knows nothing.
-        if (floor_.elsewhere > 0 && floor_.down_to(TunnelRegistry::outside_loop)) return rest(), false;
-        net::Fd fd = listener_.accept();
-        if (!fd.open()) {
-            const int error = errno;
-            if (error == EAGAIN || error == EWOULDBLOCK) return true;
-            if (net::is_per_call_accept_error(error)) continue;
-            if (!net::is_resource_exhausted(error)) return rest(), false;
-            if (book_.make_room()) continue;
-            if (!floor_.give_up_spare()) return rest(), false;
-            fd = listener_.accept();
-            if (!fd.open()) return floor_.keep_spares(), rest(), false;
-            at_door = true;
+bool Acceptor::accept_pending() {
+    const DescriptorBudget& descriptors = registry_.descriptors;
+    for (int i = 0; i < max_accepts_per_pass && accepting_; ++i) {
+        // Each pass of the loop costs as much as there are connections: idle ones may be a part of them only.
+        const bool crowded = registry_.reading_request_count() > registry_.config.sockets / 4;
+        const bool short_of_descriptors = (crowded || descriptors.is_low(DescriptorBudget::reserved)) &&
+                                          !completion_.evict_idle_connection() &&
+                                          descriptors.is_low(DescriptorBudget::reserved);
+        if (short_of_descriptors && registry_.reject_only_count() >= max_reject_only)
+            return pause_accepting(), false;
+        // The system does not know what two processes of a node are granted together.
+        if (descriptors.sibling_held() > 0 && descriptors.is_low(DescriptorBudget::outside_loop))
+            return pause_accepting(), false;
+        net::Fd client = listener_.accept();
+        if (client.open()) {
+            add_client(std::move(client), short_of_descriptors);
+            continue;
+        }
+        const int error = errno;
+        if (error == EAGAIN || error == EWOULDBLOCK) return true;
+        if (net::is_per_call_accept_error(error)) continue;
+        if (!net::is_resource_exhausted(error)) return pause_accepting(), false;
+        if (completion_.evict_idle_connection()) continue;
+        if (!registry_.descriptors.release_spare()) return pause_accepting(), false;
+        client = listener_.accept();
+        if (!client.open()) {
+            registry_.descriptors.refill_spares();
+            return pause_accepting(), false;
         }
-        const TunnelId id = floor_.open(std::move(fd), at_door);
-        floor_.go(id, TunnelState::taking_in);
-        floor_.set_due(id, *floor_.find(id),
-                       floor_.loop.now() + (at_door ? longest_silence_at_door : longest_silence));
-        tunnel_ready(id, Side::client,
-                     POLLIN);  // mostly its line is here already: then it never counts as silent
+        add_client(std::move(client), true);
     }
-    return !open_;
+    return !accepting_;
+}
+
+void Acceptor::add_client(net::Fd client, bool reject_only) {
+    const TunnelId id = registry_.add(std::move(client), reject_only);
+    registry_.transition_to(id, TunnelState::reading_request);
+    registry_.set_state_deadline(
+        id, *registry_.find(id),
+        registry_.loop.now() + (reject_only ? request_timeout_reject_only : request_timeout));
+    // Mostly the request has arrived with the connection: read now, it never counts as idle.
+    on_tunnel_ready(id, Side::client, POLLIN);
 }
 
-// Guards against an exit in the instant in which a client's line is in its socket, or in the listener's
-// queue.
-attempt_policy::Debts Acceptor::debts() {
-    attempt_policy::Debts debts;
-    debts.listener_empty = accept_waiting();
-    debts.tunnels = floor_.admitted + floor_.departing;
-    debts.speaking_clients = any_speaks();
-    return debts;
+attempt_policy::Debts Acceptor::outstanding_work() {
+    attempt_policy::Debts work;
+    work.listener_empty = accept_pending();
+    work.tunnels = registry_.admitted_count() + registry_.closing_count();
+    work.speaking_clients = any_request_begun();
+    return work;
 }
 
-bool Acceptor::any_speaks() const {
-    for (std::uint32_t at = 0; at < floor_.tunnels.places(); ++at) {
-        if (!floor_.tunnels.used(at) || floor_.tunnels[at].state != TunnelState::taking_in) continue;
-        const Tunnel& t = floor_.tunnels[at];
+// Also where the first bytes are still with the system.
+bool Acceptor::any_request_begun() {
+    for (std::uint32_t index = 0; index < registry_.tunnels.places(); ++index) {
+        if (!registry_.tunnels.used(index)) continue;
+        const Tunnel& tunnel = registry_.tunnels[index];
+        if (tunnel.state != TunnelState::reading_request) continue;
         std::array<char, 1> next{};
-        if ((t.opening.held() && !t.opening.empty()) || t.client.peek(next).bytes > 0) return true;
+        if (tunnel.request_buffer.held() && !tunnel.request_buffer.empty()) return true;
+        if (tunnel.client.peek(next).bytes > 0) return true;
     }
     return false;
 }
 
-// Guards against spinning on a client that cannot be accepted: it waits in the listener's queue for a moment.
-void Acceptor::rest() {
-    if (resting_) return;
-    resting_ = true;
-    if (floor_.loop.now() - rested_at_ > 50 * rest_for)
-        floor_.log.error() << "no descriptor for another client, " << floor_.loop.descriptors() << " in use";
-    rested_at_ = floor_.loop.now();
-    wait();
-    floor_.loop.schedule(floor_.loop.now() + rest_for, *this, 0);
+// A client that cannot be accepted keeps the listener readable: without a pause the loop would spin.
+void Acceptor::pause_accepting() {
+    if (paused_) return;
+    paused_ = true;
+    const Ticks now = registry_.loop.now();
+    if (now - paused_at_ > pause_logged_every)
+        registry_.log.error() << "no descriptor for another client, " << registry_.loop.descriptors()
+                              << " in use";
+    paused_at_ = now;
+    update_listener_events();
+    registry_.loop.schedule(now + accept_pause, *this, 0);
 }
 
 void Acceptor::on_timer(std::uint64_t) {
-    resting_ = false;
-    wait();
-}
-
-void Acceptor::tunnel_ready(TunnelId id, Side, short) {
-    Tunnel& t = *floor_.find(id);
-    if (!t.down.waiting.empty() && !say(t, {})) return book_.drop(id);
-    if (!t.down.waiting.empty()) return;  // it has yet to take a PONG
-    if (!t.opening.held()) t.opening = floor_.pool.take();
-    const auto [at, room] = t.opening.room();
-    const auto got = t.client.read({at, room});
-    if (got.error != 0 || got.ended) return book_.drop(id);
-    t.opening.added(got.bytes);
-    if (got.bytes > 0) t.heard_at = floor_.loop.now();
+    paused_ = false;
+    update_listener_events();
+}
+
+void Acceptor::on_tunnel_ready(TunnelId id, Side, short) {
+    Tunnel& tunnel = *registry_.find(id);
+    net::Buffer& answer = tunnel.downstream.buffer;
+    if (!answer.empty() && !write_or_buffer(tunnel, {})) return completion_.close_now(id);
+    if (!answer.empty()) return;  // nothing is read until the client has taken its answer
+    if (!tunnel.request_buffer.held()) tunnel.request_buffer = registry_.pool.take();
+    const auto [data, space] = tunnel.request_buffer.room();
+    const auto got = tunnel.client.read({data, space});
+    if (got.error != 0 || got.ended) return completion_.close_now(id);
+    tunnel.request_buffer.added(got.bytes);
+    if (got.bytes > 0) tunnel.last_input_at = registry_.loop.now();
     for (;;) {
-        const auto text = t.opening.view();
+        const auto text = tunnel.request_buffer.view();
         const auto end = text.find('\n');
         if (end == std::string_view::npos) break;
-        if (!line(id, net::first_line(text))) return;
-        t.opening.take(end + 1);
-        if (!t.down.waiting.empty()) return;  // what came behind it is read when the PONG is out
-    }
-    if (t.opening.view().size() > longest_line) return book_.turn_away(id);
-    if (t.opening.empty()) t.opening.give_back();
-}
-
-// What has come since the last pass still counts; who has said nothing whole by now is sent away with an
-// answer that is true for whatever is on its way.
-void Acceptor::tunnel_due(TunnelId id) {
-    if (floor_.loop.now() < floor_.find(id)->due) return;
-    tunnel_ready(id, Side::client, POLLIN);
-    const Tunnel* t = floor_.find(id);
-    if (t != nullptr && t->state == TunnelState::taking_in) book_.send_away(id);
-}
-
-// False once the tunnel is in other hands.
-bool Acceptor::line(TunnelId id, std::string_view text) {
-    Tunnel& t = *floor_.find(id);
-    if (text == "PING") {
-        const std::string_view pong = floor_.ready ? "PONG\r\n" : "BUSY\r\n";
-        if (++t.pings > most_pings) return book_.turn_away(id), false;
-        if (!say(t, pong)) return book_.drop(id), false;
-        // Who asks and stays has what it came for: by thousands they would make each pass of the loop dear.
-        const Ticks until = floor_.loop.now() + silence_after_pong;
-        if (until < t.due) floor_.set_due(id, t, until);
-        return true;
+        if (handle_line(id, net::first_line(text)) == LineResult::left_stage) return;
+        tunnel.request_buffer.take(end + 1);
+        if (!answer.empty()) return;
     }
-    TunnelRequest arrival;
-    std::string_view holder;
-    const bool good = text.size() <= longest_line &&
-                      read_opening(text, floor_.launch.profiles, floor_.loop.now(), arrival, holder);
-    if (!good || begins_command(t.opening.view().substr(t.opening.view().find('\n') + 1)) ||
-        !take_name(t, opening_id(text), arrival.mid_flow)) {
-        floor_.log.debug() << "a client's first line cannot be taken";
-        return book_.turn_away(id), false;
+    if (tunnel.request_buffer.view().size() > wire::longest_line)
+        return completion_.reject_protocol_error(id);
+    if (tunnel.request_buffer.empty()) tunnel.request_buffer.give_back();
+}
+
+// Reads once more before it gives up: the request may have arrived since the last pass.
+void Acceptor::on_tunnel_timer(TunnelId id) {
+    if (registry_.loop.now() < registry_.find(id)->state_deadline) return;
+    on_tunnel_ready(id, Side::client, POLLIN);
+    const Tunnel* tunnel = registry_.find(id);
+    if (tunnel != nullptr && tunnel->state == TunnelState::reading_request) completion_.expire_request(id);
+}
+
+Acceptor::LineResult Acceptor::handle_line(TunnelId id, std::string_view line) {
+    return line == wire::readiness_check ? handle_readiness_check(id) : handle_request(id, line);
+}
+
+Acceptor::LineResult Acceptor::handle_readiness_check(TunnelId id) {
+    Tunnel& tunnel = *registry_.find(id);
+    const std::string_view answer = registry_.ready ? wire::ready_line : wire::rejected_line;
+    if (++tunnel.readiness_checks > max_readiness_checks) {
+        completion_.reject_protocol_error(id);
+        return LineResult::left_stage;
     }
-    floor_.log.debug() << "tunnel " << static_cast<std::uint32_t>(id) << " taken: " << text;
-    if (has_left(t)) return book_.drop(id), false;
-    t.profile = arrival.traffic_class;
-    t.classed = true;
-    if (t.at_door && !floor_.comes_in(t)) {
-        ++floor_.tally.taken, ++floor_.tally.busy;
-        return book_.decline(id, 0), false;
+    if (!write_or_buffer(tunnel, answer)) {
+        completion_.close_now(id);
+        return LineResult::left_stage;
     }
-    if (!holder.empty())
-        arrival.deadline = std::max(arrival.deadline, floor_.loop.now() + longest_standing_wait);
-    admit_.admit(id, arrival, holder);
-    return false;
+    // Connections that are kept open after a check slow down each pass of the loop: they get less time.
+    const Ticks deadline = registry_.loop.now() + request_timeout_after_check;
+    if (deadline < tunnel.state_deadline) registry_.set_state_deadline(id, tunnel, deadline);
+    return LineResult::keep_reading;
 }
 
-// Guards against work for a client that left while its line waited to be read, as in the queue of a process
-// that was stopped or is new. An end behind further bytes is heard of in the next pass, before any host is
-// sent the line.
-bool Acceptor::has_left(const Tunnel& t) {
-    std::array<char, 1> next{};
-    const auto there = t.client.peek(next);
-    return there.ended || there.error != 0;
+Acceptor::LineResult Acceptor::handle_request(TunnelId id, std::string_view line) {
+    Tunnel& tunnel = *registry_.find(id);
+    const auto parsed = line.size() <= wire::longest_line
+                            ? parse_request_line(line, registry_.config.profiles, registry_.loop.now())
+                            : std::nullopt;
+    const auto input = tunnel.request_buffer.view();
+    if (!parsed || begins_command(input.substr(input.find('\n') + 1)) ||
+        !claim_id(tunnel, parsed->id, parsed->request.mid_flow)) {
+        registry_.log.debug() << "a client's request line is rejected";
+        completion_.reject_protocol_error(id);
+        return LineResult::left_stage;
+    }
+    registry_.log.debug() << "tunnel " << static_cast<std::uint32_t>(id) << " accepted: " << line;
+    if (has_disconnected(tunnel)) {
+        completion_.close_now(id);
+        return LineResult::left_stage;
+    }
+    TunnelRequest request = parsed->request;
+    tunnel.traffic_class = request.traffic_class;
+    tunnel.answer_uncounted = true;
+    if (tunnel.reject_only && !registry_.try_serve_reject_only(tunnel)) {
+        ++registry_.totals.accepted;
+        ++registry_.totals.over_capacity;
+        completion_.reject(id, 0);
+        return LineResult::left_stage;
+    }
+    if (!parsed->current_endpoint.empty())
+        request.deadline = std::max(request.deadline, registry_.loop.now() + resume_timeout);
+    admission_.admit(id, request, parsed->current_endpoint);
+    return LineResult::left_stage;
 }
 
-// What the system does not take at once waits, and nothing is read until it is out. False where the client is
-// gone.
-bool Acceptor::say(Tunnel& t, std::string_view text) {
-    net::Buffer& waiting = t.down.waiting;
-    if (!waiting.held()) waiting = floor_.pool.take();
-    waiting.append(text);
-    const auto sent = t.client.write(waiting.view());
+// What the system does not take at once is buffered. False where the connection is broken.
+bool Acceptor::write_or_buffer(Tunnel& tunnel, std::string_view text) {
+    net::Buffer& answer = tunnel.downstream.buffer;
+    if (!answer.held()) answer = registry_.pool.take();
+    answer.append(text);
+    const auto sent = tunnel.client.write(answer.view());
     if (sent.error != 0) return false;
-    waiting.take(sent.bytes);
-    t.client.set_events(waiting.empty() ? POLLIN : POLLOUT);
-    if (waiting.empty()) waiting.give_back();
+    answer.take(sent.bytes);
+    tunnel.client.set_events(answer.empty() ? POLLIN : POLLOUT);
+    if (answer.empty()) answer.give_back();
     return true;
 }
 
-// Guards against a client that gives the id of another's tunnel that is open or was lately: its host would
-// take both for one. Only packets that come back mid-flow go on under an id known here; and a tunnel whose
-// client is gone, which this pass has yet to hear, is no longer open.
-bool Acceptor::take_name(Tunnel& t, std::string_view id, bool mid_flow) {
-    t.name = hash_text(id) | 1;
-    const std::uint32_t at = floor_.names.find(t.name);
-    if (at == IdIndex::none) return true;
-    if (!mid_flow || at == TunnelRegistry::spent) return mid_flow;
-    return has_left(floor_.tunnels[at]);
+// False where the id is that of a tunnel that is open or was lately: its endpoint would take both for one.
+// Allowed are packets that come back mid-flow, and the id of a tunnel whose client is gone though this pass
+// has yet to see it.
+bool Acceptor::claim_id(Tunnel& tunnel, std::string_view id, bool mid_flow) {
+    tunnel.id_hash = hash_text(id) | 1;
+    const std::uint32_t index = registry_.by_id_hash.find(tunnel.id_hash);
+    if (index == IdIndex::none) return true;
+    if (!mid_flow || index == TunnelRegistry::recently_closed) return mid_flow;
+    return has_disconnected(registry_.tunnels[index]);
 }
 
 }  // namespace lemonstair::tunnel
--- a/src/tunnel/acceptor.h
+++ b/src/tunnel/acceptor.h
@@ -1,4 +1,4 @@
-// Take in: accepts clients, reads the first line of each, answers whether the node is ready.
+// Accepts clients, reads the request line of each, and answers readiness checks.
 #pragma once
 
 #include <string_view>
@@ -10,39 +10,46 @@
 
 namespace lemonstair::tunnel {
 
+// The stage of tunnels in TunnelState::reading_request.
 class Acceptor final : public net::EventHandler {
   public:
-    Acceptor(TunnelRegistry& floor, Admission& admit, Completion& book)
-        : floor_(floor), admit_(admit), book_(book) {}
-    // Clients come through a socket of the node's own, or through one that the platform holds.
-    void listen_on(const net::Address& at) { listen_on(floor_.loop.system().listen_on(at)); }
-    void listen_on(int inherited) { listen_on(floor_.loop.system().inherited_listener(inherited)); }
-    // Whether clients are accepted; they wait in the listener's queue else, for this process or another.
-    void open(bool yes);
-    // What an exit in this pass would leave unanswered, in the listener's queue too.
-    attempt_policy::Debts debts();
-    void on_ready(std::uint64_t, short) override { static_cast<void>(accept_waiting()); }
+    Acceptor(TunnelRegistry& registry, Admission& admission, Completion& completion)
+        : registry_(registry), admission_(admission), completion_(completion) {}
+    // Clients connect to a socket of the node's own, or to one that it inherits from the platform. Both throw
+    // std::system_error where there is no such socket.
+    void listen_on(const net::Address& address) { listen_on(registry_.loop.system().listen_on(address)); }
+    void listen_on(int inherited) { listen_on(registry_.loop.system().inherited_listener(inherited)); }
+    // While clients are not accepted they wait in the listener's queue, for this process or another one.
+    void set_accepting(bool accepting);
+    // What an exit at this moment would leave unanswered; accepts who waits in the listener's queue.
+    attempt_policy::Debts outstanding_work();
+
+    void on_ready(std::uint64_t, short) override { static_cast<void>(accept_pending()); }
     void on_timer(std::uint64_t token) override;
-    // The connection of a client that has not sent its first line yet.
-    void tunnel_ready(TunnelId id, Side side, short events);
-    void tunnel_due(TunnelId id);
+    void on_tunnel_ready(TunnelId id, Side side, short events);
+    void on_tunnel_timer(TunnelId id);
 
   private:
+    enum class LineResult : std::uint8_t { keep_reading, left_stage };
+
     void listen_on(net::Fd listener);
-    bool accept_waiting();
-    bool any_speaks() const;
-    void wait();
-    void rest();
-    bool take_name(Tunnel& t, std::string_view id, bool mid_flow);
-    static bool has_left(const Tunnel& t);
-    bool line(TunnelId id, std::string_view text);
-    bool say(Tunnel& t, std::string_view text);
-    TunnelRegistry& floor_;
-    Admission& admit_;
-    Completion& book_;
+    bool accept_pending();
+    void add_client(net::Fd client, bool reject_only);
+    void pause_accepting();
+    void update_listener_events();
+    bool any_request_begun();
+    bool claim_id(Tunnel& tunnel, std::string_view id, bool mid_flow);
+    LineResult handle_line(TunnelId id, std::string_view line);
+    LineResult handle_readiness_check(TunnelId id);
+    LineResult handle_request(TunnelId id, std::string_view line);
+    bool write_or_buffer(Tunnel& tunnel, std::string_view text);
+
+    TunnelRegistry& registry_;
+    Admission& admission_;
+    Completion& completion_;
     net::Socket listener_;
-    bool open_ = false, resting_ = false;
-    Ticks rested_at_ = 0;
+    bool accepting_ = false, paused_ = false;
+    Ticks paused_at_ = 0;
 };
 
 }  // namespace lemonstair::tunnel
--- a/src/tunnel/admission.cpp
+++ b/src/tunnel/admission.cpp
@@ -8,29 +8,32 @@
 
 namespace lemonstair::tunnel {
 
-std::size_t Admission::room() const {
-    const std::size_t sockets = floor_.granted();
-    const std::size_t kept = TunnelRegistry::fewest_left + floor_.launch.callers + floor_.for_other +
-                             health_check::most_lines(floor_.hosts.size(), sockets) + sockets / 16;
-    return sockets > kept ? (sockets - kept) / 2 : 1;
+std::size_t Admission::capacity() const {
+    const std::size_t granted = registry_.descriptors.granted();
+    // A sixteenth for connections that have yet to send their request.
+    const std::size_t reserved = DescriptorBudget::reserved + registry_.config.callers +
+                                 registry_.descriptors.sibling_reserve() +
+                                 health_check::most_lines(registry_.endpoints.size(), granted) + granted / 16;
+    return granted > reserved ? (granted - reserved) / 2 : 1;
 }
 
-void Admission::admit(TunnelId id, TunnelRequest arrival, std::string_view holder) {
-    Tunnel& t = *floor_.find(id);
-    ++floor_.tally.taken;
-    t.give_up_at = arrival.deadline = std::min(arrival.deadline, floor_.answer_by);
-    const bool full = floor_.admitted >= room();
-    floor_.go(id, TunnelState::deciding);
-    floor_.names.put(t.name, static_cast<std::uint32_t>(id));
-    t.client.set_events(POLLIN | POLLRDHUP);  // its next bytes wait, unless they are another command
+void Admission::admit(TunnelId id, TunnelRequest request, std::string_view current_endpoint) {
+    Tunnel& tunnel = *registry_.find(id);
+    ++registry_.totals.accepted;
+    request.deadline = std::min(request.deadline, registry_.answer_deadline);
+    tunnel.deadline = request.deadline;
+    const bool full = registry_.admitted_count() >= capacity();
+    registry_.transition_to(id, TunnelState::awaiting_placement);
+    registry_.by_id_hash.put(tunnel.id_hash, static_cast<std::uint32_t>(id));
+    tunnel.client.set_events(POLLIN | POLLRDHUP);  // to see a second command, which no client may send here
     if (full) {
-        ++floor_.tally.busy;
-        floor_.costs.explained(Reason::node_full);
-        return book_.decline(id, 0);
+        ++registry_.totals.over_capacity;
+        registry_.resource_counters.explained(Reason::node_full);
+        return completion_.reject(id, 0);
     }
-    if (!holder.empty()) return route_.resume_standing(id);
-    t.known = true;
-    floor_.mind().on_request(id, arrival);
+    if (!current_endpoint.empty()) return dispatcher_.resume(id);
+    tunnel.tracked = true;
+    registry_.balancer_now().on_request(id, request);
 }
 
 }  // namespace lemonstair::tunnel
--- a/src/tunnel/admission.h
+++ b/src/tunnel/admission.h
@@ -1,4 +1,4 @@
-// Admit: whether the node can carry one more tunnel; if so, the module hears of it.
+// Decides whether the node has the capacity for one more tunnel, and hands its request to the balancer.
 #pragma once
 
 #include <string_view>
@@ -11,16 +11,18 @@
 
 class Admission {
   public:
-    Admission(TunnelRegistry& floor, Dispatcher& route, Completion& book)
-        : floor_(floor), route_(route), book_(book) {}
-    void admit(TunnelId id, TunnelRequest arrival, std::string_view holder);
-    // Tunnels that fit the descriptors granted: two each, beside what the node needs for itself.
-    std::size_t room() const;
+    Admission(TunnelRegistry& registry, Dispatcher& dispatcher, Completion& completion)
+        : registry_(registry), dispatcher_(dispatcher), completion_(completion) {}
+    // Admits the tunnel or rejects it. `current_endpoint`: the id of the endpoint at which it is open
+    // already; empty for a new one.
+    void admit(TunnelId id, TunnelRequest request, std::string_view current_endpoint);
+    // Tunnels that the granted descriptors allow: two each, beside what the node needs for itself.
+    std::size_t capacity() const;
 
   private:
-    TunnelRegistry& floor_;
-    Dispatcher& route_;
-    Completion& book_;
+    TunnelRegistry& registry_;
+    Dispatcher& dispatcher_;
+    Completion& completion_;
 };
 
 }  // namespace lemonstair::tunnel
--- a/src/tunnel/attempt.cpp
+++ b/src/tunnel/attempt.cpp
@@ -9,230 +9,260 @@
 #include "balance/attempt_policy.h"
 #include "net/lines.h"
 #include "net/transfer.h"
-#include "tunnel/request_line.h"
+#include "tunnel/wire_protocol.h"
 
 namespace lemonstair::tunnel {
 
 namespace {
 
-// Between two tries for a tunnel that is open at its host.
-constexpr Ticks standing_pause = 3000;
-// With so few the next may be past the limit: some are not in the loop.
-constexpr std::size_t descriptors_left = 6;
+// Between two attempts to resume a tunnel.
+constexpr Ticks resume_pause = 3000;
+// With no more descriptors left than these, the next may be past the limit: some are outside the loop.
+constexpr std::size_t min_descriptors_left = 6;
+// Of an answer that is unknown.
+constexpr std::size_t logged_answer_bytes = 40;
 
-bool begins(std::string_view line, std::string_view word) {
-    return line.substr(0, word.size()) == word && (line.size() == word.size() || line[word.size()] == ' ');
+Outcome connect_outcome(int error) {
+    // Without a descriptor or a port of its own this node knows nothing of the endpoint.
+    return net::is_local_failure(error) ? Outcome::not_sent : Outcome::unreachable;
 }
 
 }  // namespace
 
-void AttemptRunner::start(TunnelId id, std::uint32_t place, Ticks longest_wait) {
-    Tunnel& t = *floor_.find(id);
-    if (t.host.open()) floor_.violated(metrics::Invariant::repeated_without_leave, id, name_of(t.state));
-    t.place = place;
-    ++t.setups;
-    t.setup_from = floor_.loop.now();
-    if (floor_.client_is_gone(t)) return book_.client_left(id);
-    t.setup_until = longest_wait > 0 ? std::min(t.give_up_at, t.setup_from + longest_wait) : t.give_up_at;
+void AttemptRunner::start(TunnelId id, std::uint32_t endpoint_index, Ticks max_wait) {
+    Tunnel& tunnel = *registry_.find(id);
+    if (tunnel.endpoint.open())
+        registry_.report_violation(metrics::Invariant::repeated_without_leave, id, name_of(tunnel.state));
+    tunnel.endpoint_index = endpoint_index;
+    ++tunnel.attempts;
+    tunnel.attempt_started = registry_.loop.now();
+    if (registry_.client_disconnected(tunnel)) return completion_.on_client_disconnected(id);
+    tunnel.attempt_deadline =
+        max_wait > 0 ? std::min(tunnel.deadline, tunnel.attempt_started + max_wait) : tunnel.deadline;
     connect(id);
 }
 
-void AttemptRunner::resume_standing(TunnelId id) {
-    Tunnel& t = *floor_.find(id);
-    TunnelRequest arrival;
-    std::string_view holder;
-    read_opening(net::first_line(t.opening.view()), floor_.launch.profiles, floor_.loop.now(), arrival,
-                 holder);
-    t.standing = true;
-    t.place = floor_.hosts.place_of(holder);
-    // What this node remembers may be older than the tunnel: discovery will name the host.
-    if (t.place == discovery::EndpointDirectory::none)
-        return floor_.set_due(id, t, floor_.loop.now() + standing_pause);
-    t.setups = 1;
-    t.setup_from = floor_.loop.now();
-    t.setup_until = t.give_up_at;
+RequestLine AttemptRunner::request_of(const Tunnel& tunnel) const {
+    // It was parsed when it was accepted, so it cannot fail here.
+    return parse_request_line(net::first_line(tunnel.request_buffer.view()), registry_.config.profiles,
+                              registry_.loop.now())
+        .value_or(RequestLine{});
+}
+
+void AttemptRunner::resume(TunnelId id) {
+    Tunnel& tunnel = *registry_.find(id);
+    tunnel.resuming = true;
+    tunnel.endpoint_index = registry_.endpoints.place_of(request_of(tunnel).current_endpoint);
+    // The list that this node started with may be older than the tunnel: discovery will name the endpoint.
+    if (tunnel.endpoint_index == discovery::EndpointDirectory::none)
+        return registry_.set_state_deadline(id, tunnel, registry_.loop.now() + resume_pause);
+    tunnel.attempts = 1;
+    tunnel.attempt_started = registry_.loop.now();
+    tunnel.attempt_deadline = tunnel.deadline;
     connect(id);
 }
 
 void AttemptRunner::connect(TunnelId id) {
-    Tunnel& t = *floor_.find(id);
-    ++floor_.costs.setups;
-    floor_.log.debug() << "tunnel " << static_cast<std::uint32_t>(id) << " setup " << t.setups << " at ep "
-                       << floor_.hosts[t.place].ep;
-    floor_.go(id, TunnelState::connecting);
-    if (floor_.down_to(descriptors_left) && !book_.make_room()) return failed(id, Outcome::not_sent);
-    net::Fd fd = floor_.loop.system().connect_to(floor_.hosts[t.place].at);
+    Tunnel& tunnel = *registry_.find(id);
+    const auto& endpoint = registry_.endpoints[tunnel.endpoint_index];
+    ++registry_.resource_counters.setups;
+    registry_.log.debug() << "tunnel " << static_cast<std::uint32_t>(id) << " setup " << tunnel.attempts
+                          << " at ep " << endpoint.ep;
+    registry_.transition_to(id, TunnelState::connecting);
+    if (registry_.descriptors.is_low(min_descriptors_left) && !completion_.evict_idle_connection())
+        return on_failed(id, Outcome::not_sent);
+    net::Fd connection = registry_.loop.system().connect_to(endpoint.at);
     const int error = errno;
-    if (!fd.open()) {
-        // Without a descriptor or a port of its own the node has nothing to hold against the host.
-        return failed(id, net::is_local_failure(error) ? Outcome::not_sent : Outcome::unreachable);
-    }
-    t.host = floor_.socket(id, Side::host, std::move(fd), POLLOUT);
-    floor_.set_due(id, t, std::min(t.setup_until, floor_.loop.now() + floor_.launch.connect_timeout));
+    if (!connection.open()) return on_failed(id, connect_outcome(error));
+    tunnel.endpoint = registry_.make_socket(id, Side::endpoint, std::move(connection), POLLOUT);
+    registry_.set_state_deadline(
+        id, tunnel,
+        std::min(tunnel.attempt_deadline, registry_.loop.now() + registry_.config.connect_timeout));
+}
+
+void AttemptRunner::on_tunnel_ready(TunnelId id, Side side, short events) {
+    if (side == Side::client) return on_client_ready(id, events);
+    const Tunnel& tunnel = *registry_.find(id);
+    if (tunnel.state == TunnelState::connecting && !on_connected(id)) return;
+    if (tunnel.state == TunnelState::sending_request) return write_request(id);
+    if (tunnel.state == TunnelState::awaiting_answer) return read_answer(id);
 }
 
-void AttemptRunner::tunnel_ready(TunnelId id, Side side, short events) {
-    Tunnel& t = *floor_.find(id);
-    if (side == Side::client) {
-        if ((events & (POLLRDHUP | POLLHUP | POLLERR)) != 0) return book_.client_left(id);
-        if (sends_command(t)) return book_.turn_away(id);
-        t.client.set_events(POLLRDHUP);  // what it says is for its host
-        return;
+void AttemptRunner::on_client_ready(TunnelId id, short events) {
+    const auto ended = POLLRDHUP | POLLHUP | POLLERR;
+    if ((events & ended) != 0) return completion_.on_client_disconnected(id);
+    Tunnel& tunnel = *registry_.find(id);
+    if (client_sent_command(tunnel)) return completion_.reject_protocol_error(id);
+    tunnel.client.set_events(
+        POLLRDHUP);  // what it sent is for the endpoint, and is read once the tunnel opens
+}
+
+// False where the attempt is over.
+bool AttemptRunner::on_connected(TunnelId id) {
+    Tunnel& tunnel = *registry_.find(id);
+    if (const int error = tunnel.endpoint.connected(); error != 0) {
+        on_failed(id, connect_outcome(error));
+        return false;
     }
-    if (t.state == TunnelState::connecting) {
-        if (const int error = t.host.connected(); error != 0)
-            return failed(id, net::is_local_failure(error) ? Outcome::not_sent : Outcome::unreachable);
-        if (!may_write(id)) return;
-        floor_.go(id, TunnelState::sending_line);
-        // For the host: how long this node will still wait.
-        t.up.waiting = floor_.pool.take();
-        if (!write_opening(net::first_line(t.opening.view()), t.setup_until - floor_.loop.now(),
-                           t.up.waiting))
-            return failed(id, Outcome::not_sent);
+    if (!may_write(id)) return false;
+    registry_.transition_to(id, TunnelState::sending_request);
+    tunnel.upstream.buffer = registry_.pool.take();
+    if (!write_request_line(net::first_line(tunnel.request_buffer.view()),
+                            tunnel.attempt_deadline - registry_.loop.now(), tunnel.upstream.buffer)) {
+        on_failed(id, Outcome::not_sent);
+        return false;
     }
-    if (t.state == TunnelState::sending_line) return write_line(id);
-    if (t.state == TunnelState::awaiting_answer) return read_answer(id);
+    return true;
 }
 
-// Asked in the instant before the first byte, by the clock of just now: the connection may have taken long to
-// come up, or the process been held up. False where the attempt is withdrawn, or its client has left.
+// Asks the balancer in the instant before the first byte, with a fresh clock: the connection may have taken
+// long to come up, or the process may have been held up. False where the attempt is withdrawn, or the client
+// is gone.
 bool AttemptRunner::may_write(TunnelId id) {
-    const Tunnel& t = *floor_.find(id);
-    if (floor_.client_is_gone(t)) return book_.client_left(id), false;
-    if (!t.known) return true;
-    floor_.balancer->set_time(floor_.loop.refresh());
-    const Reason reason = floor_.balancer->may_write(id, attempt_policy::longest_hold_up);
+    const Tunnel& tunnel = *registry_.find(id);
+    if (registry_.client_disconnected(tunnel)) return completion_.on_client_disconnected(id), false;
+    if (!tunnel.tracked) return true;
+    registry_.balancer->set_time(registry_.loop.refresh());
+    const Reason reason = registry_.balancer->may_write(id, attempt_policy::longest_hold_up);
     if (reason == Reason::allowed) return true;
-    floor_.costs.explained(reason);
-    floor_.log.debug() << "tunnel " << static_cast<std::uint32_t>(id) << " setup " << t.setups
-                       << " is withdrawn: " << name_of(reason);
-    failed(id, Outcome::withdrawn);
+    registry_.resource_counters.explained(reason);
+    registry_.log.debug() << "tunnel " << static_cast<std::uint32_t>(id) << " setup " << tunnel.attempts
+                          << " is withdrawn: " << name_of(reason);
+    on_failed(id, Outcome::withdrawn);
     return false;
 }
 
-// Until its last byte is with the system the line cannot have run; from then on it may have.
-void AttemptRunner::write_line(TunnelId id) {
-    Tunnel& t = *floor_.find(id);
-    const auto sent = t.host.write(t.up.waiting.view());
-    if (sent.error != 0) return failed(id, Outcome::unreachable);
-    if (sent.bytes > 0) check_written(id);
-    t.up.waiting.take(sent.bytes);
-    if (!t.up.waiting.empty()) return;
-    t.up.waiting.give_back();
-    t.host.set_events(POLLIN);
-    ++floor_.outcomes.of[t.profile].setups_written;
-    floor_.go(id, TunnelState::awaiting_answer);
-    floor_.set_due(id, t, t.setup_until);
-}
-
-// By the clock of just now: the process may have been held up since this pass began.
-void AttemptRunner::check_written(TunnelId id) {
-    const Tunnel& t = *floor_.find(id);
-    if (!t.known) return;
-    floor_.balancer->set_time(floor_.loop.refresh());
-    const Reason reason = floor_.balancer->may_write(id, 0);
+// Until the system has its last byte the request cannot have run; from then on it may have.
+void AttemptRunner::write_request(TunnelId id) {
+    Tunnel& tunnel = *registry_.find(id);
+    const auto sent = tunnel.endpoint.write(tunnel.upstream.buffer.view());
+    if (sent.error != 0) return on_failed(id, Outcome::unreachable);
+    if (sent.bytes > 0) check_write_allowed(id);
+    tunnel.upstream.buffer.take(sent.bytes);
+    if (!tunnel.upstream.buffer.empty()) return;
+    tunnel.upstream.buffer.give_back();
+    tunnel.endpoint.set_events(POLLIN);
+    ++registry_.tunnel_counters.of[tunnel.traffic_class].setups_written;
+    registry_.transition_to(id, TunnelState::awaiting_answer);
+    registry_.set_state_deadline(id, tunnel, tunnel.attempt_deadline);
+}
+
+// Invariant: bytes were written only while the attempt policy allowed it, by a clock read after the write.
+void AttemptRunner::check_write_allowed(TunnelId id) {
+    const Tunnel& tunnel = *registry_.find(id);
+    if (!tunnel.tracked) return;
+    registry_.balancer->set_time(registry_.loop.refresh());
+    const Reason reason = registry_.balancer->may_write(id, 0);
     if (reason != Reason::allowed && reason != Reason::no_time_left)
-        floor_.violated(metrics::Invariant::written_without_leave, id, name_of(reason));
+        registry_.report_violation(metrics::Invariant::written_without_leave, id, name_of(reason));
 }
 
 void AttemptRunner::read_answer(TunnelId id) {
-    Tunnel& t = *floor_.find(id);
-    if (!t.down.waiting.held()) t.down.waiting = floor_.pool.take();
-    const auto [at, room] = t.down.waiting.room();
-    const auto got = t.host.read({at, room});
-    if (got.error != 0 || got.ended) return failed(id, Outcome::connection_lost);
-    t.down.waiting.added(got.bytes);
-    const auto text = t.down.waiting.view();
-    if (text.find('\n') != std::string_view::npos) return answered(id, net::first_line(text));
-    if (got.bytes == room) failed(id, Outcome::error);  // a line without end
-}
-
-// Guards against a client that sends commands without waiting for answers: none of them is passed on.
-bool AttemptRunner::sends_command(const Tunnel& t) const {
+    Tunnel& tunnel = *registry_.find(id);
+    net::Buffer& answer = tunnel.downstream.buffer;
+    if (!answer.held()) answer = registry_.pool.take();
+    const auto [data, space] = answer.room();
+    const auto got = tunnel.endpoint.read({data, space});
+    if (got.error != 0 || got.ended) return on_failed(id, Outcome::connection_lost);
+    answer.added(got.bytes);
+    const auto text = answer.view();
+    if (text.find('\n') != std::string_view::npos) return handle_answer(id, net::first_line(text));
+    const bool line_too_long = got.bytes == space;
+    if (line_too_long) on_failed(id, Outcome::error);
+}
+
+// A client may not send commands without waiting for the answer to its first: none of them reaches an
+// endpoint.
+bool AttemptRunner::client_sent_command(const Tunnel& tunnel) {
     std::array<char, 8> next{};
-    return begins_command({next.data(), t.client.peek(next).bytes});
-}
-
-void AttemptRunner::answered(TunnelId id, std::string_view line) {
-    if (sends_command(*floor_.find(id))) return book_.turn_away(id);
-    if (begins(line, "UP") || begins(line, "BYE")) return opened(id);
-    if (begins(line, "BUSY")) return failed(id, Outcome::overloaded);
-    if (begins(line, "MOVE")) return failed(id, Outcome::cancelled);
-    if (!begins(line, "ERR"))
-        floor_.log.error() << "host answered a setup with '" << line.substr(0, 40) << "'";
-    failed(id, Outcome::error);
-}
-
-void AttemptRunner::opened(TunnelId id) {
-    Tunnel& t = *floor_.find(id);
-    const std::uint32_t ep = floor_.hosts[t.place].ep;
-    ++floor_.tally.opened;
-    floor_.costs.setup_ended(Outcome::ok);
-    if (begins(net::first_line(t.down.waiting.view()), "BYE"))
-        t.ending = Outcome::ok;  // served to its end already
-    if (t.standing) {
-        TunnelRequest arrival;
-        std::string_view holder;
-        read_opening(net::first_line(t.opening.view()), floor_.launch.profiles, floor_.loop.now(), arrival,
-                     holder);
-        t.known = true;
-        floor_.mind().adopt_open_tunnel(id, arrival, ep);
+    return begins_command({next.data(), tunnel.client.peek(next).bytes});
+}
+
+void AttemptRunner::handle_answer(TunnelId id, std::string_view line) {
+    if (client_sent_command(*registry_.find(id))) return completion_.reject_protocol_error(id);
+    switch (wire::read_answer(line)) {
+        case wire::Answer::opened:
+        case wire::Answer::finished:
+            return on_opened(id);
+        case wire::Answer::overloaded:
+            return on_failed(id, Outcome::overloaded);
+        case wire::Answer::migrate:
+            return on_failed(id, Outcome::cancelled);
+        case wire::Answer::error:
+            return on_failed(id, Outcome::error);
+        case wire::Answer::unknown:
+            registry_.log.error() << "host answered a setup with '" << line.substr(0, logged_answer_bytes)
+                                  << "'";
+            return on_failed(id, Outcome::error);
+    }
+}
+
+void AttemptRunner::on_opened(TunnelId id) {
+    Tunnel& tunnel = *registry_.find(id);
+    const std::uint32_t endpoint = registry_.endpoints[tunnel.endpoint_index].ep;
+    ++registry_.totals.opened;
+    registry_.resource_counters.setup_ended(Outcome::ok);
+    if (wire::read_answer(net::first_line(tunnel.downstream.buffer.view())) == wire::Answer::finished)
+        tunnel.outcome = Outcome::ok;
+    if (tunnel.resuming) {
+        tunnel.tracked = true;
+        registry_.balancer_now().adopt_open_tunnel(id, request_of(tunnel).request, endpoint);
     } else {
-        floor_.mind().on_opened(id, t.setups - 1, ep, floor_.loop.now() - t.setup_from);
+        registry_.balancer_now().on_opened(id, tunnel.attempts - 1, endpoint,
+                                           registry_.loop.now() - tunnel.attempt_started);
     }
-    // The line itself stays behind: only what the client sent after it goes on to the host.
-    t.opening.take(t.opening.view().find('\n') + 1);
+    // The endpoint has its own copy of the request line: only what the client sent after it is relayed.
+    tunnel.request_buffer.take(tunnel.request_buffer.view().find('\n') + 1);
     relay_.begin(id);
 }
 
-// The setup's connection is closed at once: nothing more of it may reach the client.
-void AttemptRunner::failed(TunnelId id, Outcome ending) {
-    Tunnel& t = *floor_.find(id);
-    floor_.costs.setup_ended(ending);
-    floor_.log.debug() << "tunnel " << static_cast<std::uint32_t>(id) << " setup " << t.setups
-                       << " failed, ending " << static_cast<int>(ending);
-    t.host.close();
-    t.up.waiting.give_back();
-    t.down.waiting.give_back();
-    floor_.go(id, TunnelState::deciding);
-    if (t.standing) return floor_.set_due(id, t, std::min(t.give_up_at, floor_.loop.now() + standing_pause));
-    t.due = 0;
-    floor_.mind().on_ended(id, t.setups - 1, floor_.hosts[t.place].ep, ending,
-                           floor_.loop.now() - t.setup_from, false);
-}
-
-// Guards against a process that is killed, when its time to leave is up, with a setup still out.
-void AttemptRunner::answer_by(Ticks when) {
-    floor_.answer_by = when;
-    floor_.mind().set_answer_deadline(when);
-    for (std::uint32_t at = 0; at < floor_.tunnels.places(); ++at) {
-        if (!floor_.tunnels.used(at)) continue;
-        Tunnel& t = floor_.tunnels[at];
-        const bool waits = t.state == TunnelState::deciding || t.state == TunnelState::connecting ||
-                           t.state == TunnelState::sending_line || t.state == TunnelState::awaiting_answer;
-        if (!waits || t.give_up_at <= when) continue;
-        t.give_up_at = when;
-        t.setup_until = std::min(t.setup_until, when);
-        if (t.due > when) floor_.set_due(floor_.id_of(at), t, when);
+// Closes the connection at once: nothing that the endpoint sent on it may reach the client.
+void AttemptRunner::on_failed(TunnelId id, Outcome outcome) {
+    Tunnel& tunnel = *registry_.find(id);
+    registry_.resource_counters.setup_ended(outcome);
+    registry_.log.debug() << "tunnel " << static_cast<std::uint32_t>(id) << " setup " << tunnel.attempts
+                          << " failed, ending " << static_cast<int>(outcome);
+    tunnel.endpoint.close();
+    tunnel.upstream.buffer.give_back();
+    tunnel.downstream.buffer.give_back();
+    registry_.transition_to(id, TunnelState::awaiting_placement);
+    if (tunnel.resuming) {
+        const Ticks next_attempt = registry_.loop.now() + resume_pause;
+        return registry_.set_state_deadline(id, tunnel, std::min(tunnel.deadline, next_attempt));
     }
+    tunnel.state_deadline = 0;
+    registry_.balancer_now().on_ended(id, tunnel.attempts - 1, registry_.endpoints[tunnel.endpoint_index].ep,
+                                      outcome, registry_.loop.now() - tunnel.attempt_started, false);
+}
+
+void AttemptRunner::set_answer_deadline(Ticks deadline) {
+    registry_.answer_deadline = deadline;
+    registry_.balancer_now().set_answer_deadline(deadline);
+    registry_.for_each([&](std::uint32_t index, Tunnel& tunnel) {
+        if (!awaits_answer(tunnel.state) || tunnel.deadline <= deadline) return;
+        tunnel.deadline = deadline;
+        tunnel.attempt_deadline = std::min(tunnel.attempt_deadline, deadline);
+        if (tunnel.state_deadline > deadline)
+            registry_.set_state_deadline(registry_.id_of(index), tunnel, deadline);
+    });
 }
 
-void AttemptRunner::tunnel_due(TunnelId id) {
-    Tunnel& t = *floor_.find(id);
-    if (floor_.loop.now() < t.due) return;
-    if (t.state == TunnelState::deciding) {
-        if (!t.standing || t.due == 0) return;
-        if (floor_.loop.now() < t.give_up_at) return resume_standing(id);
-        floor_.log.error() << "a tunnel that stood before the start was not taken by its host";
-        return book_.close_with_error(id);
+void AttemptRunner::on_tunnel_timer(TunnelId id) {
+    const Tunnel& tunnel = *registry_.find(id);
+    const Ticks now = registry_.loop.now();
+    if (now < tunnel.state_deadline) return;
+    if (tunnel.state == TunnelState::awaiting_placement) {
+        if (!tunnel.resuming || tunnel.state_deadline == 0) return;
+        if (now < tunnel.deadline) return resume(id);
+        registry_.log.error() << "a tunnel that stood before the start was not taken by its host";
+        return completion_.fail(id);
     }
-    if (t.state == TunnelState::awaiting_answer) return failed(id, Outcome::timed_out);
-    // Guards against blame for an endpoint that had no time to answer, since its client had next to none.
-    const Ticks fair =
-        std::min(floor_.launch.connect_timeout,
-                 attempt_policy::fair_wait(floor_.launch.terms.traffic_classes[t.profile].latency_objective));
-    const bool had_time = floor_.loop.now() - t.setup_from >= fair;
-    failed(id, had_time ? Outcome::unreachable : Outcome::withdrawn);
+    if (tunnel.state == TunnelState::awaiting_answer) return on_failed(id, Outcome::timed_out);
+    // An endpoint that had next to no time to accept, since the client had none left, is not to blame.
+    const Ticks objective = registry_.config.terms.traffic_classes[tunnel.traffic_class].latency_objective;
+    const Ticks fair = std::min(registry_.config.connect_timeout, attempt_policy::fair_wait(objective));
+    const bool had_time = now - tunnel.attempt_started >= fair;
+    on_failed(id, had_time ? Outcome::unreachable : Outcome::withdrawn);
 }
 
 }  // namespace lemonstair::tunnel
--- a/src/tunnel/attempt.h
+++ b/src/tunnel/attempt.h
@@ -1,39 +1,49 @@
-// Send: one setup. Connects to the host, writes the tunnel's line and reads the host's answer.
+// One attempt to open a tunnel at an endpoint: connects, writes the request line and reads the answer.
 #pragma once
 
 #include <string_view>
 
 #include "tunnel/completion.h"
 #include "tunnel/relay.h"
+#include "tunnel/request_line.h"
 #include "tunnel/tunnel_registry.h"
 
 namespace lemonstair::tunnel {
 
+// The stage of tunnels from awaiting_placement to awaiting_answer. An attempt ends with an open tunnel, or is
+// reported to the balancer, which chooses what follows.
 class AttemptRunner {
   public:
-    AttemptRunner(TunnelRegistry& floor, Completion& book, Relay& relay)
-        : floor_(floor), book_(book), relay_(relay) {}
-    // The module's setup at the host in this place, to be given up after a while.
-    void start(TunnelId id, std::uint32_t place, Ticks longest_wait);
-    // A tunnel that is open at its host already goes there until it is up.
-    void resume_standing(TunnelId id);
-    // Whoever waits has its final answer by then, and whoever comes.
-    void answer_by(Ticks when);
-    void tunnel_ready(TunnelId id, Side side, short events);
-    void tunnel_due(TunnelId id);
+    AttemptRunner(TunnelRegistry& registry, Completion& completion, Relay& relay)
+        : registry_(registry), completion_(completion), relay_(relay) {}
+    // `endpoint_index`: in the directory. `max_wait`: for the endpoint's answer; 0: until the client's
+    // deadline.
+    void start(TunnelId id, std::uint32_t endpoint_index, Ticks max_wait);
+    // A tunnel that is open at its endpoint already: attempts follow there, without the balancer, until one
+    // succeeds or the deadline has passed.
+    void resume(TunnelId id);
+    // Tunnels that await an answer, now or later, have their final answer by `deadline`: the process may be
+    // killed then.
+    void set_answer_deadline(Ticks deadline);
+    void on_tunnel_ready(TunnelId id, Side side, short events);
+    void on_tunnel_timer(TunnelId id);
 
   private:
+    RequestLine request_of(const Tunnel& tunnel) const;
     void connect(TunnelId id);
+    void on_client_ready(TunnelId id, short events);
+    bool on_connected(TunnelId id);
     bool may_write(TunnelId id);
-    void write_line(TunnelId id);
-    void check_written(TunnelId id);
+    void write_request(TunnelId id);
+    void check_write_allowed(TunnelId id);
     void read_answer(TunnelId id);
-    void answered(TunnelId id, std::string_view line);
-    bool sends_command(const Tunnel& t) const;
-    void opened(TunnelId id);
-    void failed(TunnelId id, Outcome ending);
-    TunnelRegistry& floor_;
-    Completion& book_;
+    void handle_answer(TunnelId id, std::string_view line);
+    static bool client_sent_command(const Tunnel& tunnel);
+    void on_opened(TunnelId id);
+    void on_failed(TunnelId id, Outcome outcome);
+
+    TunnelRegistry& registry_;
+    Completion& completion_;
     Relay& relay_;
 };
 
--- a/src/tunnel/completion.cpp
+++ b/src/tunnel/completion.cpp
@@ -8,168 +8,186 @@
 #include <utility>
 
 #include "net/transfer.h"
+#include "tunnel/wire_protocol.h"
 
 namespace lemonstair::tunnel {
 
 namespace {
 
-// How long a side may take to end its part after ours.
-constexpr Ticks longest_farewell = 10000, longest_farewell_at_door = 3000;
-// What a side sends after its last words is thrown away up to here; more waits unread until the farewell is
-// over.
-constexpr std::uint32_t most_discarded = 1 << 20;
-constexpr Ticks moment_to_speak = 200, moment_to_end = 2000, moment_to_log = 10000;
+constexpr Ticks ticks_per_ms = 10;
+// How long a peer may take to close after this node has.
+constexpr Ticks close_timeout = 10000, close_timeout_reject_only = 3000;
+// What a peer sends after the final line is discarded up to here; more waits unread until the close is over.
+constexpr std::uint32_t max_discarded_bytes = 1 << 20;
+// A connection that is younger than this is not idle yet.
+constexpr Ticks min_idle_reading = 200, min_idle_closing = 2000;
+constexpr Ticks eviction_logged_every = 10000;
 
 }  // namespace
 
-void Completion::decline(TunnelId id, Ticks come_back_after) {
-    ++floor_.tally.declined;
-    floor_.find(id)->outcome = metrics::FinalAnswer::declined;
-    if (come_back_after < 10) return answer(id, "BUSY\r\n");
-    std::array<char, 40> line{'B', 'U', 'S', 'Y', ' '};
-    char* end = std::to_chars(line.data() + 5, line.data() + line.size(), come_back_after / 10).ptr;
-    *end++ = '\r';
-    *end++ = '\n';
-    answer(id, {line.data(), static_cast<std::size_t>(end - line.data())});
+void Completion::reject(TunnelId id, Ticks retry_after) {
+    ++registry_.totals.rejected;
+    registry_.find(id)->final_answer = metrics::FinalAnswer::declined;
+    if (retry_after < ticks_per_ms) return answer_client(id, wire::rejected_line);
+    std::array<char, 40> line{};
+    char* const digits = std::copy(wire::rejected_prefix.begin(), wire::rejected_prefix.end(), line.data());
+    char* end = std::to_chars(digits, line.data() + line.size(), retry_after / ticks_per_ms).ptr;
+    end = std::copy(wire::line_end.begin(), wire::line_end.end(), end);
+    answer_client(id, {line.data(), static_cast<std::size_t>(end - line.data())});
 }
 
-void Completion::close_with_error(TunnelId id) {
-    ++floor_.tally.failed;
-    floor_.find(id)->outcome = metrics::FinalAnswer::closed_with_error;
-    answer(id, "ERR\r\n");
+void Completion::fail(TunnelId id) {
+    ++registry_.totals.failed;
+    registry_.find(id)->final_answer = metrics::FinalAnswer::closed_with_error;
+    answer_client(id, wire::failed_line);
 }
 
-void Completion::send_away(TunnelId id) {
-    Tunnel& t = *floor_.find(id);
-    if (t.pings == 0) return say_last(id, "BUSY\r\n");
-    part(id);
+void Completion::expire_request(TunnelId id) {
+    if (registry_.find(id)->readiness_checks == 0) return send_final_line(id, wire::rejected_line);
+    close_gracefully(id);
 }
 
-void Completion::answer(TunnelId id, std::string_view line) {
-    floor_.find(id)->host.close();
-    say_last(id, line);
+void Completion::answer_client(TunnelId id, std::string_view line) {
+    registry_.find(id)->endpoint.close();
+    send_final_line(id, line);
 }
 
-// Guards against a system that takes a part of a line only: the client would have half an answer.
-void Completion::say_last(TunnelId id, std::string_view line) {
-    Tunnel& t = *floor_.find(id);
-    if (t.state == TunnelState::departing) floor_.violated(metrics::Invariant::answered_twice, id, line);
-    const auto sent = t.client.write(line);
-    if (sent.error != 0) return drop(id);
-    depart(id);
-    if (sent.bytes == line.size()) return shutdown_write(t);
-    t.down.waiting = floor_.pool.take();
-    t.down.waiting.append(line.substr(sent.bytes));
-    t.client.set_events(POLLIN | POLLOUT);
+// The system may take a part of the line only: the rest is buffered.
+void Completion::send_final_line(TunnelId id, std::string_view line) {
+    Tunnel& tunnel = *registry_.find(id);
+    if (tunnel.state == TunnelState::closing)
+        registry_.report_violation(metrics::Invariant::answered_twice, id, line);
+    const auto sent = tunnel.client.write(line);
+    if (sent.error != 0) return close_now(id);
+    begin_closing(id);
+    if (sent.bytes == line.size()) return shutdown_writes(tunnel);
+    tunnel.downstream.buffer = registry_.pool.take();
+    tunnel.downstream.buffer.append(line.substr(sent.bytes));
+    tunnel.client.set_events(POLLIN | POLLOUT);
 }
 
-void Completion::shutdown_write(Tunnel& t) {
-    for (net::Socket* s : {&t.client, &t.host}) {
-        if (!s->open()) continue;
-        s->shutdown_write();
-        s->set_events(POLLIN);
+void Completion::shutdown_writes(Tunnel& tunnel) {
+    for (net::Socket* socket : {&tunnel.client, &tunnel.endpoint}) {
+        if (!socket->open()) continue;
+        socket->shutdown_write();
+        socket->set_events(POLLIN);
     }
 }
 
-void Completion::tell_left(TunnelId id) {
-    Tunnel& t = *floor_.find(id);
-    if (!t.known) return;
-    floor_.mind().on_client_disconnected(id);
-    if (t.state == TunnelState::connecting || t.state == TunnelState::sending_line ||
-        t.state == TunnelState::awaiting_answer)
-        over(id, Outcome::cancelled);
-    t.known = false;
-}
-
-void Completion::client_left(TunnelId id) {
-    tell_left(id);
-    drop(id);
-}
-
-void Completion::turn_away(TunnelId id) {
-    ++floor_.tally.bad;
-    floor_.costs.explained(Reason::bad_client);
-    tell_left(id);
-    close_with_error(id);
-}
-
-// Guards against clients that connect by hundreds and say nothing, or do not go when told to: they must not
-// keep out those that speak, nor hold descriptors that a setup needs.
-bool Completion::make_room() {
-    const Ticks now = floor_.loop.now();
-    TunnelId oldest = 0;
-    bool found = false, spoke = true;
-    Ticks since = 0;
-    for (std::uint32_t at = 0; at < floor_.tunnels.places(); ++at) {
-        if (!floor_.tunnels.used(at)) continue;
-        const Tunnel& t = floor_.tunnels[at];
-        const bool speaks = t.state == TunnelState::departing;
-        if (t.state != TunnelState::taking_in && !(speaks && spoke)) continue;
-        // One that sends its line in pieces is not silent between them.
-        const Ticks quiet_since = speaks ? t.since : std::max(t.since, t.heard_at);
-        if (now - quiet_since < (speaks ? moment_to_end : moment_to_speak)) continue;
-        if (found && spoke == speaks && quiet_since >= since) continue;
+void Completion::report_client_disconnected(TunnelId id) {
+    Tunnel& tunnel = *registry_.find(id);
+    if (!tunnel.tracked) return;
+    registry_.balancer_now().on_client_disconnected(id);
+    if (has_attempt(tunnel.state)) report_end(id, Outcome::cancelled);
+    tunnel.tracked = false;
+}
+
+void Completion::on_client_disconnected(TunnelId id) {
+    report_client_disconnected(id);
+    close_now(id);
+}
+
+void Completion::reject_protocol_error(TunnelId id) {
+    ++registry_.totals.protocol_errors;
+    registry_.resource_counters.explained(Reason::bad_client);
+    report_client_disconnected(id);
+    fail(id);
+}
+
+// Connections whose request is awaited go before closing ones; among equals the one idle for longest.
+bool Completion::find_idle(IdleConnection& longest) {
+    const Ticks now = registry_.loop.now();
+    bool found = false;
+    registry_.for_each([&](std::uint32_t index, const Tunnel& tunnel) {
+        const bool closing = tunnel.state == TunnelState::closing;
+        const bool reading = tunnel.state == TunnelState::reading_request;
+        const bool better_found = found && !longest.closing;
+        if (!reading && (!closing || better_found)) return;
+        // A client that sends its request in pieces is not idle between them.
+        const Ticks idle_since =
+            closing ? tunnel.state_since : std::max(tunnel.state_since, tunnel.last_input_at);
+        if (now - idle_since < (closing ? min_idle_closing : min_idle_reading)) return;
+        if (found && longest.closing == closing && idle_since >= longest.idle_since) return;
         std::array<char, 1> next{};
-        if (!speaks && t.client.peek(next).bytes > 0) continue;  // it is heard in this pass
+        if (reading && tunnel.client.peek(next).bytes > 0) return;  // it is read in this pass
         found = true;
-        spoke = speaks;
-        since = quiet_since;
-        oldest = floor_.id_of(at);
-    }
-    if (!found) return false;
-    ++floor_.tally.gave_way;
-    if (now - std::exchange(made_room_at_, now) > moment_to_log)
-        floor_.log.info() << "descriptors run short, " << floor_.loop.descriptors() << " in use, "
-                          << floor_.admitted << " tunnels: silent clients give way";
-    drop(oldest);
+        longest = {registry_.id_of(index), idle_since, closing};
+    });
+    return found;
+}
+
+// Clients that connect by hundreds and send nothing, or do not close when told to, must not keep out others,
+// nor hold the descriptors that attempts need.
+bool Completion::evict_idle_connection() {
+    IdleConnection longest;
+    if (!find_idle(longest)) return false;
+    ++registry_.totals.evicted;
+    const Ticks now = registry_.loop.now();
+    if (now - std::exchange(evicted_at_, now) > eviction_logged_every)
+        registry_.log.info() << "descriptors run short, " << registry_.loop.descriptors() << " in use, "
+                             << registry_.admitted_count() << " tunnels: silent clients give way";
+    close_now(longest.id);
     return true;
 }
 
-void Completion::over(TunnelId id, Outcome ending) {
-    Tunnel& t = *floor_.find(id);
-    if (!t.known) return;
-    t.known = false;
-    floor_.log.debug() << "tunnel " << static_cast<std::uint32_t>(id) << " at ep " << floor_.hosts[t.place].ep
-                       << " over, ending " << static_cast<int>(ending) << ", lines owed " << t.owed;
-    floor_.mind().on_ended(id, t.setups - 1, floor_.hosts[t.place].ep, ending,
-                           floor_.loop.now() - t.setup_from, true);
-}
-
-void Completion::depart(TunnelId id) {
-    Tunnel& t = *floor_.find(id);
-    t.opening.give_back();
-    t.up.waiting.give_back();
-    t.down.waiting.give_back();
-    floor_.go(id, TunnelState::departing);
-    floor_.set_due(id, t, floor_.loop.now() + (t.at_door ? longest_farewell_at_door : longest_farewell));
-}
-
-void Completion::drop(TunnelId id) { floor_.go(id, TunnelState::free); }
-
-void Completion::tunnel_ready(TunnelId id, Side side, short) {
-    Tunnel& t = *floor_.find(id);
-    if (side == Side::client && !t.down.waiting.empty()) {
-        const auto sent = t.client.write(t.down.waiting.view());
-        if (sent.error != 0) return drop(id);
-        t.down.waiting.take(sent.bytes);
-        if (t.down.waiting.empty()) {
-            t.down.waiting.give_back();
-            shutdown_write(t);
+void Completion::report_end(TunnelId id, Outcome outcome) {
+    Tunnel& tunnel = *registry_.find(id);
+    if (!tunnel.tracked) return;
+    tunnel.tracked = false;
+    const std::uint32_t endpoint = registry_.endpoints[tunnel.endpoint_index].ep;
+    registry_.log.debug() << "tunnel " << static_cast<std::uint32_t>(id) << " at ep " << endpoint
+                          << " over, ending " << static_cast<int>(outcome) << ", lines owed "
+                          << tunnel.unanswered_lines;
+    registry_.balancer_now().on_ended(id, tunnel.attempts - 1, endpoint, outcome,
+                                      registry_.loop.now() - tunnel.attempt_started, true);
+}
+
+void Completion::begin_closing(TunnelId id) {
+    Tunnel& tunnel = *registry_.find(id);
+    tunnel.request_buffer.give_back();
+    tunnel.upstream.buffer.give_back();
+    tunnel.downstream.buffer.give_back();
+    registry_.transition_to(id, TunnelState::closing);
+    const Ticks timeout = tunnel.reject_only ? close_timeout_reject_only : close_timeout;
+    registry_.set_state_deadline(id, tunnel, registry_.loop.now() + timeout);
+}
+
+void Completion::close_gracefully(TunnelId id) {
+    begin_closing(id);
+    shutdown_writes(*registry_.find(id));
+}
+
+void Completion::close_now(TunnelId id) { registry_.transition_to(id, TunnelState::free); }
+
+void Completion::on_tunnel_ready(TunnelId id, Side side, short) {
+    Tunnel& tunnel = *registry_.find(id);
+    net::Buffer& final_line = tunnel.downstream.buffer;
+    if (side == Side::client && !final_line.empty()) {
+        const auto sent = tunnel.client.write(final_line.view());
+        if (sent.error != 0) return close_now(id);
+        final_line.take(sent.bytes);
+        if (final_line.empty()) {
+            final_line.give_back();
+            shutdown_writes(tunnel);
         }
     }
-    drain(t, side == Side::client ? t.client : t.host);
-    if (!t.client.open() && !t.host.open()) drop(id);
+    discard_input(tunnel, side == Side::client ? tunnel.client : tunnel.endpoint);
+    if (!tunnel.client.open() && !tunnel.endpoint.open()) close_now(id);
+}
+
+void Completion::on_tunnel_timer(TunnelId id) {
+    if (registry_.loop.now() >= registry_.find(id)->state_deadline) close_now(id);
 }
 
-// Guards against a client that sends on at full speed: its bytes cost no copy, and not more than a part of a
-// second of it is read at all.
-void Completion::drain(Tunnel& t, net::Socket& socket) {
-    if (t.discarded >= most_discarded) return socket.close();  // unwatched, so it can only have broken
+// A peer may send on at full speed: its bytes are not copied, and no more than max_discarded_bytes are read.
+void Completion::discard_input(Tunnel& tunnel, net::Socket& socket) {
+    // Nothing is awaited from it any more, so it can only have broken.
+    if (tunnel.discarded_bytes >= max_discarded_bytes) return socket.close();
     const auto got = socket.discard();
     if (got.ended || got.error != 0) return socket.close();
-    t.discarded += static_cast<std::uint32_t>(got.bytes);
-    if (t.discarded >= most_discarded)
-        for (net::Socket* s : {&t.client, &t.host}) s->set_events(0);
+    tunnel.discarded_bytes += static_cast<std::uint32_t>(got.bytes);
+    if (tunnel.discarded_bytes < max_discarded_bytes) return;
+    for (net::Socket* each : {&tunnel.client, &tunnel.endpoint}) each->set_events(0);
 }
 
 }  // namespace lemonstair::tunnel
--- a/src/tunnel/completion.h
+++ b/src/tunnel/completion.h
@@ -1,4 +1,5 @@
-// Book: the last stage. A tunnel's final answer, its orderly end, and what the module hears of it.
+// The last stage: a tunnel's final answer, the orderly close of both connections, and the report of its end
+// to the balancer.
 #pragma once
 
 #include <string_view>
@@ -7,46 +8,51 @@
 
 namespace lemonstair::tunnel {
 
+// The stage of tunnels in TunnelState::closing.
 class Completion {
   public:
-    explicit Completion(TunnelRegistry& floor) : floor_(floor) {}
-    // Final answers to a client that waits.
-    void decline(TunnelId id, Ticks come_back_after);
-    void close_with_error(TunnelId id);
-    // The client has not sent a whole first line in its time. Whoever asked PING hears nothing more.
-    void send_away(TunnelId id);
-    // The client went away while it waited.
-    void client_left(TunnelId id);
-    // The client does what no client may while it waits.
-    void turn_away(TunnelId id);
-    // Closes the connection that has carried nothing for longest: one whose client has said nothing yet, else
-    // one that has had its last words. False where there is none that has had a moment to speak or to end.
-    bool make_room();
-    // The module hears, once, that an open tunnel is over.
-    void over(TunnelId id, Outcome ending);
-    // Its last line, then the orderly end of both sides.
-    void say_last(TunnelId id, std::string_view line);
-    // Its last bytes are written: ends both sides cleanly, reads what still comes until they are gone.
+    explicit Completion(TunnelRegistry& registry) : registry_(registry) {}
+    // Final answers to a client that waits: "nothing was done, try again" (after `retry_after`; 0: no
+    // advice), and "failed, it may have been done".
+    void reject(TunnelId id, Ticks retry_after);
+    void fail(TunnelId id);
+    // The client has not sent a whole request in its time. One that has sent a readiness check is told
+    // nothing.
+    void expire_request(TunnelId id);
+    // The client closed while it waited for its answer.
+    void on_client_disconnected(TunnelId id);
+    // The client sent what no client may send: closed with an error.
+    void reject_protocol_error(TunnelId id);
+    // Closes the connection that has been idle for longest: one whose client has sent nothing yet, else one
+    // that is closing. False where there is none that has had a moment to send or to close.
+    bool evict_idle_connection();
+    // Reports the end of an open tunnel to the balancer, once.
+    void report_end(TunnelId id, Outcome outcome);
+    // Writes the final line, then closes gracefully.
+    void send_final_line(TunnelId id, std::string_view line);
+    // All bytes are written: ends both sending sides, and reads what still comes until the peers have closed.
     // Closing with unread input would make a reset, and that can overtake the last line.
-    void part(TunnelId id) {
-        depart(id);
-        shutdown_write(*floor_.find(id));
-    }
-    // Both sides are dropped at once.
-    void drop(TunnelId id);
-    void tunnel_ready(TunnelId id, Side side, short events);
-    void tunnel_due(TunnelId id) {
-        if (floor_.loop.now() >= floor_.find(id)->due) drop(id);
-    }
+    void close_gracefully(TunnelId id);
+    // Both connections at once.
+    void close_now(TunnelId id);
+    void on_tunnel_ready(TunnelId id, Side side, short events);
+    void on_tunnel_timer(TunnelId id);
 
   private:
-    void answer(TunnelId id, std::string_view line);
-    void depart(TunnelId id);
-    static void shutdown_write(Tunnel& t);
-    void drain(Tunnel& t, net::Socket& socket);
-    void tell_left(TunnelId id);
-    TunnelRegistry& floor_;
-    Ticks made_room_at_ = 0;
+    struct IdleConnection {
+        TunnelId id = 0;
+        Ticks idle_since = 0;
+        bool closing = false;
+    };
+    bool find_idle(IdleConnection& longest);
+    void answer_client(TunnelId id, std::string_view line);
+    void begin_closing(TunnelId id);
+    static void shutdown_writes(Tunnel& tunnel);
+    static void discard_input(Tunnel& tunnel, net::Socket& socket);
+    void report_client_disconnected(TunnelId id);
+
+    TunnelRegistry& registry_;
+    Ticks evicted_at_ = 0;
 };
 
 }  // namespace lemonstair::tunnel
--- a/src/tunnel/dispatcher.cpp
+++ b/src/tunnel/dispatcher.cpp
@@ -2,26 +2,27 @@
 
 namespace lemonstair::tunnel {
 
-void Dispatcher::set_up(TunnelId id, std::uint32_t ep, Ticks longest_wait) {
-    if (!waits(id)) return;
-    const std::uint32_t place = floor_.hosts.place_of(ep);
-    if (place != discovery::EndpointDirectory::none) send_.start(id, place, longest_wait);
+void Dispatcher::start_attempt(TunnelId id, std::uint32_t endpoint, Ticks max_wait) {
+    if (!awaits_placement(id)) return;
+    const std::uint32_t endpoint_index = registry_.endpoints.place_of(endpoint);
+    if (endpoint_index == discovery::EndpointDirectory::none) return;
+    attempts_.start(id, endpoint_index, max_wait);
 }
 
-void Dispatcher::decline(TunnelId id, Ticks come_back_after) {
-    if (!waits(id)) return;
-    floor_.find(id)->known = false;
-    book_.decline(id, come_back_after);
+void Dispatcher::reject(TunnelId id, Ticks retry_after) {
+    if (!awaits_placement(id)) return;
+    registry_.find(id)->tracked = false;
+    completion_.reject(id, retry_after);
 }
 
-void Dispatcher::close_with_error(TunnelId id) {
-    if (!waits(id)) return;
-    floor_.find(id)->known = false;
-    book_.close_with_error(id);
+void Dispatcher::fail(TunnelId id) {
+    if (!awaits_placement(id)) return;
+    registry_.find(id)->tracked = false;
+    completion_.fail(id);
 }
 
-void Dispatcher::move(TunnelId id) {
-    if (floor_.find(id) != nullptr) relay_.move(id);
+void Dispatcher::migrate(TunnelId id) {
+    if (registry_.find(id) != nullptr) relay_.migrate(id);
 }
 
 }  // namespace lemonstair::tunnel
--- a/src/tunnel/dispatcher.h
+++ b/src/tunnel/dispatcher.h
@@ -1,4 +1,5 @@
-// Route: carries the module's word to the next stage: a setup at a host, a final answer, a move.
+// Carries out the balancer's decisions: an attempt, a final answer, a migration. Those that come for a tunnel
+// that is gone, or waits no longer, are dropped.
 #pragma once
 
 #include "tunnel/attempt.h"
@@ -10,24 +11,26 @@
 
 class Dispatcher {
   public:
-    Dispatcher(TunnelRegistry& floor, AttemptRunner& send, Relay& relay, Completion& book)
-        : floor_(floor), send_(send), relay_(relay), book_(book) {}
-    void set_up(TunnelId id, std::uint32_t ep, Ticks longest_wait);
-    void decline(TunnelId id, Ticks come_back_after);
-    void close_with_error(TunnelId id);
-    void move(TunnelId id);
-    // Open at this host before the start.
-    void resume_standing(TunnelId id) { send_.resume_standing(id); }
+    Dispatcher(TunnelRegistry& registry, AttemptRunner& attempts, Relay& relay, Completion& completion)
+        : registry_(registry), attempts_(attempts), relay_(relay), completion_(completion) {}
+    // `endpoint`: its number for the balancer. `max_wait`: see AttemptRunner::start.
+    void start_attempt(TunnelId id, std::uint32_t endpoint, Ticks max_wait);
+    // `retry_after`: advice for the client; 0: none.
+    void reject(TunnelId id, Ticks retry_after);
+    void fail(TunnelId id);
+    void migrate(TunnelId id);
+    // A tunnel that is open at its endpoint already; there is nothing for the balancer to decide.
+    void resume(TunnelId id) { attempts_.resume(id); }
 
   private:
-    bool waits(TunnelId id) {
-        const Tunnel* t = floor_.find(id);
-        return t != nullptr && t->state == TunnelState::deciding;
+    bool awaits_placement(TunnelId id) {
+        const Tunnel* tunnel = registry_.find(id);
+        return tunnel != nullptr && tunnel->state == TunnelState::awaiting_placement;
     }
-    TunnelRegistry& floor_;
-    AttemptRunner& send_;
+    TunnelRegistry& registry_;
+    AttemptRunner& attempts_;
     Relay& relay_;
-    Completion& book_;
+    Completion& completion_;
 };
 
 }  // namespace lemonstair::tunnel
--- a/src/tunnel/relay.h
+++ b/src/tunnel/relay.h
@@ -1,60 +1,49 @@
-// Relay: passes the bytes of an open tunnel both ways, tells the module of its load and of slow answers, and
-// moves clients.
+// Relays the bytes of open tunnels both ways, follows the lines that they consist of, and migrates clients.
 #pragma once
 
 #include <string_view>
-#include <vector>
 
 #include "tunnel/completion.h"
+#include "tunnel/endpoint_monitor.h"
 #include "tunnel/tunnel_registry.h"
 
 namespace lemonstair::tunnel {
 
+// The stage of tunnels in TunnelState::open and TunnelState::migrating.
 class Relay {
   public:
-    Relay(TunnelRegistry& floor, Completion& book);
-    // The host's UP and what came behind it wait to go down.
+    Relay(TunnelRegistry& registry, Completion& completion)
+        : registry_(registry), completion_(completion), monitor_(registry) {}
+    // The endpoint has opened the tunnel: its answer, and what came behind, is in the downstream buffer.
     void begin(TunnelId id);
-    void tunnel_ready(TunnelId id, Side side, short events);
-    void tunnel_due(TunnelId id);
-    void move(TunnelId id);
-    // A tunnel that came from another process, or did not go there.
-    void go_on(TunnelId id);
-    // Looks for hosts that answer no line any more.
-    void look_over();
+    // A tunnel that was transferred from another process, or could not be transferred there.
+    void resume(TunnelId id);
+    // Sends the client away, to come back elsewhere, as soon as both directions stand between two lines.
+    void migrate(TunnelId id);
+    // To be called every few tenths of a second: finds endpoints that have fallen silent, and migrates the
+    // clients of stalled tunnels.
+    void check_endpoints();
+    void on_tunnel_ready(TunnelId id, Side side, short events);
+    void on_tunnel_timer(TunnelId id);
 
   private:
     bool read(TunnelId id, Side from);
     bool write(TunnelId id, Side to);
-    void host_line(TunnelId id, std::string_view line);
-    void host_bytes(TunnelId id, std::string_view bytes);
-    void client_bytes(Tunnel& t, std::string_view bytes);
-    void answered(TunnelId id, Tunnel& t);
-    void settle(TunnelId id);
-    Ticks patience() const;
-    void broken(TunnelId id, Side side);
-    void tell_slow(TunnelId id, std::uint32_t place, Ticks takes);
+    void scan_client_bytes(Tunnel& tunnel, std::string_view bytes);
+    void scan_endpoint_bytes(TunnelId id, std::string_view bytes);
+    void handle_endpoint_line(TunnelId id, std::string_view line);
+    void count_answer(TunnelId id, Tunnel& tunnel);
+    void update(TunnelId id);
+    static void forward_ends(Tunnel& tunnel);
+    bool finish_ended(TunnelId id);
+    bool finish_migration(TunnelId id);
+    static void update_events(Tunnel& tunnel);
+    Ticks migration_wait() const;
+    void on_broken(TunnelId id, Side side);
 
-    // What a host said last, and what the module was told of it.
-    struct Spoken {
-        Ticks heard_at = 0, told_at = 0;
-        bool slow = false;
-    };
-    Spoken& spoken(std::uint32_t place) {
-        if (spoken_.size() <= place) spoken_.resize(floor_.hosts.size());
-        return spoken_[place];
-    }
-    TunnelRegistry& floor_;
-    Completion& book_;
-    std::vector<Spoken> spoken_;  // by place of the host
-    // How long the two tunnels of a host that wait longest have waited, with no line on any since.
-    struct Unheard {
-        Ticks longest = 0, second = 0;
-        int tunnels = 0;
-    };
-    std::vector<Unheard> unheard_;  // by place of the host
-    std::vector<TunnelId> silent_;
-    Ticks slow_from_ = 10000;  // a message that takes longer is told: a third of the shortest goal
+    TunnelRegistry& registry_;
+    Completion& completion_;
+    EndpointMonitor monitor_;
 };
 
 }  // namespace lemonstair::tunnel
--- a/src/tunnel/request_line.cpp
+++ b/src/tunnel/request_line.cpp
@@ -5,15 +5,18 @@
 #include <charconv>
 #include <cmath>
 
+#include "tunnel/wire_protocol.h"
+
 namespace lemonstair::tunnel {
 
 namespace {
 
-constexpr std::string_view word = "OPEN ";
-constexpr double longest_wait_ms = 1e9;
+constexpr double max_wait_ms = 1e9;
+constexpr Ticks ticks_per_ms = 10;
 
-std::string_view cut(std::string_view& rest, char at) {
-    const auto end = std::min(rest.find(at), rest.size());
+// The text before `separator`, or all of it; cuts it off `rest`, with the separator.
+std::string_view cut(std::string_view& rest, char separator) {
+    const auto end = std::min(rest.find(separator), rest.size());
     const auto part = rest.substr(0, end);
     rest.remove_prefix(std::min(end + 1, rest.size()));
     return part;
@@ -25,83 +28,95 @@
     return error == std::errc{} && stop == end && std::isfinite(into);
 }
 
-bool printable(std::string_view text) {
+bool is_printable(std::string_view text) {
     return std::all_of(text.begin(), text.end(), [](char c) { return c >= 0x20 && c < 0x7f; });
 }
 
-// Calls each(name, value) for each of a list of names and values; false where it is no such list.
-template <class Each>
-bool each_value(std::string_view list, Each&& each) {
-    while (!list.empty()) {
-        std::string_view value = cut(list, ',');
-        const auto equals = value.find('=');
-        if (equals == std::string_view::npos || equals == 0) return false;
-        if (!each(value.substr(0, equals), value.substr(equals + 1))) return false;
+// The parameters of a request, as far as they were read.
+struct Parameters {
+    const std::vector<std::string>& traffic_classes;
+    RequestLine& line;
+    double wait_ms = -1;
+    bool has_traffic_class = false;
+
+    // Unknown names are allowed; false where a known one has a value that it cannot have.
+    bool read(std::string_view name, std::string_view value) {
+        namespace parameter = wire::parameter;
+        if (name == parameter::traffic_class) return read_traffic_class(value);
+        if (name == parameter::wait_ms)
+            return read_number(value, wait_ms) && wait_ms >= 0 && wait_ms <= max_wait_ms;
+        if (name == parameter::expected_load)
+            return read_number(value, line.request.expected_load) && line.request.expected_load >= 0;
+        if (name == parameter::group) line.request.group = value;
+        if (name == parameter::current_endpoint) line.current_endpoint = value;
+        if (name == parameter::mid_flow) line.request.mid_flow = value == parameter::flag_set;
+        if (name == parameter::reconnect) line.request.reconnect = value == parameter::flag_set;
+        return true;
     }
-    return true;
-}
 
-}  // namespace
+    bool read_traffic_class(std::string_view name) {
+        const auto found = std::find(traffic_classes.begin(), traffic_classes.end(), name);
+        line.request.traffic_class = static_cast<std::uint32_t>(found - traffic_classes.begin());
+        has_traffic_class = found != traffic_classes.end();
+        return has_traffic_class;
+    }
 
-bool read_opening(std::string_view line, const std::vector<std::string>& profiles, Ticks now,
-                  TunnelRequest& arrival, std::string_view& holder) {
-    if (line.substr(0, word.size()) != word || !printable(line)) return false;
-    line.remove_prefix(word.size());
-    const std::string_view id = cut(line, ' ');
-    arrival.key = cut(line, ' ');
-    if (id.empty() || arrival.key.empty() || line.find(' ') != std::string_view::npos) return false;
-    double wait_ms = -1;
-    bool profile_told = false;
-    const bool listed = each_value(line, [&](std::string_view name, std::string_view value) {
-        if (name == "c") {
-            const auto it = std::find(profiles.begin(), profiles.end(), value);
-            arrival.traffic_class = static_cast<std::uint32_t>(it - profiles.begin());
-            profile_told = it != profiles.end();
-            return profile_told;
+    // "name=value,name=value". False where it is no such list, or a value is wrong.
+    bool read_list(std::string_view list) {
+        while (!list.empty()) {
+            const std::string_view entry = cut(list, ',');
+            const auto equals = entry.find('=');
+            if (equals == std::string_view::npos || equals == 0) return false;
+            if (!read(entry.substr(0, equals), entry.substr(equals + 1))) return false;
         }
-        if (name == "d") return read_number(value, wait_ms) && wait_ms >= 0 && wait_ms <= longest_wait_ms;
-        if (name == "g") arrival.group = value;
-        if (name == "at") holder = value;
-        if (name == "mid") arrival.mid_flow = value == "1";
-        if (name == "again") arrival.reconnect = value == "1";
-        if (name == "h") return read_number(value, arrival.expected_load) && arrival.expected_load >= 0;
         return true;
-    });
-    if (!listed || !profile_told || wait_ms < 0) return false;
-    arrival.deadline = now + static_cast<Ticks>(std::floor(wait_ms * 10));
-    return true;
-}
+    }
+};
+
+}  // namespace
 
-std::string_view opening_id(std::string_view line) {
-    line.remove_prefix(word.size());
-    return cut(line, ' ');
+std::optional<RequestLine> parse_request_line(std::string_view line,
+                                              const std::vector<std::string>& traffic_classes, Ticks now) {
+    if (line.substr(0, wire::request_prefix.size()) != wire::request_prefix || !is_printable(line))
+        return std::nullopt;
+    line.remove_prefix(wire::request_prefix.size());
+    RequestLine parsed;
+    parsed.id = cut(line, ' ');
+    parsed.request.key = cut(line, ' ');
+    if (parsed.id.empty() || parsed.request.key.empty() || line.find(' ') != std::string_view::npos)
+        return std::nullopt;
+    Parameters parameters{traffic_classes, parsed};
+    if (!parameters.read_list(line) || !parameters.has_traffic_class || parameters.wait_ms < 0)
+        return std::nullopt;
+    parsed.request.deadline = now + static_cast<Ticks>(std::floor(parameters.wait_ms * 10));
+    return parsed;
 }
 
 bool begins_command(std::string_view bytes) {
     if (bytes.empty()) return false;
-    for (const std::string_view command : {word, std::string_view("PING\r\n")}) {
-        const auto n = std::min(bytes.size(), command.size());
-        if (bytes.substr(0, n) == command.substr(0, n)) return true;
+    for (const std::string_view command : {wire::request_prefix, wire::readiness_check_line}) {
+        const auto compared = std::min(bytes.size(), command.size());
+        if (bytes.substr(0, compared) == command.substr(0, compared)) return true;
     }
     return false;
 }
 
-bool write_opening(std::string_view line, Ticks wait, net::Buffer& into) {
-    const auto list = line.rfind(' ') + 1;
-    auto at = list;
-    while (at < line.size() && line.substr(at, 2) != "d=")
-        at = std::min(line.find(',', at), line.size() - 1) + 1;
-    const auto rest = std::min(line.find(',', at), line.size());
+bool write_request_line(std::string_view line, Ticks wait, net::Buffer& into) {
+    auto wait_begin = line.rfind(' ') + 1;
+    while (wait_begin < line.size() && line.substr(wait_begin, wire::wait_prefix.size()) != wire::wait_prefix)
+        wait_begin = std::min(line.find(',', wait_begin), line.size() - 1) + 1;
+    const auto wait_end = std::min(line.find(',', wait_begin), line.size());
     std::array<char, 24> digits{};
-    const char* end =
-        std::to_chars(digits.data(), digits.data() + digits.size(), std::max<Ticks>(wait, 0) / 10).ptr;
-    bool fits = into.append(line.substr(0, at));
-    if (at < line.size()) {
-        fits = fits && into.append("d=") &&
-               into.append({digits.data(), static_cast<std::size_t>(end - digits.data())});
-        fits = fits && into.append(line.substr(rest));
+    const char* digits_end =
+        std::to_chars(digits.data(), digits.data() + digits.size(), std::max<Ticks>(wait, 0) / ticks_per_ms)
+            .ptr;
+    bool fits = into.append(line.substr(0, wait_begin));
+    if (wait_begin < line.size()) {
+        fits = fits && into.append(wire::wait_prefix) &&
+               into.append({digits.data(), static_cast<std::size_t>(digits_end - digits.data())});
+        fits = fits && into.append(line.substr(wait_end));
     }
-    return fits && into.append("\r\n");
+    return fits && into.append(wire::line_end);
 }
 
 }  // namespace lemonstair::tunnel
--- a/src/tunnel/request_line.h
+++ b/src/tunnel/request_line.h
@@ -1,6 +1,7 @@
-// A tunnel's first line: read into the call that the module wants, and written again for the host.
+// The request line of a client: parsed into what the balancer decides by, and rewritten for the endpoint.
 #pragma once
 
+#include <optional>
 #include <string>
 #include <string_view>
 #include <vector>
@@ -10,18 +11,22 @@
 
 namespace lemonstair::tunnel {
 
-// Without its line end. `holder` is the host at which it is open already, or empty. What the views show is
-// the line itself. False where it is no such line.
-bool read_opening(std::string_view line, const std::vector<std::string>& profiles, Ticks now,
-                  TunnelRequest& arrival, std::string_view& holder);
+// The views show the line that was parsed.
+struct RequestLine {
+    TunnelRequest request;
+    std::string_view id;                // that the client gave the tunnel
+    std::string_view current_endpoint;  // id of the endpoint at which it is open already; empty: none
+};
 
-// The id that the client gave the tunnel, of a line that can be read.
-std::string_view opening_id(std::string_view line);
+// `line` without its end; `traffic_classes` by number. Nothing where it is no request.
+std::optional<RequestLine> parse_request_line(std::string_view line,
+                                              const std::vector<std::string>& traffic_classes, Ticks now);
 
-// Whether what a client sends begins a command: only its first line may be one.
+// Whether a client's bytes begin a command: only its first line may be one.
 bool begins_command(std::string_view bytes);
 
-// The line as it was, but for how long the node will wait; with its end. False where it does not fit.
-bool write_opening(std::string_view line, Ticks wait, net::Buffer& into);
+// Appends the line, with its end, as it was but for the time that the node will still wait. False where it
+// does not fit.
+bool write_request_line(std::string_view line, Ticks wait, net::Buffer& into);
 
 }  // namespace lemonstair::tunnel
--- a/src/tunnel/stages.h
+++ b/src/tunnel/stages.h
@@ -1,5 +1,5 @@
-// The chain of stages that a tunnel passes: take in, admit, route, send, relay, book. What happens to a
-// tunnel's sockets and timers goes to the stage that its state names.
+// The stages that a tunnel passes. The events and timers of a tunnel's sockets go to the stage that its state
+// names.
 #pragma once
 
 #include "tunnel/acceptor.h"
@@ -15,50 +15,50 @@
 
 class TunnelStages final : public net::EventHandler {
   public:
-    TunnelStages(net::EventLoop& loop, const config::NodeConfig& launch, discovery::EndpointDirectory& hosts,
-                 log::Log& log, metrics::ResourceCounters& costs)
-        : floor(loop, *this, launch, hosts, log, costs) {}
+    TunnelStages(net::EventLoop& loop, const config::NodeConfig& config,
+                 discovery::EndpointDirectory& endpoints, log::Log& log, metrics::ResourceCounters& counters)
+        : registry(loop, *this, config, endpoints, log, counters) {}
     void on_ready(std::uint64_t token, short events) override {
         const TunnelId id = token >> 1;
         const auto side = static_cast<Side>(token & 1);
-        at_stage(id, [&](auto& stage) { stage.tunnel_ready(id, side, events); });
+        at_stage(id, [&](auto& stage) { stage.on_tunnel_ready(id, side, events); });
     }
     void on_timer(std::uint64_t token) override {
         const TunnelId id = token >> 1;
-        at_stage(id, [&](auto& stage) { stage.tunnel_due(id); });
+        at_stage(id, [&](auto& stage) { stage.on_tunnel_timer(id); });
     }
 
-    TunnelRegistry floor;
-    Completion book{floor};
-    Relay relay{floor, book};
-    Transfer carry{floor, relay, book};
-    AttemptRunner send{floor, book, relay};
-    Dispatcher route{floor, send, relay, book};
-    Admission admit{floor, route, book};
-    Acceptor take_in{floor, admit, book};
+    TunnelRegistry registry;
+    Completion completion{registry};
+    Relay relay{registry, completion};
+    Transfer transfer{registry, relay, completion};
+    AttemptRunner attempts{registry, completion, relay};
+    Dispatcher dispatcher{registry, attempts, relay, completion};
+    Admission admission{registry, dispatcher, completion};
+    Acceptor acceptor{registry, admission, completion};
 
   private:
-    // Calls tell(stage) with the stage that has a tunnel in its present state; not where it is no more.
-    template <class Tell>
-    void at_stage(TunnelId id, Tell&& tell) {
-        const Tunnel* t = floor.find(id);
-        if (t == nullptr) return;
-        switch (t->state) {
+    // Calls call(stage) with the stage of the tunnel's state; not where the tunnel is gone.
+    template <class Call>
+    void at_stage(TunnelId id, Call&& call) {
+        const Tunnel* tunnel = registry.find(id);
+        if (tunnel == nullptr) return;
+        switch (tunnel->state) {
             case TunnelState::free:
-            case TunnelState::handing:  // nothing is asked of its sockets meanwhile
+            case TunnelState::transferring:  // its sockets are not polled
                 return;
-            case TunnelState::taking_in:
-                return tell(take_in);
-            case TunnelState::deciding:
+            case TunnelState::reading_request:
+                return call(acceptor);
+            case TunnelState::awaiting_placement:
             case TunnelState::connecting:
-            case TunnelState::sending_line:
+            case TunnelState::sending_request:
             case TunnelState::awaiting_answer:
-                return tell(send);
-            case TunnelState::relaying:
-            case TunnelState::moving:
-                return tell(relay);
-            case TunnelState::departing:
-                return tell(book);
+                return call(attempts);
+            case TunnelState::open:
+            case TunnelState::migrating:
+                return call(relay);
+            case TunnelState::closing:
+                return call(completion);
         }
     }
 };
--- a/src/tunnel/transfer.cpp
+++ b/src/tunnel/transfer.cpp
@@ -8,99 +8,117 @@
 
 namespace {
 
-template <class Io, class T>
-void figures(Io& io, T& t) {
-    io.value(t.name);
-    io.value(t.profile);
-    io.value(t.setup_from);
-    io.value(t.heard_at);
-    io.value(t.waiting_since);
-    io.value(t.owed);
-    io.value(t.up.line_size);
-    io.value(t.down.line_size);
-    io.value(t.setups);
-    io.value(t.standing);
+// The order and width of these fields are the format: another version of the program reads them.
+template <class Io, class AnyTunnel>
+void transfer_fields(Io& io, AnyTunnel& tunnel) {
+    io.value(tunnel.id_hash);
+    io.value(tunnel.traffic_class);
+    io.value(tunnel.attempt_started);
+    io.value(tunnel.last_input_at);
+    io.value(tunnel.unanswered_since);
+    io.value(tunnel.unanswered_lines);
+    io.value(tunnel.upstream.partial_line_bytes);
+    io.value(tunnel.downstream.partial_line_bytes);
+    io.value(tunnel.attempts);
+    io.value(tunnel.resuming);
+}
+
+// A transferred tunnel, read and checked; the views show the bytes that it was read from.
+struct Received {
+    Tunnel tunnel;
+    std::string_view line_prefix, upstream, downstream, balancer_state;
+};
+
+bool read(serialization::Reader& in, std::size_t traffic_classes, Ticks clock_shift, Received& into) {
+    transfer_fields(in, into.tunnel);
+    for (Ticks* time :
+         {&into.tunnel.attempt_started, &into.tunnel.last_input_at, &into.tunnel.unanswered_since})
+        if (*time != 0) *time += clock_shift;
+    into.line_prefix = in.text();
+    into.upstream = in.text();
+    into.downstream = in.text();
+    into.balancer_state = in.text();
+    return in.good() && in.at_end() && into.line_prefix.size() <= into.tunnel.line_prefix.size() &&
+           into.upstream.size() <= net::buffer_bytes && into.downstream.size() <= net::buffer_bytes &&
+           into.tunnel.traffic_class < traffic_classes && into.tunnel.attempts >= 1;
 }
 
 }  // namespace
 
-// One that ends, or is being moved, does so here, within seconds.
-bool Transfer::can_go(const Tunnel& t) {
-    return t.state == TunnelState::relaying && !t.stays && !t.up.ended && !t.down.ended &&
-           t.ending == Outcome::connection_lost;
+// One that is closing or migrating ends here, within seconds.
+bool Transfer::is_transferable(const Tunnel& tunnel) {
+    return tunnel.state == TunnelState::open && !tunnel.not_transferable && !tunnel.upstream.source_ended &&
+           !tunnel.downstream.source_ended && tunnel.outcome == Outcome::connection_lost;
 }
 
-bool Transfer::next(TunnelId& id, std::string& told) {
-    for (std::uint32_t looked = 0; looked < floor_.tunnels.places(); ++looked) {
-        if (next_ >= floor_.tunnels.places()) next_ = 0;
-        const std::uint32_t at = next_++;
-        if (!floor_.tunnels.used(at) || !can_go(floor_.tunnels[at])) continue;
-        id = floor_.id_of(at);
-        Tunnel& t = floor_.tunnels[at];
-        write(id, t, told);
-        floor_.go(id, TunnelState::handing);
-        t.client.set_events(0);
-        t.host.set_events(0);
+bool Transfer::next_transferable(TunnelId& id, std::string& bytes) {
+    for (std::uint32_t searched = 0; searched < registry_.tunnels.places(); ++searched) {
+        if (next_index_ >= registry_.tunnels.places()) next_index_ = 0;
+        const std::uint32_t index = next_index_++;
+        if (!registry_.tunnels.used(index) || !is_transferable(registry_.tunnels[index])) continue;
+        id = registry_.id_of(index);
+        Tunnel& tunnel = registry_.tunnels[index];
+        serialize(id, tunnel, bytes);
+        registry_.transition_to(id, TunnelState::transferring);
+        tunnel.client.set_events(0);
+        tunnel.endpoint.set_events(0);
         return true;
     }
     return false;
 }
 
-void Transfer::write(TunnelId id, const Tunnel& t, std::string& into) const {
+void Transfer::serialize(TunnelId id, const Tunnel& tunnel, std::string& into) const {
     serialization::Writer out(into);
-    out.text(floor_.hosts[t.place].id);
-    figures(out, t);
-    out.text({t.head.data(), t.head_size});
-    out.text(t.up.waiting.view());
-    out.text(t.down.waiting.view());
-    std::string mind;
-    if (t.known && !floor_.mind().serialize_tunnel(id, mind)) mind.clear();
-    out.text(mind);
+    out.text(registry_.endpoints[tunnel.endpoint_index].id);
+    transfer_fields(out, tunnel);
+    out.text({tunnel.line_prefix.data(), tunnel.line_prefix_size});
+    out.text(tunnel.upstream.buffer.view());
+    out.text(tunnel.downstream.buffer.view());
+    std::string balancer_state;
+    if (tunnel.tracked && !registry_.balancer_now().serialize_tunnel(id, balancer_state))
+        balancer_state.clear();
+    out.text(balancer_state);
 }
 
-void Transfer::gone(TunnelId id) {
-    if (floor_.find(id) == nullptr) return;
-    book_.over(id, Outcome::cancelled);
-    book_.drop(id);
+void Transfer::complete(TunnelId id) {
+    if (registry_.find(id) == nullptr) return;
+    completion_.report_end(id, Outcome::cancelled);
+    completion_.close_now(id);
 }
 
-// The other process died, or does not know its host: it goes on here as if nothing had been.
-void Transfer::comes_back(TunnelId id, bool may_go) {
-    Tunnel* t = floor_.find(id);
-    if (t == nullptr || t->state != TunnelState::handing) return;
-    t->stays = !may_go;
-    relay_.go_on(id);
+void Transfer::cancel(TunnelId id, bool may_retry) {
+    Tunnel* tunnel = registry_.find(id);
+    if (tunnel == nullptr || tunnel->state != TunnelState::transferring) return;
+    tunnel->not_transferable = !may_retry;
+    relay_.resume(id);
 }
 
-bool Transfer::take(std::string_view told, net::Fd client, net::Fd host) {
-    serialization::Reader in(told);
-    const std::uint32_t place = floor_.hosts.place_of(in.text());
-    Tunnel read;
-    figures(in, read);
-    for (Ticks* time : {&read.setup_from, &read.heard_at, &read.waiting_since})
-        if (*time != 0) *time += clock_shift_;
-    const auto head = in.text(), up = in.text(), down = in.text(), mind = in.text();
-    if (!in.good() || !in.at_end() || place == discovery::EndpointDirectory::none ||
-        head.size() > read.head.size() || up.size() > net::buffer_bytes || down.size() > net::buffer_bytes ||
-        read.profile >= floor_.launch.profiles.size() || read.setups < 1)
+bool Transfer::adopt(std::string_view bytes, net::Fd client, net::Fd endpoint) {
+    serialization::Reader in(bytes);
+    const std::uint32_t endpoint_index = registry_.endpoints.place_of(in.text());
+    Received received;
+    if (!read(in, registry_.config.profiles.size(), clock_shift_, received) ||
+        endpoint_index == discovery::EndpointDirectory::none)
         return false;
-    const TunnelId id = floor_.open(std::move(client), false);
-    Tunnel& t = *floor_.find(id);
-    read.client = std::move(t.client);
-    t = std::move(read);
-    t.place = place;
-    t.host = floor_.socket(id, Side::host, std::move(host), 0);
-    head.copy(t.head.data(), head.size());
-    t.head_size = static_cast<std::uint8_t>(head.size());
-    for (const auto& [way, bytes] : {std::pair{&t.up, up}, std::pair{&t.down, down}}) {
-        if (bytes.empty()) continue;
-        way->waiting = floor_.pool.take();
-        way->waiting.append(bytes);
+    const TunnelId id = registry_.add(std::move(client), false);
+    Tunnel& tunnel = *registry_.find(id);
+    received.tunnel.client = std::move(tunnel.client);
+    tunnel = std::move(received.tunnel);
+    tunnel.endpoint_index = endpoint_index;
+    tunnel.endpoint = registry_.make_socket(id, Side::endpoint, std::move(endpoint), 0);
+    received.line_prefix.copy(tunnel.line_prefix.data(), received.line_prefix.size());
+    tunnel.line_prefix_size = static_cast<std::uint8_t>(received.line_prefix.size());
+    for (const auto& [direction, buffered] : {std::pair{&tunnel.upstream, received.upstream},
+                                              std::pair{&tunnel.downstream, received.downstream}}) {
+        if (buffered.empty()) continue;
+        direction->buffer = registry_.pool.take();
+        direction->buffer.append(buffered);
     }
-    if (t.name != 0) floor_.names.put(t.name, static_cast<std::uint32_t>(id));
-    floor_.go(id, TunnelState::handing);
-    t.known = !mind.empty() && floor_.mind().restore_tunnel(id, mind, clock_shift_);
-    relay_.go_on(id);
+    if (tunnel.id_hash != 0) registry_.by_id_hash.put(tunnel.id_hash, static_cast<std::uint32_t>(id));
+    registry_.transition_to(id, TunnelState::transferring);
+    tunnel.tracked = !received.balancer_state.empty() &&
+                     registry_.balancer_now().restore_tunnel(id, received.balancer_state, clock_shift_);
+    relay_.resume(id);
     return true;
 }
 
--- a/src/tunnel/tunnel.h
+++ b/src/tunnel/tunnel.h
@@ -1,4 +1,4 @@
-// A tunnel in the node's hands: its two connections, the bytes that wait between them and where it stands.
+// One tunnel: a client's connection and an endpoint's, the bytes buffered between them, and its state.
 #pragma once
 
 #include <array>
@@ -12,61 +12,72 @@
 
 namespace lemonstair::tunnel {
 
-// Free; its first line is awaited; the module decides; a setup is out, in three steps; open; being moved,
-// until both sides stand between two lines; on its way to another process of the node; its last words are on
-// their way out.
+// The life of a tunnel. Every change goes through TunnelRegistry::transition_to.
 enum class TunnelState : std::uint8_t {
-    free,
-    taking_in,
-    deciding,
-    connecting,
-    sending_line,
-    awaiting_answer,
-    relaying,
-    moving,
-    handing,
-    departing
+    free,                // the slot is not in use
+    reading_request,     // the client's request line is awaited
+    awaiting_placement,  // the balancer chooses an endpoint, or the next one after a failed attempt
+    connecting,          // an attempt: its connection is coming up
+    sending_request,     // an attempt: the request line is being written
+    awaiting_answer,     // an attempt: the endpoint's first line is awaited
+    open,                // bytes are relayed both ways
+    migrating,           // open, until both directions stand between two lines; then the client is sent away
+    transferring,        // frozen, on its way to another process of this node
+    closing              // the final line is on its way out, or was written and the peers have yet to close
 };
 
-std::string_view name_of(TunnelState s);
+// For log lines; tools/tunnel_ledger.py reads them.
+std::string_view name_of(TunnelState state);
 
-// What of one direction matters between two reads.
+// Whether the client has sent its request and has no final answer yet.
+constexpr bool awaits_answer(TunnelState state) {
+    return state == TunnelState::awaiting_placement || state == TunnelState::connecting ||
+           state == TunnelState::sending_request || state == TunnelState::awaiting_answer;
+}
+
+// Whether a connection to an endpoint is being set up.
+constexpr bool has_attempt(TunnelState state) {
+    return awaits_answer(state) && state != TunnelState::awaiting_placement;
+}
+
+// One direction of a tunnel, between two reads.
 struct Direction {
-    net::Buffer waiting;          // read from one side, not yet taken by the other
-    std::uint32_t line_size = 0;  // bytes read of the line at hand; 0: it stands between two lines
-    bool ended = false;           // its source has ended its sending
-    bool end_passed = false;      // and its target was told
+    net::Buffer buffer;                    // read from the source and not yet taken by the target
+    std::uint32_t partial_line_bytes = 0;  // read of the current line; 0: between two lines
+    bool source_ended = false;             // the source has ended its sending
+    bool end_forwarded = false;            // the target was told so
 };
 
+// All times are of the loop's clock; 0 stands for "none".
 struct Tunnel {
-    net::Socket client, host;
-    net::Buffer opening;     // the client's first line, and what came behind it, until the host's UP
-    Direction up, down;      // client to host; host to client
-    std::uint64_t name = 0;  // the hash of the id that its client gave it
-    Ticks give_up_at = 0, setup_from = 0, setup_until = 0;
-    Ticks since = 0;  // when it came to the state it is in
-    Ticks due = 0;    // when the state it is in has lasted too long
-    Ticks heard_at =
-        0;  // the last bytes of its first line; then the last line from the host, but for its load
-    Ticks waiting_since = 0;      // for a line from the host; 0: none is owed
-    std::uint32_t place = 0;      // of the host that it is set up at
-    std::uint32_t owed = 0;       // client lines that no line from the host has followed
-    std::uint32_t discarded = 0;  // bytes that came after its last words
-    std::uint32_t profile = 0;    // once its first line was read
-    int setups = 0;
-    int pings = 0;
-    std::array<char, 32> head{};  // the beginning of the host's line at hand
-    std::uint8_t head_size = 0;
+    net::Socket client, endpoint;
+    net::Buffer request_buffer;      // the request line and what came behind it, until the tunnel opens
+    Direction upstream, downstream;  // client to endpoint; endpoint to client
+    std::uint64_t id_hash = 0;       // of the id that the client gave; never 0 once it was read
+    Ticks deadline = 0;              // the client's final answer is due by then
+    Ticks attempt_started = 0, attempt_deadline = 0;
+    Ticks state_since = 0;               // when the current state began
+    Ticks state_deadline = 0;            // when the current state has lasted too long
+    Ticks last_input_at = 0;             // the last bytes of the request; once open, the last line of the
+                                         // endpoint that was not a load report
+    Ticks unanswered_since = 0;          // since when a line of the endpoint is awaited
+    std::uint32_t endpoint_index = 0;    // in the endpoint directory
+    std::uint32_t unanswered_lines = 0;  // of the client, that no line of the endpoint has followed
+    std::uint32_t discarded_bytes = 0;   // that came after the final line
+    std::uint32_t traffic_class = 0;     // valid once the request was read
+    int attempts = 0;
+    int readiness_checks = 0;
+    std::array<char, 32> line_prefix{};  // of the endpoint's current line: all that a known word needs
+    std::uint8_t line_prefix_size = 0;
     TunnelState state = TunnelState::free;
-    metrics::FinalAnswer outcome =
-        metrics::FinalAnswer::none;             // its client's final answer; counted once it has it
-    bool classed = false;                       // its first line was read, and named a profile
-    Outcome ending = Outcome::connection_lost;  // what the module hears when it is over
-    bool standing = false;  // open at its host before the start: goes there, without a decision
-    bool at_door = false;   // there was no descriptor for it: it is told so and let go
-    bool known = false;     // the module knows of it
-    bool stays = false;     // another process of the node does not take it
-    bool moves_on = false;  // its host is silent: the client is moved without waiting for it
+    metrics::FinalAnswer final_answer = metrics::FinalAnswer::none;
+    bool answer_uncounted = false;  // the request was read; its final answer is yet to be counted
+    Outcome outcome = Outcome::connection_lost;  // reported to the balancer when the tunnel ends
+    bool resuming = false;          // open at its endpoint before the start: goes there without a decision
+    bool reject_only = false;       // accepted without descriptors to serve it, so that it can be rejected
+    bool tracked = false;           // by the balancer
+    bool not_transferable = false;  // the other process of this node cannot take it
+    bool migration_forced = false;  // the endpoint does not answer: the client is migrated without waiting
 };
 
 }  // namespace lemonstair::tunnel
--- a/src/tunnel/tunnel_registry.cpp
+++ b/src/tunnel/tunnel_registry.cpp
@@ -6,124 +6,129 @@
 
 namespace lemonstair::tunnel {
 
-std::string_view name_of(TunnelState s) {
-    switch (s) {
+namespace {
+
+constexpr bool is_admitted(TunnelState state) {
+    return state != TunnelState::free && state != TunnelState::reading_request &&
+           state != TunnelState::closing;
+}
+
+}  // namespace
+
+std::string_view name_of(TunnelState state) {
+    switch (state) {
         case TunnelState::free:
             return "free";
-        case TunnelState::taking_in:
-            return "taking in";
-        case TunnelState::deciding:
-            return "deciding";
+        case TunnelState::reading_request:
+            return "reading request";
+        case TunnelState::awaiting_placement:
+            return "awaiting placement";
         case TunnelState::connecting:
             return "connecting";
-        case TunnelState::sending_line:
-            return "sending its line";
+        case TunnelState::sending_request:
+            return "sending request";
         case TunnelState::awaiting_answer:
-            return "awaiting an answer";
-        case TunnelState::relaying:
-            return "relaying";
-        case TunnelState::moving:
-            return "moving";
-        case TunnelState::handing:
-            return "handing";
-        case TunnelState::departing:
-            return "departing";
+            return "awaiting answer";
+        case TunnelState::open:
+            return "open";
+        case TunnelState::migrating:
+            return "migrating";
+        case TunnelState::transferring:
+            return "transferring";
+        case TunnelState::closing:
+            return "closing";
     }
     return "";
 }
 
-// An id is new with every connection: one that was open lately is remembered, so that nobody opens it again.
-void TunnelRegistry::let_go(Tunnel& t, std::uint32_t place) {
-    if (names.find(t.name) != place) return;
-    names.drop(t.name);
-    if (t.state != TunnelState::relaying && t.state != TunnelState::moving && t.state != TunnelState::handing)
+TunnelId TunnelRegistry::add(net::Fd client, bool reject_only) {
+    const std::uint32_t index = tunnels.take();
+    tunnels[index].reject_only = reject_only;
+    reject_only_count_ += reject_only ? 1 : 0;
+    tunnels[index].client = make_socket(id_of(index), Side::client, std::move(client), POLLIN);
+    ++tunnel_count_;
+    return id_of(index);
+}
+
+// Clients give each connection a new id: that of a tunnel open lately is remembered, so that it cannot be
+// opened twice.
+void TunnelRegistry::release_id(const Tunnel& tunnel, std::uint32_t index) {
+    if (by_id_hash.find(tunnel.id_hash) != index) return;
+    by_id_hash.drop(tunnel.id_hash);
+    if (tunnel.state != TunnelState::open && tunnel.state != TunnelState::migrating &&
+        tunnel.state != TunnelState::transferring)
         return;
-    std::uint64_t& oldest = spent_names_[next_spent_++ % spent_names_.size()];
-    if (oldest != 0 && names.find(oldest) == spent) names.drop(oldest);
-    oldest = t.name;
-    names.put(t.name, spent);
+    std::uint64_t& oldest = recent_id_hashes_[next_recent_++ % recent_id_hashes_.size()];
+    if (oldest != 0 && by_id_hash.find(oldest) == recently_closed) by_id_hash.drop(oldest);
+    oldest = tunnel.id_hash;
+    by_id_hash.put(tunnel.id_hash, recently_closed);
 }
 
-// A tunnel counts once, as its client was answered; one whose line named no profile is nobody's.
-void TunnelRegistry::count_outcome(Tunnel& t, TunnelState to) {
-    if (!t.classed) return;
-    if (to == TunnelState::relaying) t.outcome = metrics::FinalAnswer::opened;
-    if (t.outcome == metrics::FinalAnswer::none) return;
-    outcomes.count(t.profile, t.outcome);
-    t.classed = false;
+// A tunnel counts once, when its client has its final answer; a request without a traffic class counts
+// nowhere.
+void TunnelRegistry::count_final_answer(Tunnel& tunnel, TunnelState to) {
+    if (!tunnel.answer_uncounted) return;
+    if (to == TunnelState::open) tunnel.final_answer = metrics::FinalAnswer::opened;
+    if (tunnel.final_answer == metrics::FinalAnswer::none) return;
+    tunnel_counters.count(tunnel.traffic_class, tunnel.final_answer);
+    tunnel.answer_uncounted = false;
 }
 
-void TunnelRegistry::violated(metrics::Invariant rule, TunnelId id, std::string_view detail) {
-    ++costs.violations[static_cast<std::size_t>(rule)];
+void TunnelRegistry::report_violation(metrics::Invariant rule, TunnelId id, std::string_view detail) {
+    ++resource_counters.violations[static_cast<std::size_t>(rule)];
     log.error() << metrics::violation_mark << name_of(rule) << ", tunnel " << static_cast<std::uint32_t>(id)
                 << ": " << detail;
 }
 
-bool TunnelRegistry::client_is_gone(const Tunnel& t) const {
-    return !t.client.open() || t.client.peer_closed();
+bool TunnelRegistry::client_disconnected(const Tunnel& tunnel) const {
+    return !tunnel.client.open() || tunnel.client.peer_closed();
 }
 
-// A connection that ends without last words: its client must have gone, or never have begun to speak.
-void TunnelRegistry::check_ending(TunnelId id, const Tunnel& t, TunnelState to) {
-    if (to != TunnelState::free || !t.client.open()) return;
-    const bool waits = t.state == TunnelState::deciding || t.state == TunnelState::connecting ||
-                       t.state == TunnelState::sending_line || t.state == TunnelState::awaiting_answer;
-    if (waits && !client_is_gone(t)) violated(metrics::Invariant::closed_unanswered, id, name_of(t.state));
-    if (t.state != TunnelState::taking_in) return;
+// A connection that is closed without a final line: its client must be gone, or have sent nothing.
+void TunnelRegistry::check_close(TunnelId id, const Tunnel& tunnel, TunnelState to) {
+    if (to != TunnelState::free || !tunnel.client.open()) return;
+    if (awaits_answer(tunnel.state) && !client_disconnected(tunnel))
+        report_violation(metrics::Invariant::closed_unanswered, id, name_of(tunnel.state));
+    if (tunnel.state != TunnelState::reading_request) return;
     std::array<char, 1> next{};
-    const bool whole_line = t.opening.held() && t.opening.view().find('\n') != std::string_view::npos;
-    const attempt_policy::PendingInput input{t.client.peek(next).bytes, whole_line};
+    const bool whole_line =
+        tunnel.request_buffer.held() && tunnel.request_buffer.view().find('\n') != std::string_view::npos;
+    const attempt_policy::PendingInput input{tunnel.client.peek(next).bytes, whole_line};
     const Reason reason = attempt_policy::may_close_unanswered(input);
-    if (reason != Reason::allowed && !client_is_gone(t))
-        violated(metrics::Invariant::closed_unanswered, id, name_of(reason));
+    if (reason != Reason::allowed && !client_disconnected(tunnel))
+        report_violation(metrics::Invariant::closed_unanswered, id, name_of(reason));
 }
 
-void TunnelRegistry::go(TunnelId id, TunnelState to) {
-    Tunnel& t = *find(id);
-    check_ending(id, t, to);
-    const auto counts = [](TunnelState s) {
-        return s != TunnelState::free && s != TunnelState::taking_in && s != TunnelState::departing;
-    };
-    if (!counts(t.state) && counts(to)) ++admitted;
-    if (counts(t.state) && !counts(to)) {
-        --admitted;
-        let_go(t, static_cast<std::uint32_t>(id));
+void TunnelRegistry::transition_to(TunnelId id, TunnelState to) {
+    Tunnel& tunnel = *find(id);
+    check_close(id, tunnel, to);
+    if (!is_admitted(tunnel.state) && is_admitted(to)) ++admitted_count_;
+    if (is_admitted(tunnel.state) && !is_admitted(to)) {
+        --admitted_count_;
+        release_id(tunnel, static_cast<std::uint32_t>(id));
     }
-    count_outcome(t, to);
-    if (t.state == TunnelState::departing) --departing;
-    if (to == TunnelState::departing) ++departing;
-    log.debug() << "tunnel " << static_cast<std::uint32_t>(id) << ": " << name_of(t.state) << " -> "
+    count_final_answer(tunnel, to);
+    if (tunnel.state == TunnelState::closing) --closing_count_;
+    if (to == TunnelState::closing) ++closing_count_;
+    log.debug() << "tunnel " << static_cast<std::uint32_t>(id) << ": " << name_of(tunnel.state) << " -> "
                 << name_of(to);
-    t.state = to;
-    t.since = loop.now();
+    tunnel.state = to;
+    tunnel.state_since = loop.now();
     if (to != TunnelState::free) return;
-    --in_hand;
-    const bool was_at_door = t.at_door;
-    at_door -= was_at_door ? 1 : 0;
+    --tunnel_count_;
+    const bool was_reject_only = tunnel.reject_only;
+    reject_only_count_ -= was_reject_only ? 1 : 0;
     tunnels.give_back(static_cast<std::uint32_t>(id));
-    if (was_at_door) keep_spares();
+    // The descriptor that it gave back came from the spares.
+    if (was_reject_only) descriptors.refill_spares();
 }
 
-bool TunnelRegistry::comes_in(Tunnel& t) {
-    keep_spares();
-    for (const net::Fd& spare : spares_)
-        if (!spare.open()) return false;
-    if (down_to(fewest_left)) return false;
-    t.at_door = false;
-    --at_door;
+bool TunnelRegistry::try_serve_reject_only(Tunnel& tunnel) {
+    descriptors.refill_spares();
+    if (!descriptors.has_all_spares() || descriptors.is_low(DescriptorBudget::reserved)) return false;
+    tunnel.reject_only = false;
+    --reject_only_count_;
     return true;
 }
 
-void TunnelRegistry::keep_spares() {
-    for (net::Fd& spare : spares_)
-        if (!spare.open()) spare = loop.system().spare();
-}
-
-bool TunnelRegistry::give_up_spare() {
-    for (net::Fd& spare : spares_)
-        if (spare.open()) return spare.close(), true;
-    keep_spares();
-    return spares_[0].open() && (spares_[0].close(), true);
-}
-
 }  // namespace lemonstair::tunnel
--- a/src/tunnel/tunnel_registry.h
+++ b/src/tunnel/tunnel_registry.h
@@ -1,5 +1,6 @@
-// What the stages of a tunnel share: the loop, the buffers, the slab of tunnels, the module, the hosts; and
-// the one function through which every change of a tunnel's state goes.
+// The registry of all tunnels of this process, and what their stages share: loop, buffers, balancer, endpoint
+// directory, counters. Every change of a tunnel's state goes through transition_to, which checks and counts
+// it.
 #pragma once
 
 #include <array>
@@ -16,113 +17,121 @@
 #include "metrics/tunnel_counters.h"
 #include "net/buffer_pool.h"
 #include "net/loop.h"
+#include "tunnel/descriptor_budget.h"
 #include "tunnel/tunnel.h"
 
 namespace lemonstair::tunnel {
 
-// A tunnel's number: its place in the slab and the use of that place, so that a late word about one never
-// reaches the next. It is the module's number for it too, and with the side the token of its sockets.
+// A tunnel's number: its slot, and above it the serial of the slot's use, so that a late event of one tunnel
+// never reaches the next. The balancer uses the same number; with the side it is the token of a socket.
 using TunnelId = std::uint64_t;
-enum class Side : std::uint8_t { client, host };
+enum class Side : std::uint8_t { client, endpoint };
 
+// Since the start of this process.
 struct TunnelTotals {
-    std::uint64_t taken = 0, opened = 0, declined = 0, failed = 0, busy = 0, moved = 0, silent = 0, bad = 0,
-                  gave_way = 0;
+    std::uint64_t accepted = 0;         // requests that were read
+    std::uint64_t opened = 0;           // attempts that an endpoint took
+    std::uint64_t rejected = 0;         // told that nothing was done
+    std::uint64_t failed = 0;           // closed with an error
+    std::uint64_t over_capacity = 0;    // of those rejected: the node was full
+    std::uint64_t migrated = 0;         // clients that were sent away from an open tunnel
+    std::uint64_t stalled = 0;          // of those migrated: the endpoint answered no line any more
+    std::uint64_t protocol_errors = 0;  // closed with an error for what the client sent
+    std::uint64_t evicted = 0;          // idle connections that were closed for their descriptors
 };
 
-struct TunnelRegistry {
-    TunnelRegistry(net::EventLoop& with, net::EventHandler& stages, const config::NodeConfig& by,
-                   discovery::EndpointDirectory& of, log::Log& to, metrics::ResourceCounters& counts)
-        : loop(with),
-          waiter(stages),
-          launch(by),
-          hosts(of),
-          log(to),
-          costs(counts),
-          outcomes(by.profiles.size()) {}
+class TunnelRegistry {
+  public:
+    static constexpr Ticks no_deadline = std::numeric_limits<Ticks>::max() / 4;
+    // In `by_id_hash`: the id belonged to a tunnel that was open lately.
+    static constexpr std::uint32_t recently_closed = IdIndex::none - 1;
 
-    TunnelId id_of(std::uint32_t at) const { return TunnelId{tunnels.serial(at) & 0x7fffffffU} << 32 | at; }
-    // Nothing where the tunnel is no more.
+    TunnelRegistry(net::EventLoop& event_loop, net::EventHandler& handler,
+                   const config::NodeConfig& node_config, discovery::EndpointDirectory& directory,
+                   log::Log& node_log, metrics::ResourceCounters& counters)
+        : loop(event_loop),
+          event_handler(handler),
+          config(node_config),
+          endpoints(directory),
+          log(node_log),
+          resource_counters(counters),
+          descriptors(event_loop, node_config),
+          tunnel_counters(node_config.profiles.size()) {}
+
+    TunnelId id_of(std::uint32_t index) const {
+        return TunnelId{tunnels.serial(index) & 0x7fffffffU} << 32 | index;
+    }
+    // Null where the tunnel is gone.
     Tunnel* find(TunnelId id) {
-        const auto at = static_cast<std::uint32_t>(id);
-        return tunnels.used(at) && id_of(at) == id ? &tunnels[at] : nullptr;
+        const auto index = static_cast<std::uint32_t>(id);
+        return tunnels.used(index) && id_of(index) == id ? &tunnels[index] : nullptr;
     }
-    TunnelId open(net::Fd client, bool by_the_door) {
-        const std::uint32_t at = tunnels.take();
-        tunnels[at].at_door = by_the_door;
-        at_door += by_the_door ? 1 : 0;
-        tunnels[at].client = socket(id_of(at), Side::client, std::move(client), POLLIN);
-        ++in_hand;
-        return id_of(at);
+    // A tunnel for an accepted client, in no state yet: a transition must follow.
+    TunnelId add(net::Fd client, bool reject_only);
+    // Calls visit(index, tunnel) for each tunnel in use, in the order of slots.
+    template <class Visit>
+    void for_each(Visit&& visit) {
+        for (std::uint32_t index = 0; index < tunnels.places(); ++index)
+            if (tunnels.used(index)) visit(index, tunnels[index]);
     }
-    net::Socket socket(TunnelId id, Side side, net::Fd fd, short events) {
-        return {loop, std::move(fd), events, waiter, id << 1 | static_cast<std::uint64_t>(side)};
+    // A socket of a tunnel, whose events go to the stage that the tunnel's state names.
+    net::Socket make_socket(TunnelId id, Side side, net::Fd fd, short events) {
+        return {loop, std::move(fd), events, event_handler, id << 1 | static_cast<std::uint64_t>(side)};
     }
-    // The module, with the time told.
-    Balancer& mind() {
+    // The balancer, its clock set to the loop's.
+    Balancer& balancer_now() {
         balancer->set_time(loop.now());
         return *balancer;
     }
-    void set_due(TunnelId id, Tunnel& t, Ticks when) {
-        t.due = when;
-        loop.schedule(when, waiter, id << 1);
+    // The stage of the tunnel is called at `deadline`; an earlier timer that is still out is told by this.
+    void set_state_deadline(TunnelId id, Tunnel& tunnel, Ticks deadline) {
+        tunnel.state_deadline = deadline;
+        loop.schedule(deadline, event_handler, id << 1);
     }
-    // Descriptors that are left when no more connections are accepted, if only to be told to go: for what the
-    // node needs beside tunnels, the listener, discovery, the peers, the log and others, and for setups.
-    static constexpr std::size_t fewest_left = 12;
-    // That a process has beside those in its loop: the standard ones and the spares.
-    static constexpr std::size_t outside_loop = 6;
-    // Whether only so many of the descriptors granted are left, those outside the loop among them.
-    bool down_to(std::size_t left) const { return loop.descriptors() + for_other + left >= granted(); }
-    // Another process of this node may hold a part of what both are granted together.
-    std::size_t granted() const { return launch.sockets > elsewhere ? launch.sockets - elsewhere : 0; }
-    std::size_t taking_in() const { return in_hand - admitted - departing; }
-    void go(TunnelId id, TunnelState to);
-    // Counts and tells an effect that should not have been.
-    void violated(metrics::Invariant rule, TunnelId id, std::string_view detail);
-    // Whether the client has ended its sending or its connection, asked of the system just now.
-    bool client_is_gone(const Tunnel& t) const;
+    void transition_to(TunnelId id, TunnelState to);
+    // Counts and logs an effect that the code must never have.
+    void report_violation(metrics::Invariant rule, TunnelId id, std::string_view detail);
+    // Whether the client has ended its sending or its connection; asks the system.
+    bool client_disconnected(const Tunnel& tunnel) const;
+    // Once there are descriptors again: lets a tunnel that was accepted only to be rejected be served. False
+    // where there are none.
+    bool try_serve_reject_only(Tunnel& tunnel);
+
+    std::size_t tunnel_count() const { return tunnel_count_; }
+    // From a complete request to the final line.
+    std::size_t admitted_count() const { return admitted_count_; }
+    std::size_t closing_count() const { return closing_count_; }
+    std::size_t reading_request_count() const { return tunnel_count_ - admitted_count_ - closing_count_; }
+    std::size_t reject_only_count() const { return reject_only_count_; }
 
     net::EventLoop& loop;
-    net::EventHandler& waiter;
-    const config::NodeConfig& launch;
-    discovery::EndpointDirectory& hosts;
+    net::EventHandler& event_handler;
+    const config::NodeConfig& config;
+    discovery::EndpointDirectory& endpoints;
     log::Log& log;
-    metrics::ResourceCounters& costs;
+    metrics::ResourceCounters& resource_counters;
     Balancer* balancer = nullptr;
+    DescriptorBudget descriptors;
     net::BufferPool pool;
     Slab<Tunnel> tunnels;
-    // Of the tunnels between admission and their last words: name -> place; of those that were open lately:
-    // spent.
-    static constexpr std::uint32_t spent = IdIndex::none - 1;
-    IdIndex names;
-    metrics::TunnelCounters outcomes;
-    TunnelTotals tally;
-    bool ready = false;  // what PING is told
-    // A node that empties: final answers are due by then, and moved tunnels are over.
-    static constexpr Ticks no_end = std::numeric_limits<Ticks>::max() / 4;
-    Ticks answer_by = no_end, over_by = no_end;
-    std::size_t elsewhere = 0;  // descriptors that another process of this node holds
-    std::size_t for_other = 0;  // left to one that may come, or for what it takes before it can say so
-    std::size_t in_hand = 0;    // tunnels that are not free
-    std::size_t admitted = 0;   // of these, those past their first line and before their last words
-    std::size_t departing = 0;
-    std::size_t at_door = 0;  // in hand only to be declined
-
-    // Guards against a system without descriptors: some are held that are given up for clients who can then
-    // be told; what such a client gives back is held again at once.
-    void keep_spares();
-    bool give_up_spare();
-    // There are descriptors again, also for a tunnel that was let in only to be declined.
-    bool comes_in(Tunnel& t);
+    IdIndex by_id_hash;  // admitted tunnels -> slot; ids of tunnels open lately -> recently_closed
+    metrics::TunnelCounters tunnel_counters;
+    TunnelTotals totals;
+    bool ready = false;  // the answer to a readiness check
+    // While the node drains: final answers are due, and migrated tunnels are closed, by these.
+    Ticks answer_deadline = no_deadline, close_deadline = no_deadline;
 
   private:
-    void check_ending(TunnelId id, const Tunnel& t, TunnelState to);
-    void count_outcome(Tunnel& t, TunnelState to);
-    void let_go(Tunnel& t, std::uint32_t place);
-    std::array<std::uint64_t, 1024> spent_names_{};
-    std::size_t next_spent_ = 0;
-    std::array<net::Fd, 3> spares_;
+    void check_close(TunnelId id, const Tunnel& tunnel, TunnelState to);
+    void count_final_answer(Tunnel& tunnel, TunnelState to);
+    void release_id(const Tunnel& tunnel, std::uint32_t index);
+
+    std::size_t tunnel_count_ = 0;
+    std::size_t admitted_count_ = 0;
+    std::size_t closing_count_ = 0;
+    std::size_t reject_only_count_ = 0;
+    std::array<std::uint64_t, 1024> recent_id_hashes_{};  // a ring
+    std::size_t next_recent_ = 0;
 };
 
 }  // namespace lemonstair::tunnel
--- a/tests/parsers.cpp
+++ b/tests/parsers.cpp
@@ -93,25 +93,24 @@
 TEST_CASE("a first line is read and written again with another wait; cut at any byte it does no harm") {
     const std::vector<std::string> profiles{"chat", "feed"};
     const std::string line = "OPEN 9b1f 7f3a c=feed,d=1500.75,g=5c0f,r=1,mid=1,h=0.02";
-    TunnelRequest a;
-    std::string_view holder;
-    REQUIRE(tunnel::read_opening(line, profiles, 100, a, holder));
+    const auto parsed = tunnel::parse_request_line(line, profiles, 100);
+    REQUIRE(parsed.has_value());
+    const TunnelRequest& a = parsed->request;
     CHECK(a.key == "7f3a");
     CHECK(a.group == "5c0f");
     CHECK(a.traffic_class == 1);
     CHECK(a.mid_flow);
     CHECK(a.expected_load == 0.02);
     CHECK(a.deadline == 100 + 15007);  // a limit is rounded down
-    CHECK(holder.empty());
+    CHECK(parsed->current_endpoint.empty());
     net::BufferPool pool;
     for (std::size_t n = 0; n <= line.size(); ++n) {
-        TunnelRequest cut;
         net::Buffer out = pool.take();
-        tunnel::read_opening(std::string_view(line).substr(0, n), profiles, 100, cut, holder);
-        CHECK(tunnel::write_opening(std::string_view(line).substr(0, n), 7999, out));
+        static_cast<void>(tunnel::parse_request_line(std::string_view(line).substr(0, n), profiles, 100));
+        CHECK(tunnel::write_request_line(std::string_view(line).substr(0, n), 7999, out));
     }
     net::Buffer out = pool.take();
-    CHECK(tunnel::write_opening(line, 7999, out));
+    CHECK(tunnel::write_request_line(line, 7999, out));
     CHECK(out.view() == "OPEN 9b1f 7f3a c=feed,d=799,g=5c0f,r=1,mid=1,h=0.02\r\n");
 }
 
--- a/tools/tunnel_ledger.py
+++ b/tools/tunnel_ledger.py
@@ -54,10 +54,10 @@
                 yield at, log.stem, "then " + ENDINGS[int(found[3])], tunnel
         elif (found := STATE.search(rest)) and found[1] in tunnels:
             tunnel = tunnels[found[1]]
-            if found[3] == "relaying" and not tunnel["up"]:
+            if found[3] == "open" and not tunnel["up"]:
                 tunnel["up"] = True
                 yield at, log.stem, "up", tunnel
-            elif found[3] == "departing" and not tunnel["up"]:
+            elif found[3] == "closing" and not tunnel["up"]:
                 yield at, log.stem, "given up", tunnel
             elif found[3] == "free":
                 del tunnels[found[1]]
