--- a/src/tunnel/attempt.cpp
+++ b/src/tunnel/attempt.cpp
@@ -66,8 +66,8 @@
     Tunnel& tunnel = *registry_.find(id);
     const auto& endpoint = registry_.endpoints[tunnel.endpoint_index];
     ++registry_.resource_counters.setups;
-    registry_.log.debug() << "tunnel " << static_cast<std::uint32_t>(id) << " setup " << tunnel.attempts
-                          << " at ep " << endpoint.ep;
+    registry_.log.debug() << "tunnel " << static_cast<std::uint32_t>(id) << " attempt " << tunnel.attempts
+                          << " at endpoint " << endpoint.ep;
     registry_.transition_to(id, TunnelState::connecting);
     if (registry_.descriptors.is_low(min_descriptors_left) && !completion_.evict_idle_connection())
         return on_failed(id, Outcome::not_sent);
@@ -126,7 +126,7 @@
     const Reason reason = registry_.balancer->may_write(id, attempt_policy::longest_hold_up);
     if (reason == Reason::allowed) return true;
     registry_.resource_counters.explained(reason);
-    registry_.log.debug() << "tunnel " << static_cast<std::uint32_t>(id) << " setup " << tunnel.attempts
+    registry_.log.debug() << "tunnel " << static_cast<std::uint32_t>(id) << " attempt " << tunnel.attempts
                           << " is withdrawn: " << name_of(reason);
     on_failed(id, Outcome::withdrawn);
     return false;
@@ -191,8 +191,8 @@
         case wire::Answer::error:
             return on_failed(id, Outcome::error);
         case wire::Answer::unknown:
-            registry_.log.error() << "host answered a setup with '" << line.substr(0, logged_answer_bytes)
-                                  << "'";
+            registry_.log.error() << "endpoint answered an attempt with '"
+                                  << line.substr(0, logged_answer_bytes) << "'";
             return on_failed(id, Outcome::error);
     }
 }
@@ -220,8 +220,8 @@
 void AttemptRunner::on_failed(TunnelId id, Outcome outcome) {
     Tunnel& tunnel = *registry_.find(id);
     registry_.resource_counters.setup_ended(outcome);
-    registry_.log.debug() << "tunnel " << static_cast<std::uint32_t>(id) << " setup " << tunnel.attempts
-                          << " failed, ending " << static_cast<int>(outcome);
+    registry_.log.debug() << "tunnel " << static_cast<std::uint32_t>(id) << " attempt " << tunnel.attempts
+                          << " failed, outcome " << static_cast<int>(outcome);
     tunnel.endpoint.close();
     tunnel.upstream.buffer.give_back();
     tunnel.downstream.buffer.give_back();
@@ -254,7 +254,7 @@
     if (tunnel.state == TunnelState::awaiting_placement) {
         if (!tunnel.resuming || tunnel.state_deadline == 0) return;
         if (now < tunnel.deadline) return resume(id);
-        registry_.log.error() << "a tunnel that stood before the start was not taken by its host";
+        registry_.log.error() << "a tunnel that was open before the start was not resumed by its endpoint";
         return completion_.fail(id);
     }
     if (tunnel.state == TunnelState::awaiting_answer) return on_failed(id, Outcome::timed_out);
--- a/src/tunnel/completion.cpp
+++ b/src/tunnel/completion.cpp
@@ -125,7 +125,7 @@
     const Ticks now = registry_.loop.now();
     if (now - std::exchange(evicted_at_, now) > eviction_logged_every)
         registry_.log.info() << "descriptors run short, " << registry_.loop.descriptors() << " in use, "
-                             << registry_.admitted_count() << " tunnels: silent clients give way";
+                             << registry_.admitted_count() << " tunnels: idle connections are closed";
     close_now(longest.id);
     return true;
 }
@@ -135,8 +135,8 @@
     if (!tunnel.tracked) return;
     tunnel.tracked = false;
     const std::uint32_t endpoint = registry_.endpoints[tunnel.endpoint_index].ep;
-    registry_.log.debug() << "tunnel " << static_cast<std::uint32_t>(id) << " at ep " << endpoint
-                          << " over, ending " << static_cast<int>(outcome) << ", lines owed "
+    registry_.log.debug() << "tunnel " << static_cast<std::uint32_t>(id) << " at endpoint " << endpoint
+                          << " ended, outcome " << static_cast<int>(outcome) << ", unanswered lines "
                           << tunnel.unanswered_lines;
     registry_.balancer_now().on_ended(id, tunnel.attempts - 1, endpoint, outcome,
                                       registry_.loop.now() - tunnel.attempt_started, true);
--- a/src/tunnel/endpoint_monitor.cpp
+++ b/src/tunnel/endpoint_monitor.cpp
@@ -50,7 +50,7 @@
     activity.slow_reported_at = now;
     activity.reported_slow = slow;
     const std::uint32_t endpoint = registry_.endpoints[endpoint_index].ep;
-    registry_.log.debug() << "a message takes " << took / ticks_per_ms << " ms at ep " << endpoint;
+    registry_.log.debug() << "a message takes " << took / ticks_per_ms << " ms at endpoint " << endpoint;
     registry_.balancer_now().on_slow_messages(id, endpoint, took);
 }
 
--- a/tests/tunnel_ledger.py
+++ b/tests/tunnel_ledger.py
@@ -7,22 +7,22 @@
 TOOL = pathlib.Path(__file__).resolve().parent.parent / "tools" / "tunnel_ledger.py"
 FIRST = """0.100 host h1 at 127.0.0.1:1 is ep 11
 0.500 debug tunnel 0: free -> reading request
-0.500 debug tunnel 0 taken: OPEN id1 key1 c=x,d=100,g=g1
-0.510 debug tunnel 0 setup 1 at ep 11
-0.520 debug tunnel 0 setup 1 failed, ending 2
-0.530 debug tunnel 0 setup 2 at ep 12
+0.500 debug tunnel 0 accepted: OPEN id1 key1 c=x,d=100,g=g1
+0.510 debug tunnel 0 attempt 1 at endpoint 11
+0.520 debug tunnel 0 attempt 1 failed, outcome 2
+0.530 debug tunnel 0 attempt 2 at endpoint 12
 0.540 debug tunnel 0: awaiting answer -> open
 1.000 debug host h2, ep 12, told terminating, up since 0
-1.900 debug tunnel 0 at ep 12 over, ending 5, lines owed 0
+1.900 debug tunnel 0 at endpoint 12 ended, outcome 5, unanswered lines 0
 1.910 debug tunnel 0: open -> free
 """
-SECOND = """2.100 debug tunnel 7 taken: OPEN id2 key1 c=x,d=100,again=1,g=g1
-2.110 debug tunnel 7 setup 1 at ep 11
+SECOND = """2.100 debug tunnel 7 accepted: OPEN id2 key1 c=x,d=100,again=1,g=g1
+2.110 debug tunnel 7 attempt 1 at endpoint 11
 2.120 debug tunnel 7: awaiting answer -> open
-2.200 debug tunnel 8 taken: OPEN id3 key2 c=x,d=100,g=g1,mid=1
-2.210 debug tunnel 8 setup 1 at ep 11
+2.200 debug tunnel 8 accepted: OPEN id3 key2 c=x,d=100,g=g1,mid=1
+2.210 debug tunnel 8 attempt 1 at endpoint 11
 2.220 debug tunnel 8: awaiting answer -> open
-2.300 debug tunnel 9 taken: OPEN id4 key3 c=x,d=100,g=g2
+2.300 debug tunnel 9 accepted: OPEN id4 key3 c=x,d=100,g=g2
 2.310 debug tunnel 9: awaiting placement -> closing
 no time at all
 """
--- a/tools/tunnel_ledger.py
+++ b/tools/tunnel_ledger.py
@@ -14,11 +14,11 @@
 import pathlib
 import re
 
-TAKEN = re.compile(r"tunnel (\d+) taken: OPEN (\S+) (\S+) (\S*)")
-SETUP = re.compile(r"tunnel (\d+) setup (\d+) at ep (\d+)")
-FAILED = re.compile(r"tunnel (\d+) setup (\d+) failed, ending (\d)")
+TAKEN = re.compile(r"tunnel (\d+) accepted: OPEN (\S+) (\S+) (\S*)")
+SETUP = re.compile(r"tunnel (\d+) attempt (\d+) at endpoint (\d+)")
+FAILED = re.compile(r"tunnel (\d+) attempt (\d+) failed, outcome (\d)")
 STATE = re.compile(r"tunnel (\d+): (.+) -> (.+)")
-OVER = re.compile(r"tunnel (\d+) at ep (\d+) over, ending (\d)")
+OVER = re.compile(r"tunnel (\d+) at endpoint (\d+) ended, outcome (\d)")
 HOST = re.compile(r"host (\S+), ep (\d+), told (\w+), up since (\d+)")
 ENDINGS = ["served", "error", "full", "timed out", "unreachable", "broken", "called off", "not sent"]
 AGES = {"in_service": "young", "terminating": "draining", "terminated": "gone"}
