--- a/tests/operators.cpp
+++ b/tests/admin_test.cpp
@@ -6,8 +6,8 @@
 #include <csignal>
 
 #include "admin/routes.h"
-#include "fake.h"
 #include "http/request.h"
+#include "node_fixture.h"
 
 using namespace fake;
 
--- a/tests/backoff.cpp
+++ b/tests/backoff_test.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <random>
 
-#include "fake.h"
+#include "node_fixture.h"
 
 using namespace lemonstair;
 using backoff::Backoff;
--- a/tests/endings.cpp
+++ b/tests/client_disconnect_test.cpp
@@ -7,7 +7,7 @@
 #include <csignal>
 #include <thread>
 
-#include "fake.h"
+#include "node_fixture.h"
 
 using namespace fake;
 
--- a/tests/witness.cpp
+++ b/tests/failure_detector_test.cpp
@@ -7,7 +7,7 @@
 
 #include "failure_detector/failure_likelihood.h"
 #include "failure_detector/observations.h"
-#include "fake.h"
+#include "node_fixture.h"
 #include "peer/codec.h"
 
 using namespace fake;
--- a/tests/handover.cpp
+++ b/tests/hot_restart_test.cpp
@@ -4,9 +4,9 @@
 
 #include <csignal>
 
-#include "fake.h"
 #include "hot_restart/packets.h"
 #include "hot_restart/state_machine.h"
+#include "node_fixture.h"
 
 using namespace fake;
 using hot_restart::Event;
--- a/tests/sizes.cpp
+++ b/tests/large_fleet_test.cpp
@@ -3,7 +3,7 @@
 
 #include <set>
 
-#include "fake.h"
+#include "node_fixture.h"
 #include "peer/codec.h"
 
 using namespace fake;
--- a/tests/loads.cpp
+++ b/tests/load_estimator_test.cpp
@@ -1,9 +1,8 @@
 // Stories of what a node takes hosts to carry where reports are few and old.
-#include "balance/loads.h"
-
 #include <doctest/doctest.h>
 
-#include "fake.h"
+#include "balance/loads.h"
+#include "node_fixture.h"
 #include "peer/codec.h"
 
 using namespace fake;
--- a/tests/node.cpp
+++ b/tests/node_test.cpp
@@ -5,8 +5,8 @@
 
 #include <csignal>
 
-#include "fake.h"
 #include "node/peer_link.h"
+#include "node_fixture.h"
 
 using namespace fake;
 
--- a/tests/parsers.cpp
+++ b/tests/parsers_test.cpp
@@ -4,8 +4,8 @@
 #include "config/node_config.h"
 #include "discovery/hosts.h"
 #include "discovery/http_lines.h"
-#include "fake.h"
 #include "health_check/health_checker.h"
+#include "node_fixture.h"
 #include "tunnel/request_line.h"
 
 using namespace fake;
--- a/tests/codec.cpp
+++ b/tests/peer_codec_test.cpp
@@ -1,11 +1,10 @@
-#include "peer/codec.h"
-
 #include <doctest/doctest.h>
 
 #include <sstream>
 #include <vector>
 
 #include "metrics/resource_counters.h"
+#include "peer/codec.h"
 
 namespace {
 struct Heard final : lemonstair::peer::MessageHandler {
--- a/tests/stories.cpp
+++ b/tests/placement_test.cpp
@@ -1,8 +1,7 @@
 // Stories: one for each failure met and each path of the mechanism.
-#define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>
 
-#include "fake.h"
+#include "node_fixture.h"
 #include "peer/codec.h"
 
 using namespace fake;
--- a/tests/dealing.cpp
+++ b/tests/quota_test.cpp
@@ -10,7 +10,7 @@
 #include <unordered_set>
 #include <vector>
 
-#include "fake.h"
+#include "node_fixture.h"
 
 using lemonstair::quota::Quota;
 using lemonstair::quota::QuotaSchedule;
--- a/tests/lab.cpp
+++ b/tests/simulation_test.cpp
@@ -7,10 +7,10 @@
 #include <fstream>
 #include <sstream>
 
+#include "fault_injection.h"
 #include "simnet/process.h"
 #include "simulation/runner.h"
 #include "simulation/shrink.h"
-#include "spoilt.h"
 
 using namespace lemonstair;
 using simnet::EventQueue;
--- a/tests/rare_faults.cpp
+++ b/tests/system_fault_test.cpp
@@ -13,7 +13,7 @@
 #include <utility>
 #include <vector>
 
-#include "fake.h"
+#include "node_fixture.h"
 
 using namespace fake;
 using namespace std::chrono_literals;
