--- a/src/fakes/clients.cpp
+++ b/src/fakes/clients.cpp
@@ -213,65 +213,88 @@
 
 // False where no more lines of this connection are read.
 bool FakeClients::line(std::uint32_t at, std::string_view text) {
-    Member& m = members_[at];
+    const Member& m = members_[at];
+    if (m.state == State::waiting) return take_answer(at, text);
+    if (m.state != State::open) return false;
+    const std::string_view word = text.substr(0, text.find(' '));
+    if (word == "MOVE") {
+        take_move(at);
+        return false;
+    }
+    if (word != "BYE" && word != "LOAD") take_line(at, text);
+    return true;
+}
+
+bool FakeClients::take_answer(std::uint32_t at, std::string_view text) {
+    const Member& m = members_[at];
     const Ticks written = town_.network.last_came_from(m.end);
     std::string_view rest = text;
     const auto word = next_word(rest);
-    if (m.state == State::waiting) {
-        const Answer a = word == "UP"     ? Answer::up
-                         : word == "BYE"  ? Answer::bye
-                         : word == "BUSY" ? Answer::busy
-                                          : Answer::error;
-        town_.witness.answered(m.tunnel, a, written);
-        if (a == Answer::up) {
-            char receipt[48];
-            std::snprintf(receipt, sizeof receipt, "-t%x", m.tunnel);
-            if (rest.find(receipt) == std::string_view::npos)
-                town_.witness.line_wrong(m.tunnel, "a receipt of another's", text);
-            ++tally_.opened;
-            m.tries = 0;
-            m.resuming = false;
-            m.owed_since = 0;
-            go(at, State::open);
-            town_.events.schedule(town_.now() + chance_.between(std::int64_t{1}, manners_.line_every), *this,
-                                  token(talk, at));
-            const Ticks ends = town_.events.start_time() + m.wish.until;
-            town_.events.schedule(std::max(ends, town_.now() + second / 5), *this, token(leave_now, at));
-            if (m.slow)
-                town_.events.schedule(town_.now() + chance_.between(second, 3 * second), *this,
-                                      token(read_again, at));
-            return true;
-        }
-        ++(a == Answer::busy ? tally_.declined : tally_.failed);
-        const bool may_repeat =
-            a == Answer::busy || town_.profiles[m.wish.profile].effect == Idempotency::idempotent;
-        Ticks later = 0;
-        if (a == Answer::busy) read_whole(next_word(rest), later);
-        part(at);
-        if (!may_repeat)
-            go(at, State::done);
-        else
-            try_again(at, later * 10);
+    const Answer a = word == "UP"     ? Answer::up
+                     : word == "BYE"  ? Answer::bye
+                     : word == "BUSY" ? Answer::busy
+                                      : Answer::error;
+    town_.witness.answered(m.tunnel, a, written);
+    if (a != Answer::up) {
+        take_refusal(at, a, rest);
         return false;
     }
-    if (m.state != State::open) return false;
-    if (word == "MOVE") {
-        ++tally_.moved;
-        m.came_before = true;
-        town_.witness.answered(m.tunnel, Answer::move, written);
-        part(at);
-        pause(at, chance_.between(std::int64_t{200}, second / 2));
-        return false;
-    }
-    if (word == "BYE") return true;
-    if (word == "LOAD") return true;
+    char receipt[48];
+    std::snprintf(receipt, sizeof receipt, "-t%x", m.tunnel);
+    if (rest.find(receipt) == std::string_view::npos)
+        town_.witness.line_wrong(m.tunnel, "a receipt of another's", text);
+    open(at);
+    return true;
+}
+
+void FakeClients::open(std::uint32_t at) {
+    Member& m = members_[at];
+    ++tally_.opened;
+    m.tries = 0;
+    m.resuming = false;
+    m.owed_since = 0;
+    go(at, State::open);
+    town_.events.schedule(town_.now() + chance_.between(std::int64_t{1}, manners_.line_every), *this,
+                          token(talk, at));
+    const Ticks ends = town_.events.start_time() + m.wish.until;
+    town_.events.schedule(std::max(ends, town_.now() + second / 5), *this, token(leave_now, at));
+    if (m.slow)
+        town_.events.schedule(town_.now() + chance_.between(second, 3 * second), *this,
+                              token(read_again, at));
+}
+
+// `rest`: what follows the word; of BUSY, in how many ms to come again.
+void FakeClients::take_refusal(std::uint32_t at, Answer answer, std::string_view rest) {
+    const Member& m = members_[at];
+    const bool busy = answer == Answer::busy;
+    ++(busy ? tally_.declined : tally_.failed);
+    const bool may_repeat = busy || town_.profiles[m.wish.profile].effect == Idempotency::idempotent;
+    Ticks retry_after_ms = 0;
+    if (busy) read_whole(next_word(rest), retry_after_ms);
+    part(at);
+    if (!may_repeat) return go(at, State::done);
+    try_again(at, retry_after_ms * 10);
+}
+
+void FakeClients::take_move(std::uint32_t at) {
+    Member& m = members_[at];
+    ++tally_.moved;
+    m.came_before = true;
+    town_.witness.answered(m.tunnel, Answer::move, town_.network.last_came_from(m.end));
+    part(at);
+    pause(at, chance_.between(std::int64_t{200}, second / 2));
+}
+
+// A line of the server: the echo of one of the client's, or one that it sends by itself.
+void FakeClients::take_line(std::uint32_t at, std::string_view text) {
+    Member& m = members_[at];
+    std::string_view rest = text;
+    const auto word = next_word(rest);
     std::uint32_t number = 0;
     Ticks sent = 0;
     if ((word != "e" && word != "p") || !read_whole(next_word(rest), number) ||
-        !read_whole(next_word(rest), sent)) {
-        town_.witness.line_wrong(m.tunnel, "not the host's", text);
-        return true;
-    }
+        !read_whole(next_word(rest), sent))
+        return town_.witness.line_wrong(m.tunnel, "not the host's", text);
     ++tally_.lines;
     std::uint32_t& expected = word == "e" ? m.echoed : m.heard;
     bool& gap = word == "e" ? m.gap_echoed : m.gap_heard;
@@ -280,7 +303,6 @@
     gap = false;
     expected = number;
     m.owed_since = m.echoed < m.said ? town_.now() : 0;  // any line of the host is one that came back
-    return true;
 }
 
 void FakeClients::on_event(std::uint64_t what) {
@@ -302,29 +324,13 @@
             return call(at);
         case taken_note:
             return town_.witness.taken(m.tunnel);
-        case time_up: {
-            if (m.state == State::waiting) town_.witness.gave_up(m.tunnel);
-            ++tally_.timed_out;
-            hang_up(at);
-            if (m.state == State::calling && m.resuming && town_.now() - m.broke_at < town_.park)
-                return pause(at, 1);
-            return try_again(at, 0);
-        }
+        case time_up:
+            return time_out(at);
         case impatient:
             town_.witness.left(m.tunnel);
             return over(at);
-        case talk: {
-            char text[64];
-            std::snprintf(text, sizeof text, "m %u %lld\r\n", ++m.said, static_cast<long long>(town_.now()));
-            if (m.owed_since == 0) m.owed_since = town_.now();
-            const Ticks owed = town_.now() - m.owed_since;
-            if (owed > longest_silence && m.reads && owed > m.told_unanswered) {
-                m.told_unanswered = owed;
-                town_.witness.unanswered(m.tunnel, owed);
-            }
-            say(at, text);
-            return town_.events.schedule(town_.now() + manners_.line_every, *this, token(talk, at));
-        }
+        case talk:
+            return send_line(at);
         case read_again:
             m.reads = !m.reads;
             if (m.state == State::done) return read(at);
@@ -333,15 +339,42 @@
             if (m.reads) read(at);
             return;
         case leave_now:
-            // It says that it ends, and waits for the other side's end.
-            town_.witness.left(m.tunnel);
-            m.ends = true;
-            m.reads = !m.slow;
-            go(at, State::done);
-            town_.network.finish(m.end);
-            if (m.slow) town_.events.schedule(town_.now() + 2 * second, *this, token(read_again, at));
-            return;
+            return leave(at);
     }
 }
 
+void FakeClients::time_out(std::uint32_t at) {
+    const Member& m = members_[at];
+    if (m.state == State::waiting) town_.witness.gave_up(m.tunnel);
+    ++tally_.timed_out;
+    hang_up(at);
+    if (m.state == State::calling && m.resuming && town_.now() - m.broke_at < town_.park) return pause(at, 1);
+    try_again(at, 0);
+}
+
+void FakeClients::send_line(std::uint32_t at) {
+    Member& m = members_[at];
+    char text[64];
+    std::snprintf(text, sizeof text, "m %u %lld\r\n", ++m.said, static_cast<long long>(town_.now()));
+    if (m.owed_since == 0) m.owed_since = town_.now();
+    const Ticks owed = town_.now() - m.owed_since;
+    if (owed > longest_silence && m.reads && owed > m.told_unanswered) {
+        m.told_unanswered = owed;
+        town_.witness.unanswered(m.tunnel, owed);
+    }
+    say(at, text);
+    town_.events.schedule(town_.now() + manners_.line_every, *this, token(talk, at));
+}
+
+// It says that it ends, and waits for the other side's end.
+void FakeClients::leave(std::uint32_t at) {
+    Member& m = members_[at];
+    town_.witness.left(m.tunnel);
+    m.ends = true;
+    m.reads = !m.slow;
+    go(at, State::done);
+    town_.network.finish(m.end);
+    if (m.slow) town_.events.schedule(town_.now() + 2 * second, *this, token(read_again, at));
+}
+
 }  // namespace lemonstair::fakes
--- a/src/fakes/clients.h
+++ b/src/fakes/clients.h
@@ -77,6 +77,14 @@
     void ask(std::uint32_t at);
     void read(std::uint32_t at);
     bool line(std::uint32_t at, std::string_view text);
+    bool take_answer(std::uint32_t at, std::string_view text);
+    void open(std::uint32_t at);
+    void take_refusal(std::uint32_t at, Answer answer, std::string_view rest);
+    void take_move(std::uint32_t at);
+    void take_line(std::uint32_t at, std::string_view text);
+    void time_out(std::uint32_t at);
+    void send_line(std::uint32_t at);
+    void leave(std::uint32_t at);
     void say(std::uint32_t at, std::string_view text);
     void hang_up(std::uint32_t at);
     void part(std::uint32_t at);
--- a/src/fakes/server.h
+++ b/src/fakes/server.h
@@ -97,7 +97,13 @@
     void take_connection(End end);
     void read(std::uint32_t at);
     bool line(std::uint32_t at, std::string_view text);
+    bool first_line(std::uint32_t at, std::string_view text);
     bool open_line(std::uint32_t at, std::string_view rest);
+    void client_line(std::uint32_t at, std::string_view text);
+    void send_echo(std::uint32_t at);
+    bool send_pushes(std::uint32_t at);
+    void answer_probe(std::uint32_t at, bool with_load);
+    bool move_one();
     void answer(std::uint32_t at);
     void begin(std::uint32_t at);
     void say(std::uint32_t at, std::string_view text);
--- a/src/fakes/server_connections.cpp
+++ b/src/fakes/server_connections.cpp
@@ -124,39 +124,44 @@
 
 // False where no more of what came is read.
 bool FakeServer::line(std::uint32_t at, std::string_view text) {
+    const Line& l = lines_[at];
+    if (l.step == Step::first_line) return first_line(at, text);
+    if (l.step == Step::open) client_line(at, text);
+    return true;  // of a client that does not wait for its answer, lines are thrown away
+}
+
+bool FakeServer::first_line(std::uint32_t at, std::string_view text) {
     Line& l = lines_[at];
-    if (l.step == Step::first_line) {
-        std::string_view rest = text;
-        const auto word = next_word(rest);
-        if (word == "OPEN") return open_line(at, rest);
-        if (word != "PING" && word != "STATS") {
-            town_.witness.bad_line(number_, text);
-            town_.network.write(l.end, "SYNTAX\r\n", true);
-            town_.network.finish(l.end);
-            l.step = Step::ended;
-            return false;
-        }
-        l.probe = true;
-        town_.events.schedule(work(word == "STATS" ? 0.1 : 0.05), *this,
-                              token(probe_answer, std::uint64_t{at} << 1 | (word == "STATS" ? 1U : 0U)));
-        return true;
+    std::string_view rest = text;
+    const auto word = next_word(rest);
+    if (word == "OPEN") return open_line(at, rest);
+    if (word != "PING" && word != "STATS") {
+        town_.witness.bad_line(number_, text);
+        town_.network.write(l.end, "SYNTAX\r\n", true);
+        town_.network.finish(l.end);
+        l.step = Step::ended;
+        return false;
     }
-    if (l.step == Step::working) return true;  // a client that does not wait: it is answered later
+    const bool with_load = word == "STATS";
+    l.probe = true;
+    town_.events.schedule(work(with_load ? 0.1 : 0.05), *this,
+                          token(probe_answer, std::uint64_t{at} << 1 | (with_load ? 1U : 0U)));
+    return true;
+}
+
+void FakeServer::client_line(std::uint32_t at, std::string_view text) {
+    Line& l = lines_[at];
     std::string_view rest = text;
     const auto word = next_word(rest);
     std::uint32_t number = 0;
-    if (word != "m" || !read_whole(next_word(rest), number) || number != l.heard + 1) {
-        // A new connection of the same tunnel goes on where the client stands.
-        if (word != "m" || !l.mid_flow || number <= l.heard) {
-            town_.witness.line_wrong(l.tunnel, "to the host", text);
-            return true;
-        }
-    }
+    const bool in_turn = word == "m" && read_whole(next_word(rest), number) && number == l.heard + 1;
+    // A new connection of the same tunnel goes on where the client stands.
+    const bool goes_on = word == "m" && l.mid_flow && number > l.heard;
+    if (!in_turn && !goes_on) return town_.witness.line_wrong(l.tunnel, "to the host", text);
     if (l.mid_flow && number > l.heard + 1) l.echoed = number - 1;
     l.mid_flow = false;
     l.heard = number;
     town_.events.schedule(work(traits_.line_work_ms), *this, token(echo, at));
-    return true;
 }
 
 bool FakeServer::open_line(std::uint32_t at, std::string_view rest) {
@@ -258,61 +263,77 @@
     if (hangs_ && kind != report && kind != judge_cold) {  // done when it goes on, if it ever does
         return town_.events.schedule(now + second, *this, what);
     }
+    const auto line = static_cast<std::uint32_t>(at);
     switch (kind) {
         case answer_setup:
-            return answer(static_cast<std::uint32_t>(at));
-        case echo: {
-            Line& l = lines_[at];
-            if (l.step != Step::open || l.gone) return;
-            char text[48];
-            std::snprintf(text, sizeof text, "e %u %lld\r\n", ++l.echoed, static_cast<long long>(now));
-            return say(static_cast<std::uint32_t>(at), text);
-        }
-        case push: {
-            Line& l = lines_[at];
-            if (l.step != Step::open) return;
-            if (l.gone) {  // parked: its client comes again soon, or never
-                if (now - l.parked_since > town_.park) over(static_cast<std::uint32_t>(at), false);
-                if (l.step != Step::open) return;
-            } else {
-                const int n = chance_.odds(burst_share) ? burst_lines : 1;
-                const std::string carries(std::max<std::size_t>(traits_.push_bytes, n > 1 ? 100 : 1), '0');
-                for (int i = 0; i < n; ++i) {
-                    char text[64];
-                    std::snprintf(text, sizeof text, "p %u %lld ", ++l.said, static_cast<long long>(now));
-                    say(static_cast<std::uint32_t>(at), std::string(text).append(carries).append("\r\n"));
-                }
-                if (chance_.odds(0.1)) {
-                    char text[32];
-                    std::snprintf(text, sizeof text, "LOAD %u\r\n", static_cast<unsigned>(l.load * 1e6));
-                    say(static_cast<std::uint32_t>(at), text);
-                }
-            }
-            return town_.events.schedule(now + chance_.between(push_from, push_to), *this, what);
-        }
+            return answer(line);
+        case echo:
+            return send_echo(line);
+        case push:
+            if (send_pushes(line))
+                town_.events.schedule(now + chance_.between(push_from, push_to), *this, what);
+            return;
         case report:
             reported_ = asked() / capacity() * (1 + traits_.report_noise * (2 * chance_.unit() - 1));
             if (traits_.reports_always > 0) reported_ = traits_.reports_always;
             return town_.events.schedule(now + traits_.report_every, *this, what);
         case judge_cold:
             return check_cold();
-        case probe_answer: {
-            const auto line = static_cast<std::uint32_t>(at >> 1);
-            char text[48] = "PONG\r\n";
-            if ((at & 1) != 0) std::snprintf(text, sizeof text, "PONG x0=%.4f\r\n", reported_);
-            return say(line, text);
-        }
-        case leave_one: {
-            for (std::uint32_t i = 0; i < lines_.size(); ++i) {
-                if (lines_[i].gone || lines_[i].step != Step::open) continue;
-                say(i, word_of(Answer::move));
-                town_.network.finish(lines_[i].end);
-                over(i, true);
-                return town_.events.schedule(now + leave_every_, *this, what);
-            }
+        case probe_answer:
+            return answer_probe(static_cast<std::uint32_t>(at >> 1), (at & 1) != 0);
+        case leave_one:
+            if (move_one()) town_.events.schedule(now + leave_every_, *this, what);
             return;
-        }
     }
 }
 
+void FakeServer::send_echo(std::uint32_t at) {
+    Line& l = lines_[at];
+    if (l.step != Step::open || l.gone) return;
+    char text[48];
+    std::snprintf(text, sizeof text, "e %u %lld\r\n", ++l.echoed, static_cast<long long>(town_.now()));
+    say(at, text);
+}
+
+// False where the tunnel is over: it gets no more.
+bool FakeServer::send_pushes(std::uint32_t at) {
+    Line& l = lines_[at];
+    if (l.step != Step::open) return false;
+    if (l.gone) {  // parked: its client comes again soon, or never
+        if (town_.now() - l.parked_since > town_.park) over(at, false);
+        return l.step == Step::open;
+    }
+    const int n = chance_.odds(burst_share) ? burst_lines : 1;
+    const std::string carries(std::max<std::size_t>(traits_.push_bytes, n > 1 ? 100 : 1), '0');
+    for (int i = 0; i < n; ++i) {
+        char text[64];
+        std::snprintf(text, sizeof text, "p %u %lld ", ++l.said, static_cast<long long>(town_.now()));
+        say(at, std::string(text).append(carries).append("\r\n"));
+    }
+    if (chance_.odds(0.1)) {
+        char text[32];
+        std::snprintf(text, sizeof text, "LOAD %u\r\n", static_cast<unsigned>(l.load * 1e6));
+        say(at, text);
+    }
+    return true;
+}
+
+void FakeServer::answer_probe(std::uint32_t at, bool with_load) {
+    char text[48] = "PONG\r\n";
+    if (with_load) std::snprintf(text, sizeof text, "PONG x0=%.4f\r\n", reported_);
+    say(at, text);
+}
+
+// False where there is no client left to move.
+bool FakeServer::move_one() {
+    for (std::uint32_t i = 0; i < lines_.size(); ++i) {
+        if (lines_[i].gone || lines_[i].step != Step::open) continue;
+        say(i, word_of(Answer::move));
+        town_.network.finish(lines_[i].end);
+        over(i, true);
+        return true;
+    }
+    return false;
+}
+
 }  // namespace lemonstair::fakes
--- a/src/process_harness/main.cpp
+++ b/src/process_harness/main.cpp
@@ -1,12 +1,12 @@
 // lemonstair_process_harness: many real processes of the program on the loopback, with faults between them.
-#include <CLI/CLI.hpp>
-#include <csignal>
 #include <fstream>
 #include <iomanip>
 #include <iostream>
 #include <string>
 
+#include "process_harness/interrupt.h"
 #include "process_harness/process_harness.h"
+#include "simulation/command_line.h"
 #include "simulation/runner.h"
 
 namespace {
@@ -14,9 +14,10 @@
 namespace simulation = lemonstair::simulation;
 namespace process_harness = lemonstair::process_harness;
 
-constexpr int kept = 0, broken = 1, wrong_use = 2, too_busy = 3;
-
-volatile bool stop = false;
+using simulation::broken;
+using simulation::kept;
+using simulation::too_busy;
+using simulation::wrong_use;
 
 double seconds(lemonstair::net::Ticks t) { return static_cast<double>(t) / 10000; }
 
@@ -50,7 +51,7 @@
               << " ms of a second for a core\n";
 }
 
-int run(const Options& wish) {
+int run(const Options& wish, const volatile bool& stop) {
     simulation::Scenario day = simulation::read_day(wish.day);
     if (wish.nodes != 0) day.nodes = wish.nodes;
     simulation::Seeds seeds{day.seed, day.seed};
@@ -104,18 +105,7 @@
         ->check(CLI::ExistingDirectory);
     command->add_option("--show", wish.show, "how many broken rules to tell of each day");
     command->add_flag("--hosts", wish.hosts, "a row for each host, also where none starts cold");
-    std::signal(SIGPIPE, SIG_IGN);
-    for (const int s : {SIGINT, SIGTERM, SIGHUP}) std::signal(s, [](int) { stop = true; });
-    try {
-        app.parse(argc, argv);
-        return run(wish);
-    } catch (const CLI::ParseError& e) {
-        return app.exit(e) == 0 ? kept : wrong_use;
-    } catch (const simulation::InvalidScenario& e) {
-        std::cerr << "lemonstair_process_harness: " << e.what() << '\n';
-        return wrong_use;
-    } catch (const std::exception& e) {
-        std::cerr << "lemonstair_process_harness: " << e.what() << '\n';
-        return wrong_use;
-    }
+    const volatile bool& stop = process_harness::stop_on_signals();
+    return simulation::run_command_line(app, argc, argv, "lemonstair_process_harness",
+                                        [&] { return run(wish, stop); });
 }
--- /dev/null
+++ b/src/simulation/command_line.h
@@ -0,0 +1,29 @@
+// What the command lines of the simulation, the process harness and the soak share: exit statuses and the way
+// from parsed options to one of them.
+#pragma once
+
+#include <CLI/CLI.hpp>
+#include <exception>
+#include <iostream>
+
+namespace lemonstair::simulation {
+
+// Exit statuses; too_busy: rules broke, or the run stopped, on a machine too slow to blame the program.
+inline constexpr int kept = 0, broken = 1, wrong_use = 2, too_busy = 3;
+
+// Parses the options and runs `run`, whose result is the exit status. What it throws is printed after the
+// program's name, and is wrong use.
+template <class Run>
+int run_command_line(CLI::App& app, int argc, char** argv, const char* program, Run&& run) {
+    try {
+        app.parse(argc, argv);
+        return run();
+    } catch (const CLI::ParseError& error) {
+        return app.exit(error) == 0 ? kept : wrong_use;
+    } catch (const std::exception& error) {
+        std::cerr << program << ": " << error.what() << '\n';
+        return wrong_use;
+    }
+}
+
+}  // namespace lemonstair::simulation
--- a/src/simulation/fault_catalogue.cpp
+++ b/src/simulation/fault_catalogue.cpp
@@ -6,13 +6,11 @@
 
 namespace {
 
+using K = FaultKind;
 using Who = FaultRow::Who;
 
-}  // namespace
-
-const std::vector<FaultRow>& fault_rows() {
-    using K = FaultKind;
-    static const std::vector<FaultRow> rows{
+std::vector<FaultRow> node_faults() {
+    return {
         {K::node_kill, "node_kill", Who::node, true, false, false,
          "the node's process dies; another starts after for_s"},
         {K::node_leave, "node_leave", Who::node, true, false, false,
@@ -33,6 +31,11 @@
          "operators send the node's clients away, and take them again after for_s and 4 s"},
         {K::node_callers, "node_callers", Who::node, false, false, true,
          "`count` callers of operators come, say nothing or half a call, and stay"},
+    };
+}
+
+std::vector<FaultRow> server_faults() {
+    return {
         {K::host_slow, "host_slow", Who::host, true, true, false,
          "the host's work takes `much` times as long"},
         {K::host_errors, "host_errors", Who::host, true, false, false,
@@ -49,6 +52,11 @@
          "the host resets a share `much` of its connections"},
         {K::host_sends_away, "host_sends_away", Who::host, true, false, false,
          "the host sends MOVE to all its clients within for_s"},
+    };
+}
+
+std::vector<FaultRow> discovery_faults() {
+    return {
         {K::discovery_down, "discovery_down", Who::nobody, true, false, false,
          "calls are refused, watches are reset"},
         {K::discovery_silent, "discovery_silent", Who::nobody, true, false, false,
@@ -61,6 +69,11 @@
          "discovery restarts and counts its revisions from 1"},
         {K::discovery_move, "discovery_move", Who::nobody, false, false, false,
          "another service with lower revisions; new files and SIGHUP; the old one ends 1.5 s later"},
+    };
+}
+
+std::vector<FaultRow> network_faults() {
+    return {
         {K::network_slow, "network_slow", Who::nobody, true, true, false,
          "all delays are `much` times as long"},
         {K::datagrams_lost, "datagrams_lost", Who::nobody, true, true, false,
@@ -85,6 +98,18 @@
         {K::rude, "rude", Who::nobody, false, false, true,
          "`count` bad clients of the kind `other` (0 to 8) come, and some come again"},
     };
+}
+
+}  // namespace
+
+// The order is part of what a seed draws.
+const std::vector<FaultRow>& fault_rows() {
+    static const std::vector<FaultRow> rows = [] {
+        std::vector<FaultRow> all;
+        for (const auto& part : {node_faults(), server_faults(), discovery_faults(), network_faults()})
+            all.insert(all.end(), part.begin(), part.end());
+        return all;
+    }();
     return rows;
 }
 
--- a/src/simulation/main.cpp
+++ b/src/simulation/main.cpp
@@ -2,7 +2,6 @@
 // day.
 #include <unistd.h>
 
-#include <CLI/CLI.hpp>
 #include <algorithm>
 #include <chrono>
 #include <fstream>
@@ -13,6 +12,7 @@
 #include <string>
 #include <thread>
 
+#include "simulation/command_line.h"
 #include "simulation/runner.h"
 #include "simulation/shrink.h"
 
@@ -22,7 +22,9 @@
 using simulation::Scenario;
 using simulation::Verdict;
 
-constexpr int kept = 0, broken = 1, wrong_use = 2;
+using simulation::broken;
+using simulation::kept;
+using simulation::wrong_use;
 
 std::string hex(std::uint64_t n) {
     std::ostringstream out;
@@ -189,7 +191,7 @@
     return broken;
 }
 
-int list() {
+void list() {
     std::cout << "Faults, as [[fault]] of a day with at_s:\n";
     for (const auto& r : simulation::fault_rows()) {
         std::string wants;
@@ -206,72 +208,76 @@
     for (const auto& r : simulation::rule_rows())
         std::cout << "  " << std::left << std::setw(14) << r.name << r.says << '\n';
     std::cout << "\nA day with all its keys (lemonstair_simulation list --day prints the one of a seed):\n";
-    return kept;
 }
 
-}  // namespace
-
-int main(int argc, char** argv) {
-    CLI::App app{
-        "Plays days of simulated faults on the product's own node, and judges its rules on the wire."};
-    app.footer(
-        "Exit status: 0 all rules kept; 1 a rule broken, named with its seeds; 2 wrong use.\n"
-        "  lemonstair_simulation run --seeds 1..10000\n"
-        "  lemonstair_simulation replay 42 --trace day42.txt\n"
-        "  lemonstair_simulation shrink 42 --out small.toml && lemonstair_simulation replay --day "
-        "small.toml");
-    app.require_subcommand(1);
-    RunWish run_wish;
-    ReplayWish one;
-    std::string out;
-    std::uint64_t shown = 0;
-
-    auto* run_command = app.add_subcommand("run", "Plays a range of seeds; says which rules broke where");
-    run_command->add_option("--seeds", run_wish.seeds, "one seed or a range, as 1..10000")
-        ->capture_default_str();
-    run_command->add_option("--jobs", run_wish.jobs, "threads")->check(CLI::Range(1U, 1024U));
-    run_command->add_option("--day", run_wish.day, "this day with the chances of each seed");
-    run_command->add_option("--json", run_wish.json, "a line of JSON for each seed into this file");
-    run_command->add_option("--show", run_wish.show, "how many broken rules to tell of each day");
-    constexpr const char* operated_help = "days with operators who call, drain and upgrade nodes";
-    run_command->add_flag("--operated", run_wish.operated, operated_help);
-    run_command->add_flag("--hashes", run_wish.hashes, "print the hash of each trace");
+constexpr const char* operated_help = "days with operators who call, drain and upgrade nodes";
 
-    const auto add_one = [&](CLI::App* command) {
-        command->add_option("seed", one.seed, "the seed; left out, that of the day's file");
-        command->add_option("--day", one.day, "a day written as TOML");
-        command->add_flag("--operated", one.operated, operated_help);
-    };
-    auto* replay_command = app.add_subcommand("replay", "Plays one day and tells what became of it");
-    add_one(replay_command);
-    replay_command->add_option("--trace", one.trace, "all that happened, a line each, into this file");
-
-    auto* shrink_command =
-        app.add_subcommand("shrink", "Makes a day that breaks a rule as small as it will go");
-    add_one(shrink_command);
-    shrink_command->add_option("--out", out, "the smaller day into this file, else to standard output");
-
-    auto* list_command = app.add_subcommand("list", "What is simulated: faults, rules, keys of a day");
-    list_command->add_option("--day", shown, "print the day that this seed draws, as TOML");
-
-    try {
-        app.parse(argc, argv);
-        if (*run_command) return run(run_wish);
-        if ((*replay_command || *shrink_command) && one.seed == 0 && one.day.empty())
+// The subcommands with their options.
+class CommandLine {
+  public:
+    CommandLine() {
+        app.footer(
+            "Exit status: 0 all rules kept; 1 a rule broken, named with its seeds; 2 wrong use.\n"
+            "  lemonstair_simulation run --seeds 1..10000\n"
+            "  lemonstair_simulation replay 42 --trace day42.txt\n"
+            "  lemonstair_simulation shrink 42 --out small.toml && lemonstair_simulation replay --day "
+            "small.toml");
+        app.require_subcommand(1);
+        add_run();
+        replay_ = app.add_subcommand("replay", "Plays one day and tells what became of it");
+        add_one(replay_);
+        replay_->add_option("--trace", one_.trace, "all that happened, a line each, into this file");
+        shrink_ = app.add_subcommand("shrink", "Makes a day that breaks a rule as small as it will go");
+        add_one(shrink_);
+        shrink_->add_option("--out", out_, "the smaller day into this file, else to standard output");
+        auto* list_command = app.add_subcommand("list", "What is simulated: faults, rules, keys of a day");
+        list_command->add_option("--day", shown_, "print the day that this seed draws, as TOML");
+    }
+    int run_chosen() {
+        if (*run_) return run(run_options_);
+        if ((*replay_ || *shrink_) && one_.seed == 0 && one_.day.empty())
             throw CLI::ValidationError("seed", "is missing, and no --day is given");
-        if (*replay_command) return replay(one);
-        if (*shrink_command) return shrink(one, out);
-        if (shown != 0) {
-            std::cout << simulation::write_day(simulation::draw_day(shown));
+        if (*replay_) return replay(one_);
+        if (*shrink_) return shrink(one_, out_);
+        if (shown_ != 0) {
+            std::cout << simulation::write_day(simulation::draw_day(shown_));
             return kept;
         }
-        const int code = list();
+        list();
         std::cout << simulation::write_day(Scenario{});
-        return code;
-    } catch (const CLI::ParseError& e) {
-        return app.exit(e) == 0 ? kept : wrong_use;
-    } catch (const std::exception& e) {
-        std::cerr << "lemonstair_simulation: " << e.what() << '\n';
-        return wrong_use;
+        return kept;
+    }
+    CLI::App app{
+        "Plays days of simulated faults on the product's own node, and judges its rules on the wire."};
+
+  private:
+    void add_run() {
+        run_ = app.add_subcommand("run", "Plays a range of seeds; says which rules broke where");
+        run_->add_option("--seeds", run_options_.seeds, "one seed or a range, as 1..10000")
+            ->capture_default_str();
+        run_->add_option("--jobs", run_options_.jobs, "threads")->check(CLI::Range(1U, 1024U));
+        run_->add_option("--day", run_options_.day, "this day with the chances of each seed");
+        run_->add_option("--json", run_options_.json, "a line of JSON for each seed into this file");
+        run_->add_option("--show", run_options_.show, "how many broken rules to tell of each day");
+        run_->add_flag("--operated", run_options_.operated, operated_help);
+        run_->add_flag("--hashes", run_options_.hashes, "print the hash of each trace");
     }
+    void add_one(CLI::App* command) {
+        command->add_option("seed", one_.seed, "the seed; left out, that of the day's file");
+        command->add_option("--day", one_.day, "a day written as TOML");
+        command->add_flag("--operated", one_.operated, operated_help);
+    }
+    RunWish run_options_;
+    ReplayWish one_;
+    std::string out_;
+    std::uint64_t shown_ = 0;
+    CLI::App *run_ = nullptr, *replay_ = nullptr, *shrink_ = nullptr;
+};
+
+}  // namespace
+
+int main(int argc, char** argv) {
+    CommandLine line;
+    return simulation::run_command_line(line.app, argc, argv, "lemonstair_simulation",
+                                        [&] { return line.run_chosen(); });
 }
--- a/src/simulation/scenario_file.cpp
+++ b/src/simulation/scenario_file.cpp
@@ -136,86 +136,100 @@
     return f;
 }
 
-}  // namespace
-
-Scenario parse_day(std::string_view text, const std::string& name) {
-    Scenario d;
-    toml::table root;
+toml::table parse_toml(std::string_view text, const std::string& name) {
     try {
-        root = toml::parse(text, name);
+        return toml::parse(text, name);
     } catch (const toml::parse_error& e) {
         throw InvalidScenario(name + ":" + std::to_string(e.source().begin.line) +
                               ": is not TOML: " + std::string(e.description()));
     }
+}
+
+void read_fleet(Table& f, Scenario& d) {
+    f.whole("nodes", d.nodes, 1, most_nodes);
+    f.whole("hosts", d.hosts, 1, most_hosts);
+    f.whole("members", d.members, 0, 100000);
+    f.whole("cold_hosts", d.cold_hosts, 0, most_hosts);
+    f.flag("alike", d.alike);
+    f.flag("must_ask", d.must_poll);
+    f.number("probe_price", d.probe_price, 0, 1000);
+    f.number("peer_price", d.peer_price, 0, 1000);
+    f.flag("packets_pass", d.packet_passthrough);
+    f.flag("peers", d.peers);
+    f.flag("probing", d.probing);
+    f.flag("groups", d.groups);
+    f.flag("operated", d.operated);
+    f.whole("sockets", d.sockets, 32, 60000);
+    f.whole("max_setups", d.max_attempts, 1, 10);
+    f.number("known", d.known, 0, 1);
+    f.span("clocks_apart_s", d.clocks_apart, second, 0, 60 * second);
+    f.span("notices_after_s", d.notices_after, second, 0, 60 * second);
+    f.span("told_after_s", d.told_after, second, 0, 60 * second);
+    f.span("pass_takes_ms", d.pass_takes, ms, 1, second);
+}
+
+void read_traffic(Table& f, Scenario& d) {
+    f.number("load", d.load, 0, 10);
+    f.span("arrive_within_s", d.arrive_within, second, 0, longest_day);
+    f.span("least_life_s", d.least_life, second, 0, longest_day);
+    f.span("more_life_s", d.more_life, second, 0, longest_day);
+    f.number("tunnel_load", d.tunnel_load, 0, 1000);
+    f.number("impatient", d.manners.impatient, 0, 1);
+    f.number("slow_readers", d.manners.slow_readers, 0, 1);
+    f.whole("most_tries", d.manners.most_tries, 1, 1000);
+}
+
+void read_network(Table& f, simnet::NetworkConditions& weather) {
+    f.span("least_delay_ms", weather.least_delay, ms, 1, 10 * second);
+    f.span("most_delay_ms", weather.most_delay, ms, 1, 10 * second);
+    if (weather.most_delay < weather.least_delay) f.fail("most_delay_ms", "is below 'least_delay_ms'");
+    f.number("cut_reads", weather.cut_reads, 0, 1);
+    f.number("cut_writes", weather.cut_writes, 0, 1);
+    f.whole("window", weather.window, 4096, 1 << 24);
+    f.number("lost", weather.lost, 0, 1);
+    f.number("doubled", weather.doubled, 0, 1);
+    f.span("datagram_jitter_ms", weather.datagram_jitter, ms, 0, 60 * second);
+}
+
+void read_host(Table& f, fakes::ServerTraits& host) {
+    f.number("cores", host.cores, 0.01, 1000);
+    f.whole("most_connections", host.most_connections, 1, 100000);
+    f.number("setup_work_ms", host.setup_work_ms, 0, 10000);
+    f.number("line_work_ms", host.line_work_ms, 0, 10000);
+    f.whole("push_bytes", host.push_bytes, 1, 4000);
+    f.span("cold_s", host.cold, second, 0, longest_day);
+    f.number("cold_from", host.slow_start_initial_factor, 0.01, 1);
+    f.number("tip_multiple", host.overload_multiple, 1, 100);
+    f.span("report_every_s", host.report_every, second, 1, longest_day);
+    f.number("report_noise", host.report_noise, 0, 1);
+    f.number("reports_always", host.reports_always, 0, 100);
+}
+
+void read_faults(const std::string& file, Table& t, Scenario& d) {
+    const toml::node* list = t.find("fault");
+    if (list == nullptr) return;
+    if (!list->is_array_of_tables()) t.fail("fault", "is not a list of tables: write [[fault]]");
+    for (const toml::node& one : *list->as_array()) {
+        Table f(file, *one.as_table(), "fault");
+        d.faults.push_back(read_fault(f, d));
+        f.no_more();
+    }
+}
+
+}  // namespace
+
+Scenario parse_day(std::string_view text, const std::string& name) {
+    Scenario d;
+    const toml::table root = parse_toml(text, name);
     Table t(name, root, "");
     t.whole("seed", d.seed, 0, 9e15);
     t.span("span_s", d.span, second, second, longest_day);
-    read_table(name, t, "fleet", [&](Table& f) {
-        f.whole("nodes", d.nodes, 1, most_nodes);
-        f.whole("hosts", d.hosts, 1, most_hosts);
-        f.whole("members", d.members, 0, 100000);
-        f.whole("cold_hosts", d.cold_hosts, 0, most_hosts);
-        f.flag("alike", d.alike);
-        f.flag("must_ask", d.must_poll);
-        f.number("probe_price", d.probe_price, 0, 1000);
-        f.number("peer_price", d.peer_price, 0, 1000);
-        f.flag("packets_pass", d.packet_passthrough);
-        f.flag("peers", d.peers);
-        f.flag("probing", d.probing);
-        f.flag("groups", d.groups);
-        f.flag("operated", d.operated);
-        f.whole("sockets", d.sockets, 32, 60000);
-        f.whole("max_setups", d.max_attempts, 1, 10);
-        f.number("known", d.known, 0, 1);
-        f.span("clocks_apart_s", d.clocks_apart, second, 0, 60 * second);
-        f.span("notices_after_s", d.notices_after, second, 0, 60 * second);
-        f.span("told_after_s", d.told_after, second, 0, 60 * second);
-        f.span("pass_takes_ms", d.pass_takes, ms, 1, second);
-    });
+    read_table(name, t, "fleet", [&](Table& f) { read_fleet(f, d); });
     read_table(name, t, "bounds", [&](Table& f) { f.number("of_budget", d.most_of_budget, 0, 1000); });
-    read_table(name, t, "traffic", [&](Table& f) {
-        f.number("load", d.load, 0, 10);
-        f.span("arrive_within_s", d.arrive_within, second, 0, longest_day);
-        f.span("least_life_s", d.least_life, second, 0, longest_day);
-        f.span("more_life_s", d.more_life, second, 0, longest_day);
-        f.number("tunnel_load", d.tunnel_load, 0, 1000);
-        f.number("impatient", d.manners.impatient, 0, 1);
-        f.number("slow_readers", d.manners.slow_readers, 0, 1);
-        f.whole("most_tries", d.manners.most_tries, 1, 1000);
-    });
-    read_table(name, t, "network", [&](Table& f) {
-        f.span("least_delay_ms", d.weather.least_delay, ms, 1, 10 * second);
-        f.span("most_delay_ms", d.weather.most_delay, ms, 1, 10 * second);
-        if (d.weather.most_delay < d.weather.least_delay)
-            f.fail("most_delay_ms", "is below 'least_delay_ms'");
-        f.number("cut_reads", d.weather.cut_reads, 0, 1);
-        f.number("cut_writes", d.weather.cut_writes, 0, 1);
-        f.whole("window", d.weather.window, 4096, 1 << 24);
-        f.number("lost", d.weather.lost, 0, 1);
-        f.number("doubled", d.weather.doubled, 0, 1);
-        f.span("datagram_jitter_ms", d.weather.datagram_jitter, ms, 0, 60 * second);
-    });
-    read_table(name, t, "host", [&](Table& f) {
-        f.number("cores", d.host.cores, 0.01, 1000);
-        f.whole("most_connections", d.host.most_connections, 1, 100000);
-        f.number("setup_work_ms", d.host.setup_work_ms, 0, 10000);
-        f.number("line_work_ms", d.host.line_work_ms, 0, 10000);
-        f.whole("push_bytes", d.host.push_bytes, 1, 4000);
-        f.span("cold_s", d.host.cold, second, 0, longest_day);
-        f.number("cold_from", d.host.slow_start_initial_factor, 0.01, 1);
-        f.number("tip_multiple", d.host.overload_multiple, 1, 100);
-        f.span("report_every_s", d.host.report_every, second, 1, longest_day);
-        f.number("report_noise", d.host.report_noise, 0, 1);
-        f.number("reports_always", d.host.reports_always, 0, 100);
-    });
-    if (const toml::node* list = t.find("fault")) {
-        if (!list->is_array_of_tables()) t.fail("fault", "is not a list of tables: write [[fault]]");
-        for (const toml::node& one : *list->as_array()) {
-            Table f(name, *one.as_table(), "fault");
-            d.faults.push_back(read_fault(f, d));
-            f.no_more();
-        }
-    }
+    read_table(name, t, "traffic", [&](Table& f) { read_traffic(f, d); });
+    read_table(name, t, "network", [&](Table& f) { read_network(f, d.weather); });
+    read_table(name, t, "host", [&](Table& f) { read_host(f, d.host); });
+    read_faults(name, t, d);
     t.no_more();
     return d;
 }
--- a/src/soak/main.cpp
+++ b/src/soak/main.cpp
@@ -1,9 +1,7 @@
 // lemonstair_soak: many real processes on the loopback, two or three troubles that overlap in time, a shim in
 // each process that lets calls, files and clocks fail; judged by the rules from the wire and by the
 // processes' own checks. Each seed is a day; the same seed draws the same day.
-#include <CLI/CLI.hpp>
 #include <algorithm>
-#include <csignal>
 #include <cstdlib>
 #include <filesystem>
 #include <fstream>
@@ -12,7 +10,9 @@
 #include <string>
 
 #include "metrics/violations.h"
+#include "process_harness/interrupt.h"
 #include "process_harness/process_harness.h"
+#include "simulation/command_line.h"
 #include "simulation/runner.h"
 #include "soak/soak_scenario.h"
 
@@ -22,9 +22,9 @@
 namespace process_harness = lemonstair::process_harness;
 namespace soak = lemonstair::soak;
 
-constexpr int kept = 0, broken = 1, wrong_use = 2, too_busy = 3;
-
-volatile bool stop = false;
+using simulation::broken;
+using simulation::kept;
+using simulation::too_busy;
 
 struct Options {
     std::string seeds, program, shim, json, keep;
@@ -70,7 +70,7 @@
     std::filesystem::path path_;
 };
 
-process_harness::RunResult play(const Options& options, std::uint64_t seed) {
+process_harness::RunResult play(const Options& options, std::uint64_t seed, const volatile bool& stop) {
     const simulation::Scenario day = soak::draw_soak_day(seed, options.nodes);
     const LogFolder logs;
     process_harness::HarnessOptions wish{options.program, logs.path().string(), {}};
@@ -106,14 +106,14 @@
                   << outcome.broken[i].rule << ": " << outcome.broken[i].what << '\n';
 }
 
-int run(const Options& options) {
+int run(const Options& options, const volatile bool& stop) {
     const simulation::Seeds seeds = simulation::parse_seeds(options.seeds);
     std::ofstream json;
     if (!options.json.empty()) json.open(options.json, std::ios::app);
     std::map<std::string, int> seeds_of_rule;
     int days = 0, days_broken = 0, days_untold = 0;
     for (std::uint64_t seed = seeds.first; seed <= seeds.last && !stop; ++seed) {
-        const process_harness::RunResult outcome = play(options, seed);
+        const process_harness::RunResult outcome = play(options, seed, stop);
         if (outcome.interrupted) break;
         ++days;
         if (json.is_open()) json << process_harness::json_of(outcome) << std::flush;
@@ -147,15 +147,7 @@
     app.add_option("--keep", options.keep, "the logs of days with a broken rule into this folder");
     app.add_option("--show", options.show, "how many broken rules to tell of each day");
     app.add_flag("--plain", options.plain, "without the shim: the troubles alone");
-    std::signal(SIGPIPE, SIG_IGN);
-    for (const int number : {SIGINT, SIGTERM, SIGHUP}) std::signal(number, [](int) { stop = true; });
-    try {
-        app.parse(argc, argv);
-        return run(options);
-    } catch (const CLI::ParseError& e) {
-        return app.exit(e) == 0 ? kept : wrong_use;
-    } catch (const std::exception& e) {
-        std::cerr << "lemonstair_soak: " << e.what() << '\n';
-        return wrong_use;
-    }
+    const volatile bool& stop = process_harness::stop_on_signals();
+    return simulation::run_command_line(app, argc, argv, "lemonstair_soak",
+                                        [&] { return run(options, stop); });
 }
