--- a/src/fakes/clients.cpp
+++ b/src/fakes/clients.cpp
@@ -10,371 +10,399 @@
 constexpr Ticks second = 10000;
 constexpr Ticks longest_silence = 70000;  // of a connection that owes lines
 // A client waits a little longer than it said, so that an answer that is late is seen.
-constexpr Ticks waits_on = 2000, last_look = 12000;
+constexpr Ticks timeout_grace = 2000, closing_timeout = 12000;
 
 }  // namespace
 
-FakeClients::FakeClients(TestEnvironment& town, Front& front, std::vector<Machine> machines,
-                         std::vector<Wish> wishes, const ClientBehavior& manners, simnet::RandomSource chance)
-    : town_(town), front_(front), machines_(std::move(machines)), manners_(manners), chance_(chance) {
-    for (auto& w : wishes) {
-        members_.emplace_back();
-        members_.back().wish = std::move(w);
+FakeClients::FakeClients(TestEnvironment& environment, Front& front, std::vector<Machine> machines,
+                         std::vector<ClientPlan> plans, const ClientBehavior& client_behavior,
+                         simnet::RandomSource random)
+    : environment_(environment),
+      front_(front),
+      machines_(std::move(machines)),
+      behavior_(client_behavior),
+      random_(random) {
+    for (auto& plan : plans) {
+        clients_.emplace_back();
+        clients_.back().plan = std::move(plan);
     }
 }
 
 void FakeClients::start() {
-    for (std::uint32_t at = 0; at < members_.size(); ++at) {
-        members_[at].machine = machines_[at % machines_.size()];
-        members_[at].slow = chance_.odds(manners_.slow_readers);
-        town_.events.schedule(town_.events.start_time() + members_[at].wish.from, *this, token(come, at));
+    for (std::uint32_t index = 0; index < clients_.size(); ++index) {
+        clients_[index].machine = machines_[index % machines_.size()];
+        clients_[index].slow_reader = random_.odds(behavior_.slow_reader_share);
+        environment_.events.schedule(environment_.events.start_time() + clients_[index].plan.from, *this,
+                                     token(connect_due, index));
     }
 }
 
-void FakeClients::add(std::vector<Wish> wishes) {
-    for (auto& w : wishes) {
-        const auto at = static_cast<std::uint32_t>(members_.size());
-        members_.emplace_back();
-        members_[at].wish = std::move(w);
-        members_[at].machine = machines_[at % machines_.size()];
-        town_.events.schedule(town_.events.start_time() + members_[at].wish.from, *this, token(come, at));
+void FakeClients::add(std::vector<ClientPlan> plans) {
+    for (auto& plan : plans) {
+        const auto index = static_cast<std::uint32_t>(clients_.size());
+        clients_.emplace_back();
+        clients_[index].plan = std::move(plan);
+        clients_[index].machine = machines_[index % machines_.size()];
+        environment_.events.schedule(environment_.events.start_time() + clients_[index].plan.from, *this,
+                                     token(connect_due, index));
     }
 }
 
 std::size_t FakeClients::open_now() const {
-    return static_cast<std::size_t>(std::count_if(members_.begin(), members_.end(),
-                                                  [](const Member& m) { return m.state == State::open; }));
+    return static_cast<std::size_t>(std::count_if(
+        clients_.begin(), clients_.end(), [](const Client& client) { return client.state == State::open; }));
 }
 
 // Each change of state ends the timers of the one before.
-void FakeClients::go(std::uint32_t at, State to) {
-    ++members_[at].turn;
-    members_[at].state = to;
+void FakeClients::transition_to(std::uint32_t index, State to) {
+    ++clients_[index].timer_generation;
+    clients_[index].state = to;
 }
 
-void FakeClients::call(std::uint32_t at) {
-    Member& m = members_[at];
-    const bool mid_flow = m.resuming;
-    const std::uint32_t node = mid_flow ? front_.deal_but(m.node) : front_.deal();
-    if (node == Front::none) return pause(at, second / 2);
-    m.node = node;
-    m.end = town_.network.connect(m.machine, front_.address(node), *this);
-    m.has_end = true;
-    m.reads = true;
-    by_end_[m.end.number()] = at;
-    m.reader = {};
-    m.waiting.clear();
-    go(at, State::calling);
-    town_.events.schedule(town_.now() + town_.profiles[m.wish.profile].client_timeout, *this,
-                          token(time_up, at));
+void FakeClients::connect(std::uint32_t index) {
+    Client& client = clients_[index];
+    const bool mid_flow = client.resuming;
+    const std::uint32_t node = mid_flow ? front_.pick_except(client.node) : front_.pick();
+    if (node == Front::none) return pause(index, second / 2);
+    client.node = node;
+    client.end = environment_.network.connect(client.machine, front_.address(node), *this);
+    client.connected = true;
+    client.reads = true;
+    by_end_[client.end.number()] = index;
+    client.reader = {};
+    client.waiting.clear();
+    transition_to(index, State::calling);
+    environment_.events.schedule(
+        environment_.now() + environment_.profiles[client.plan.profile].client_timeout, *this,
+        token(timeout, index));
 }
 
-void FakeClients::ask(std::uint32_t at) {
-    Member& m = members_[at];
-    const Profile& p = town_.profiles[m.wish.profile];
-    if (!m.resuming) {
-        m.last_tunnel = m.tunnel;
-        m.tunnel = next_tunnel_++;
-        m.said = m.echoed = m.heard = 0;
+void FakeClients::send_open(std::uint32_t index) {
+    Client& client = clients_[index];
+    const Profile& p = environment_.profiles[client.plan.profile];
+    if (!client.resuming) {
+        client.last_tunnel = client.tunnel;
+        client.tunnel = next_tunnel_++;
+        client.lines_sent = client.echoes_received = client.pushes_received = 0;
     }
     char text[256];
     const int n = std::snprintf(
-        text, sizeof text, "OPEN t%x %s c=%.*s,d=%lld,w=%u,h=%.4f%s%s%s", m.tunnel, m.wish.key.c_str(),
-        static_cast<int>(p.name.size()), p.name.data(), static_cast<long long>(p.client_timeout / 10),
-        static_cast<unsigned>(m.wish.load * 1e6), m.wish.load, m.tries > 0 && !m.resuming ? ",r=1" : "",
-        m.came_before && !m.resuming ? ",again=1" : "", m.resuming ? ",mid=1" : "");
+        text, sizeof text, "OPEN t%x %s c=%.*s,d=%lld,w=%u,h=%.4f%s%s%s", client.tunnel,
+        client.plan.key.c_str(), static_cast<int>(p.name.size()), p.name.data(),
+        static_cast<long long>(p.client_timeout / 10), static_cast<unsigned>(client.plan.load * 1e6),
+        client.plan.load, client.attempts > 0 && !client.resuming ? ",r=1" : "",
+        client.reconnecting && !client.resuming ? ",again=1" : "", client.resuming ? ",mid=1" : "");
     std::string line(text, static_cast<std::size_t>(n));
-    if (m.wish.group != 0) {
-        std::snprintf(text, sizeof text, ",g=%x", m.wish.group);
+    if (client.plan.group != 0) {
+        std::snprintf(text, sizeof text, ",g=%x", client.plan.group);
         line += text;
     }
-    go(at, State::waiting);
-    town_.witness.asked({m.tunnel, m.resuming ? 0 : m.last_tunnel, m.node, m.wish.profile, p.client_timeout,
-                         m.resuming, m.slow, m.end});
-    say(at, line + "\r\n");
-    town_.network.tell_delivered(m.end, *this, token(taken_note, at));
-    town_.events.schedule(town_.now() + p.client_timeout + waits_on, *this, token(time_up, at));
-    if (chance_.odds(manners_.impatient))
-        town_.events.schedule(town_.now() + chance_.between(std::int64_t{1}, p.client_timeout), *this,
-                              token(impatient, at));
+    transition_to(index, State::waiting);
+    environment_.execution_log.tunnel_requested({client.tunnel, client.resuming ? 0 : client.last_tunnel,
+                                                 client.node, client.plan.profile, p.client_timeout,
+                                                 client.resuming, client.slow_reader, client.end});
+    write(index, line + "\r\n");
+    environment_.network.notify_delivered(client.end, *this, token(delivered, index));
+    environment_.events.schedule(environment_.now() + p.client_timeout + timeout_grace, *this,
+                                 token(timeout, index));
+    if (random_.odds(behavior_.abandon_share))
+        environment_.events.schedule(environment_.now() + random_.between(std::int64_t{1}, p.client_timeout),
+                                     *this, token(abandon_due, index));
 }
 
-void FakeClients::say(std::uint32_t at, std::string_view text) {
-    Member& m = members_[at];
-    m.waiting.append(text);
-    write_waiting(town_.network, m.end, m.waiting);
+void FakeClients::write(std::uint32_t index, std::string_view text) {
+    Client& client = clients_[index];
+    client.waiting.append(text);
+    write_waiting(environment_.network, client.end, client.waiting);
 }
 
-void FakeClients::hang_up(std::uint32_t at) {
-    Member& m = members_[at];
-    if (!m.has_end) return;
-    m.has_end = false;
-    town_.network.close(m.end);
+void FakeClients::close_connection(std::uint32_t index) {
+    Client& client = clients_[index];
+    if (!client.connected) return;
+    client.connected = false;
+    environment_.network.close(client.end);
 }
 
 // Its last words have come; what comes behind them is wrong.
-void FakeClients::part(std::uint32_t at) {
-    Member& m = members_[at];
-    m.has_end = false;
-    parting_[m.end.number()] = m.tunnel;
-    town_.events.schedule(town_.now() + last_look, *this, std::uint64_t{parted} << 56 | m.end.number());
-    read_parting(m.end);
+void FakeClients::await_close(std::uint32_t index) {
+    Client& client = clients_[index];
+    client.connected = false;
+    closing_[client.end.number()] = client.tunnel;
+    environment_.events.schedule(environment_.now() + closing_timeout, *this,
+                                 std::uint64_t{close_due} << 56 | client.end.number());
+    drain_closing(client.end);
 }
 
-void FakeClients::read_parting(End end) {
-    const auto it = parting_.find(end.number());
-    if (it == parting_.end()) return;
+void FakeClients::drain_closing(End end) {
+    const auto it = closing_.find(end.number());
+    if (it == closing_.end()) return;
     std::array<char, 256> bytes;
-    const auto got = town_.network.read(end, bytes, true);
-    if (got.bytes > 0) town_.witness.said_on(it->second, {bytes.data(), got.bytes});
+    const auto got = environment_.network.read(end, bytes, true);
+    if (got.bytes > 0) environment_.execution_log.data_after_final(it->second, {bytes.data(), got.bytes});
     if (got.bytes == 0 && !got.ended && got.error == 0) return;
-    town_.network.close(end);
-    parting_.erase(it);
+    environment_.network.close(end);
+    closing_.erase(it);
 }
 
-void FakeClients::pause(std::uint32_t at, Ticks span) {
-    go(at, State::pausing);
-    town_.events.schedule(town_.now() + std::max<Ticks>(span, 1), *this, token(come, at));
+void FakeClients::pause(std::uint32_t index, Ticks span) {
+    transition_to(index, State::pausing);
+    environment_.events.schedule(environment_.now() + std::max<Ticks>(span, 1), *this,
+                                 token(connect_due, index));
 }
 
-void FakeClients::try_again(std::uint32_t at, Ticks span) {
-    Member& m = members_[at];
-    m.resuming = false;
-    if (++m.tries >= manners_.most_tries) return go(at, State::done);
-    pause(at, span + chance_.between(manners_.least_pause, manners_.most_pause));
+void FakeClients::retry(std::uint32_t index, Ticks span) {
+    Client& client = clients_[index];
+    client.resuming = false;
+    if (++client.attempts >= behavior_.max_attempts) return transition_to(index, State::done);
+    pause(index, span + random_.between(behavior_.min_pause, behavior_.max_pause));
 }
 
-void FakeClients::over(std::uint32_t at) {
-    hang_up(at);
-    go(at, State::done);
+void FakeClients::finish(std::uint32_t index) {
+    close_connection(index);
+    transition_to(index, State::done);
 }
 
-void FakeClients::go_home() {
-    for (std::uint32_t at = 0; at < members_.size(); ++at) {
-        Member& m = members_[at];
-        if (m.state == State::waiting) town_.witness.left(m.tunnel);
-        if (m.state == State::open) town_.witness.left(m.tunnel);
-        hang_up(at);
-        go(at, State::done);
+void FakeClients::stop_all() {
+    for (std::uint32_t index = 0; index < clients_.size(); ++index) {
+        Client& client = clients_[index];
+        if (client.state == State::waiting) environment_.execution_log.client_left(client.tunnel);
+        if (client.state == State::open) environment_.execution_log.client_left(client.tunnel);
+        close_connection(index);
+        transition_to(index, State::done);
     }
 }
 
 void FakeClients::on_stream_event(End end) {
     const auto it = by_end_.find(end.number());
     if (it == by_end_.end()) return;
-    const std::uint32_t at = it->second;
-    Member& m = members_[at];
-    read_parting(end);
-    if (!m.has_end || !(m.end == end)) return;
-    if (m.state == State::calling && town_.network.is_up(end)) ask(at);
-    if (m.state != State::calling && !m.waiting.empty()) write_waiting(town_.network, end, m.waiting);
-    if (m.reads) read(at);
+    const std::uint32_t index = it->second;
+    Client& client = clients_[index];
+    drain_closing(end);
+    if (!client.connected || !(client.end == end)) return;
+    if (client.state == State::calling && environment_.network.is_up(end)) send_open(index);
+    if (client.state != State::calling && !client.waiting.empty())
+        write_waiting(environment_.network, end, client.waiting);
+    if (client.reads) read(index);
 }
 
-void FakeClients::read(std::uint32_t at) {
+void FakeClients::read(std::uint32_t index) {
     std::array<char, 4096> bytes;
-    const End end = members_[at].end;
+    const End end = clients_[index].end;
     for (;;) {
-        Member& m = members_[at];
-        if (!m.has_end || !(m.end == end)) return;
-        const auto got = town_.network.read(end, bytes, true);
+        Client& client = clients_[index];
+        if (!client.connected || !(client.end == end)) return;
+        const auto got = environment_.network.read(end, bytes, true);
         if (got.bytes > 0) {
-            m.reader.feed({bytes.data(), got.bytes}, [&](std::string_view text) { return line(at, text); });
+            client.reader.feed({bytes.data(), got.bytes},
+                               [&](std::string_view text) { return on_line(index, text); });
             continue;
         }
-        if (got.ended || got.error != 0) broke(at, got.error != 0);
+        if (got.ended || got.error != 0) on_disconnect(index, got.error != 0);
         return;
     }
 }
 
-void FakeClients::broke(std::uint32_t at, bool by_reset) {
-    Member& m = members_[at];
-    const bool was_open = m.state == State::open;
-    hang_up(at);
-    if (m.state == State::done || m.state == State::pausing) return;
-    if (m.ends) return go(at, State::done);
+void FakeClients::on_disconnect(std::uint32_t index, bool by_reset) {
+    Client& client = clients_[index];
+    const bool was_open = client.state == State::open;
+    close_connection(index);
+    if (client.state == State::done || client.state == State::pausing) return;
+    if (client.finished_sending) return transition_to(index, State::done);
     // A way for its packets is looked for as long as the host keeps the connection.
-    if (m.state == State::calling && m.resuming && town_.now() - m.broke_at < town_.park)
-        return pause(at, second / 3);
-    if (m.state == State::calling) return try_again(at, 0);
-    if (!m.reader.between_lines()) town_.witness.line_wrong(m.tunnel, "cut within a line", "");
-    town_.witness.cut(m.tunnel, by_reset, town_.network.last_came_from(m.end));
+    if (client.state == State::calling && client.resuming &&
+        environment_.now() - client.lost_at < environment_.park)
+        return pause(index, second / 3);
+    if (client.state == State::calling) return retry(index, 0);
+    if (!client.reader.between_lines())
+        environment_.execution_log.line_corrupted(client.tunnel, "cut within a line", "");
+    environment_.execution_log.connection_cut(client.tunnel, by_reset,
+                                              environment_.network.last_received_sent_at(client.end));
     ++tally_.cut;
-    m.came_before = m.came_before || was_open;
+    client.reconnecting = client.reconnecting || was_open;
     // Its packets go on through another node, where the network lets them pass.
-    if (was_open && town_.packet_passthrough && by_reset) {
-        m.resuming = m.gap_echoed = m.gap_heard = true;
-        m.broke_at = town_.now();
+    if (was_open && environment_.packet_passthrough && by_reset) {
+        client.resuming = client.gap_echoed = client.gap_heard = true;
+        client.lost_at = environment_.now();
         ++tally_.resumed;
-        return pause(at, chance_.between(std::int64_t{100}, second));
+        return pause(index, random_.between(std::int64_t{100}, second));
     }
-    try_again(at, 0);
+    retry(index, 0);
 }
 
 // False where no more lines of this connection are read.
-bool FakeClients::line(std::uint32_t at, std::string_view text) {
-    const Member& m = members_[at];
-    if (m.state == State::waiting) return take_answer(at, text);
-    if (m.state != State::open) return false;
+bool FakeClients::on_line(std::uint32_t index, std::string_view text) {
+    const Client& client = clients_[index];
+    if (client.state == State::waiting) return take_answer(index, text);
+    if (client.state != State::open) return false;
     const std::string_view word = text.substr(0, text.find(' '));
     if (word == "MOVE") {
-        take_move(at);
+        take_move(index);
         return false;
     }
-    if (word != "BYE" && word != "LOAD") take_line(at, text);
+    if (word != "BYE" && word != "LOAD") take_line(index, text);
     return true;
 }
 
-bool FakeClients::take_answer(std::uint32_t at, std::string_view text) {
-    const Member& m = members_[at];
-    const Ticks written = town_.network.last_came_from(m.end);
+bool FakeClients::take_answer(std::uint32_t index, std::string_view text) {
+    const Client& client = clients_[index];
+    const Ticks written = environment_.network.last_received_sent_at(client.end);
     std::string_view rest = text;
     const auto word = next_word(rest);
-    const Answer a = word == "UP"     ? Answer::up
-                     : word == "BYE"  ? Answer::bye
-                     : word == "BUSY" ? Answer::busy
-                                      : Answer::error;
-    town_.witness.answered(m.tunnel, a, written);
-    if (a != Answer::up) {
-        take_refusal(at, a, rest);
+    const Answer answer = word == "UP"     ? Answer::up
+                          : word == "BYE"  ? Answer::bye
+                          : word == "BUSY" ? Answer::busy
+                                           : Answer::error;
+    environment_.execution_log.request_answered(client.tunnel, answer, written);
+    if (answer != Answer::up) {
+        take_refusal(index, answer, rest);
         return false;
     }
     char receipt[48];
-    std::snprintf(receipt, sizeof receipt, "-t%x", m.tunnel);
+    std::snprintf(receipt, sizeof receipt, "-t%x", client.tunnel);
     if (rest.find(receipt) == std::string_view::npos)
-        town_.witness.line_wrong(m.tunnel, "a receipt of another's", text);
-    open(at);
+        environment_.execution_log.line_corrupted(client.tunnel, "a receipt of another's", text);
+    open(index);
     return true;
 }
 
-void FakeClients::open(std::uint32_t at) {
-    Member& m = members_[at];
+void FakeClients::open(std::uint32_t index) {
+    Client& client = clients_[index];
     ++tally_.opened;
-    m.tries = 0;
-    m.resuming = false;
-    m.owed_since = 0;
-    go(at, State::open);
-    town_.events.schedule(town_.now() + chance_.between(std::int64_t{1}, manners_.line_every), *this,
-                          token(talk, at));
-    const Ticks ends = town_.events.start_time() + m.wish.until;
-    town_.events.schedule(std::max(ends, town_.now() + second / 5), *this, token(leave_now, at));
-    if (m.slow)
-        town_.events.schedule(town_.now() + chance_.between(second, 3 * second), *this,
-                              token(read_again, at));
+    client.attempts = 0;
+    client.resuming = false;
+    client.unechoed_since = 0;
+    transition_to(index, State::open);
+    environment_.events.schedule(
+        environment_.now() + random_.between(std::int64_t{1}, behavior_.line_interval), *this,
+        token(send_due, index));
+    const Ticks ends = environment_.events.start_time() + client.plan.until;
+    environment_.events.schedule(std::max(ends, environment_.now() + second / 5), *this,
+                                 token(leave_due, index));
+    if (client.slow_reader)
+        environment_.events.schedule(environment_.now() + random_.between(second, 3 * second), *this,
+                                     token(toggle_reading, index));
 }
 
 // `rest`: what follows the word; of BUSY, in how many ms to come again.
-void FakeClients::take_refusal(std::uint32_t at, Answer answer, std::string_view rest) {
-    const Member& m = members_[at];
+void FakeClients::take_refusal(std::uint32_t index, Answer answer, std::string_view rest) {
+    const Client& client = clients_[index];
     const bool busy = answer == Answer::busy;
     ++(busy ? tally_.declined : tally_.failed);
-    const bool may_repeat = busy || town_.profiles[m.wish.profile].effect == Idempotency::idempotent;
+    const bool may_repeat =
+        busy || environment_.profiles[client.plan.profile].effect == Idempotency::idempotent;
     Ticks retry_after_ms = 0;
     if (busy) read_whole(next_word(rest), retry_after_ms);
-    part(at);
-    if (!may_repeat) return go(at, State::done);
-    try_again(at, retry_after_ms * 10);
+    await_close(index);
+    if (!may_repeat) return transition_to(index, State::done);
+    retry(index, retry_after_ms * 10);
 }
 
-void FakeClients::take_move(std::uint32_t at) {
-    Member& m = members_[at];
+void FakeClients::take_move(std::uint32_t index) {
+    Client& client = clients_[index];
     ++tally_.moved;
-    m.came_before = true;
-    town_.witness.answered(m.tunnel, Answer::move, town_.network.last_came_from(m.end));
-    part(at);
-    pause(at, chance_.between(std::int64_t{200}, second / 2));
+    client.reconnecting = true;
+    environment_.execution_log.request_answered(client.tunnel, Answer::move,
+                                                environment_.network.last_received_sent_at(client.end));
+    await_close(index);
+    pause(index, random_.between(std::int64_t{200}, second / 2));
 }
 
 // A line of the server: the echo of one of the client's, or one that it sends by itself.
-void FakeClients::take_line(std::uint32_t at, std::string_view text) {
-    Member& m = members_[at];
+void FakeClients::take_line(std::uint32_t index, std::string_view text) {
+    Client& client = clients_[index];
     std::string_view rest = text;
     const auto word = next_word(rest);
     std::uint32_t number = 0;
     Ticks sent = 0;
     if ((word != "e" && word != "p") || !read_whole(next_word(rest), number) ||
         !read_whole(next_word(rest), sent))
-        return town_.witness.line_wrong(m.tunnel, "not the host's", text);
+        return environment_.execution_log.line_corrupted(client.tunnel, "not the host's", text);
     ++tally_.lines;
-    std::uint32_t& expected = word == "e" ? m.echoed : m.heard;
-    bool& gap = word == "e" ? m.gap_echoed : m.gap_heard;
+    std::uint32_t& expected = word == "e" ? client.echoes_received : client.pushes_received;
+    bool& gap = word == "e" ? client.gap_echoed : client.gap_heard;
     if (number != expected + 1 && !(gap && number > expected))
-        town_.witness.line_wrong(m.tunnel, "out of its turn", text);
+        environment_.execution_log.line_corrupted(client.tunnel, "out of its turn", text);
     gap = false;
     expected = number;
-    m.owed_since = m.echoed < m.said ? town_.now() : 0;  // any line of the host is one that came back
+    client.unechoed_since = client.echoes_received < client.lines_sent
+                                ? environment_.now()
+                                : 0;  // any line of the host is one that came back
 }
 
 void FakeClients::on_event(std::uint64_t what) {
     const auto kind = static_cast<Kind>(what >> 56);
-    if (kind == parted) {
+    if (kind == close_due) {
         const std::uint64_t number = what & 0xffffffffffffffU;
         const End end{static_cast<std::uint32_t>(number >> 1), static_cast<std::uint8_t>(number & 1)};
-        if (parting_.erase(number) > 0) town_.network.close(end);
+        if (closing_.erase(number) > 0) environment_.network.close(end);
         return;
     }
-    const auto at = static_cast<std::uint32_t>(what);
-    Member& m = members_[at];
-    if ((what >> 32 & 0xffffffU) != (m.turn & 0xffffffU)) return;
+    const auto index = static_cast<std::uint32_t>(what);
+    Client& client = clients_[index];
+    if ((what >> 32 & 0xffffffU) != (client.timer_generation & 0xffffffU)) return;
     switch (kind) {
-        case parted:
+        case close_due:
             return;
-        case come:
-            if (town_.elapsed() >= m.wish.until) return go(at, State::done);
-            return call(at);
-        case taken_note:
-            return town_.witness.taken(m.tunnel);
-        case time_up:
-            return time_out(at);
-        case impatient:
-            town_.witness.left(m.tunnel);
-            return over(at);
-        case talk:
-            return send_line(at);
-        case read_again:
-            m.reads = !m.reads;
-            if (m.state == State::done) return read(at);
-            town_.events.schedule(town_.now() + chance_.between(second / 2, 2 * second), *this,
-                                  token(read_again, at));
-            if (m.reads) read(at);
+        case connect_due:
+            if (environment_.elapsed() >= client.plan.until) return transition_to(index, State::done);
+            return connect(index);
+        case delivered:
+            return environment_.execution_log.request_delivered(client.tunnel);
+        case timeout:
+            return time_out(index);
+        case abandon_due:
+            environment_.execution_log.client_left(client.tunnel);
+            return finish(index);
+        case send_due:
+            return send_line(index);
+        case toggle_reading:
+            client.reads = !client.reads;
+            if (client.state == State::done) return read(index);
+            environment_.events.schedule(environment_.now() + random_.between(second / 2, 2 * second), *this,
+                                         token(toggle_reading, index));
+            if (client.reads) read(index);
             return;
-        case leave_now:
-            return leave(at);
+        case leave_due:
+            return leave(index);
     }
 }
 
-void FakeClients::time_out(std::uint32_t at) {
-    const Member& m = members_[at];
-    if (m.state == State::waiting) town_.witness.gave_up(m.tunnel);
+void FakeClients::time_out(std::uint32_t index) {
+    const Client& client = clients_[index];
+    if (client.state == State::waiting) environment_.execution_log.client_timed_out(client.tunnel);
     ++tally_.timed_out;
-    hang_up(at);
-    if (m.state == State::calling && m.resuming && town_.now() - m.broke_at < town_.park) return pause(at, 1);
-    try_again(at, 0);
+    close_connection(index);
+    if (client.state == State::calling && client.resuming &&
+        environment_.now() - client.lost_at < environment_.park)
+        return pause(index, 1);
+    retry(index, 0);
 }
 
-void FakeClients::send_line(std::uint32_t at) {
-    Member& m = members_[at];
+void FakeClients::send_line(std::uint32_t index) {
+    Client& client = clients_[index];
     char text[64];
-    std::snprintf(text, sizeof text, "m %u %lld\r\n", ++m.said, static_cast<long long>(town_.now()));
-    if (m.owed_since == 0) m.owed_since = town_.now();
-    const Ticks owed = town_.now() - m.owed_since;
-    if (owed > longest_silence && m.reads && owed > m.told_unanswered) {
-        m.told_unanswered = owed;
-        town_.witness.unanswered(m.tunnel, owed);
+    std::snprintf(text, sizeof text, "m %u %lld\r\n", ++client.lines_sent,
+                  static_cast<long long>(environment_.now()));
+    if (client.unechoed_since == 0) client.unechoed_since = environment_.now();
+    const Ticks owed = environment_.now() - client.unechoed_since;
+    if (owed > longest_silence && client.reads && owed > client.reported_silence) {
+        client.reported_silence = owed;
+        environment_.execution_log.connection_silent(client.tunnel, owed);
     }
-    say(at, text);
-    town_.events.schedule(town_.now() + manners_.line_every, *this, token(talk, at));
+    write(index, text);
+    environment_.events.schedule(environment_.now() + behavior_.line_interval, *this, token(send_due, index));
 }
 
 // It says that it ends, and waits for the other side's end.
-void FakeClients::leave(std::uint32_t at) {
-    Member& m = members_[at];
-    town_.witness.left(m.tunnel);
-    m.ends = true;
-    m.reads = !m.slow;
-    go(at, State::done);
-    town_.network.finish(m.end);
-    if (m.slow) town_.events.schedule(town_.now() + 2 * second, *this, token(read_again, at));
+void FakeClients::leave(std::uint32_t index) {
+    Client& client = clients_[index];
+    environment_.execution_log.client_left(client.tunnel);
+    client.finished_sending = true;
+    client.reads = !client.slow_reader;
+    transition_to(index, State::done);
+    environment_.network.finish(client.end);
+    if (client.slow_reader)
+        environment_.events.schedule(environment_.now() + 2 * second, *this, token(toggle_reading, index));
 }
 
 }  // namespace lemonstair::fakes
--- a/src/fakes/clients.h
+++ b/src/fakes/clients.h
@@ -14,7 +14,7 @@
 namespace lemonstair::fakes {
 
 // One member's wish for a connection.
-struct Wish {
+struct ClientPlan {
     std::string key;
     std::uint32_t group = 0;    // 0: none
     std::uint32_t profile = 0;  // place in the town's
@@ -23,23 +23,24 @@
 };
 
 struct ClientBehavior {
-    int most_tries = 6;
-    Ticks least_pause = 200, most_pause = 5000;
-    double impatient = 0;  // share of waits that the client leaves
-    double slow_readers = 0;
-    Ticks line_every = 20000;
+    int max_attempts = 6;
+    Ticks min_pause = 200, max_pause = 5000;
+    double abandon_share = 0;  // share of waits that the client leaves
+    double slow_reader_share = 0;
+    Ticks line_interval = 20000;
 };
 
 class FakeClients final : public simnet::StreamListener, public simnet::EventTarget {
   public:
     enum class State : std::uint8_t { away, calling, waiting, open, pausing, done };
-    FakeClients(TestEnvironment& town, Front& front, std::vector<Machine> machines, std::vector<Wish> wishes,
-                const ClientBehavior& manners, simnet::RandomSource chance);
+    FakeClients(TestEnvironment& environment, Front& front, std::vector<Machine> machines,
+                std::vector<ClientPlan> plans, const ClientBehavior& client_behavior,
+                simnet::RandomSource random);
     void start();
     // More of them, from now on.
-    void add(std::vector<Wish> wishes);
+    void add(std::vector<ClientPlan> plans);
     // All that still wait or talk go home.
-    void go_home();
+    void stop_all();
     void on_stream_event(End end) override;
     void on_connection(const net::Address&) override {}
     void on_event(std::uint64_t token) override;
@@ -52,57 +53,69 @@
     std::size_t open_now() const;
 
   private:
-    struct Member {
-        Wish wish;
+    struct Client {
+        ClientPlan plan;
         State state = State::away;
         End end;
-        bool has_end = false, slow = false, reads = true, ends = false, resuming = false, came_before = false;
+        bool connected = false, slow_reader = false, reads = true, finished_sending = false, resuming = false,
+             reconnecting = false;
         bool gap_echoed = false, gap_heard = false;  // lines may be missing where packets took another way
         Machine machine = 0;
         std::uint32_t node = 0;
-        TunnelNo tunnel = 0, last_tunnel = 0;
-        std::uint32_t turn = 0;  // of timers
-        int tries = 0;
+        TunnelId tunnel = 0, last_tunnel = 0;
+        std::uint32_t timer_generation = 0;  // of timers
+        int attempts = 0;
         LineReader reader;
         std::string waiting;
-        std::uint32_t said = 0, echoed = 0, heard = 0;  // lines: its own, answered, the host's
-        Ticks owed_since = 0, told_unanswered = 0, broke_at = 0;
+        std::uint32_t lines_sent = 0, echoes_received = 0,
+                      pushes_received = 0;  // lines: its own, answered, the host's
+        Ticks unechoed_since = 0, reported_silence = 0, lost_at = 0;
     };
-    enum Kind : std::uint64_t { come, time_up, talk, read_again, impatient, taken_note, leave_now, parted };
-    std::uint64_t token(Kind kind, std::uint32_t at) const {
-        return std::uint64_t{kind} << 56 | std::uint64_t{members_[at].turn & 0xffffffU} << 32 | at;
+    enum Kind : std::uint64_t {
+        connect_due,
+        timeout,
+        send_due,
+        toggle_reading,
+        abandon_due,
+        delivered,
+        leave_due,
+        close_due
+    };
+    std::uint64_t token(Kind kind, std::uint32_t index) const {
+        return std::uint64_t{kind} << 56 | std::uint64_t{clients_[index].timer_generation & 0xffffffU} << 32 |
+               index;
     }
-    void go(std::uint32_t at, State to);
-    void call(std::uint32_t at);
-    void ask(std::uint32_t at);
-    void read(std::uint32_t at);
-    bool line(std::uint32_t at, std::string_view text);
-    bool take_answer(std::uint32_t at, std::string_view text);
-    void open(std::uint32_t at);
-    void take_refusal(std::uint32_t at, Answer answer, std::string_view rest);
-    void take_move(std::uint32_t at);
-    void take_line(std::uint32_t at, std::string_view text);
-    void time_out(std::uint32_t at);
-    void send_line(std::uint32_t at);
-    void leave(std::uint32_t at);
-    void say(std::uint32_t at, std::string_view text);
-    void hang_up(std::uint32_t at);
-    void part(std::uint32_t at);
-    void read_parting(End end);
-    void pause(std::uint32_t at, Ticks span);
-    void try_again(std::uint32_t at, Ticks span);
-    void over(std::uint32_t at);
-    void broke(std::uint32_t at, bool by_reset);
+    void transition_to(std::uint32_t index, State to);
+    void connect(std::uint32_t index);
+    void send_open(std::uint32_t index);
+    void read(std::uint32_t index);
+    bool on_line(std::uint32_t index, std::string_view text);
+    bool take_answer(std::uint32_t index, std::string_view text);
+    void open(std::uint32_t index);
+    void take_refusal(std::uint32_t index, Answer answer, std::string_view rest);
+    void take_move(std::uint32_t index);
+    void take_line(std::uint32_t index, std::string_view text);
+    void time_out(std::uint32_t index);
+    void send_line(std::uint32_t index);
+    void leave(std::uint32_t index);
+    void write(std::uint32_t index, std::string_view text);
+    void close_connection(std::uint32_t index);
+    void await_close(std::uint32_t index);
+    void drain_closing(End end);
+    void pause(std::uint32_t index, Ticks span);
+    void retry(std::uint32_t index, Ticks span);
+    void finish(std::uint32_t index);
+    void on_disconnect(std::uint32_t index, bool by_reset);
 
-    TestEnvironment& town_;
+    TestEnvironment& environment_;
     Front& front_;
     std::vector<Machine> machines_;
-    ClientBehavior manners_;
-    simnet::RandomSource chance_;
-    std::vector<Member> members_;
+    ClientBehavior behavior_;
+    simnet::RandomSource random_;
+    std::vector<Client> clients_;
     std::unordered_map<std::uint64_t, std::uint32_t> by_end_;
-    std::unordered_map<std::uint64_t, TunnelNo> parting_;  // ends that have had their last words
-    TunnelNo next_tunnel_ = 1;
+    std::unordered_map<std::uint64_t, TunnelId> closing_;  // ends that have had their last words
+    TunnelId next_tunnel_ = 1;
     Tally tally_;
 };
 
--- a/src/fakes/environment.h
+++ b/src/fakes/environment.h
@@ -18,7 +18,7 @@
     simnet::EventQueue& events;
     simnet::Streams& network;
     simnet::Trace& trace;
-    ExecutionLog& witness;
+    ExecutionLog& execution_log;
     std::vector<Profile> profiles;
     bool packet_passthrough = false;  // a connection goes on through another node when its own has died
     Ticks park = 60000;               // how long a host keeps such a connection whose packets have stopped
@@ -61,7 +61,7 @@
     bool feed(std::string_view bytes, Each&& each) {
         text_.append(bytes);
         std::size_t at = 0;
-        for (std::size_t end; (end = text_.find('\n', at)) != std::string::npos; at = end + 1) {
+        for (std::size_t end = 0; (end = text_.find('\n', at)) != std::string::npos; at = end + 1) {
             std::string_view line(text_.data() + at, end - at);
             if (!line.empty() && line.back() == '\r') line.remove_suffix(1);
             if (!each(line)) {
--- a/src/fakes/execution_log.h
+++ b/src/fakes/execution_log.h
@@ -13,7 +13,7 @@
 using simnet::Ticks;
 
 // A tunnel as one connection of a client: its number is what its id on the wire says.
-using TunnelNo = std::uint32_t;
+using TunnelId = std::uint32_t;
 
 enum class Answer : std::uint8_t { none, up, bye, busy, error, move };
 
@@ -29,9 +29,9 @@
 };
 
 // One first line that a client has written.
-struct Asked {
-    TunnelNo tunnel = 0;
-    TunnelNo before = 0;  // the client's tunnel before this one; 0: its first
+struct TunnelRequest {
+    TunnelId tunnel = 0;
+    TunnelId before = 0;  // the client's tunnel before this one; 0: its first
     std::uint32_t node = 0;
     std::uint32_t profile = 0;
     Ticks wait = 0;            // that the line tells
@@ -48,40 +48,40 @@
     virtual ~ExecutionLog() = default;
 
     // ---- clients
-    virtual void asked(const Asked& what) = 0;
+    virtual void tunnel_requested(const TunnelRequest& what) = 0;
     // Its last byte has come to the node's machine.
-    virtual void taken(TunnelNo tunnel) = 0;
-    virtual void answered(TunnelNo tunnel, Answer answer, Ticks written_at) = 0;
+    virtual void request_delivered(TunnelId tunnel) = 0;
+    virtual void request_answered(TunnelId tunnel, Answer answer, Ticks written_at) = 0;
     // More came behind a decline, an error or a MOVE.
-    virtual void said_on(TunnelNo tunnel, std::string_view text) = 0;
+    virtual void data_after_final(TunnelId tunnel, std::string_view text) = 0;
     // The client went away, or its time has been up for a while.
-    virtual void left(TunnelNo tunnel) = 0;
-    virtual void gave_up(TunnelNo tunnel) = 0;
+    virtual void client_left(TunnelId tunnel) = 0;
+    virtual void client_timed_out(TunnelId tunnel) = 0;
     // The connection ended or was reset, with no MOVE before; written: when the node said so.
-    virtual void cut(TunnelNo tunnel, bool by_reset, Ticks written) = 0;
+    virtual void connection_cut(TunnelId tunnel, bool by_reset, Ticks written) = 0;
     // Its connection brings no line back though it owes some, for so long.
-    virtual void unanswered(TunnelNo tunnel, Ticks span) = 0;
+    virtual void connection_silent(TunnelId tunnel, Ticks span) = 0;
     // A client that no node need serve had nothing in all its time.
-    virtual void rude_left_waiting(std::uint32_t node, std::string_view how) = 0;
+    virtual void misbehaving_client_unanswered(std::uint32_t node, std::string_view how) = 0;
 
     // ---- hosts
     // A first line has come whole; its first byte was written at `first`.
-    virtual void setup_came(TunnelNo tunnel, std::uint32_t host, End end, Ticks first, bool mid_flow) = 0;
-    virtual void setup_answered(TunnelNo tunnel, std::uint32_t host, Answer answer) = 0;
+    virtual void setup_received(TunnelId tunnel, std::uint32_t host, End end, Ticks first, bool mid_flow) = 0;
+    virtual void setup_answered(TunnelId tunnel, std::uint32_t host, Answer answer) = 0;
     // A mid-flow tunnel came to a host that does not hold it.
-    virtual void not_held(TunnelNo tunnel, std::uint32_t host) = 0;
+    virtual void mid_flow_unknown(TunnelId tunnel, std::uint32_t host) = 0;
     // The host has ended the tunnel's connection, or its process died.
-    virtual void host_ended(TunnelNo tunnel, std::uint32_t host) = 0;
-    virtual void pushed_over(std::uint32_t host, double asked, double bears) = 0;
-    virtual void bad_line(std::uint32_t host, std::string_view line) = 0;
+    virtual void server_ended(TunnelId tunnel, std::uint32_t host) = 0;
+    virtual void server_overloaded(std::uint32_t host, double asked, double overload_limit) = 0;
+    virtual void invalid_line(std::uint32_t host, std::string_view line) = 0;
 
     // ---- discovery
     // Word that a host takes nothing new any more, or is in service, has come to a node's machine.
-    virtual void told(std::uint32_t node, std::uint32_t host, bool active) = 0;
+    virtual void endpoint_state_delivered(std::uint32_t node, std::uint32_t host, bool active) = 0;
 
     // ---- both
     // A line was lost, doubled, changed or overtaken, or was under way for too long.
-    virtual void line_wrong(TunnelNo tunnel, std::string_view what, std::string_view line) = 0;
+    virtual void line_corrupted(TunnelId tunnel, std::string_view what, std::string_view line) = 0;
 };
 
 }  // namespace lemonstair::fakes
--- a/src/fakes/front.cpp
+++ b/src/fakes/front.cpp
@@ -11,12 +11,12 @@
 
 }  // namespace
 
-Front::Front(TestEnvironment& town, Machine machine, std::vector<net::Address> nodes, Ticks notices_after,
-             simnet::RandomSource chance)
-    : town_(town), machine_(machine), notices_after_(notices_after), chance_(chance) {
-    for (const auto& at : nodes) {
+Front::Front(TestEnvironment& environment, Machine machine, const std::vector<net::Address>& nodes,
+             Ticks detection_delay, simnet::RandomSource random)
+    : environment_(environment), machine_(machine), detection_delay_(detection_delay), random_(random) {
+    for (const auto& address : nodes) {
         nodes_.emplace_back();
-        nodes_.back().at = at;
+        nodes_.back().address = address;
     }
 }
 
@@ -25,64 +25,65 @@
 }
 
 void Front::check(std::uint32_t node) {
-    Checked& c = nodes_[node];
-    if (c.asking) town_.network.close(c.end);
-    c.got.clear();
-    c.end = town_.network.connect(machine_, c.at, *this);
+    HealthState& c = nodes_[node];
+    if (c.connected) environment_.network.close(c.end);
+    c.received.clear();
+    c.end = environment_.network.connect(machine_, c.address, *this);
     by_end_[c.end.number()] = node;
-    c.asking = true;
-    c.asked = false;
-    if (c.in && town_.now() - c.answered_at > notices_after_) c.in = false;
-    town_.events.schedule(town_.now() + check_every, *this, node);
+    c.connected = true;
+    c.ping_sent = false;
+    if (c.in_rotation && environment_.now() - c.answered_at > detection_delay_) c.in_rotation = false;
+    environment_.events.schedule(environment_.now() + check_every, *this, node);
 }
 
 void Front::leaves(std::uint32_t node, Ticks after) {
-    town_.events.schedule(town_.now() + after, *this, std::uint64_t{1} << 32 | node);
+    environment_.events.schedule(environment_.now() + after, *this, std::uint64_t{1} << 32 | node);
 }
 
 void Front::on_event(std::uint64_t token) {
     const auto node = static_cast<std::uint32_t>(token);
     if (token >> 32 == 0) return check(node);
-    nodes_[node].in = false;
+    nodes_[node].in_rotation = false;
     nodes_[node].leaving = true;
 }
 
 void Front::on_stream_event(End end) {
     const auto it = by_end_.find(end.number());
     if (it == by_end_.end()) return;
-    Checked& c = nodes_[it->second];
-    if (!(c.end == end) || !c.asking) return;
-    if (town_.network.is_up(end) && !c.asked) {
-        town_.network.write(end, "PING\r\n", true);
-        c.asked = true;
+    HealthState& c = nodes_[it->second];
+    if (!(c.end == end) || !c.connected) return;
+    if (environment_.network.is_up(end) && !c.ping_sent) {
+        environment_.network.write(end, "PING\r\n", true);
+        c.ping_sent = true;
     }
     std::array<char, 64> bytes;
-    const auto got = town_.network.read(end, bytes, true);
-    c.got.append(bytes.data(), got.bytes);
-    if (c.got.find("PONG\r\n") != std::string::npos) {
-        c.answered_at = town_.now();
-        if (!c.leaving) c.in = true;
+    const auto received = environment_.network.read(end, bytes, true);
+    c.received.append(bytes.data(), received.bytes);
+    if (c.received.find("PONG\r\n") != std::string::npos) {
+        c.answered_at = environment_.now();
+        if (!c.leaving) c.in_rotation = true;
     }
-    if (c.got.find("BUSY\r\n") != std::string::npos) c.in = false;
-    if (got.error != 0 && got.error != ECONNRESET) {
+    if (c.received.find("BUSY\r\n") != std::string::npos) c.in_rotation = false;
+    if (received.error != 0 && received.error != ECONNRESET) {
         c.leaving = false;  // nobody listens: whoever comes up there next is another
-        c.in = c.in && town_.now() - c.answered_at <= notices_after_;
+        c.in_rotation = c.in_rotation && environment_.now() - c.answered_at <= detection_delay_;
     }
-    if (got.error != 0 || got.ended || c.got.size() >= 6) {
-        town_.network.close(end);
-        c.asking = false;
+    if (received.error != 0 || received.ended || c.received.size() >= 6) {
+        environment_.network.close(end);
+        c.connected = false;
     }
 }
 
-std::uint32_t Front::deal() { return deal_but(none); }
+std::uint32_t Front::pick() { return pick_except(none); }
 
-std::uint32_t Front::deal_but(std::uint32_t node) {
-    std::uint32_t in = 0;
-    for (std::uint32_t n = 0; n < nodes_.size(); ++n) in += nodes_[n].in && n != node ? 1 : 0;
-    if (in == 0) return none;
-    auto left = static_cast<std::uint32_t>(chance_.between(std::int64_t{0}, std::int64_t{in} - 1));
+std::uint32_t Front::pick_except(std::uint32_t node) {
+    std::uint32_t in_rotation = 0;
     for (std::uint32_t n = 0; n < nodes_.size(); ++n)
-        if (nodes_[n].in && n != node && left-- == 0) return n;
+        in_rotation += nodes_[n].in_rotation && n != node ? 1 : 0;
+    if (in_rotation == 0) return none;
+    auto left = static_cast<std::uint32_t>(random_.between(std::int64_t{0}, std::int64_t{in_rotation} - 1));
+    for (std::uint32_t n = 0; n < nodes_.size(); ++n)
+        if (nodes_[n].in_rotation && n != node && left-- == 0) return n;
     return none;
 }
 
--- a/src/fakes/front.h
+++ b/src/fakes/front.h
@@ -14,13 +14,13 @@
 class Front final : public simnet::StreamListener, public simnet::EventTarget {
   public:
     static constexpr std::uint32_t none = 0xffffffffU;
-    Front(TestEnvironment& town, Machine machine, std::vector<net::Address> nodes, Ticks notices_after,
-          simnet::RandomSource chance);
+    Front(TestEnvironment& environment, Machine machine, const std::vector<net::Address>& nodes,
+          Ticks detection_delay, simnet::RandomSource random);
     void start();
     // A node that is dealt clients; none where no node is.
-    std::uint32_t deal();
-    std::uint32_t deal_but(std::uint32_t node);
-    const net::Address& address(std::uint32_t node) const { return nodes_[node].at; }
+    std::uint32_t pick();
+    std::uint32_t pick_except(std::uint32_t node);
+    const net::Address& address(std::uint32_t node) const { return nodes_[node].address; }
     std::size_t size() const { return nodes_.size(); }
     // Told that a node leaves on purpose: it is dealt no one from a moment later on.
     void leaves(std::uint32_t node, Ticks after);
@@ -30,20 +30,20 @@
     void on_event(std::uint64_t token) override;
 
   private:
-    struct Checked {
-        net::Address at;
+    struct HealthState {
+        net::Address address;
         End end;
-        bool asking = false, asked = false, in = false, leaving = false;
+        bool connected = false, ping_sent = false, in_rotation = false, leaving = false;
         Ticks answered_at = 0;
-        std::string got;
+        std::string received;
     };
     void check(std::uint32_t node);
-    TestEnvironment& town_;
+    TestEnvironment& environment_;
     Machine machine_;
-    std::vector<Checked> nodes_;
+    std::vector<HealthState> nodes_;
     std::unordered_map<std::uint64_t, std::uint32_t> by_end_;
-    Ticks notices_after_;
-    simnet::RandomSource chance_;
+    Ticks detection_delay_;
+    simnet::RandomSource random_;
 };
 
 }  // namespace lemonstair::fakes
--- a/src/fakes/misbehaving_clients.cpp
+++ b/src/fakes/misbehaving_clients.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-constexpr Ticks rude_patience = 30000;
+constexpr Ticks patience = 30000;
 
 }  // namespace
 
-std::string Rude::words(Kind kind) {
+std::string MisbehavingClients::opening_bytes(Kind kind) {
     char text[96];
-    std::snprintf(text, sizeof text, "OPEN r%llx k", static_cast<unsigned long long>(chance_.bits()));
-    const std::string open = text;
+    std::snprintf(text, sizeof text, "OPEN r%llx k", static_cast<unsigned long long>(random_.bits()));
+    std::string open = text;
     switch (kind) {
         case Kind::garbage:
             return "\x01\x02 frob \xff\r\n";
@@ -41,63 +41,64 @@
     return "";
 }
 
-void Rude::come(int how_many, Kind kind, bool again) {
-    for (int i = 0; i < how_many; ++i) call(kind, again);
+void MisbehavingClients::start(int how_many, Kind kind, bool again) {
+    for (int i = 0; i < how_many; ++i) connect(kind, again);
 }
 
-void Rude::call(Kind kind, bool again) {
-    const std::uint32_t node = front_.deal();
-    if (node == Front::none || home_) return;
-    const auto at = static_cast<std::uint32_t>(ones_.size());
-    ones_.push_back({town_.network.connect(machine_, front_.address(node), *this), kind, false, false, again,
-                     node, words(kind)});
-    by_end_[ones_[at].end.number()] = at;
+void MisbehavingClients::connect(Kind kind, bool again) {
+    const std::uint32_t node = front_.pick();
+    if (node == Front::none || stopped_) return;
+    const auto index = static_cast<std::uint32_t>(connections_.size());
+    connections_.push_back({environment_.network.connect(machine_, front_.address(node), *this), kind, false,
+                            false, again, node, opening_bytes(kind)});
+    by_end_[connections_[index].end.number()] = index;
 }
 
-void Rude::on_stream_event(End end) {
+void MisbehavingClients::on_stream_event(End end) {
     const auto it = by_end_.find(end.number());
-    if (it == by_end_.end() || ones_[it->second].over) return;
-    const std::uint32_t at = it->second;
-    if (town_.network.is_up(end) && !ones_[at].sent) {
-        ones_[at].sent = true;
-        town_.events.schedule(town_.now() + rude_patience, *this, at);
+    if (it == by_end_.end() || connections_[it->second].over) return;
+    const std::uint32_t index = it->second;
+    if (environment_.network.is_up(end) && !connections_[index].sent) {
+        connections_[index].sent = true;
+        environment_.events.schedule(environment_.now() + patience, *this, index);
     }
-    if (ones_[at].sent && !ones_[at].waiting.empty()) write_waiting(town_.network, end, ones_[at].waiting);
+    if (connections_[index].sent && !connections_[index].waiting.empty())
+        write_waiting(environment_.network, end, connections_[index].waiting);
     std::array<char, 512> bytes;
     for (;;) {
-        const auto got = town_.network.read(end, bytes, true);
+        const auto got = environment_.network.read(end, bytes, true);
         const std::string_view text(bytes.data(), got.bytes);
         if (text.find("UP ") != std::string_view::npos)
-            town_.witness.line_wrong(0, "a rude client was served", text.substr(0, 40));
+            environment_.execution_log.line_corrupted(0, "a rude client was served", text.substr(0, 40));
         if (got.ended || got.error != 0 || text.find("ERR") != std::string_view::npos ||
             text.find("BUSY") != std::string_view::npos)
-            return this->end(at);
+            return this->end(index);
         if (got.bytes == 0) return;
     }
 }
 
-void Rude::end(std::uint32_t at) {
-    One& one = ones_[at];
-    if (one.over) return;
-    one.over = true;
-    town_.network.close(one.end);
-    if (one.again) call(one.kind, chance_.odds(0.7));
+void MisbehavingClients::end(std::uint32_t index) {
+    Connection& connection = connections_[index];
+    if (connection.over) return;
+    connection.over = true;
+    environment_.network.close(connection.end);
+    if (connection.again) connect(connection.kind, random_.odds(0.7));
 }
 
-void Rude::on_event(std::uint64_t at) {
-    One& one = ones_[at];
-    if (one.over) return;
-    one.over = true;
-    town_.network.close(one.end);
-    town_.witness.rude_left_waiting(one.node, "no answer and no end");
+void MisbehavingClients::on_event(std::uint64_t index) {
+    Connection& connection = connections_[index];
+    if (connection.over) return;
+    connection.over = true;
+    environment_.network.close(connection.end);
+    environment_.execution_log.misbehaving_client_unanswered(connection.node, "no answer and no end");
 }
 
-void Rude::go_home() {
-    home_ = true;
-    for (std::uint32_t at = 0; at < ones_.size(); ++at) {
-        if (ones_[at].over) continue;
-        ones_[at].over = true;
-        town_.network.close(ones_[at].end);
+void MisbehavingClients::stop_all() {
+    stopped_ = true;
+    for (std::uint32_t index = 0; index < connections_.size(); ++index) {
+        if (connections_[index].over) continue;
+        connections_[index].over = true;
+        environment_.network.close(connections_[index].end);
     }
 }
 
--- a/src/fakes/misbehaving_clients.h
+++ b/src/fakes/misbehaving_clients.h
@@ -10,10 +10,11 @@
 namespace lemonstair::fakes {
 
 // Clients that no node need serve.
-class Rude final : public simnet::StreamListener, public simnet::EventTarget {
+class MisbehavingClients final : public simnet::StreamListener, public simnet::EventTarget {
   public:
-    Rude(TestEnvironment& town, Front& front, Machine machine, simnet::RandomSource chance)
-        : town_(town), front_(front), machine_(machine), chance_(chance) {}
+    MisbehavingClients(TestEnvironment& environment, Front& front, Machine machine,
+                       simnet::RandomSource random)
+        : environment_(environment), front_(front), machine_(machine), random_(random) {}
     enum class Kind : std::uint8_t {
         garbage,
         endless,
@@ -26,30 +27,30 @@
         again
     };
     static constexpr int kinds = 9;
-    void come(int how_many, Kind kind, bool again);
-    void go_home();
+    void start(int how_many, Kind kind, bool again);
+    void stop_all();
     void on_stream_event(End end) override;
     void on_connection(const net::Address&) override {}
     void on_event(std::uint64_t token) override;
 
   private:
-    struct One {
+    struct Connection {
         End end;
         Kind kind;
         bool sent = false, over = false, again = false;
         std::uint32_t node;
         std::string waiting;
     };
-    void call(Kind kind, bool again);
-    void end(std::uint32_t at);
-    std::string words(Kind kind);
-    TestEnvironment& town_;
+    void connect(Kind kind, bool again);
+    void end(std::uint32_t index);
+    std::string opening_bytes(Kind kind);
+    TestEnvironment& environment_;
     Front& front_;
     Machine machine_;
-    simnet::RandomSource chance_;
-    std::vector<One> ones_;
+    simnet::RandomSource random_;
+    std::vector<Connection> connections_;
     std::unordered_map<std::uint64_t, std::uint32_t> by_end_;
-    bool home_ = false;
+    bool stopped_ = false;
 };
 
 }  // namespace lemonstair::fakes
--- a/src/fakes/server.h
+++ b/src/fakes/server.h
@@ -22,23 +22,23 @@
     double setup_work_ms = 5, line_work_ms = 0.2;
     std::uint32_t push_bytes = 1;  // of what its own lines carry, at most 4000
     double group_load = 0;         // that each group held costs once
-    Ticks report_every = 5000;
+    Ticks report_interval = 5000;
     double report_noise = 0.05;
     double reports_always = 0;  // a load, whatever it holds; 0: what is so, with noise
-    Ticks cold = 80000, fall = 15000;
+    Ticks cold = 80000, overload_window = 15000;
     double slow_start_initial_factor = 0.33, overload_multiple = 2.5;
     Ticks full_backlog = 10000;  // of work that waits: beyond it setups are turned away
 };
 
 class FakeServer final : public simnet::StreamListener, public simnet::EventTarget {
   public:
-    enum class State : std::uint8_t { down, up, fallen };
+    enum class State : std::uint8_t { down, up, overloaded };
 
-    FakeServer(TestEnvironment& town, std::uint32_t number, Machine machine, const ServerTraits& traits,
-               simnet::RandomSource chance);
+    FakeServer(TestEnvironment& environment, std::uint32_t number, Machine machine,
+               const ServerTraits& traits, simnet::RandomSource random);
 
     // Cold: as one whose process started then.
-    void start(bool cold) { start(cold, town_.now()); }
+    void start(bool cold) { start(cold, environment_.now()); }
     void start(bool cold, Ticks since);
     // The process dies: connections are reset, new ones refused.
     void stop();
@@ -47,17 +47,17 @@
     // Unix time in ms; 0: long ago.
     std::int64_t up_since_ms() const { return started_ == 0 ? 0 : started_ / 10; }
     const ServerTraits& traits() const { return traits_; }
-    net::Address address() const { return town_.network.place(machine_, port); }
+    net::Address address() const { return environment_.network.place(machine_, port); }
     Machine machine() const { return machine_; }
     std::size_t open_tunnels() const { return tunnels_; }
     // What its tunnels ask for, over what it can do now.
-    double load() const { return asked() / capacity(); }
-    bool is_cold() const { return warmth() < 1; }
+    double load() const { return demand() / capacity(); }
+    bool in_slow_start() const { return slow_start_factor() < 1; }
     // What all nodes together may ask of it now, in cores, before it is pushed over.
-    double bears() const { return traits_.overload_multiple * traits_.cores * warmth(); }
+    double overload_limit() const { return traits_.overload_multiple * traits_.cores * slow_start_factor(); }
     bool takes_setups() const { return answers() && !fails_ && !refuses_; }
     // Whether it answers what is sent to it now.
-    bool answers() const { return state_ == State::up && !hangs_ && !town_.network.is_cut(machine_); }
+    bool answers() const { return state_ == State::up && !hangs_ && !environment_.network.is_cut(machine_); }
 
     // ---- faults
     void slow_down(double times) { slow_ = times; }
@@ -77,57 +77,58 @@
   private:
     enum class Step : std::uint8_t { first_line, working, open, ended };
     // A connection. One whose packets pass is kept for a while when they stop.
-    struct Line {
+    struct Connection {
         End end;
         Step step = Step::first_line;
         bool gone = false;  // the stream is closed; kept only where packets pass
         bool probe = false, mid_flow = false;
         LineReader reader;
         Ticks first_byte = 0, parked_since = 0;
-        TunnelNo tunnel = 0;
+        TunnelId tunnel = 0;
         std::uint32_t group = 0;
         double load = 0;
-        std::uint32_t heard = 0, echoed = 0, said = 0;  // lines: the client's, answered, its own
-        std::string waiting;                            // for room
+        std::uint32_t lines_received = 0, echoes_sent = 0,
+                      pushes_sent = 0;  // lines: the client's, answered, its own
+        std::string waiting;            // for room
     };
-    enum Kind : std::uint64_t { answer_setup, echo, push, report, leave_one, judge_cold, probe_answer };
+    enum Kind : std::uint64_t { answer_setup, echo, push, report, leave_one, overload_check, probe_answer };
     std::uint64_t token(Kind kind, std::uint64_t at) const {
-        return std::uint64_t{kind} << 56 | std::uint64_t{life_ & 0xffffU} << 40 | at;
+        return std::uint64_t{kind} << 56 | std::uint64_t{incarnation_ & 0xffffU} << 40 | at;
     }
     void take_connection(End end);
-    void read(std::uint32_t at);
-    bool line(std::uint32_t at, std::string_view text);
-    bool first_line(std::uint32_t at, std::string_view text);
-    bool open_line(std::uint32_t at, std::string_view rest);
-    void client_line(std::uint32_t at, std::string_view text);
-    void send_echo(std::uint32_t at);
-    bool send_pushes(std::uint32_t at);
-    void answer_probe(std::uint32_t at, bool with_load);
+    void read(std::uint32_t index);
+    bool on_line(std::uint32_t index, std::string_view text);
+    bool first_line(std::uint32_t index, std::string_view text);
+    bool open_line(std::uint32_t index, std::string_view rest);
+    void client_line(std::uint32_t index, std::string_view text);
+    void send_echo(std::uint32_t index);
+    bool send_pushes(std::uint32_t index);
+    void answer_probe(std::uint32_t index, bool with_load);
     bool move_one();
-    void answer(std::uint32_t at);
-    void begin(std::uint32_t at);
-    void say(std::uint32_t at, std::string_view text);
-    void send_waiting(std::uint32_t at);
-    void over(std::uint32_t at, bool says_so);
+    void answer(std::uint32_t index);
+    void begin(std::uint32_t index);
+    void send(std::uint32_t index, std::string_view text);
+    void send_waiting(std::uint32_t index);
+    void finish(std::uint32_t index, bool says_so);
     double capacity() const;
-    double warmth() const;
-    double asked() const;
+    double slow_start_factor() const;
+    double demand() const;
     Ticks work(double ms);
-    void check_cold();
+    void check_overload();
 
-    TestEnvironment& town_;
+    TestEnvironment& environment_;
     std::uint32_t number_;
     Machine machine_;
     ServerTraits traits_;
-    simnet::RandomSource chance_;
+    simnet::RandomSource random_;
     State state_ = State::down;
-    std::uint32_t life_ = 0;
-    Ticks started_ = 0, cold_until_ = 0, busy_until_ = 0, pushed_since_ = 0;
+    std::uint32_t incarnation_ = 0;
+    Ticks started_ = 0, cold_until_ = 0, busy_until_ = 0, overloaded_since_ = 0;
     double slow_ = 1;
     bool fails_ = false, refuses_ = false, hangs_ = false;
-    std::deque<Line> lines_;  // places are not used again within a life
+    std::deque<Connection> connections_;  // places are not used again within a life
     std::unordered_map<std::uint64_t, std::uint32_t> by_end_;
-    std::unordered_map<TunnelNo, std::uint32_t> by_tunnel_;
+    std::unordered_map<TunnelId, std::uint32_t> by_tunnel_;
     std::unordered_map<std::uint32_t, int> groups_;
     std::size_t tunnels_ = 0;
     double load_ = 0, reported_ = 0;
--- a/src/fakes/server_connections.cpp
+++ b/src/fakes/server_connections.cpp
@@ -46,291 +46,301 @@
 
 }  // namespace
 
-void FakeServer::on_connection(const net::Address& at) {
-    while (const auto end = town_.network.accept(at)) {
+void FakeServer::on_connection(const net::Address& address) {
+    while (const auto end = environment_.network.accept(address)) {
         if (state_ != State::up) return;
-        town_.network.own(*end, *this);
+        environment_.network.own(*end, *this);
         take_connection(*end);
     }
 }
 
 void FakeServer::take_connection(End end) {
-    const auto at = static_cast<std::uint32_t>(lines_.size());
-    lines_.emplace_back();
-    lines_.back().end = end;
-    by_end_[end.number()] = at;
+    const auto index = static_cast<std::uint32_t>(connections_.size());
+    connections_.emplace_back();
+    connections_.back().end = end;
+    by_end_[end.number()] = index;
     on_stream_event(end);
 }
 
 void FakeServer::on_stream_event(End end) {
     const auto it = by_end_.find(end.number());
     if (it == by_end_.end()) return;
-    const std::uint32_t at = it->second;
-    if (!lines_[at].waiting.empty()) send_waiting(at);
-    if (!hangs_ && !lines_[at].gone) read(at);
+    const std::uint32_t index = it->second;
+    if (!connections_[index].waiting.empty()) send_waiting(index);
+    if (!hangs_ && !connections_[index].gone) read(index);
 }
 
-void FakeServer::read(std::uint32_t at) {
+void FakeServer::read(std::uint32_t index) {
     std::array<char, 4096> bytes;
-    const std::uint32_t life = life_;
+    const std::uint32_t life = incarnation_;
     for (;;) {
-        Line& l = lines_[at];
-        if (l.gone || l.step == Step::ended) break;
-        if (l.first_byte == 0) l.first_byte = town_.network.last_came_from(l.end);
-        const auto got = town_.network.read(l.end, bytes, true);
+        Connection& connection = connections_[index];
+        if (connection.gone || connection.step == Step::ended) break;
+        if (connection.first_byte == 0)
+            connection.first_byte = environment_.network.last_received_sent_at(connection.end);
+        const auto got = environment_.network.read(connection.end, bytes, true);
         if (got.bytes > 0) {
-            const bool good = l.reader.feed({bytes.data(), got.bytes},
-                                            [&](std::string_view text) { return line(at, text); });
-            if (life != life_) return;
+            const bool good = connection.reader.feed(
+                {bytes.data(), got.bytes}, [&](std::string_view text) { return on_line(index, text); });
+            if (life != incarnation_) return;
             if (good) continue;
-            town_.network.reset(l.end);
-            l.gone = true;
-            return over(at, false);
+            environment_.network.reset(connection.end);
+            connection.gone = true;
+            return finish(index, false);
         }
         if (!got.ended && got.error == 0) return;
         // The node's side is over. Where packets pass, the tunnel waits for them to come another way, unless
         // its client has said that it ends it.
         const bool by_reset = got.error != 0;
         if (by_reset)
-            town_.network.reset(l.end);
+            environment_.network.reset(connection.end);
         else
-            town_.network.close(l.end);
-        l.gone = true;
-        if (town_.packet_passthrough && l.step == Step::open && by_reset) {
-            l.parked_since = town_.now();
+            environment_.network.close(connection.end);
+        connection.gone = true;
+        if (environment_.packet_passthrough && connection.step == Step::open && by_reset) {
+            connection.parked_since = environment_.now();
             return;
         }
-        return over(at, false);
+        return finish(index, false);
     }
     // What comes after its last words is thrown away.
-    if (!lines_[at].gone) {
-        const auto got = town_.network.read(lines_[at].end, bytes, true);
-        if (got.ended || got.error != 0) town_.network.close(lines_[at].end), lines_[at].gone = true;
+    if (!connections_[index].gone) {
+        const auto got = environment_.network.read(connections_[index].end, bytes, true);
+        if (got.ended || got.error != 0)
+            environment_.network.close(connections_[index].end), connections_[index].gone = true;
     }
 }
 
 // The tunnel is over here; the witness hears of it where the host itself ended it.
-void FakeServer::over(std::uint32_t at, bool says_so) {
-    Line& l = lines_[at];
-    if (l.step == Step::open) {
+void FakeServer::finish(std::uint32_t index, bool says_so) {
+    Connection& connection = connections_[index];
+    if (connection.step == Step::open) {
         --tunnels_;
-        load_ = std::max(0.0, load_ - l.load);
-        if (l.group != 0 && --groups_[l.group] == 0) groups_.erase(l.group);
-        by_tunnel_.erase(l.tunnel);
-        if (says_so) town_.witness.host_ended(l.tunnel, number_);
+        load_ = std::max(0.0, load_ - connection.load);
+        if (connection.group != 0 && --groups_[connection.group] == 0) groups_.erase(connection.group);
+        by_tunnel_.erase(connection.tunnel);
+        if (says_so) environment_.execution_log.server_ended(connection.tunnel, number_);
     }
-    l.step = Step::ended;
+    connection.step = Step::ended;
 }
 
 // False where no more of what came is read.
-bool FakeServer::line(std::uint32_t at, std::string_view text) {
-    const Line& l = lines_[at];
-    if (l.step == Step::first_line) return first_line(at, text);
-    if (l.step == Step::open) client_line(at, text);
+bool FakeServer::on_line(std::uint32_t index, std::string_view text) {
+    const Connection& connection = connections_[index];
+    if (connection.step == Step::first_line) return first_line(index, text);
+    if (connection.step == Step::open) client_line(index, text);
     return true;  // of a client that does not wait for its answer, lines are thrown away
 }
 
-bool FakeServer::first_line(std::uint32_t at, std::string_view text) {
-    Line& l = lines_[at];
+bool FakeServer::first_line(std::uint32_t index, std::string_view text) {
+    Connection& connection = connections_[index];
     std::string_view rest = text;
     const auto word = next_word(rest);
-    if (word == "OPEN") return open_line(at, rest);
+    if (word == "OPEN") return open_line(index, rest);
     if (word != "PING" && word != "STATS") {
-        town_.witness.bad_line(number_, text);
-        town_.network.write(l.end, "SYNTAX\r\n", true);
-        town_.network.finish(l.end);
-        l.step = Step::ended;
+        environment_.execution_log.invalid_line(number_, text);
+        environment_.network.write(connection.end, "SYNTAX\r\n", true);
+        environment_.network.finish(connection.end);
+        connection.step = Step::ended;
         return false;
     }
     const bool with_load = word == "STATS";
-    l.probe = true;
-    town_.events.schedule(work(with_load ? 0.1 : 0.05), *this,
-                          token(probe_answer, std::uint64_t{at} << 1 | (with_load ? 1U : 0U)));
+    connection.probe = true;
+    environment_.events.schedule(work(with_load ? 0.1 : 0.05), *this,
+                                 token(probe_answer, std::uint64_t{index} << 1 | (with_load ? 1U : 0U)));
     return true;
 }
 
-void FakeServer::client_line(std::uint32_t at, std::string_view text) {
-    Line& l = lines_[at];
+void FakeServer::client_line(std::uint32_t index, std::string_view text) {
+    Connection& connection = connections_[index];
     std::string_view rest = text;
     const auto word = next_word(rest);
     std::uint32_t number = 0;
-    const bool in_turn = word == "m" && read_whole(next_word(rest), number) && number == l.heard + 1;
+    const bool in_turn =
+        word == "m" && read_whole(next_word(rest), number) && number == connection.lines_received + 1;
     // A new connection of the same tunnel goes on where the client stands.
-    const bool goes_on = word == "m" && l.mid_flow && number > l.heard;
-    if (!in_turn && !goes_on) return town_.witness.line_wrong(l.tunnel, "to the host", text);
-    if (l.mid_flow && number > l.heard + 1) l.echoed = number - 1;
-    l.mid_flow = false;
-    l.heard = number;
-    town_.events.schedule(work(traits_.line_work_ms), *this, token(echo, at));
+    const bool goes_on = word == "m" && connection.mid_flow && number > connection.lines_received;
+    if (!in_turn && !goes_on)
+        return environment_.execution_log.line_corrupted(connection.tunnel, "to the host", text);
+    if (connection.mid_flow && number > connection.lines_received + 1) connection.echoes_sent = number - 1;
+    connection.mid_flow = false;
+    connection.lines_received = number;
+    environment_.events.schedule(work(traits_.line_work_ms), *this, token(echo, index));
 }
 
-bool FakeServer::open_line(std::uint32_t at, std::string_view rest) {
-    Line& l = lines_[at];
+bool FakeServer::open_line(std::uint32_t index, std::string_view rest) {
+    Connection& connection = connections_[index];
     std::string_view id = next_word(rest);
     next_word(rest);  // the key
     const std::string_view list = next_word(rest);
-    if (id.substr(0, 1) != "t" || !read_whole(id.substr(1), l.tunnel, 16) || list.empty()) {
+    if (id.substr(0, 1) != "t" || !read_whole(id.substr(1), connection.tunnel, 16) || list.empty()) {
         if (id.substr(0, 1) != "r")
-            town_.witness.bad_line(number_, id);  // a rude client's first line may be good
-        town_.network.write(l.end, "ERR\r\n", true);
-        l.step = Step::ended;
-        town_.network.finish(l.end);
+            environment_.execution_log.invalid_line(number_, id);  // a rude client's first line may be good
+        environment_.network.write(connection.end, "ERR\r\n", true);
+        connection.step = Step::ended;
+        environment_.network.finish(connection.end);
         return false;
     }
-    l.mid_flow = value_of(list, "mid") == "1";
+    connection.mid_flow = value_of(list, "mid") == "1";
     std::uint32_t millionths = 0;
     read_whole(value_of(list, "w"), millionths);
-    l.load = millionths / 1e6;
-    read_whole(value_of(list, "g"), l.group, 16);
-    town_.witness.setup_came(l.tunnel, number_, l.end, l.first_byte, l.mid_flow);
-    town_.note("host setup", number_, l.tunnel);
-    l.step = Step::working;
-    if (l.mid_flow) {
-        const auto held = by_tunnel_.find(l.tunnel);
+    connection.load = millionths / 1e6;
+    read_whole(value_of(list, "g"), connection.group, 16);
+    environment_.execution_log.setup_received(connection.tunnel, number_, connection.end,
+                                              connection.first_byte, connection.mid_flow);
+    environment_.note("host setup", number_, connection.tunnel);
+    connection.step = Step::working;
+    if (connection.mid_flow) {
+        const auto held = by_tunnel_.find(connection.tunnel);
         if (held == by_tunnel_.end()) {
-            town_.witness.not_held(l.tunnel, number_);
-            town_.network.reset(l.end);
-            l.gone = true;
-            l.step = Step::ended;
+            environment_.execution_log.mid_flow_unknown(connection.tunnel, number_);
+            environment_.network.reset(connection.end);
+            connection.gone = true;
+            connection.step = Step::ended;
             return false;
         }
-        Line& old = lines_[held->second];
+        Connection& old = connections_[held->second];
         if (!old.gone) {
-            town_.network.reset(old.end);
+            environment_.network.reset(old.end);
             old.gone = true;
         }
-        l.heard = old.heard, l.echoed = old.heard, l.said = old.said, l.load = old.load, l.group = old.group;
+        connection.lines_received = old.lines_received, connection.echoes_sent = old.lines_received,
+        connection.pushes_sent = old.pushes_sent, connection.load = old.load, connection.group = old.group;
         old.step = Step::ended;
-        held->second = at;
-        l.step = Step::open;
-        say(at, "UP h" + std::to_string(number_) + "-" + std::string(id) + "\r\n");
-        town_.witness.setup_answered(l.tunnel, number_, Answer::up);
+        held->second = index;
+        connection.step = Step::open;
+        send(index, "UP h" + std::to_string(number_) + "-" + std::string(id) + "\r\n");
+        environment_.execution_log.setup_answered(connection.tunnel, number_, Answer::up);
         return true;
     }
     const double fails_in_ms = fails_ || refuses_ ? 0.1 : traits_.setup_work_ms;
-    town_.events.schedule(work(fails_in_ms), *this, token(answer_setup, at));
+    environment_.events.schedule(work(fails_in_ms), *this, token(answer_setup, index));
     return true;
 }
 
-void FakeServer::answer(std::uint32_t at) {
-    Line& l = lines_[at];
-    if (l.gone || l.step != Step::working) return;
+void FakeServer::answer(std::uint32_t index) {
+    Connection& connection = connections_[index];
+    if (connection.gone || connection.step != Step::working) return;
     Answer a = Answer::up;
     if (fails_) a = Answer::error;
-    if (refuses_ || tunnels_ >= traits_.most_connections || busy_until_ - town_.now() > traits_.full_backlog)
+    if (refuses_ || tunnels_ >= traits_.most_connections ||
+        busy_until_ - environment_.now() > traits_.full_backlog)
         a = Answer::busy;
-    town_.witness.setup_answered(l.tunnel, number_, a);
-    if (a == Answer::up) return begin(at);
-    say(at, word_of(a));
-    town_.network.finish(l.end);
-    l.step = Step::ended;
+    environment_.execution_log.setup_answered(connection.tunnel, number_, a);
+    if (a == Answer::up) return begin(index);
+    send(index, word_of(a));
+    environment_.network.finish(connection.end);
+    connection.step = Step::ended;
 }
 
-void FakeServer::begin(std::uint32_t at) {
-    Line& l = lines_[at];
-    l.step = Step::open;
+void FakeServer::begin(std::uint32_t index) {
+    Connection& connection = connections_[index];
+    connection.step = Step::open;
     ++tunnels_;
-    load_ += l.load;
-    if (l.group != 0) ++groups_[l.group];
-    by_tunnel_[l.tunnel] = at;
+    load_ += connection.load;
+    if (connection.group != 0) ++groups_[connection.group];
+    by_tunnel_[connection.tunnel] = index;
     char receipt[64];
-    std::snprintf(receipt, sizeof receipt, "UP h%u-t%x\r\nLOAD %u\r\n", number_, l.tunnel,
-                  static_cast<unsigned>(l.load * 1e6));
-    say(at, receipt);
-    town_.events.schedule(town_.now() + chance_.between(push_from, push_to), *this, token(push, at));
-    read(at);
+    std::snprintf(receipt, sizeof receipt, "UP h%u-t%x\r\nLOAD %u\r\n", number_, connection.tunnel,
+                  static_cast<unsigned>(connection.load * 1e6));
+    send(index, receipt);
+    environment_.events.schedule(environment_.now() + random_.between(push_from, push_to), *this,
+                                 token(push, index));
+    read(index);
 }
 
 // What does not go out at once waits for room.
-void FakeServer::say(std::uint32_t at, std::string_view text) {
-    Line& l = lines_[at];
-    if (l.gone) return;
-    l.waiting.append(text);
-    send_waiting(at);
+void FakeServer::send(std::uint32_t index, std::string_view text) {
+    Connection& connection = connections_[index];
+    if (connection.gone) return;
+    connection.waiting.append(text);
+    send_waiting(index);
 }
 
-void FakeServer::send_waiting(std::uint32_t at) {
-    Line& l = lines_[at];
-    if (l.gone || hangs_) return;
-    l.waiting.erase(0, town_.network.write(l.end, l.waiting, true).bytes);
+void FakeServer::send_waiting(std::uint32_t index) {
+    Connection& connection = connections_[index];
+    if (connection.gone || hangs_) return;
+    connection.waiting.erase(0, environment_.network.write(connection.end, connection.waiting, true).bytes);
 }
 
 void FakeServer::on_event(std::uint64_t what) {
     const auto kind = static_cast<Kind>(what >> 56);
-    if ((what >> 40 & 0xffffU) != (life_ & 0xffffU) || state_ != State::up) return;
-    const std::uint64_t at = what & 0xffffffffffU;
-    const Ticks now = town_.now();
-    if (hangs_ && kind != report && kind != judge_cold) {  // done when it goes on, if it ever does
-        return town_.events.schedule(now + second, *this, what);
+    if ((what >> 40 & 0xffffU) != (incarnation_ & 0xffffU) || state_ != State::up) return;
+    const std::uint64_t place = what & 0xffffffffffU;
+    const Ticks now = environment_.now();
+    if (hangs_ && kind != report && kind != overload_check) {  // done when it goes on, if it ever does
+        return environment_.events.schedule(now + second, *this, what);
     }
-    const auto line = static_cast<std::uint32_t>(at);
+    const auto index = static_cast<std::uint32_t>(place);
     switch (kind) {
         case answer_setup:
-            return answer(line);
+            return answer(index);
         case echo:
-            return send_echo(line);
+            return send_echo(index);
         case push:
-            if (send_pushes(line))
-                town_.events.schedule(now + chance_.between(push_from, push_to), *this, what);
+            if (send_pushes(index))
+                environment_.events.schedule(now + random_.between(push_from, push_to), *this, what);
             return;
         case report:
-            reported_ = asked() / capacity() * (1 + traits_.report_noise * (2 * chance_.unit() - 1));
+            reported_ = demand() / capacity() * (1 + traits_.report_noise * (2 * random_.unit() - 1));
             if (traits_.reports_always > 0) reported_ = traits_.reports_always;
-            return town_.events.schedule(now + traits_.report_every, *this, what);
-        case judge_cold:
-            return check_cold();
+            return environment_.events.schedule(now + traits_.report_interval, *this, what);
+        case overload_check:
+            return check_overload();
         case probe_answer:
-            return answer_probe(static_cast<std::uint32_t>(at >> 1), (at & 1) != 0);
+            return answer_probe(static_cast<std::uint32_t>(place >> 1), (place & 1) != 0);
         case leave_one:
-            if (move_one()) town_.events.schedule(now + leave_every_, *this, what);
+            if (move_one()) environment_.events.schedule(now + leave_every_, *this, what);
             return;
     }
 }
 
-void FakeServer::send_echo(std::uint32_t at) {
-    Line& l = lines_[at];
-    if (l.step != Step::open || l.gone) return;
+void FakeServer::send_echo(std::uint32_t index) {
+    Connection& connection = connections_[index];
+    if (connection.step != Step::open || connection.gone) return;
     char text[48];
-    std::snprintf(text, sizeof text, "e %u %lld\r\n", ++l.echoed, static_cast<long long>(town_.now()));
-    say(at, text);
+    std::snprintf(text, sizeof text, "e %u %lld\r\n", ++connection.echoes_sent,
+                  static_cast<long long>(environment_.now()));
+    send(index, text);
 }
 
 // False where the tunnel is over: it gets no more.
-bool FakeServer::send_pushes(std::uint32_t at) {
-    Line& l = lines_[at];
-    if (l.step != Step::open) return false;
-    if (l.gone) {  // parked: its client comes again soon, or never
-        if (town_.now() - l.parked_since > town_.park) over(at, false);
-        return l.step == Step::open;
+bool FakeServer::send_pushes(std::uint32_t index) {
+    Connection& connection = connections_[index];
+    if (connection.step != Step::open) return false;
+    if (connection.gone) {  // parked: its client comes again soon, or never
+        if (environment_.now() - connection.parked_since > environment_.park) finish(index, false);
+        return connection.step == Step::open;
     }
-    const int n = chance_.odds(burst_share) ? burst_lines : 1;
+    const int n = random_.odds(burst_share) ? burst_lines : 1;
     const std::string carries(std::max<std::size_t>(traits_.push_bytes, n > 1 ? 100 : 1), '0');
     for (int i = 0; i < n; ++i) {
         char text[64];
-        std::snprintf(text, sizeof text, "p %u %lld ", ++l.said, static_cast<long long>(town_.now()));
-        say(at, std::string(text).append(carries).append("\r\n"));
+        std::snprintf(text, sizeof text, "p %u %lld ", ++connection.pushes_sent,
+                      static_cast<long long>(environment_.now()));
+        send(index, std::string(text).append(carries).append("\r\n"));
     }
-    if (chance_.odds(0.1)) {
+    if (random_.odds(0.1)) {
         char text[32];
-        std::snprintf(text, sizeof text, "LOAD %u\r\n", static_cast<unsigned>(l.load * 1e6));
-        say(at, text);
+        std::snprintf(text, sizeof text, "LOAD %u\r\n", static_cast<unsigned>(connection.load * 1e6));
+        send(index, text);
     }
     return true;
 }
 
-void FakeServer::answer_probe(std::uint32_t at, bool with_load) {
+void FakeServer::answer_probe(std::uint32_t index, bool with_load) {
     char text[48] = "PONG\r\n";
     if (with_load) std::snprintf(text, sizeof text, "PONG x0=%.4f\r\n", reported_);
-    say(at, text);
+    send(index, text);
 }
 
 // False where there is no client left to move.
 bool FakeServer::move_one() {
-    for (std::uint32_t i = 0; i < lines_.size(); ++i) {
-        if (lines_[i].gone || lines_[i].step != Step::open) continue;
-        say(i, word_of(Answer::move));
-        town_.network.finish(lines_[i].end);
-        over(i, true);
+    for (std::uint32_t i = 0; i < connections_.size(); ++i) {
+        if (connections_[i].gone || connections_[i].step != Step::open) continue;
+        send(i, word_of(Answer::move));
+        environment_.network.finish(connections_[i].end);
+        finish(i, true);
         return true;
     }
     return false;
--- a/src/process_harness/address_plan.cpp
+++ b/src/process_harness/address_plan.cpp
@@ -15,7 +15,7 @@
     const auto start = static_cast<std::uint32_t>(::getpid()) % blocks;
     for (std::uint32_t i = 0; i < blocks; ++i) {
         block_ = first + (start + i) % blocks * wide;
-        const Address at = make(block_, 0xfffe, post_port);
+        const Address at = make(block_, 0xfffe, datagram_port);
         net::Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
         if (fd.open() && ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&at.at), sizeof at.at) == 0 &&
             ::listen(fd.get(), 1) == 0) {
--- a/src/process_harness/address_plan.h
+++ b/src/process_harness/address_plan.h
@@ -32,11 +32,11 @@
                     static_cast<std::uint16_t>(first_port + slot * ports_each + port_of(own) % ports_each));
     }
     // Under which a node is known to the other nodes.
-    Address door(Machine node) const { return make(block_ + 2, node, post_port); }
-    Address door_to_all() const { return make(block_ + 2, 0xff01, post_port); }
+    Address proxy(Machine node) const { return make(block_ + 2, node, datagram_port); }
+    Address broadcast_address() const { return make(block_ + 2, 0xff01, datagram_port); }
 
   private:
-    static constexpr std::uint16_t first_port = 10000, post_port = 7946, ports_each = 16;
+    static constexpr std::uint16_t first_port = 10000, datagram_port = 7946, ports_each = 16;
     static std::uint16_t port_of(const Address& at) { return ntohs(at.at.sin_port); }
     static Address make(std::uint32_t block, Machine machine, std::uint16_t port) {
         Address a;
--- a/src/process_harness/datagram_proxy.cpp
+++ b/src/process_harness/datagram_proxy.cpp
@@ -15,26 +15,27 @@
 
 }  // namespace
 
-DatagramProxy::DatagramProxy(EventQueue& events, Poller& poller, const AddressPlan& places,
-                             std::uint16_t peer_port, simnet::RandomSource chance, Passes passes)
+DatagramProxy::DatagramProxy(EventQueue& events, Poller& poller, const AddressPlan& addresses,
+                             std::uint16_t peer_port, simnet::RandomSource random, Passes passes)
     : events_(events),
-      places_(places),
+      addresses_(addresses),
       peer_port_(peer_port),
-      chance_(chance),
+      random_(random),
       passes_(std::move(passes)),
-      counts_(places.nodes()),
-      kept_(places.nodes()) {
-    for (Machine n = 0; n <= places.nodes(); ++n) {
-        net::Fd fd = net::bind_datagrams(n < places.nodes() ? places.door(n) : places.door_to_all());
+      counts_(addresses.nodes()),
+      kept_(addresses.nodes()) {
+    for (Machine n = 0; n <= addresses.nodes(); ++n) {
+        net::Fd fd =
+            net::bind_datagrams(n < addresses.nodes() ? addresses.proxy(n) : addresses.broadcast_address());
         ::setsockopt(fd.get(), SOL_SOCKET, SO_RCVBUF, &room, sizeof room);
         poller.add(fd.get(), EPOLLIN, *this, n, false);
-        (n < places.nodes() ? doors_.emplace_back() : to_all_) = std::move(fd);
+        (n < addresses.nodes() ? proxy_listeners_.emplace_back() : to_all_) = std::move(fd);
     }
 }
 
 void DatagramProxy::on_ready(std::uint64_t token, std::uint32_t) {
     const auto to = static_cast<Machine>(token);
-    const int fd = to < doors_.size() ? doors_[to].get() : to_all_.get();
+    const int fd = to < proxy_listeners_.size() ? proxy_listeners_[to].get() : to_all_.get();
     std::array<std::uint8_t, 2048> bytes;
     for (int i = 0; i < 64; ++i) {
         sockaddr_in from{};
@@ -42,15 +43,15 @@
         const ssize_t n =
             ::recvfrom(fd, bytes.data(), bytes.size(), 0, reinterpret_cast<sockaddr*>(&from), &size);
         if (n < 0) return;
-        const Machine who = places_.machine_at({from});
-        if (who >= places_.nodes() || !(places_.own(who, peer_port_) == Address{from})) continue;
+        const Machine who = addresses_.machine_at({from});
+        if (who >= addresses_.nodes() || !(addresses_.own(who, peer_port_) == Address{from})) continue;
         if (static_cast<std::size_t>(n) > longest) ++too_long_;
         const std::span<const std::uint8_t> text(bytes.data(), static_cast<std::size_t>(n));
-        if (to < doors_.size()) {
+        if (to < proxy_listeners_.size()) {
             carry(who, to, text);
             continue;
         }
-        for (Machine m = 0; m < places_.nodes(); ++m)
+        for (Machine m = 0; m < addresses_.nodes(); ++m)
             if (m != who) carry(who, m, text);
     }
 }
@@ -61,9 +62,9 @@
     auto& kept = kept_[from];
     kept.push_back({from, to, {bytes.begin(), bytes.end()}});
     if (kept.size() > most_kept) kept.pop_front();
-    const int copies = chance_.odds(faults_.lost) ? 0 : chance_.odds(faults_.doubled) ? 2 : 1;
+    const int copies = random_.odds(faults_.lost) ? 0 : random_.odds(faults_.doubled) ? 2 : 1;
     for (int i = 0; i < copies; ++i) {
-        const Ticks jitter = faults_.jitter > 0 ? chance_.between(Ticks{0}, faults_.jitter) : 0;
+        const Ticks jitter = faults_.jitter > 0 ? random_.between(Ticks{0}, faults_.jitter) : 0;
         const auto delay = static_cast<Ticks>(static_cast<double>(usual_delay) * slow_);
         if (free_.empty()) {
             free_.push_back(static_cast<std::uint32_t>(under_way_.size()));
@@ -78,21 +79,21 @@
 
 void DatagramProxy::on_event(std::uint64_t token) {
     const auto place = static_cast<std::uint32_t>(token);
-    const Datagram letter = std::move(under_way_[place]);
+    const Datagram datagram = std::move(under_way_[place]);
     free_.push_back(place);
-    hand_out(letter);
+    deliver(datagram);
 }
 
-void DatagramProxy::hand_out(const Datagram& l) {
+void DatagramProxy::deliver(const Datagram& l) {
     if (!faults_.passes(l.from, l.to) || !passes_(l.from, l.to)) return;
-    const Address at = places_.own(l.to, peer_port_);
-    static_cast<void>(::sendto(doors_[l.from].get(), l.bytes.data(), l.bytes.size(), MSG_NOSIGNAL,
+    const Address at = addresses_.own(l.to, peer_port_);
+    static_cast<void>(::sendto(proxy_listeners_[l.from].get(), l.bytes.data(), l.bytes.size(), MSG_NOSIGNAL,
                                reinterpret_cast<const sockaddr*>(&at.at), sizeof at.at));
 }
 
 void DatagramProxy::send_again(Machine from, std::size_t most) {
     const auto kept = kept_[from];
-    for (std::size_t i = 0; i < std::min(most, kept.size()); ++i) hand_out(kept[i]);
+    for (std::size_t i = 0; i < std::min(most, kept.size()); ++i) deliver(kept[i]);
 }
 
 }  // namespace lemonstair::process_harness
--- a/src/process_harness/datagram_proxy.h
+++ b/src/process_harness/datagram_proxy.h
@@ -20,8 +20,8 @@
     };
     // Whether anything passes from one machine to another now.
     using Passes = std::function<bool(Machine from, Machine to)>;
-    DatagramProxy(EventQueue& events, Poller& poller, const AddressPlan& places, std::uint16_t peer_port,
-                  simnet::RandomSource chance, Passes passes);
+    DatagramProxy(EventQueue& events, Poller& poller, const AddressPlan& addresses, std::uint16_t peer_port,
+                  simnet::RandomSource random, Passes passes);
     simnet::DatagramFaults& faults() { return faults_; }
     void slow_by(double times) { slow_ = times; }
     void send_again(Machine from, std::size_t most);
@@ -37,16 +37,16 @@
         std::vector<std::uint8_t> bytes;
     };
     void carry(Machine from, Machine to, std::span<const std::uint8_t> bytes);
-    void hand_out(const Datagram& letter);
+    void deliver(const Datagram& datagram);
 
     EventQueue& events_;
-    const AddressPlan& places_;
+    const AddressPlan& addresses_;
     std::uint16_t peer_port_;
-    simnet::RandomSource chance_;
+    simnet::RandomSource random_;
     Passes passes_;
     simnet::DatagramFaults faults_;
     double slow_ = 1;
-    std::vector<net::Fd> doors_;
+    std::vector<net::Fd> proxy_listeners_;
     net::Fd to_all_;
     std::vector<Counts> counts_;
     std::uint64_t too_long_ = 0;
--- a/src/process_harness/main.cpp
+++ b/src/process_harness/main.cpp
@@ -22,58 +22,59 @@
 double seconds(lemonstair::net::Ticks t) { return static_cast<double>(t) / 10000; }
 
 struct Options {
-    std::string day, seeds, program, json, logs;
+    std::string scenario, seeds, program, json, logs;
     std::uint32_t nodes = 0;
     std::size_t show = 10;
     bool hosts = false;
 };
 
-void tell(const Options& wish, const process_harness::RunResult& o) {
+void print_result(const Options& options, const process_harness::RunResult& o) {
     std::cout << std::fixed << std::setprecision(1) << "seed " << o.seed << ": " << o.nodes << " processes, "
               << o.took_s << " s; taken " << o.tally.taken << ", opened " << o.tally.opened << ", declined "
               << o.tally.declined << " (" << o.declined_idle << " beside an idle host), closed with error "
-              << o.tally.failed << ", setups " << o.tally.setups << ", moved " << o.members.moved << '\n'
+              << o.tally.failed << ", setups " << o.tally.setups << ", moved " << o.clients.moved << '\n'
               << "  a node and second: " << o.costs.datagrams << " datagrams, " << std::setprecision(0)
               << o.costs.bytes << " bytes, " << std::setprecision(2) << o.costs.processor_ms
               << " ms of a core; " << o.costs.memory_kb / 1024 << " MB at most\n";
     bool any_cold = false;
     for (const auto& h : o.hosts) any_cold = any_cold || h.cold || h.most_of_budget > 0;
-    for (std::size_t h = 0; h < o.hosts.size() && (any_cold || wish.hosts); ++h)
+    for (std::size_t h = 0; h < o.hosts.size() && (any_cold || options.hosts); ++h)
         std::cout << "  host " << std::setw(3) << h << (o.hosts[h].cold ? " cold" : " warm") << "  setups "
                   << std::setw(5) << o.hosts[h].setups << "  at most at once " << o.hosts[h].most_at_once
                   << ", " << o.hosts[h].most_of_budget << " of its budget\n";
-    for (std::size_t i = 0; i < std::min(wish.show, o.broken.size()); ++i)
+    for (std::size_t i = 0; i < std::min(options.show, o.broken.size()); ++i)
         std::cout << "  " << std::setprecision(4) << seconds(o.broken[i].at) << " s  " << o.broken[i].rule
                   << ": " << o.broken[i].what << '\n';
-    if (o.broken.size() > wish.show) std::cout << "  and " << o.broken.size() - wish.show << " more\n";
-    std::cout << std::setprecision(1) << "  the rig was " << static_cast<double>(o.latest) / 10
-              << " ms behind at most, a node waited " << o.waited_most_s * 1000
+    if (o.broken.size() > options.show) std::cout << "  and " << o.broken.size() - options.show << " more\n";
+    std::cout << std::setprecision(1) << "  the rig was " << static_cast<double>(o.max_lag) / 10
+              << " ms behind at most, a node waited " << o.max_core_wait_s * 1000
               << " ms of a second for a core\n";
 }
 
-int run(const Options& wish, const volatile bool& stop) {
-    simulation::Scenario day = simulation::read_day(wish.day);
-    if (wish.nodes != 0) day.nodes = wish.nodes;
-    simulation::Seeds seeds{day.seed, day.seed};
-    if (!wish.seeds.empty()) seeds = simulation::parse_seeds(wish.seeds);
+int run(const Options& options, const volatile bool& stop) {
+    simulation::Scenario scenario = simulation::read_scenario(options.scenario);
+    if (options.nodes != 0) scenario.nodes = options.nodes;
+    simulation::SeedRange seeds{scenario.seed, scenario.seed};
+    if (!options.seeds.empty()) seeds = simulation::parse_seeds(options.seeds);
     std::ofstream json;
-    if (!wish.json.empty()) json.open(wish.json, std::ios::app);
-    if (!wish.json.empty() && !json) {
-        std::cerr << "lemonstair_process_harness: '" << wish.json << "' cannot be written\n";
+    if (!options.json.empty()) json.open(options.json, std::ios::app);
+    if (!options.json.empty() && !json) {
+        std::cerr << "lemonstair_process_harness: '" << options.json << "' cannot be written\n";
         return wrong_use;
     }
     int worst = kept;
     for (std::uint64_t seed = seeds.first; seed <= seeds.last && !stop; ++seed) {
-        day.seed = seed;
-        const process_harness::RunResult o = process_harness::play(day, {wish.program, wish.logs, {}}, stop);
+        scenario.seed = seed;
+        const process_harness::RunResult o =
+            process_harness::play(scenario, {options.program, options.logs, {}}, stop);
         if (o.interrupted) return too_busy;
         if (json.is_open()) json << process_harness::json_of(o) << std::flush;
-        tell(wish, o);
+        print_result(options, o);
         if (!o.broken.empty()) {
-            std::cout << "  again: lemonstair_process_harness run --day " << wish.day << " --seeds " << seed
-                      << " --nodes " << day.nodes << " --program " << wish.program << '\n';
-            worst = std::max(worst, o.can_tell() ? broken : worst == broken ? broken : too_busy);
-            if (o.can_tell()) worst = broken;
+            std::cout << "  again: lemonstair_process_harness run --day " << options.scenario << " --seeds "
+                      << seed << " --nodes " << scenario.nodes << " --program " << options.program << '\n';
+            worst = std::max(worst, o.is_conclusive() ? broken : worst == broken ? broken : too_busy);
+            if (o.is_conclusive()) worst = broken;
         }
     }
     std::cout << (worst == kept       ? "all rules kept\n"
@@ -91,21 +92,21 @@
         "  lemonstair_process_harness run --day tests/scenarios/cold_hosts.toml --program build/lemonstair "
         "--nodes 60");
     app.require_subcommand(1);
-    Options wish;
+    Options options;
     auto* command = app.add_subcommand("run", "Plays a day in real time");
-    command->add_option("--day", wish.day, "a day written as TOML")->required();
-    command->add_option("--program", wish.program, "the node's program")
+    command->add_option("--day", options.scenario, "a day written as TOML")->required();
+    command->add_option("--program", options.program, "the node's program")
         ->required()
         ->check(CLI::ExistingFile);
-    command->add_option("--seeds", wish.seeds, "one seed or a range, as 1..5; left out, that of the file");
-    command->add_option("--nodes", wish.nodes, "so many processes instead of the file's")
+    command->add_option("--seeds", options.seeds, "one seed or a range, as 1..5; left out, that of the file");
+    command->add_option("--nodes", options.nodes, "so many processes instead of the file's")
         ->check(CLI::Range(1U, simulation::most_nodes));
-    command->add_option("--json", wish.json, "a line of JSON for each day, added to this file");
-    command->add_option("--logs", wish.logs, "the nodes' logs into this folder")
+    command->add_option("--json", options.json, "a line of JSON for each day, added to this file");
+    command->add_option("--logs", options.logs, "the nodes' logs into this folder")
         ->check(CLI::ExistingDirectory);
-    command->add_option("--show", wish.show, "how many broken rules to tell of each day");
-    command->add_flag("--hosts", wish.hosts, "a row for each host, also where none starts cold");
+    command->add_option("--show", options.show, "how many broken rules to tell of each day");
+    command->add_flag("--hosts", options.hosts, "a row for each host, also where none starts cold");
     const volatile bool& stop = process_harness::stop_on_signals();
     return simulation::run_command_line(app, argc, argv, "lemonstair_process_harness",
-                                        [&] { return run(wish, stop); });
+                                        [&] { return run(options, stop); });
 }
--- a/src/process_harness/process_harness.cpp
+++ b/src/process_harness/process_harness.cpp
@@ -23,10 +23,10 @@
 using simulation::Fixture;
 
 constexpr Ticks second = 10000;
-constexpr Ticks kill_after_leave = 37000, settle = 15000;
+constexpr Ticks kill_after_leave = 37000, settle_time = 15000;
 constexpr Ticks longest_wait = 500;
-constexpr Ticks latest_allowed = 400;          // of the slack of 50 ms
-constexpr double longest_without_core = 0.06;  // s, of a node within a second
+constexpr Ticks max_lag_allowed = 400;            // of the slack of 50 ms
+constexpr double max_core_wait_allowed_s = 0.06;  // s, of a node within a second
 
 // Clients come at dawn, when the processes have had time to start.
 constexpr Ticks start_takes = 2 * second, start_takes_each = 100;
@@ -41,9 +41,9 @@
 struct ProcessSlot {
     std::unique_ptr<Process> process;
     std::string file;
-    std::uint32_t life = 0;
-    Process::Used before{};  // at the last look
-    double processor_s = 0;  // of lives that are over
+    std::uint32_t incarnation = 0;
+    Process::Used last_use{};  // at the last look
+    double processor_s = 0;    // of lives that are over
     bool leaving = false, stalled = false;
 };
 
@@ -51,17 +51,17 @@
                              public simulation::Topology,
                              public simulation::NodeFaults {
   public:
-    ProcessHarness(const Scenario& day, const HarnessOptions& wish);
+    ProcessHarness(const Scenario& scenario, const HarnessOptions& options);
     RunResult run(const volatile bool& stop);
     void on_event(std::uint64_t token) override;
 
     // ---- Topology
-    simnet::DatagramFaults& datagrams() override { return post_.faults(); }
-    void cut_off(Machine machine, bool on) override { wires_.cut_off(machine, on); }
-    void forget(Machine machine) override { wires_.forget(machine); }
-    void cut_path(Machine a, Machine b, bool on) override { wires_.cut_path(a, b, on); }
-    void slow_by(Machine, double times) override { post_.slow_by(times); }
-    void send_again(Machine from, std::size_t most) override { post_.send_again(from, most); }
+    simnet::DatagramFaults& datagrams() override { return datagram_proxy_.faults(); }
+    void cut_off(Machine machine, bool on) override { stream_proxy_.cut_off(machine, on); }
+    void forget(Machine machine) override { stream_proxy_.forget(machine); }
+    void cut_path(Machine a, Machine b, bool on) override { stream_proxy_.cut_path(a, b, on); }
+    void slow_by(Machine, double times) override { datagram_proxy_.slow_by(times); }
+    void send_again(Machine from, std::size_t most) override { datagram_proxy_.send_again(from, most); }
     void new_file(std::uint32_t node, const std::string& text) override;
 
     // ---- NodeFaults: of `count` nodes from the fault's node on
@@ -81,72 +81,75 @@
     void check_nodes();
     bool check_ended(std::uint32_t node);
     std::uint32_t last_node(const Fault& f) const {
-        return std::min(f.who + std::max(f.count, 1U), day_.nodes);
+        return std::min(f.target + std::max(f.count, 1U), scenario_.nodes);
     }
-    bool go_on(Ticks until, const volatile bool& stop);
-    RunResult told(Ticks played_for);
+    bool play_until(Ticks until, const volatile bool& stop);
+    RunResult make_result(Ticks played_for);
 
-    const Scenario day_;
+    const Scenario scenario_;
     const HarnessOptions wish_;
     net::Clock clock_;
     EventQueue events_;
     Poller poller_;
-    AddressPlan places_;
+    AddressPlan addresses_;
     simnet::Trace trace_;
-    simnet::RandomSource chance_;
-    StreamProxy wires_;
-    DatagramProxy post_;
-    simulation::Invariants rules_;
-    std::unique_ptr<Fixture> stage_;
+    simnet::RandomSource random_;
+    StreamProxy stream_proxy_;
+    DatagramProxy datagram_proxy_;
+    simulation::Invariants invariants_;
+    std::unique_ptr<Fixture> fixture_;
     std::unique_ptr<simulation::FaultInjector> injector_;
-    std::vector<ProcessSlot> seats_;
+    std::vector<ProcessSlot> slots_;
     RunResult outcome_;
     Ticks played_from_ = 0;
 };
 
-ProcessHarness::ProcessHarness(const Scenario& day, const HarnessOptions& wish)
-    : day_(day),
-      wish_(wish),
-      events_(clock_.now(), clock_.now() + start_takes + start_takes_each * day.nodes),
-      places_(day.nodes),
-      chance_(day.seed ^ 0xda71a8),
-      wires_(events_, poller_, places_),
-      post_(events_, poller_, places_, Fixture::peer_port, chance_.part(1),
-            [this](Machine from, Machine to) { return !wires_.is_cut(from) && !wires_.is_cut(to); }),
-      rules_(day_, events_, wires_),
-      seats_(day.nodes) {
-    post_.faults().lost = day_.weather.lost;
-    post_.faults().doubled = day_.weather.doubled;
-    post_.faults().jitter = day_.weather.datagram_jitter;
-    for (std::uint32_t n = 0; n < day_.nodes; ++n) wires_.add_machine();
-    stage_ = std::make_unique<Fixture>(day_, events_, trace_, wires_, rules_, chance_, *this);
-    injector_ = std::make_unique<simulation::FaultInjector>(day_, events_, *stage_, *this);
+ProcessHarness::ProcessHarness(const Scenario& scenario, const HarnessOptions& options)
+    : scenario_(scenario),
+      wish_(options),
+      events_(clock_.now(), clock_.now() + start_takes + start_takes_each * scenario.nodes),
+      addresses_(scenario.nodes),
+      random_(scenario.seed ^ 0xda71a8),
+      stream_proxy_(events_, poller_, addresses_),
+      datagram_proxy_(events_, poller_, addresses_, Fixture::peer_port, random_.part(1),
+                      [this](Machine from, Machine to) {
+                          return !stream_proxy_.is_cut(from) && !stream_proxy_.is_cut(to);
+                      }),
+      invariants_(scenario_, events_, stream_proxy_),
+      slots_(scenario.nodes) {
+    datagram_proxy_.faults().lost = scenario_.network.lost;
+    datagram_proxy_.faults().doubled = scenario_.network.doubled;
+    datagram_proxy_.faults().jitter = scenario_.network.datagram_jitter;
+    for (std::uint32_t n = 0; n < scenario_.nodes; ++n) stream_proxy_.add_machine();
+    fixture_ =
+        std::make_unique<Fixture>(scenario_, events_, trace_, stream_proxy_, invariants_, random_, *this);
+    injector_ = std::make_unique<simulation::FaultInjector>(scenario_, events_, *fixture_, *this);
 }
 
 // ---- nodes
 
 void ProcessHarness::start_node(std::uint32_t node) {
-    ProcessSlot& s = seats_[node];
+    ProcessSlot& s = slots_[node];
     if (s.process) return;
-    ++s.life;
+    ++s.incarnation;
     s.leaving = s.stalled = false;
-    s.before = {};
-    rules_.node_started(node);
+    s.last_use = {};
+    invariants_.node_started(node);
     s.process = std::make_unique<Process>(
         wish_.program, std::string(1, 'n').append(std::to_string(node)), s.file, wish_.log_folder,
-        wish_.environment ? wish_.environment(node, s.life) : std::vector<std::string>{});
+        wish_.environment ? wish_.environment(node, s.incarnation) : std::vector<std::string>{});
 }
 
 void ProcessHarness::end_node(std::uint32_t node, simulation::Invariants::NodeEnd how) {
-    ProcessSlot& s = seats_[node];
+    ProcessSlot& s = slots_[node];
     if (!s.process) return;
     s.processor_s += s.process->used().processor_s;
-    rules_.node_ended(node, how);
+    invariants_.node_ended(node, how);
     s.process.reset();
 }
 
 void ProcessHarness::new_file(std::uint32_t node, const std::string& text) {
-    ProcessSlot& s = seats_[node];
+    ProcessSlot& s = slots_[node];
     s.file = text;
     if (!s.process) return;
     s.process->configure(text);
@@ -155,10 +158,10 @@
 
 // True: its process had ended, as it was told to or unasked.
 bool ProcessHarness::check_ended(std::uint32_t node) {
-    ProcessSlot& s = seats_[node];
+    ProcessSlot& s = slots_[node];
     if (s.process->runs()) return false;
     const bool left = s.leaving && s.process->ended_well();
-    if (!left) rules_.broke("crash", "node " + std::to_string(node) + " " + s.process->how_it_ended());
+    if (!left) invariants_.report("crash", "node " + std::to_string(node) + " " + s.process->how_it_ended());
     end_node(node, left ? simulation::Invariants::NodeEnd::left : simulation::Invariants::NodeEnd::crashed);
     return true;
 }
@@ -166,32 +169,33 @@
 // Ends that nobody asked for, and what the nodes used since the last check.
 void ProcessHarness::check_nodes() {
     schedule(events_.now() + second, Kind::check_nodes);
-    for (std::uint32_t n = 0; n < seats_.size(); ++n) {
-        ProcessSlot& s = seats_[n];
+    for (std::uint32_t n = 0; n < slots_.size(); ++n) {
+        ProcessSlot& s = slots_[n];
         if (!s.process || check_ended(n)) continue;
         const Process::Used used = s.process->used();
-        if (s.before.waited_s > 0 && !s.stalled)
-            outcome_.waited_most_s = std::max(outcome_.waited_most_s, used.waited_s - s.before.waited_s);
+        if (s.last_use.waited_s > 0 && !s.stalled)
+            outcome_.max_core_wait_s =
+                std::max(outcome_.max_core_wait_s, used.waited_s - s.last_use.waited_s);
         outcome_.costs.memory_kb = std::max(outcome_.costs.memory_kb, used.memory_kb);
-        s.before = used;
+        s.last_use = used;
     }
 }
 
 // ---- faults
 
 void ProcessHarness::leave(std::uint32_t node, const Fault& f) {
-    ProcessSlot& s = seats_[node];
+    ProcessSlot& s = slots_[node];
     s.leaving = true;
-    rules_.node_told_to_leave(node);
+    invariants_.node_told_to_drain_out(node);
     s.process->signal(SIGTERM);
-    stage_->front().leaves(node, chance_.between(second / 5, second * 2 / 5));
-    schedule(events_.now() + kill_after_leave, Kind::kill_late, node, s.life);
-    schedule(events_.now() + kill_after_leave + f.span, Kind::restart, node, s.life);
+    fixture_->front().leaves(node, random_.between(second / 5, second * 2 / 5));
+    schedule(events_.now() + kill_after_leave, Kind::kill_late, node, s.incarnation);
+    schedule(events_.now() + kill_after_leave + f.duration, Kind::restart, node, s.incarnation);
 }
 
 void ProcessHarness::begin_at(std::uint32_t node, const Fault& f) {
     using K = FaultKind;
-    ProcessSlot& s = seats_[node];
+    ProcessSlot& s = slots_[node];
     switch (f.kind) {
         case K::node_kill:
             return end_node(node, simulation::Invariants::NodeEnd::killed);
@@ -199,7 +203,7 @@
             return leave(node, f);
         case K::node_stall:
             s.stalled = true;
-            rules_.node_stalled(node, events_.now() + f.span + second / 2);
+            invariants_.node_stalled(node, events_.now() + f.duration + second / 2);
             return s.process->signal(SIGSTOP);
         case K::node_reload:
             return s.process->signal(SIGHUP);
@@ -213,8 +217,8 @@
 
 void ProcessHarness::begin_node_fault(const Fault& f, std::uint64_t) {
     const std::uint32_t last = last_node(f);
-    for (std::uint32_t n = f.who; n < last; ++n)
-        if (seats_[n].process) begin_at(n, f);
+    for (std::uint32_t n = f.target; n < last; ++n)
+        if (slots_[n].process) begin_at(n, f);
 }
 
 bool ProcessHarness::end_node_fault(const Fault& f) {
@@ -222,17 +226,17 @@
     const std::uint32_t last = last_node(f);
     switch (f.kind) {
         case K::node_kill:
-            for (std::uint32_t n = f.who; n < last; ++n) start_node(n);
+            for (std::uint32_t n = f.target; n < last; ++n) start_node(n);
             return true;
         case K::node_stall:
-            for (std::uint32_t n = f.who; n < last; ++n) {
-                if (seats_[n].process) seats_[n].process->signal(SIGCONT);
-                seats_[n].stalled = false;
-                seats_[n].before = {};
+            for (std::uint32_t n = f.target; n < last; ++n) {
+                if (slots_[n].process) slots_[n].process->signal(SIGCONT);
+                slots_[n].stalled = false;
+                slots_[n].last_use = {};
             }
             return true;
         case K::node_reload_broken:
-            for (std::uint32_t n = f.who; n < last; ++n) new_file(n, seats_[n].file);
+            for (std::uint32_t n = f.target; n < last; ++n) new_file(n, slots_[n].file);
             return true;
         default:
             return false;
@@ -244,11 +248,11 @@
     const auto node = static_cast<std::uint32_t>(event.index);
     switch (event.kind) {
         case Kind::kill_late:
-            if (seats_[node].life == event.incarnation && seats_[node].process)
+            if (slots_[node].incarnation == event.incarnation && slots_[node].process)
                 end_node(node, simulation::Invariants::NodeEnd::killed_late);
             return;
         case Kind::restart:
-            if (seats_[node].life == event.incarnation) start_node(node);
+            if (slots_[node].incarnation == event.incarnation) start_node(node);
             return;
         case Kind::check_nodes:
             return check_nodes();
@@ -258,12 +262,12 @@
 // ---- the day
 
 // Lets happen what is due, by the clock. False where somebody wants it to stop.
-bool ProcessHarness::go_on(Ticks until, const volatile bool& stop) {
+bool ProcessHarness::play_until(Ticks until, const volatile bool& stop) {
     while (!stop) {
         const Ticks now = clock_.now();
         while (events_.next() && *events_.next() <= now) {
             if (events_.now() > played_from_ && played_from_ != 0)
-                outcome_.latest = std::max(outcome_.latest, clock_.now() - *events_.next());
+                outcome_.max_lag = std::max(outcome_.max_lag, clock_.now() - *events_.next());
             events_.step(now);
         }
         events_.pass_to(now);
@@ -276,57 +280,60 @@
 }
 
 RunResult ProcessHarness::run(const volatile bool& stop) {
-    stage_->open();
-    for (std::uint32_t n = 0; n < seats_.size(); ++n) seats_[n].file = stage_->file_for(n);
+    fixture_->open();
+    for (std::uint32_t n = 0; n < slots_.size(); ++n) slots_[n].file = fixture_->file_for(n);
     const Ticks start_time = events_.start_time();
     bool played = true;
-    for (std::uint32_t n = 0; n < seats_.size() && !stop; ++n) start_node(n);
-    stage_->let_clients_come();
+    for (std::uint32_t n = 0; n < slots_.size() && !stop; ++n) start_node(n);
+    fixture_->start_clients();
     check_nodes();
     injector_->schedule_all();
     played_from_ = start_time;
-    played = go_on(start_time + day_.span, stop);
-    stage_->go_home();
-    if (played) played = go_on(start_time + day_.span + settle, stop);
+    played = play_until(start_time + scenario_.duration, stop);
+    fixture_->stop_all();
+    if (played) played = play_until(start_time + scenario_.duration + settle_time, stop);
     outcome_.interrupted = !played;
-    return told(day_.span + settle);
+    return make_result(scenario_.duration + settle_time);
 }
 
-RunResult ProcessHarness::told(Ticks played_for) {
+RunResult ProcessHarness::make_result(Ticks played_for) {
     RunResult& o = outcome_;
     const double seconds = static_cast<double>(played_for) / second;
-    const double node_seconds = seconds * static_cast<double>(day_.nodes);
-    for (std::uint32_t n = 0; n < seats_.size(); ++n) {
+    const double node_seconds = seconds * static_cast<double>(scenario_.nodes);
+    for (std::uint32_t n = 0; n < slots_.size(); ++n) {
         end_node(n, simulation::Invariants::NodeEnd::killed);
-        o.costs.processor_ms += seats_[n].processor_s * 1000 / node_seconds;
-        o.costs.datagrams += static_cast<double>(post_.counts(n).sent) / node_seconds;
-        o.costs.bytes += static_cast<double>(post_.counts(n).bytes) / node_seconds;
+        o.costs.processor_ms += slots_[n].processor_s * 1000 / node_seconds;
+        o.costs.datagrams += static_cast<double>(datagram_proxy_.counts(n).sent) / node_seconds;
+        o.costs.bytes += static_cast<double>(datagram_proxy_.counts(n).bytes) / node_seconds;
     }
-    rules_.judge_bounds();
-    const simulation::Ledger& ledger = rules_.ledger();
+    invariants_.judge_bounds();
+    const simulation::Ledger& ledger = invariants_.ledger();
     for (std::uint32_t h = 0; h < ledger.hosts(); ++h)
-        o.hosts.push_back({ledger.cold(h), ledger.setups(h), ledger.most_within(h, day_.host.fall),
-                           ledger.most_of_budget(h, day_.host.fall)});
+        o.hosts.push_back({ledger.cold(h), ledger.setups(h),
+                           ledger.most_within(h, scenario_.server.overload_window),
+                           ledger.most_of_budget(h, scenario_.server.overload_window)});
     o.declined = ledger.declined();
     o.declined_idle = ledger.declined_idle();
-    o.seed = day_.seed;
-    o.nodes = day_.nodes;
-    o.broken = rules_.broken();
-    o.tally = rules_.tally();
-    o.members = stage_->members().tally();
-    o.calls_of_nodes = wires_.calls_of_nodes();
-    o.too_long = post_.too_long();
+    o.seed = scenario_.seed;
+    o.nodes = scenario_.nodes;
+    o.broken = invariants_.broken();
+    o.tally = invariants_.tally();
+    o.clients = fixture_->clients().tally();
+    o.calls_of_nodes = stream_proxy_.calls_of_nodes();
+    o.too_long = datagram_proxy_.too_long();
     o.took_s = seconds;
     return o;
 }
 
 }  // namespace
 
-bool RunResult::can_tell() const { return latest <= latest_allowed && waited_most_s <= longest_without_core; }
+bool RunResult::is_conclusive() const {
+    return max_lag <= max_lag_allowed && max_core_wait_s <= max_core_wait_allowed_s;
+}
 
-RunResult play(const Scenario& day, const HarnessOptions& wish, const volatile bool& stop) {
+RunResult play(const Scenario& scenario, const HarnessOptions& options, const volatile bool& stop) {
     allow_descriptors(1U << 18);
-    ProcessHarness field(day, wish);
+    ProcessHarness field(scenario, options);
     return field.run(stop);
 }
 
@@ -335,7 +342,7 @@
     out << R"({"seed":)" << o.seed << R"(,"nodes":)" << o.nodes << R"(,"taken":)" << o.tally.taken
         << R"(,"opened":)" << o.tally.opened << R"(,"declined":)" << o.tally.declined
         << R"(,"declined_beside_idle":)" << o.declined_idle << R"(,"closed_with_error":)" << o.tally.failed
-        << R"(,"setups":)" << o.tally.setups << R"(,"moved":)" << o.members.moved << R"(,"hosts":[)";
+        << R"(,"setups":)" << o.tally.setups << R"(,"moved":)" << o.clients.moved << R"(,"hosts":[)";
     for (std::size_t h = 0; h < o.hosts.size(); ++h)
         out << (h > 0 ? "," : "") << R"({"cold":)" << (o.hosts[h].cold ? "true" : "false") << R"(,"setups":)"
             << o.hosts[h].setups << R"(,"most_at_once":)" << o.hosts[h].most_at_once
@@ -343,7 +350,7 @@
     out << R"(],"datagrams_a_node_s":)" << o.costs.datagrams << R"(,"bytes_a_node_s":)" << o.costs.bytes
         << R"(,"processor_ms_a_node_s":)" << o.costs.processor_ms << R"(,"memory_kb":)" << o.costs.memory_kb
         << R"(,"calls_of_nodes":)" << o.calls_of_nodes << R"(,"latest_ms":)"
-        << static_cast<double>(o.latest) / 10 << R"(,"waited_most_ms":)" << o.waited_most_s * 1000
+        << static_cast<double>(o.max_lag) / 10 << R"(,"waited_most_ms":)" << o.max_core_wait_s * 1000
         << R"(,"broken":[)";
     for (std::size_t i = 0; i < o.broken.size(); ++i)
         out << (i > 0 ? "," : "") << R"({"at_s":)" << static_cast<double>(o.broken[i].at) / second
--- a/src/process_harness/process_harness.h
+++ b/src/process_harness/process_harness.h
@@ -20,7 +20,7 @@
     std::string program;     // the node's
     std::string log_folder;  // empty: their logs are thrown away
     // What one life of a process finds in its environment beside its configuration; empty: nothing.
-    std::function<std::vector<std::string>(std::uint32_t node, std::uint32_t life)> environment;
+    std::function<std::vector<std::string>(std::uint32_t node, std::uint32_t incarnation)> environment;
 };
 
 struct HostRow {
@@ -39,22 +39,22 @@
     std::uint32_t nodes = 0;
     std::vector<simulation::Broken> broken;
     simulation::Invariants::Tally tally;
-    fakes::FakeClients::Tally members;
+    fakes::FakeClients::Tally clients;
     std::vector<HostRow> hosts;
     std::uint64_t declined = 0, declined_idle = 0;  // idle: while a host stood at less than half
     NodeCosts costs;
     std::uint64_t calls_of_nodes = 0, too_long = 0;
     double took_s = 0;
-    Ticks latest = 0;          // the rig was behind its own clock by so much at most
-    double waited_most_s = 0;  // a node waited for a core so long within one second
+    Ticks max_lag = 0;           // the rig was behind its own clock by so much at most
+    double max_core_wait_s = 0;  // a node waited for a core so long within one second
     bool interrupted = false;
     // Whether the machine kept up well enough to blame the program for what broke.
-    bool can_tell() const;
+    bool is_conclusive() const;
 };
 
 // Plays a day in real time. Throws std::exception where it cannot be played at all. It stops early where
 // `stop` becomes true; whatever happens, no process that it started is left.
-RunResult play(const Scenario& day, const HarnessOptions& wish, const volatile bool& stop);
+RunResult play(const Scenario& scenario, const HarnessOptions& options, const volatile bool& stop);
 
 // One line of JSON, with its end.
 std::string json_of(const RunResult& outcome);
--- a/src/process_harness/stream_proxy.cpp
+++ b/src/process_harness/stream_proxy.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::uint64_t door_bit = std::uint64_t{1} << 40;
+constexpr std::uint64_t listener_bit = std::uint64_t{1} << 40;
 constexpr int calls_that_fill = 4;
 
 }  // namespace
@@ -54,37 +54,37 @@
 // ---- listening
 
 Address StreamProxy::seen_by(Machine who, const Address& at) const {
-    const Machine there = places_.machine_at(at);
-    if (who >= places_.nodes()) return at;
-    return there < places_.nodes() ? places_.door(there) : places_.seen(who, at);
+    const Machine there = addresses_.machine_at(at);
+    if (who >= addresses_.nodes()) return at;
+    return there < addresses_.nodes() ? addresses_.proxy(there) : addresses_.seen(who, at);
 }
 
-void StreamProxy::open_door(Listener& listener, Machine node, const Address& at, Machine machine) {
-    const auto number = static_cast<std::uint32_t>(doors_.size());
-    doors_.push_back({key(listener.at), node, machine, net::listen_on(at), {}});
+void StreamProxy::open_listener(Listener& listener, Machine node, const Address& at, Machine machine) {
+    const auto number = static_cast<std::uint32_t>(proxy_listeners_.size());
+    proxy_listeners_.push_back({key(listener.at), node, machine, net::listen_on(at), {}});
     listener.doors.push_back(number);
-    poller_.add(doors_.back().fd.get(), EPOLLIN, *this, door_bit | number, true);
-    if (!passes(node, machine)) bar(doors_.back(), true);
+    poller_.add(proxy_listeners_.back().fd.get(), EPOLLIN, *this, listener_bit | number, true);
+    if (!passes(node, machine)) block(proxy_listeners_.back(), true);
 }
 
 // A machine that is no node is called by nodes alone, each at a door of its own.
-void StreamProxy::listen(const Address& at, StreamListener& ear, std::size_t backlog) {
+void StreamProxy::listen(const Address& at, StreamListener& listener, std::size_t backlog) {
     unlisten(at);
     Listener& l = listeners_[key(at)];
-    l.ear = &ear;
+    l.listener = &listener;
     l.at = at;
     l.backlog = backlog;
-    for (Machine n = 0; n < places_.nodes(); ++n)
-        open_door(l, n, places_.seen(n, at), places_.machine_at(at));
+    for (Machine n = 0; n < addresses_.nodes(); ++n)
+        open_listener(l, n, addresses_.seen(n, at), addresses_.machine_at(at));
 }
 
 void StreamProxy::unlisten(const Address& at) {
     const auto it = listeners_.find(key(at));
     if (it == listeners_.end()) return;
     for (const auto d : it->second.doors) {
-        poller_.remove(doors_[d].fd.get());
-        doors_[d].fill.clear();
-        doors_[d].fd.close();
+        poller_.remove(proxy_listeners_[d].fd.get());
+        proxy_listeners_[d].fill.clear();
+        proxy_listeners_[d].fd.close();
     }
     const auto waiting = std::move(it->second.waiting);
     listeners_.erase(it);
@@ -92,44 +92,44 @@
 }
 
 // A queue that is full lets no call come up, as a machine that says nothing. Calls of our own fill it.
-void StreamProxy::bar(Door& door, bool on) {
-    if (!door.fd.open() || on != door.fill.empty()) return;
+void StreamProxy::block(ProxyListener& proxy, bool on) {
+    if (!proxy.fd.open() || on != proxy.fill.empty()) return;
     if (!on) {
-        while (kernel_.accept(door.fd.get()).open()) continue;  // ours, and a node's that had got in
-        door.fill.clear();
-        ::listen(door.fd.get(), 1024);
+        while (kernel_.accept(proxy.fd.get()).open()) continue;  // ours, and a node's that had got in
+        proxy.fill.clear();
+        ::listen(proxy.fd.get(), 1024);
         return;
     }
-    while (kernel_.accept(door.fd.get()).open()) continue;
-    ::listen(door.fd.get(), 0);
+    while (kernel_.accept(proxy.fd.get()).open()) continue;
+    ::listen(proxy.fd.get(), 0);
     Address at;
     socklen_t size = sizeof at.at;
-    ::getsockname(door.fd.get(), reinterpret_cast<sockaddr*>(&at.at), &size);
-    for (int i = 0; i < calls_that_fill; ++i) door.fill.push_back(net::connect_to(at));
+    ::getsockname(proxy.fd.get(), reinterpret_cast<sockaddr*>(&at.at), &size);
+    for (int i = 0; i < calls_that_fill; ++i) proxy.fill.push_back(net::connect_to(at));
 }
 
-void StreamProxy::call_on(std::uint32_t number) {
-    Door& door = doors_[number];
-    if (!door.fd.open() || !door.fill.empty()) return;
-    const auto it = listeners_.find(door.key);
+void StreamProxy::accept_waiting(std::uint32_t number) {
+    ProxyListener& proxy = proxy_listeners_[number];
+    if (!proxy.fd.open() || !proxy.fill.empty()) return;
+    const auto it = listeners_.find(proxy.key);
     if (it == listeners_.end()) return;
     for (;;) {
-        net::Fd fd = kernel_.accept(door.fd.get());
+        net::Fd fd = kernel_.accept(proxy.fd.get());
         if (!fd.open()) break;
         const End end{static_cast<std::uint32_t>(streams_.size()), 1};
         streams_.emplace_back();
         Stream& s = streams_.back();
-        s.here = door.machine;
-        s.node = door.node;
+        s.here = proxy.machine;
+        s.node = proxy.node;
         s.side = 1;
         s.up = true;
-        s.owner = it->second.ear;
+        s.owner = it->second.listener;
         s.came_from = events_.now();
         s.fd = std::move(fd);
         ++calls_of_nodes_;
         it->second.waiting.push_back(end);
     }
-    if (!it->second.waiting.empty()) it->second.ear->on_connection(it->second.at);
+    if (!it->second.waiting.empty()) it->second.listener->on_connection(it->second.at);
 }
 
 std::optional<End> StreamProxy::accept(const Address& at) {
@@ -149,7 +149,7 @@
     streams_.emplace_back();
     Stream& s = streams_.back();
     s.here = from;
-    s.node = places_.machine_at(to);
+    s.node = addresses_.machine_at(to);
     s.owner = &owner;
     if (!passes(s)) return end;  // nobody hears the call
     s.fd = net::connect_to(to);
@@ -163,19 +163,19 @@
 }
 
 void StreamProxy::on_ready(std::uint64_t token, std::uint32_t events) {
-    if ((token & door_bit) != 0) return call_on(static_cast<std::uint32_t>(token));
+    if ((token & listener_bit) != 0) return accept_waiting(static_cast<std::uint32_t>(token));
     const auto number = static_cast<std::uint32_t>(token);
     Stream& s = streams_[number];
     if (!passes(s)) return;  // looked at again when it is healed
     if ((events & (EPOLLERR | EPOLLHUP)) != 0 && !s.up) s.failed = kernel_.connected(s.fd.get());
     if ((events & EPOLLOUT) != 0 && s.failed == 0) s.up = true;
     if ((events & (EPOLLIN | EPOLLRDHUP | EPOLLERR)) != 0) s.came_from = events_.now();
-    stir(number);
+    notify_owner(number);
 }
 
-void StreamProxy::on_event(std::uint64_t number) { stir(static_cast<std::uint32_t>(number)); }
+void StreamProxy::on_event(std::uint64_t number) { notify_owner(static_cast<std::uint32_t>(number)); }
 
-void StreamProxy::stir(std::uint32_t number) {
+void StreamProxy::notify_owner(std::uint32_t number) {
     const Stream& s = streams_[number];
     if (s.owner != nullptr && !s.over) s.owner->on_stream_event({number, s.side});
 }
@@ -218,7 +218,7 @@
 }
 
 // On the loopback what is written is at the other's machine at once.
-void StreamProxy::tell_delivered(End end, EventTarget& actor, std::uint64_t token) {
+void StreamProxy::notify_delivered(End end, EventTarget& actor, std::uint64_t token) {
     if (passes(streams_[end.stream])) return events_.schedule(events_.now(), actor, token);
     undelivered_[end.stream].push_back({&actor, token});
 }
@@ -240,16 +240,16 @@
 
 void StreamProxy::cut_off(Machine machine, bool on) {
     on ? void(cut_.insert(machine)) : void(cut_.erase(machine));
-    look_again();
+    recheck();
 }
 
 void StreamProxy::cut_path(Machine a, Machine b, bool on) {
     on ? void(cut_paths_.insert(path(a, b))) : void(cut_paths_.erase(path(a, b)));
-    look_again();
+    recheck();
 }
 
-void StreamProxy::look_again() {
-    for (Door& d : doors_) bar(d, !passes(d.node, d.machine));
+void StreamProxy::recheck() {
+    for (ProxyListener& d : proxy_listeners_) block(d, !passes(d.node, d.machine));
     for (std::uint32_t i = 0; i < streams_.size(); ++i) {
         Stream& s = streams_[i];
         if (!s.fd.open() || !passes(s)) continue;
--- a/src/process_harness/stream_proxy.h
+++ b/src/process_harness/stream_proxy.h
@@ -69,8 +69,8 @@
 
 class StreamProxy final : public simnet::Streams, public Ready, public EventTarget {
   public:
-    StreamProxy(EventQueue& events, Poller& poller, const AddressPlan& places)
-        : events_(events), poller_(poller), places_(places) {}
+    StreamProxy(EventQueue& events, Poller& poller, const AddressPlan& addresses)
+        : events_(events), poller_(poller), addresses_(addresses) {}
 
     // ---- faults; a pair is a node and a machine that is none, or one of the clients'
     void cut_off(Machine machine, bool on);
@@ -82,9 +82,11 @@
     // ---- simnet::Streams
     Machine add_machine() override { return machines_++; }
     bool is_cut(Machine machine) const override { return cut_.count(machine) > 0; }
-    Address place(Machine machine, std::uint16_t port) const override { return places_.own(machine, port); }
+    Address place(Machine machine, std::uint16_t port) const override {
+        return addresses_.own(machine, port);
+    }
     Address seen_by(Machine who, const Address& at) const override;
-    void listen(const Address& at, StreamListener& ear, std::size_t backlog) override;
+    void listen(const Address& at, StreamListener& listener, std::size_t backlog) override;
     void unlisten(const Address& at) override;
     std::optional<End> accept(const Address& at) override;
     End connect(Machine from, const Address& to, StreamListener& owner) override;
@@ -94,9 +96,9 @@
     void finish(End end) override;
     void close(End end) override { drop(end, false); }
     void reset(End end) override { drop(end, true); }
-    void tell_delivered(End end, EventTarget& actor, std::uint64_t token) override;
+    void notify_delivered(End end, EventTarget& actor, std::uint64_t token) override;
     bool is_up(End end) const override { return streams_[end.stream].up; }
-    Ticks last_came_from(End end) const override { return streams_[end.stream].came_from; }
+    Ticks last_received_sent_at(End end) const override { return streams_[end.stream].came_from; }
     Machine machine_of(End end) const override;
     bool is_open(End end) const override;
 
@@ -115,14 +117,14 @@
         Ticks came_from = 0;
     };
     // One place of a machine as one node sees it, or as all do.
-    struct Door {
+    struct ProxyListener {
         std::uint64_t key;
         Machine node, machine;
         net::Fd fd;
         std::vector<net::Fd> fill;  // calls that keep its queue full while it is cut off
     };
     struct Listener {
-        StreamListener* ear = nullptr;
+        StreamListener* listener = nullptr;
         Address at;
         std::size_t backlog = 0;
         std::vector<std::uint32_t> doors;
@@ -142,20 +144,20 @@
         return cut_.count(a) == 0 && cut_.count(b) == 0 && cut_paths_.count(path(a, b)) == 0;
     }
     bool passes(const Stream& s) const { return passes(s.here, s.node); }
-    void open_door(Listener& listener, Machine node, const Address& at, Machine machine);
-    void bar(Door& door, bool on);
-    void look_again();
-    void call_on(std::uint32_t door);
+    void open_listener(Listener& listener, Machine node, const Address& at, Machine machine);
+    void block(ProxyListener& proxy, bool on);
+    void recheck();
+    void accept_waiting(std::uint32_t proxy);
     void drop(End end, bool with_reset);
-    void stir(std::uint32_t stream);
+    void notify_owner(std::uint32_t stream);
 
     EventQueue& events_;
     Poller& poller_;
-    const AddressPlan& places_;
+    const AddressPlan& addresses_;
     net::Kernel kernel_;
     Machine machines_ = 0;
     std::deque<Stream> streams_;
-    std::deque<Door> doors_;
+    std::deque<ProxyListener> proxy_listeners_;
     std::unordered_map<std::uint64_t, Listener> listeners_;
     std::set<Machine> cut_;
     std::set<std::uint64_t> cut_paths_;
--- a/src/simnet/event_queue.h
+++ b/src/simnet/event_queue.h
@@ -27,8 +27,8 @@
     // Simulated days begin at a fixed time, in Unix time, as the stamps of records want it.
     static constexpr Ticks default_start_time = 17'000'000'000'000;
     EventQueue() : EventQueue(default_start_time, default_start_time) {}
-    EventQueue(Ticks now, Ticks start_time) : dawn_(start_time), now_(now) {}
-    Ticks start_time() const { return dawn_; }
+    EventQueue(Ticks now, Ticks start_time) : start_time_(start_time), now_(now) {}
+    Ticks start_time() const { return start_time_; }
     Ticks now() const { return now_; }
     // Never before now. There is no way to take it back: the actor tells by the token whether it still
     // counts.
@@ -64,7 +64,7 @@
         }
     };
     std::priority_queue<Item> queue_;
-    Ticks dawn_, now_;
+    Ticks start_time_, now_;
     std::uint64_t order_ = 0, steps_ = 0;
 };
 
--- a/src/simnet/local_socket.h
+++ b/src/simnet/local_socket.h
@@ -53,7 +53,7 @@
         std::vector<End> ends;
     };
     // Takes the name from whoever has it.
-    void listen(const std::string& name, LocalSocketListener& who) { doors_[name] = {&who, {}}; }
+    void listen(const std::string& name, LocalSocketListener& who) { listeners_[name] = {&who, {}}; }
     void unlisten(const std::string& name, LocalSocketListener& who);
     // A line; none where nobody listens.
     std::uint32_t connect(const std::string& name, LocalSocketListener& who);
@@ -70,7 +70,7 @@
     void on_connection(const Address&) override {}
 
   private:
-    struct Door {
+    struct Listener {
         LocalSocketListener* who = nullptr;
         std::deque<std::uint32_t> calls;
     };
@@ -79,12 +79,12 @@
         bool open[2] = {true, true};
         std::deque<Packet> to[2];
     };
-    void stir(const Line& line, int side) {
+    void notify_owner(const Line& line, int side) {
         if (line.who[side] != nullptr && line.open[side]) line.who[side]->on_local_event();
     }
     void drop(std::deque<Packet>& packets);
     Network& network_;
-    std::map<std::string, Door> doors_;
+    std::map<std::string, Listener> listeners_;
     std::deque<Line> lines_;
 };
 
--- a/src/simnet/network.cpp
+++ b/src/simnet/network.cpp
@@ -11,8 +11,8 @@
 
 // A call that nobody answers is made again after 1, 3, 7 and 15 s, as TCP does; bytes after 0.2 s and
 // doubling.
-constexpr Ticks first_retry = 2000, longest_retry = 20000, call_again = 10000;
-constexpr int most_calls = 6;
+constexpr Ticks first_retry = 2000, longest_retry = 20000, connect_retry_delay = 10000;
+constexpr int max_connect_attempts = 6;
 
 }  // namespace
 
@@ -33,14 +33,14 @@
 
 Ticks Network::delay(Machine from, Machine to) {
     const double slow = std::max(machines_[from].slow, machines_[to].slow);
-    const Ticks drawn = chance_.between(weather_.least_delay, weather_.most_delay);
+    const Ticks drawn = random_.between(conditions_.min_delay, conditions_.max_delay);
     return std::max<Ticks>(1, static_cast<Ticks>(static_cast<double>(drawn) * slow));
 }
 
 // ---- streams
 
-void Network::listen(const Address& at, StreamListener& ear, std::size_t backlog) {
-    listeners_[key(at)] = {&ear, backlog, {}};
+void Network::listen(const Address& at, StreamListener& listener, std::size_t backlog) {
+    listeners_[key(at)] = {&listener, backlog, {}};
 }
 
 // What waits in the queue is reset, as the kernel does.
@@ -72,13 +72,13 @@
     if (s.open && !s.forgotten) also.on_stream_event(end);
 }
 
-bool Network::let_go(End end, StreamListener& one) {
+bool Network::release(End end, StreamListener& one) {
     Side& s = at(end);
     if (s.before.empty()) return false;
     if (s.owner == &one) {
         s.owner = s.before.back();
         s.before.pop_back();
-        stir(end);
+        notify_owner(end);
     } else {
         const auto it = std::find(s.before.begin(), s.before.end(), &one);
         if (it != s.before.end()) s.before.erase(it);
@@ -98,19 +98,19 @@
         s.side[1].machine = from;
         later(events_.now() + 1, refused, end);
     } else {
-        later(events_.now() + delay(from, s.side[1].machine), call, end);
+        later(events_.now() + delay(from, s.side[1].machine), connect_request, end);
     }
     return end;
 }
 
-void Network::come_call(End end) {
+void Network::on_connect_request(End end) {
     Stream& s = streams_[end.stream];
     Side& from = s.side[0];
     if (!from.open || from.phase != Phase::connecting) return;
     const Machine to = s.side[1].machine;
     const auto again = [&] {
-        if (++s.tries > most_calls) return fail(end, ETIMEDOUT);
-        later(events_.now() + (call_again << std::min(s.tries - 1, 4)), call, end);
+        if (++s.attempts > max_connect_attempts) return fail(end, ETIMEDOUT);
+        later(events_.now() + (connect_retry_delay << std::min(s.attempts - 1, 4)), connect_request, end);
     };
     if (!passes(from.machine, to)) return again();
     const auto it = listeners_.find(key(s.to));
@@ -118,11 +118,11 @@
     if (it->second.waiting.size() >= it->second.backlog) return again();  // the queue is full: dropped
     Side& there = s.side[1];
     there.phase = Phase::up;
-    there.owner = it->second.ear;
+    there.owner = it->second.listener;
     it->second.waiting.push_back(end.other());
     trace_.note(events_.now() - events_.start_time(), "call", end.stream, to);
-    later(events_.now() + delay(to, from.machine), called_back, end);
-    it->second.ear->on_connection(s.to);
+    later(events_.now() + delay(to, from.machine), connect_confirmed, end);
+    it->second.listener->on_connection(s.to);
 }
 
 void Network::fail(End end, int error) {
@@ -132,10 +132,10 @@
     s.error = error;
     trace_.note(events_.now() - events_.start_time(), "fail", end.number(),
                 static_cast<std::uint64_t>(error));
-    stir(end);
+    notify_owner(end);
 }
 
-void Network::stir(End end) {
+void Network::notify_owner(End end) {
     const Side& s = at(end);
     if (s.open && !s.forgotten && s.owner != nullptr) s.owner->on_stream_event(end);
 }
@@ -146,7 +146,7 @@
     std::copy_n(s.inbox.data() + s.head, n, into.data());
     if (n > 0) return {.bytes = n};
     if (s.phase == Phase::failed)
-        return s.told_reset ? net::IoResult{.ended = true} : net::IoResult{.error = s.error};
+        return s.reset_reported ? net::IoResult{.ended = true} : net::IoResult{.error = s.error};
     return {.ended = s.end_came};
 }
 
@@ -154,21 +154,21 @@
     Side& s = at(end);
     const std::size_t there = std::min(into.size(), s.inbox.size() - s.head);
     if (there == 0) {
-        if (s.phase == Phase::failed && !s.told_reset) {
-            s.told_reset = true;
+        if (s.phase == Phase::failed && !s.reset_reported) {
+            s.reset_reported = true;
             return {.error = s.error};
         }
         return {.ended = s.end_came || s.phase == Phase::failed};
     }
-    const std::size_t n = cut(weather_.cut_reads, there, whole);
+    const std::size_t n = cut(conditions_.cut_reads, there, whole);
     std::copy_n(s.inbox.data() + s.head, n, into.data());
     s.head += n;
     if (s.head == s.inbox.size()) s.inbox.clear(), s.head = 0;
     Side& peer = at(end.other());
     peer.used -= n;
-    if (peer.wants_room && peer.used * 3 <= weather_.window * 2) {
-        peer.wants_room = false;
-        later(events_.now() + delay(s.machine, peer.machine), room, end.other());
+    if (peer.blocked && peer.used * 3 <= conditions_.window * 2) {
+        peer.blocked = false;
+        later(events_.now() + delay(s.machine, peer.machine), window_opened, end.other());
     }
     return {.bytes = n};
 }
@@ -176,13 +176,14 @@
 net::IoResult Network::write(End end, std::string_view text, bool whole) {
     Side& s = at(end);
     if (s.phase == Phase::connecting) return {};
-    if (s.phase == Phase::failed) return {.error = s.told_reset ? EPIPE : (s.told_reset = true, s.error)};
+    if (s.phase == Phase::failed)
+        return {.error = s.reset_reported ? EPIPE : (s.reset_reported = true, s.error)};
     if (s.sent_end) return {.error = EPIPE};
-    const std::size_t left = weather_.window > s.used ? weather_.window - s.used : 0;
+    const std::size_t left = conditions_.window > s.used ? conditions_.window - s.used : 0;
     const std::size_t fits = std::min(left, text.size());
-    if (fits < text.size()) s.wants_room = true;
+    if (fits < text.size()) s.blocked = true;
     if (fits == 0) return {};
-    const std::size_t n = cut(weather_.cut_writes, fits, whole);
+    const std::size_t n = cut(conditions_.cut_writes, fits, whole);
     s.used += n;
     send_segment(end, text.substr(0, n), false);
     return {.bytes = n};
@@ -199,7 +200,7 @@
 }
 
 // What is under way from this end comes to the other.
-void Network::come_bytes(End end) {
+void Network::deliver_bytes(End end) {
     Side& s = at(end);
     s.will_deliver = false;
     Side& there = at(end.other());
@@ -232,7 +233,7 @@
         s.will_deliver = true;
         later(std::max(s.under_way.front().arrives, events_.now() + 1), deliver, end);
     }
-    if (came) stir(end.other());
+    if (came) notify_owner(end.other());
 }
 
 // From this end's machine to the other end: it overtakes what is under way.
@@ -240,14 +241,14 @@
     later(events_.now() + delay(at(end).machine, at(end.other()).machine), reset_comes, end);
 }
 
-void Network::come_reset(End end) {
+void Network::deliver_reset(End end) {
     Side& s = at(end);
     Side& there = at(end.other());
     s.under_way.clear();
     if (!passes(s.machine, there.machine) || there.phase == Phase::failed || !there.open) return;
     there.under_way.clear();
     // Whether what came before it can still be read differs between systems.
-    if (chance_.odds(0.5)) there.inbox.clear(), there.head = 0;
+    if (random_.odds(0.5)) there.inbox.clear(), there.head = 0;
     fail(end.other(), ECONNRESET);
 }
 
@@ -281,7 +282,7 @@
 int Network::connected(End end) {
     Side& s = at(end);
     if (s.phase != Phase::failed) return 0;
-    s.told_reset = true;
+    s.reset_reported = true;
     return s.error;
 }
 
@@ -290,18 +291,18 @@
     if (s.phase == Phase::connecting) return 0;
     int out = 0;
     if (s.phase == Phase::failed) {
-        out = POLLHUP | (s.told_reset ? 0 : POLLERR) | (wanted & (POLLIN | POLLOUT | POLLRDHUP));
+        out = POLLHUP | (s.reset_reported ? 0 : POLLERR) | (wanted & (POLLIN | POLLOUT | POLLRDHUP));
         return static_cast<short>(out);
     }
     if (s.head < s.inbox.size() || s.end_came) out |= POLLIN;
     if (s.end_came) out |= POLLRDHUP;
-    if (s.sent_end || s.used * 3 <= weather_.window * 2) out |= POLLOUT;
+    if (s.sent_end || s.used * 3 <= conditions_.window * 2) out |= POLLOUT;
     out &= wanted;
     if (s.end_came && s.sent_end) out |= POLLHUP;
     return static_cast<short>(out);
 }
 
-void Network::tell_delivered(End end, EventTarget& actor, std::uint64_t token) {
+void Network::notify_delivered(End end, EventTarget& actor, std::uint64_t token) {
     auto& under_way = at(end).under_way;
     if (under_way.empty()) return events_.schedule(events_.now(), actor, token);
     under_way.back().tells = &actor;
@@ -329,9 +330,9 @@
     const End end{static_cast<std::uint32_t>((token & ~(std::uint64_t{255} << 56)) >> 1),
                   static_cast<std::uint8_t>(token & 1)};
     switch (kind) {
-        case call:
-            return come_call(end);
-        case called_back: {
+        case connect_request:
+            return on_connect_request(end);
+        case connect_confirmed: {
             Side& s = at(end);
             if (s.phase == Phase::up && s.open) return;
             if (s.phase == Phase::failed || !s.open) {  // nobody there any more
@@ -339,19 +340,19 @@
                 return;
             }
             if (!passes(at(end.other()).machine, s.machine))  // lost: it is said again
-                return later(events_.now() + call_again, called_back, end);
+                return later(events_.now() + connect_retry_delay, connect_confirmed, end);
             s.phase = Phase::up;
-            return stir(end);
+            return notify_owner(end);
         }
         case refused:
             if (passes(at(end.other()).machine, at(end).machine)) return fail(end, ECONNREFUSED);
-            return later(events_.now() + call_again, call, end);
+            return later(events_.now() + connect_retry_delay, connect_request, end);
         case deliver:
-            return come_bytes(end);
+            return deliver_bytes(end);
         case reset_comes:
-            return come_reset(end);
-        case room:
-            return stir(end);
+            return deliver_reset(end);
+        case window_opened:
+            return notify_owner(end);
         case datagram: {
             const auto place = static_cast<std::uint32_t>(token & 0xffffffffU);
             const Datagram got = std::move(datagrams_[place]);
--- a/src/simnet/network.h
+++ b/src/simnet/network.h
@@ -24,7 +24,7 @@
 
 // What the network does to all that it carries.
 struct NetworkConditions {
-    Ticks least_delay = 1, most_delay = 20;
+    Ticks min_delay = 1, max_delay = 20;
     double cut_reads = 0, cut_writes = 0;  // the share of them that end at a byte drawn
     std::size_t window = 65536;            // bytes that a stream holds in one direction
     double lost = 0, doubled = 0;          // of datagrams
@@ -33,11 +33,11 @@
 
 class Network final : public Streams, public EventTarget {
   public:
-    Network(EventQueue& events, Trace& trace, RandomSource chance, const NetworkConditions& weather)
-        : events_(events), trace_(trace), chance_(chance), weather_(weather) {
-        datagram_faults_.lost = weather.lost;
-        datagram_faults_.doubled = weather.doubled;
-        datagram_faults_.jitter = weather.datagram_jitter;
+    Network(EventQueue& events, Trace& trace, RandomSource random, const NetworkConditions& conditions)
+        : events_(events), trace_(trace), random_(random), conditions_(conditions) {
+        datagram_faults_.lost = conditions.lost;
+        datagram_faults_.doubled = conditions.doubled;
+        datagram_faults_.jitter = conditions.datagram_jitter;
     }
 
     // ---- machines
@@ -59,7 +59,7 @@
     DatagramFaults& datagram_faults() { return datagram_faults_; }
 
     // ---- streams
-    void listen(const Address& at, StreamListener& ear, std::size_t backlog) override;
+    void listen(const Address& at, StreamListener& listener, std::size_t backlog) override;
     void unlisten(const Address& at) override;
     // Whether nobody listens there now.
     bool is_free(const Address& at) const { return listeners_.find(key(at)) == listeners_.end(); }
@@ -70,7 +70,7 @@
     // An end that several processes of a machine hold: who came last hears of it. False where the last one
     // lets go: then it has to be closed.
     void hold(End end, StreamListener& also);
-    bool let_go(End end, StreamListener& one);
+    bool release(End end, StreamListener& one);
     net::IoResult read(End end, std::span<char> into, bool whole = false) override;
     net::IoResult peek(End end, std::span<char> into) const;
     net::IoResult write(End end, std::string_view text, bool whole = false) override;
@@ -80,25 +80,25 @@
     int connected(End end);
     short events(End end, short wanted) const;
 
-    void tell_delivered(End end, EventTarget& actor, std::uint64_t token) override;
+    void notify_delivered(End end, EventTarget& actor, std::uint64_t token) override;
 
     // ---- what the rules ask
     bool is_up(End end) const override { return at(end).phase == Phase::up; }
-    Ticks last_came_from(End end) const override { return at(end).came_from; }
+    Ticks last_received_sent_at(End end) const override { return at(end).came_from; }
     static Machine machine_at(const Address& at);
     Machine machine_of(End end) const override { return at(end).machine; }
     bool is_open(End end) const override { return at(end).open; }
 
     // ---- datagrams
-    void bind(const Address& at, StreamListener& ear) { bound_[key(at)] = &ear; }
+    void bind(const Address& at, StreamListener& listener) { bound_[key(at)] = &listener; }
     // Nothing happens where another has bound it since.
-    void unbind(const Address& at, const StreamListener& ear) {
+    void unbind(const Address& at, const StreamListener& listener) {
         const auto it = bound_.find(key(at));
-        if (it != bound_.end() && it->second == &ear) bound_.erase(it);
+        if (it != bound_.end() && it->second == &listener) bound_.erase(it);
     }
     void send(const Address& from, const Address& to, std::span<const std::uint8_t> bytes);
     // From now on the last datagrams of each machine are kept, so that some can come again much later.
-    void keep_datagrams() { keeps_ = true; }
+    void keep_datagrams() { keeps_datagrams_ = true; }
     void send_again(Machine from, std::size_t most);
 
     void on_event(std::uint64_t token) override;
@@ -117,13 +117,13 @@
         std::vector<StreamListener*> before;  // who holds it beside the owner
         Machine machine = 0;
         Phase phase = Phase::connecting;
-        bool open = true;           // the application holds it
-        bool forgotten = false;     // its machine knows nothing of it any more
-        bool sent_end = false;      // it has ended its sending
-        bool end_came = false;      // the other side's end came
-        bool wants_room = false;    // a write here fell short
-        bool told_reset = false;    // the error was handed out once
-        bool will_deliver = false;  // an event is on the way that delivers what is under way from here
+        bool open = true;             // the application holds it
+        bool forgotten = false;       // its machine knows nothing of it any more
+        bool sent_end = false;        // it has ended its sending
+        bool end_came = false;        // the other side's end came
+        bool blocked = false;         // a write here fell short
+        bool reset_reported = false;  // the error was handed out once
+        bool will_deliver = false;    // an event is on the way that delivers what is under way from here
         int error = 0;
         Ticks last_arrival = 0, came_from = 0;
         Ticks retry = 0;                // pause before what is lost is sent again
@@ -135,10 +135,10 @@
     struct Stream {
         Side side[2];
         Address to;
-        int tries = 0;
+        int attempts = 0;
     };
     struct Listener {
-        StreamListener* ear = nullptr;
+        StreamListener* listener = nullptr;
         std::size_t backlog = 0;
         std::deque<End> waiting;
     };
@@ -150,7 +150,15 @@
         Address from, to;
         std::vector<std::uint8_t> bytes;
     };
-    enum Kind : std::uint64_t { call, called_back, refused, deliver, reset_comes, room, datagram };
+    enum Kind : std::uint64_t {
+        connect_request,
+        connect_confirmed,
+        refused,
+        deliver,
+        reset_comes,
+        window_opened,
+        datagram
+    };
     static std::uint64_t key(const Address& at) {
         return std::uint64_t{at.at.sin_addr.s_addr} << 16 | at.at.sin_port;
     }
@@ -164,23 +172,23 @@
     void later(Ticks when, Kind kind, End end) {
         events_.schedule(when, *this, static_cast<std::uint64_t>(kind) << 56 | end.number());
     }
-    void stir(End end);
+    void notify_owner(End end);
     void send_segment(End end, std::string_view bytes, bool ends);
     void send_reset(End end);
-    void come_call(End end);
-    void come_bytes(End end);
-    void come_reset(End end);
+    void on_connect_request(End end);
+    void deliver_bytes(End end);
+    void deliver_reset(End end);
     void fail(End end, int error);
     std::size_t cut(double share, std::size_t n, bool whole) {
-        return !whole && n > 1 && chance_.odds(share)
-                   ? static_cast<std::size_t>(chance_.between(std::int64_t{1}, static_cast<std::int64_t>(n)))
+        return !whole && n > 1 && random_.odds(share)
+                   ? static_cast<std::size_t>(random_.between(std::int64_t{1}, static_cast<std::int64_t>(n)))
                    : n;
     }
 
     EventQueue& events_;
     Trace& trace_;
-    RandomSource chance_;
-    NetworkConditions weather_;
+    RandomSource random_;
+    NetworkConditions conditions_;
     DatagramFaults datagram_faults_;
     std::vector<Node> machines_;
     std::unordered_set<std::uint64_t> cut_paths_;
@@ -189,7 +197,7 @@
     std::unordered_map<std::uint64_t, StreamListener*> bound_;
     std::vector<Datagram> datagrams_;  // under way; places are used again
     std::vector<std::uint32_t> free_datagrams_;
-    bool keeps_ = false;
+    bool keeps_datagrams_ = false;
     std::unordered_map<Machine, std::deque<Datagram>> kept_;
 };
 
--- a/src/simnet/network_datagrams.cpp
+++ b/src/simnet/network_datagrams.cpp
@@ -8,13 +8,13 @@
 void Network::send(const Address& from, const Address& to, std::span<const std::uint8_t> bytes) {
     const Machine there = machine_at(to);
     if (there >= machines_.size()) return;
-    if (keeps_) {
+    if (keeps_datagrams_) {
         auto& kept = kept_[machine_at(from)];
         kept.push_back({from, to, {bytes.begin(), bytes.end()}});
         if (kept.size() > 64) kept.pop_front();
     }
-    const int copies = chance_.odds(datagram_faults_.lost)      ? 0
-                       : chance_.odds(datagram_faults_.doubled) ? 2
+    const int copies = random_.odds(datagram_faults_.lost)      ? 0
+                       : random_.odds(datagram_faults_.doubled) ? 2
                                                                 : 1;
     for (int i = 0; i < copies; ++i) {
         if (free_datagrams_.empty()) {
@@ -27,7 +27,7 @@
         datagrams_[place].to = to;
         datagrams_[place].bytes.assign(bytes.begin(), bytes.end());
         const Ticks jitter =
-            datagram_faults_.jitter > 0 ? chance_.between(std::int64_t{0}, datagram_faults_.jitter) : 0;
+            datagram_faults_.jitter > 0 ? random_.between(std::int64_t{0}, datagram_faults_.jitter) : 0;
         events_.schedule(events_.now() + delay(machine_at(from), there) + jitter, *this,
                          static_cast<std::uint64_t>(datagram) << 56 | place);
     }
--- a/src/simnet/process.cpp
+++ b/src/simnet/process.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t most_post = 256, backlog = 1024;
+constexpr std::size_t max_queued_datagrams = 256, backlog = 1024;
 constexpr std::size_t first_fd = 3;
 
 }  // namespace
@@ -69,7 +69,7 @@
         longest_spin_ = std::max(longest_spin_, ++spin_);
     else
         spin_ = 0;
-    busy_until_ = std::max(busy_until_, events_.now() + traits_.pass_takes);
+    busy_until_ = std::max(busy_until_, events_.now() + traits_.loop_pass_time);
     run_at(found_ready_ > 0 ? busy_until_ : std::max(sleeps_until_, busy_until_));
 }
 
@@ -80,18 +80,18 @@
             return POLLNVAL;
         case Use::stream:
             return network_.events(s.end, p.events);
-        case Use::near_door:
-            return nearby_->called(s.name, const_cast<Process&>(*this))
+        case Use::local_listener:
+            return local_sockets_->called(s.name, const_cast<Process&>(*this))
                        ? static_cast<short>(p.events & POLLIN)
                        : short{0};
-        case Use::near_line:
-            if (nearby_->has_packet(s.line, s.side)) return static_cast<short>(p.events & POLLIN);
-            return nearby_->over(s.line, s.side) ? short{POLLHUP} : short{0};
+        case Use::local_connection:
+            if (local_sockets_->has_packet(s.line, s.side)) return static_cast<short>(p.events & POLLIN);
+            return local_sockets_->over(s.line, s.side) ? short{POLLHUP} : short{0};
         case Use::shared:
         case Use::listener:
             return network_.waiting(s.at) > 0 ? static_cast<short>(p.events & POLLIN) : short{0};
         case Use::datagrams:
-            return s.post.empty() ? short{0} : static_cast<short>(p.events & POLLIN);
+            return s.datagrams.empty() ? short{0} : static_cast<short>(p.events & POLLIN);
         case Use::signals:
             return signals_.empty() ? short{0} : static_cast<short>(p.events & POLLIN);
         case Use::spare:
@@ -132,7 +132,7 @@
     ++effects_;
     switch (s.use) {
         case Use::stream:
-            if (network_.let_go(s.end, *this)) break;
+            if (network_.release(s.end, *this)) break;
             if (s.resets)
                 network_.reset(s.end);
             else
@@ -141,11 +141,11 @@
         case Use::shared:
             shared_->remove(*this);
             break;
-        case Use::near_door:
-            nearby_->unlisten(s.name, *this);
+        case Use::local_listener:
+            local_sockets_->unlisten(s.name, *this);
             break;
-        case Use::near_line:
-            nearby_->close(s.line, s.side);
+        case Use::local_connection:
+            local_sockets_->close(s.line, s.side);
             break;
         case Use::listener:
             network_.unlisten(s.at);
@@ -232,22 +232,22 @@
 
 void Process::on_datagram(const Address& at, const Address& from, std::span<const std::uint8_t> bytes) {
     for (Slot& s : slots_)
-        if (s.use == Use::datagrams && s.at == at && s.post.size() < most_post)
-            s.post.emplace_back(from, std::vector<std::uint8_t>(bytes.begin(), bytes.end()));
+        if (s.use == Use::datagrams && s.at == at && s.datagrams.size() < max_queued_datagrams)
+            s.datagrams.emplace_back(from, std::vector<std::uint8_t>(bytes.begin(), bytes.end()));
     wake();
 }
 
 std::ptrdiff_t Process::receive(int fd, Address& from, std::span<std::uint8_t> into) {
-    auto& post = slot(fd).post;
-    if (post.empty()) {
+    auto& datagrams = slot(fd).datagrams;
+    if (datagrams.empty()) {
         errno = EAGAIN;
         return -1;
     }
-    from = post.front().first;
-    const auto& bytes = post.front().second;
+    from = datagrams.front().first;
+    const auto& bytes = datagrams.front().second;
     const std::size_t n = std::min(into.size(), bytes.size());
     std::copy_n(bytes.begin(), n, into.begin());
-    post.pop_front();
+    datagrams.pop_front();
     ++effects_;
     return static_cast<std::ptrdiff_t>(n);
 }
@@ -267,27 +267,28 @@
 }
 
 net::Fd Process::listen_local(const std::string& name) {
-    const int fd = nearby_ == nullptr ? (errno = EACCES, -1) : take(Use::near_door);
+    const int fd = local_sockets_ == nullptr ? (errno = EACCES, -1) : take(Use::local_listener);
     if (fd < 0) return net::Fd();
     slot(fd).name = name;
-    nearby_->listen(name, *this);
+    local_sockets_->listen(name, *this);
     return net::Fd(fd, this);
 }
 
 net::Fd Process::connect_local(const std::string& name) {
-    const std::uint32_t line = nearby_ == nullptr ? LocalSockets::none : nearby_->connect(name, *this);
-    return near_line(line, 0);
+    const std::uint32_t line =
+        local_sockets_ == nullptr ? LocalSockets::none : local_sockets_->connect(name, *this);
+    return local_connection(line, 0);
 }
 
 net::Fd Process::accept_local(int listener) {
-    return near_line(nearby_->accept(slot(listener).name, *this), 1);
+    return local_connection(local_sockets_->accept(slot(listener).name, *this), 1);
 }
 
-net::Fd Process::near_line(std::uint32_t line, int side) {
+net::Fd Process::local_connection(std::uint32_t line, int side) {
     if (line == LocalSockets::none) return errno = ECONNREFUSED, net::Fd();
     ++effects_;
-    const int fd = take(Use::near_line);
-    if (fd < 0) return nearby_->close(line, side), net::Fd();
+    const int fd = take(Use::local_connection);
+    if (fd < 0) return local_sockets_->close(line, side), net::Fd();
     slot(fd).line = line;
     slot(fd).side = side;
     return net::Fd(fd, this);
@@ -295,26 +296,26 @@
 
 net::IoResult Process::send_packet(int fd, std::string_view bytes, std::span<const int> descriptors) {
     const Slot& s = slot(fd);
-    if (nearby_->over(s.line, s.side)) return {.error = EPIPE};
+    if (local_sockets_->over(s.line, s.side)) return {.error = EPIPE};
     std::vector<End> ends;
     for (const int one : descriptors) ends.push_back(slot(one).end);
-    nearby_->send(s.line, s.side, bytes, ends);
+    local_sockets_->send(s.line, s.side, bytes, ends);
     return had({.bytes = bytes.size()});
 }
 
 net::IoResult Process::receive_packet(int fd, std::span<char> into, std::vector<net::Fd>& descriptors) {
     const Slot s = slot(fd);
-    if (!nearby_->has_packet(s.line, s.side)) {
-        if (nearby_->over(s.line, s.side)) return {.ended = true};
+    if (!local_sockets_->has_packet(s.line, s.side)) {
+        if (local_sockets_->over(s.line, s.side)) return {.ended = true};
         return {};
     }
-    const LocalSockets::Packet packet = nearby_->receive(s.line, s.side, *this);
+    const LocalSockets::Packet packet = local_sockets_->receive(s.line, s.side, *this);
     ++effects_;
     bool all = packet.bytes.size() <= into.size();
     for (const End end : packet.ends) {
         const int one = take(Use::stream);
         if (one < 0) {
-            if (!network_.let_go(end, *this)) network_.close(end);
+            if (!network_.release(end, *this)) network_.close(end);
             all = false;
             continue;
         }
--- a/src/simnet/process.h
+++ b/src/simnet/process.h
@@ -24,7 +24,7 @@
   public:
     struct Traits {
         Ticks clock_ahead = 0;           // of the agenda's
-        Ticks pass_takes = 1;            // at least 1
+        Ticks loop_pass_time = 1;        // at least 1
         std::size_t descriptors = 1024;  // the system's limit
     };
     Process(EventQueue& events, Network& network, Machine machine, const Traits& traits)
@@ -45,7 +45,7 @@
     std::map<std::string, std::string>& files() { return files_; }
     // What the platform gives it before it runs: the machine's place for packets, and a listener, whose
     // number is handed back.
-    void live_beside(LocalSockets& nearby) { nearby_ = &nearby; }
+    void attach_local_sockets(LocalSockets& local_sockets) { local_sockets_ = &local_sockets; }
     int inherit(SharedListener& listener);
     // It dies: what it held is reset, unless its machine has gone too.
     void die();
@@ -109,8 +109,8 @@
         stream,
         listener,
         shared,
-        near_door,
-        near_line,
+        local_listener,
+        local_connection,
         datagrams,
         signals,
         spare
@@ -123,9 +123,9 @@
         std::string name;
         End end;
         Address at;
-        std::deque<std::pair<Address, std::vector<std::uint8_t>>> post;  // at most 256 datagrams
+        std::deque<std::pair<Address, std::vector<std::uint8_t>>> datagrams;  // at most 256 datagrams
     };
-    net::Fd near_line(std::uint32_t line, int side);
+    net::Fd local_connection(std::uint32_t line, int side);
     int take(Use use);  // the lowest free number; -1 with errno
     Slot& slot(int fd) { return slots_[static_cast<std::size_t>(fd)]; }
     short ready(const pollfd& p) const;
@@ -142,7 +142,7 @@
     Traits traits_;
     Pass pass_;
     std::vector<Slot> slots_;
-    LocalSockets* nearby_ = nullptr;
+    LocalSockets* local_sockets_ = nullptr;
     SharedListener* shared_ = nullptr;
     std::deque<int> signals_;
     std::map<std::string, std::string> files_;
--- a/src/simnet/streams.h
+++ b/src/simnet/streams.h
@@ -53,7 +53,7 @@
     virtual Address place(Machine machine, std::uint16_t port) const = 0;
     virtual Address seen_by(Machine who, const Address& at) const = 0;
 
-    virtual void listen(const Address& at, StreamListener& ear, std::size_t backlog) = 0;
+    virtual void listen(const Address& at, StreamListener& listener, std::size_t backlog) = 0;
     virtual void unlisten(const Address& at) = 0;
     virtual std::optional<End> accept(const Address& at) = 0;
     virtual End connect(Machine from, const Address& to, StreamListener& owner) = 0;
@@ -66,12 +66,12 @@
     virtual void reset(End end) = 0;
     // Tells an actor when all that was written at this end until now has come to the other's machine; never,
     // where it is lost on the way.
-    virtual void tell_delivered(End end, EventTarget& actor, std::uint64_t token) = 0;
+    virtual void notify_delivered(End end, EventTarget& actor, std::uint64_t token) = 0;
 
     // ---- what the rules ask
     virtual bool is_up(End end) const = 0;
     // When the other end wrote, or ended, what came here last; 0: nothing has.
-    virtual Ticks last_came_from(End end) const = 0;
+    virtual Ticks last_received_sent_at(End end) const = 0;
     virtual Machine machine_of(End end) const = 0;
     virtual bool is_open(End end) const = 0;
 };
--- a/src/simulation/fault_catalogue.cpp
+++ b/src/simulation/fault_catalogue.cpp
@@ -7,95 +7,99 @@
 namespace {
 
 using K = FaultKind;
-using Who = FaultRow::Who;
+using Target = FaultInfo::Target;
 
-std::vector<FaultRow> node_faults() {
+std::vector<FaultInfo> node_faults() {
     return {
-        {K::node_kill, "node_kill", Who::node, true, false, false,
+        {K::node_kill, "node_kill", Target::node, true, false, false,
          "the node's process dies; another starts after for_s"},
-        {K::node_leave, "node_leave", Who::node, true, false, false,
+        {K::node_leave, "node_leave", Target::node, true, false, false,
          "SIGTERM; SIGKILL after 3.7 s; another starts for_s after that"},
-        {K::node_stall, "node_stall", Who::node, true, false, false, "the node gets no processor for for_s"},
-        {K::node_starve, "node_starve", Who::node, true, false, false,
+        {K::node_stall, "node_stall", Target::node, true, false, false,
+         "the node gets no processor for for_s"},
+        {K::node_starve, "node_starve", Target::node, true, false, false,
          "no descriptor for accept (ENFILE) nor memory for connect (ENOBUFS)"},
-        {K::node_vanish, "node_vanish", Who::node, true, false, false,
+        {K::node_vanish, "node_vanish", Target::node, true, false, false,
          "the node's machine is cut off for for_s; its process goes on"},
-        {K::node_reload, "node_reload", Who::node, false, false, false, "SIGHUP, with the file as it was"},
-        {K::node_reload_broken, "node_reload_broken", Who::node, true, false, false,
+        {K::node_reload, "node_reload", Target::node, false, false, false, "SIGHUP, with the file as it was"},
+        {K::node_reload_broken, "node_reload_broken", Target::node, true, false, false,
          "SIGHUP with half a file, and again with the good one after for_s"},
-        {K::node_upgrade, "node_upgrade", Who::node, false, false, false,
+        {K::node_upgrade, "node_upgrade", Target::node, false, false, false,
          "a new version is started beside the node's process, which has SIGTERM when the new one says yes"},
-        {K::node_upgrade_fails, "node_upgrade_fails", Who::node, true, false, false,
+        {K::node_upgrade_fails, "node_upgrade_fails", Target::node, true, false, false,
          "the same, but the new one dies for_s after its start"},
-        {K::node_drain, "node_drain", Who::node, true, false, false,
+        {K::node_drain, "node_drain", Target::node, true, false, false,
          "operators send the node's clients away, and take them again after for_s and 4 s"},
-        {K::node_callers, "node_callers", Who::node, false, false, true,
+        {K::node_idle_connections, "node_callers", Target::node, false, false, true,
          "`count` callers of operators come, say nothing or half a call, and stay"},
     };
 }
 
-std::vector<FaultRow> server_faults() {
+std::vector<FaultInfo> server_faults() {
     return {
-        {K::host_slow, "host_slow", Who::host, true, true, false,
+        {K::server_slow, "host_slow", Target::server, true, true, false,
          "the host's work takes `much` times as long"},
-        {K::host_errors, "host_errors", Who::host, true, false, false,
+        {K::server_errors, "host_errors", Target::server, true, false, false,
          "the host answers each setup with ERR at once"},
-        {K::host_full, "host_full", Who::host, true, false, false, "the host answers each setup with BUSY"},
-        {K::host_hang, "host_hang", Who::host, true, false, false, "the host takes bytes and says nothing"},
-        {K::host_kill, "host_kill", Who::host, true, false, false,
+        {K::server_full, "host_full", Target::server, true, false, false,
+         "the host answers each setup with BUSY"},
+        {K::server_hang, "host_hang", Target::server, true, false, false,
+         "the host takes bytes and says nothing"},
+        {K::server_kill, "host_kill", Target::server, true, false, false,
          "the host's process dies; another starts cold after for_s"},
-        {K::host_vanish, "host_vanish", Who::host, true, false, false,
+        {K::server_vanish, "host_vanish", Target::server, true, false, false,
          "the host's machine says nothing; after for_s it has restarted, cold"},
-        {K::host_drain, "host_drain", Who::host, true, false, false,
+        {K::server_drain, "host_drain", Target::server, true, false, false,
          "the host drains, stops after for_s (3 s at least) and is back, cold, 2 s later"},
-        {K::host_resets, "host_resets", Who::host, false, true, false,
+        {K::server_resets, "host_resets", Target::server, false, true, false,
          "the host resets a share `much` of its connections"},
-        {K::host_sends_away, "host_sends_away", Who::host, true, false, false,
+        {K::server_moves_clients, "host_sends_away", Target::server, true, false, false,
          "the host sends MOVE to all its clients within for_s"},
     };
 }
 
-std::vector<FaultRow> discovery_faults() {
+std::vector<FaultInfo> discovery_faults() {
     return {
-        {K::discovery_down, "discovery_down", Who::nobody, true, false, false,
+        {K::discovery_down, "discovery_down", Target::nobody, true, false, false,
          "calls are refused, watches are reset"},
-        {K::discovery_silent, "discovery_silent", Who::nobody, true, false, false,
+        {K::discovery_silent, "discovery_silent", Target::nobody, true, false, false,
          "watches stand and say nothing, calls get no answer; then all are reset"},
-        {K::discovery_slow, "discovery_slow", Who::nobody, true, true, false,
+        {K::discovery_slow, "discovery_slow", Target::nobody, true, true, false,
          "an answer takes `much` seconds longer"},
-        {K::discovery_spoilt, "discovery_spoilt", Who::nobody, false, false, true,
+        {K::discovery_corrupt, "discovery_spoilt", Target::nobody, false, false, true,
          "the next change comes as no list (count 1), with an unreadable entry (2), behind an old list (3)"},
-        {K::discovery_anew, "discovery_anew", Who::nobody, false, false, false,
+        {K::discovery_restart, "discovery_anew", Target::nobody, false, false, false,
          "discovery restarts and counts its revisions from 1"},
-        {K::discovery_move, "discovery_move", Who::nobody, false, false, false,
+        {K::discovery_move, "discovery_move", Target::nobody, false, false, false,
          "another service with lower revisions; new files and SIGHUP; the old one ends 1.5 s later"},
     };
 }
 
-std::vector<FaultRow> network_faults() {
+std::vector<FaultInfo> network_faults() {
     return {
-        {K::network_slow, "network_slow", Who::nobody, true, true, false,
+        {K::network_slow, "network_slow", Target::nobody, true, true, false,
          "all delays are `much` times as long"},
-        {K::datagrams_lost, "datagrams_lost", Who::nobody, true, true, false,
+        {K::datagrams_lost, "datagrams_lost", Target::nobody, true, true, false,
          "a share `much` of datagrams is lost"},
-        {K::datagrams_late, "datagrams_late", Who::nobody, true, true, false,
+        {K::datagrams_late, "datagrams_late", Target::nobody, true, true, false,
          "datagrams come up to `much` seconds late, and overtake"},
-        {K::datagrams_old, "datagrams_old", Who::node, false, false, true,
+        {K::datagrams_old, "datagrams_old", Target::node, false, false, true,
          "`count` datagrams that the node sent in an earlier life come again"},
-        {K::path_cut, "path_cut", Who::node, true, false, false,
+        {K::path_cut, "path_cut", Target::node, true, false, false,
          "nothing passes between the node, or `count` nodes from it on, and the host"},
-        {K::datagrams_doubled, "datagrams_doubled", Who::nobody, true, true, false,
+        {K::datagrams_doubled, "datagrams_doubled", Target::nobody, true, true, false,
          "a share `much` of datagrams comes twice"},
-        {K::nodes_deaf, "nodes_deaf", Who::node, true, false, true,
+        {K::nodes_deaf, "nodes_deaf", Target::node, true, false, true,
          "`count` nodes from this one on hear nothing from other nodes"},
-        {K::nodes_mute, "nodes_mute", Who::node, true, false, true,
+        {K::nodes_mute, "nodes_mute", Target::node, true, false, true,
          "`count` nodes from this one on are heard by no other"},
-        {K::nodes_apart, "nodes_apart", Who::node, true, false, true,
+        {K::nodes_apart, "nodes_apart", Target::node, true, false, true,
          "`count` nodes from this one on hear only each other, and the rest only each other"},
-        {K::nodes_cut_from_hosts, "nodes_cut_from_hosts", Who::node, true, false, true,
+        {K::nodes_cut_from_servers, "nodes_cut_from_hosts", Target::node, true, false, true,
          "nothing passes between `count` nodes from this one on and any host"},
-        {K::crowd, "crowd", Who::nobody, true, false, true, "`count` more members come within for_s"},
-        {K::rude, "rude", Who::nobody, false, false, true,
+        {K::client_surge, "crowd", Target::nobody, true, false, true,
+         "`count` more members come within for_s"},
+        {K::misbehaving_clients, "rude", Target::nobody, false, false, true,
          "`count` bad clients of the kind `other` (0 to 8) come, and some come again"},
     };
 }
@@ -103,9 +107,9 @@
 }  // namespace
 
 // The order is part of what a seed draws.
-const std::vector<FaultRow>& fault_rows() {
-    static const std::vector<FaultRow> rows = [] {
-        std::vector<FaultRow> all;
+const std::vector<FaultInfo>& fault_catalogue() {
+    static const std::vector<FaultInfo> rows = [] {
+        std::vector<FaultInfo> all;
         for (const auto& part : {node_faults(), server_faults(), discovery_faults(), network_faults()})
             all.insert(all.end(), part.begin(), part.end());
         return all;
@@ -113,20 +117,20 @@
     return rows;
 }
 
-const FaultRow& row_of(FaultKind kind) {
-    return *std::find_if(fault_rows().begin(), fault_rows().end(),
-                         [&](const FaultRow& r) { return r.kind == kind; });
+const FaultInfo& fault_info(FaultKind kind) {
+    return *std::find_if(fault_catalogue().begin(), fault_catalogue().end(),
+                         [&](const FaultInfo& r) { return r.kind == kind; });
 }
 
-bool by_operators(FaultKind kind) {
+bool is_operator_fault(FaultKind kind) {
     return kind == FaultKind::node_upgrade || kind == FaultKind::node_upgrade_fails ||
-           kind == FaultKind::node_drain || kind == FaultKind::node_callers;
+           kind == FaultKind::node_drain || kind == FaultKind::node_idle_connections;
 }
 
-bool among_nodes(FaultKind kind) {
+bool is_fleet_fault(FaultKind kind) {
     return kind == FaultKind::datagrams_doubled || kind == FaultKind::nodes_deaf ||
            kind == FaultKind::nodes_mute || kind == FaultKind::nodes_apart ||
-           kind == FaultKind::nodes_cut_from_hosts;
+           kind == FaultKind::nodes_cut_from_servers;
 }
 
 }  // namespace lemonstair::simulation
--- a/src/simulation/fault_catalogue.h
+++ b/src/simulation/fault_catalogue.h
@@ -23,21 +23,21 @@
     node_upgrade,
     node_upgrade_fails,
     node_drain,
-    node_callers,
-    host_slow,
-    host_errors,
-    host_full,
-    host_hang,
-    host_kill,
-    host_vanish,
-    host_drain,
-    host_resets,
-    host_sends_away,
+    node_idle_connections,
+    server_slow,
+    server_errors,
+    server_full,
+    server_hang,
+    server_kill,
+    server_vanish,
+    server_drain,
+    server_resets,
+    server_moves_clients,
     discovery_down,
     discovery_silent,
     discovery_slow,
-    discovery_spoilt,
-    discovery_anew,
+    discovery_corrupt,
+    discovery_restart,
     discovery_move,
     network_slow,
     datagrams_lost,
@@ -48,34 +48,38 @@
     nodes_deaf,
     nodes_mute,
     nodes_apart,
-    nodes_cut_from_hosts,
-    crowd,
-    rude
+    nodes_cut_from_servers,
+    client_surge,
+    misbehaving_clients
 };
 
+// One fault of a scenario. Which fields count depends on its kind (FaultInfo).
 struct Fault {
     FaultKind kind;
-    Ticks at = 0;
-    Ticks span = 0;
-    std::uint32_t who = 0;    // a node's or a host's number, as the kind wants
-    std::uint32_t other = 0;  // path_cut: the host; rude: which kind of client
-    double much = 1;
+    Ticks start = 0;  // since the scenario's start
+    Ticks duration = 0;
+    std::uint32_t target = 0;         // a node's or a server's number
+    std::uint32_t second_target = 0;  // path_cut: the server; misbehaving_clients: their kind
+    double magnitude = 1;
     std::uint32_t count = 0;
 };
 
-// What a kind of fault wants to be told, and what it does.
-struct FaultRow {
+// A kind of fault: its name in scenario files, the parameters it takes, and what it does.
+struct FaultInfo {
+    enum class Target : std::uint8_t { nobody, node, server };
     FaultKind kind;
     std::string_view name;
-    enum class Who : std::uint8_t { nobody, node, host } who;
-    bool spans, measured, counted;  // takes for_s, much, count
-    std::string_view does;
+    Target target;
+    bool has_duration, has_magnitude, has_count;  // keys for_s, much, count
+    std::string_view description;
 };
-const std::vector<FaultRow>& fault_rows();
-const FaultRow& row_of(FaultKind kind);
-// Done by those who operate the nodes.
-bool by_operators(FaultKind kind);
-// Met by days that are written, or drawn for what nodes share.
-bool among_nodes(FaultKind kind);
+
+// All kinds, in the order that seeds draw them by.
+const std::vector<FaultInfo>& fault_catalogue();
+const FaultInfo& fault_info(FaultKind kind);
+// Upgrades, drains and other actions of operators; drawn for operated scenarios only.
+bool is_operator_fault(FaultKind kind);
+// Faults of several nodes at once; never drawn by draw_scenario.
+bool is_fleet_fault(FaultKind kind);
 
 }  // namespace lemonstair::simulation
--- a/src/simulation/fault_injector.cpp
+++ b/src/simulation/fault_injector.cpp
@@ -19,24 +19,25 @@
 }
 
 void FaultInjector::schedule_all() {
-    const Ticks start = events_.start_time(), last = start + day_.span;
-    for (std::uint64_t i = 0; i < day_.faults.size(); ++i) {
-        const Fault& f = day_.faults[i];
-        schedule(start + f.at, Kind::begin, i);
-        if (row_of(f.kind).spans) schedule(std::min(last, start + f.at + f.span), Kind::end, i);
+    const Ticks start = events_.start_time(), last = start + scenario_.duration;
+    for (std::uint64_t i = 0; i < scenario_.faults.size(); ++i) {
+        const Fault& f = scenario_.faults[i];
+        schedule(start + f.start, Kind::begin, i);
+        if (fault_info(f.kind).has_duration)
+            schedule(std::min(last, start + f.start + f.duration), Kind::end, i);
     }
 }
 
 void FaultInjector::begin(const Fault& f, std::uint64_t index) {
-    fixture_.town().note("fault", index, f.who, row_of(f.kind).name);
-    if (f.kind == FaultKind::host_drain)
-        schedule(events_.now() + std::max(f.span, least_drain), Kind::drain_step, index);
+    fixture_.environment().note("fault", index, f.target, fault_info(f.kind).name);
+    if (f.kind == FaultKind::server_drain)
+        schedule(events_.now() + std::max(f.duration, least_drain), Kind::drain_step, index);
     if (!fixture_.begin(f)) nodes_.begin_node_fault(f, index);
 }
 
 void FaultInjector::on_event(std::uint64_t token) {
     const auto event = decode<Kind>(token);
-    const Fault& f = day_.faults[event.index];
+    const Fault& f = scenario_.faults[event.index];
     switch (event.kind) {
         case Kind::begin:
             return begin(f, event.index);
--- a/src/simulation/fault_injector.h
+++ b/src/simulation/fault_injector.h
@@ -27,8 +27,8 @@
 
 class FaultInjector final : public simnet::EventTarget {
   public:
-    FaultInjector(const Scenario& day, simnet::EventQueue& events, Fixture& fixture, NodeFaults& nodes)
-        : day_(day), events_(events), fixture_(fixture), nodes_(nodes) {}
+    FaultInjector(const Scenario& scenario, simnet::EventQueue& events, Fixture& fixture, NodeFaults& nodes)
+        : scenario_(scenario), events_(events), fixture_(fixture), nodes_(nodes) {}
     // Schedules begin and end of every fault; all are over when the scenario's span is.
     void schedule_all();
     void on_event(std::uint64_t token) override;
@@ -38,7 +38,7 @@
     void schedule(Ticks when, Kind kind, std::uint64_t index);
     void begin(const Fault& f, std::uint64_t index);
 
-    const Scenario& day_;
+    const Scenario& scenario_;
     simnet::EventQueue& events_;
     Fixture& fixture_;
     NodeFaults& nodes_;
