--- a/src/simulation/fixture.cpp
+++ b/src/simulation/fixture.cpp
@@ -1,6 +1,7 @@
 #include "simulation/fixture.h"
 
 #include <algorithm>
+#include <cmath>
 
 namespace lemonstair::simulation {
 
@@ -8,7 +9,7 @@
 
 using simnet::Machine;
 using K = FaultKind;
-using Phase = fakes::Listed::Phase;
+using Phase = fakes::DiscoveryEntry::Phase;
 
 constexpr Ticks second = 10000;
 constexpr double idle_below = 0.5;  // of what a host can do
@@ -18,118 +19,127 @@
 
 }  // namespace
 
-Fixture::Fixture(const Scenario& day, simnet::EventQueue& events, simnet::Trace& trace,
-                 simnet::Streams& network, Invariants& rules, simnet::RandomSource& chance, Topology& ground)
-    : day_(day),
+Fixture::Fixture(const Scenario& scenario, simnet::EventQueue& events, simnet::Trace& trace,
+                 simnet::Streams& network, Invariants& invariants, simnet::RandomSource& random,
+                 Topology& topology)
+    : scenario_(scenario),
       events_(events),
       network_(network),
-      rules_(rules),
-      chance_(chance),
-      ground_(ground),
-      town_{events, network, trace, rules, {}, day.packet_passthrough} {
+      invariants_(invariants),
+      random_(random),
+      topology_(topology),
+      environment_{events, network, trace, invariants, {}, scenario.packet_passthrough} {
     using fakes::DeduplicationScope;
     using fakes::Idempotency;
-    town_.profiles = {
+    environment_.profiles = {
         {"chat", Idempotency::idempotent, DeduplicationScope::all, 5000, 20000, 0},
         {"profil", Idempotency::idempotent_with_key, DeduplicationScope::all, 5000, 30000, 50000},
         {"suggestion", Idempotency::idempotent_with_key, DeduplicationScope::cell, 4000, 20000, 30000},
         {"carte", Idempotency::non_idempotent, DeduplicationScope::all, 5000, 30000, 0}};
-    rules_.begin(town_);
-    rules_.ask_idle([this] {
+    invariants_.begin(environment_);
+    invariants_.set_idle_query([this] {
         return std::any_of(hosts_.begin(), hosts_.end(),
                            [](const auto& h) { return h->takes_setups() && h->load() < idle_below; });
     });
     // Of tunnels that fill it over its warm-up, or over their lives where these are shorter.
-    rules_.ask_budget([this](std::uint32_t h) {
+    invariants_.set_budget_query([this](std::uint32_t h) {
         const fakes::FakeServer& host = *hosts_[h];
-        const Ticks fills = std::min(day_.host.cold, day_.least_life + day_.more_life);
-        if (!host.is_cold() || !host.runs() || mean_load_ <= 0 || fills <= 0) return 0.0;
-        return host.bears() / mean_load_ * static_cast<double>(day_.host.fall) / static_cast<double>(fills);
+        const Ticks fills =
+            std::min(scenario_.server.cold, scenario_.min_lifetime + scenario_.mean_extra_lifetime);
+        if (!host.in_slow_start() || !host.runs() || mean_load_ <= 0 || fills <= 0) return 0.0;
+        return host.overload_limit() / mean_load_ * static_cast<double>(scenario_.server.overload_window) /
+               static_cast<double>(fills);
     });
     double cores = 0;
-    for (std::uint32_t h = 0; h < day_.hosts; ++h) {
-        fakes::ServerTraits traits = day_.host;
-        if (!day_.alike) traits.cores *= chance_.between(0.6, 1.4);
+    for (std::uint32_t h = 0; h < scenario_.servers; ++h) {
+        fakes::ServerTraits traits = scenario_.server;
+        if (!scenario_.uniform) traits.cores *= random_.between(0.6, 1.4);
         traits.zone = traits.cell = h % 2;
         cores += traits.cores;
         const Machine m = network_.add_machine();
-        hosts_.push_back(std::make_unique<fakes::FakeServer>(town_, h, m, traits, chance_.part(100 + h)));
-        fakes::Listed entry;
+        hosts_.push_back(
+            std::make_unique<fakes::FakeServer>(environment_, h, m, traits, random_.part(100 + h)));
+        fakes::DiscoveryEntry entry;
         entry.id.append(1, 'h').append(std::to_string(h));
         entry.zone.assign(1, h % 2 == 0 ? 'a' : 'b');
         entry.cell = h % 2;
         entry.at = hosts_.back()->address();
-        entry.size = traits.cores / day_.host.cores;
+        entry.size = traits.cores / scenario_.server.cores;
         entries_.push_back(entry);
     }
-    mean_load_ = day_.load * cores / std::max<std::uint32_t>(day_.members, 1);
-    if (day_.tunnel_load > 0) mean_load_ = day_.tunnel_load;
+    mean_load_ = scenario_.load * cores / std::max<std::uint32_t>(scenario_.clients, 1);
+    if (scenario_.tunnel_load > 0) mean_load_ = scenario_.tunnel_load;
     first_service_ = network_.add_machine();
-    rosters_.push_back(
-        std::make_unique<fakes::Roster>(town_, first_service_, discovery_port, 5, chance_.part(2)));
+    discovery_services_.push_back(std::make_unique<fakes::FakeDiscovery>(environment_, first_service_,
+                                                                         discovery_port, 5, random_.part(2)));
     const Machine front = network_.add_machine();
     std::vector<Machine> phones;
     for (int i = 0; i < 3; ++i) phones.push_back(network_.add_machine());
     std::vector<net::Address> doors;
-    for (std::uint32_t n = 0; n < day_.nodes; ++n) doors.push_back(network_.place(n, client_port));
-    front_ = std::make_unique<fakes::Front>(town_, front, doors, day_.notices_after, chance_.part(3));
-    members_ = std::make_unique<fakes::FakeClients>(town_, *front_, phones,
-                                                    wishes(day_.members, 0, day_.arrive_within, 0),
-                                                    day_.manners, chance_.part(4));
-    rude_ = std::make_unique<fakes::Rude>(town_, *front_, phones[0], chance_.part(5));
+    doors.reserve(scenario_.nodes);
+    for (std::uint32_t n = 0; n < scenario_.nodes; ++n) doors.push_back(network_.place(n, client_port));
+    front_ = std::make_unique<fakes::Front>(environment_, front, doors, scenario_.detection_delay,
+                                            random_.part(3));
+    clients_ = std::make_unique<fakes::FakeClients>(environment_, *front_, phones,
+                                                    plans(scenario_.clients, 0, scenario_.arrival_window, 0),
+                                                    scenario_.client_behavior, random_.part(4));
+    misbehaving_clients_ =
+        std::make_unique<fakes::MisbehavingClients>(environment_, *front_, phones[0], random_.part(5));
 }
 
 void Fixture::open() {
     for (std::uint32_t h = 0; h < hosts_.size(); ++h) {
-        const bool cold = h + day_.cold_hosts >= hosts_.size();
+        const bool cold = h + scenario_.cold_servers >= hosts_.size();
         hosts_[h]->start(cold, events_.start_time());
-        rules_.ledger().host_stands(h, cold);
+        invariants_.ledger().host_stands(h, cold);
         entries_[h].up_since_ms = hosts_[h]->up_since_ms();
     }
-    rosters_[0]->open(entries_);
+    discovery_services_[0]->open(entries_);
 }
 
-void Fixture::let_clients_come() {
+void Fixture::start_clients() {
     front_->start();
-    members_->start();
+    clients_->start();
 }
 
-void Fixture::go_home() {
-    members_->go_home();
-    rude_->go_home();
+void Fixture::stop_all() {
+    clients_->stop_all();
+    misbehaving_clients_->stop_all();
 }
 
-std::vector<fakes::Wish> Fixture::wishes(std::uint32_t count, Ticks from, Ticks within, std::uint32_t first) {
-    std::vector<fakes::Wish> out;
+std::vector<fakes::ClientPlan> Fixture::plans(std::uint32_t count, Ticks from, Ticks within,
+                                              std::uint32_t first) {
+    std::vector<fakes::ClientPlan> out;
     for (std::uint32_t i = 0; i < count; ++i) {
-        fakes::Wish w;
+        fakes::ClientPlan w;
         w.key.append(1, 'k').append(std::to_string(first + i));
-        w.group = day_.groups && chance_.odds(0.5)
-                      ? static_cast<std::uint32_t>(chance_.between(std::int64_t{1}, std::int64_t{12}))
+        w.group = scenario_.groups && random_.odds(0.5)
+                      ? static_cast<std::uint32_t>(random_.between(std::int64_t{1}, std::int64_t{12}))
                       : 0;
         w.profile = static_cast<std::uint32_t>(
-            chance_.odds(0.6) ? 0 : chance_.between(std::int64_t{1}, std::int64_t{3}));
-        w.load = mean_load_ * (day_.alike ? 1 : chance_.between(0.3, 1.7));
-        w.from = from + chance_.between(Ticks{0}, std::max<Ticks>(within, 1));
-        w.until = w.from + day_.least_life +
-                  static_cast<Ticks>(chance_.exponential(static_cast<double>(day_.more_life)));
+            random_.odds(0.6) ? 0 : random_.between(std::int64_t{1}, std::int64_t{3}));
+        w.load = mean_load_ * (scenario_.uniform ? 1 : random_.between(0.3, 1.7));
+        w.from = from + random_.between(Ticks{0}, std::max<Ticks>(within, 1));
+        w.until = w.from + scenario_.min_lifetime +
+                  static_cast<Ticks>(random_.exponential(static_cast<double>(scenario_.mean_extra_lifetime)));
         out.push_back(w);
     }
-    wished_ += count;
+    planned_ += count;
     return out;
 }
 
 std::string Fixture::file_for(std::uint32_t node) const {
     std::string known, peers, profiles;
-    const auto n_known = static_cast<std::uint32_t>(day_.known * day_.hosts + 0.5);
+    const auto n_known =
+        static_cast<std::uint32_t>(std::floor(scenario_.known_share * scenario_.servers + 0.5));
     for (std::uint32_t h = 0; h < n_known; ++h)
         known.append(h > 0 ? "," : "")
-            .append(fakes::member_json(entries_[h], network_.seen_by(node, entries_[h].at)));
-    for (std::uint32_t n = 0; n < day_.nodes; ++n)
+            .append(fakes::entry_json(entries_[h], network_.seen_by(node, entries_[h].at)));
+    for (std::uint32_t n = 0; n < scenario_.nodes; ++n)
         peers.append(n > 0 ? ",\"" : "\"")
             .append(net::address_text(network_.seen_by(node, network_.place(n, peer_port))))
             .append("\"");
-    for (const fakes::Profile& p : town_.profiles) {
+    for (const fakes::Profile& p : environment_.profiles) {
         constexpr const char* effects[] = {"read_like", "idempotency_key", "non_idempotent"};
         constexpr const char* scopes[] = {"all", "zone", "cell"};
         profiles += std::string(profiles.empty() ? "" : ",") + R"({"name":")" + std::string(p.name) +
@@ -139,40 +149,42 @@
                     R"(","dedup_scope":")" + scopes[static_cast<std::size_t>(p.scope)] +
                     R"(","stream":true})";
     }
-    const net::Address discovery = network_.seen_by(node, rosters_.back()->address());
+    const net::Address discovery = network_.seen_by(node, discovery_services_.back()->address());
     std::string text = R"({"name":"n)" + std::to_string(node) + R"(","listen":")" +
                        net::address_text(network_.place(node, client_port)) + R"(","discovery":")" +
                        net::address_text(discovery) + R"(","seed":")" +
-                       std::to_string(10000000 + day_.seed % 1000000 * 10 + node) +
-                       R"(","limits":{"sockets":)" + std::to_string(day_.sockets) +
-                       R"(},"known":{"revision":5,"complete":)" + flag(n_known == day_.hosts) +
+                       std::to_string(10000000 + scenario_.seed % 1000000 * 10 + node) +
+                       R"(","limits":{"sockets":)" + std::to_string(scenario_.sockets) +
+                       R"(},"known":{"revision":5,"complete":)" + flag(n_known == scenario_.servers) +
                        R"(,"members":[)" + known + "]}";
-    if (day_.peers)
+    if (scenario_.peers)
         text += R"(,"peer_listen":")" + net::address_text(network_.place(node, peer_port)) +
                 R"(","peers":[)" + peers + "]";
-    text += R"(,"settings":{"balancers":)" + std::to_string(day_.nodes) + R"(,"me":)" + std::to_string(node) +
-            R"(,"zone":)" + std::to_string(node % 2) +
+    text += R"(,"settings":{"balancers":)" + std::to_string(scenario_.nodes) + R"(,"me":)" +
+            std::to_string(node) + R"(,"zone":)" + std::to_string(node % 2) +
             R"(,"zones":["a","b"],"granularity":0.005,"membership_mode":")" +
-            (day_.must_poll ? "ask" : "push") + R"(","weight_kind":"nominal",)" + R"("domain":{"mode":")" +
-            (day_.packet_passthrough ? "pass" : "proxy") + R"(","groups":)" + flag(day_.groups) +
-            R"(,"tells_delay":true,"message_aim":[0.25,0.25,0.25,0.25]},)" + R"("limits":{"max_setups":)" +
-            std::to_string(day_.max_attempts) + R"(,"connect_timeout":0.25,"probing":)" + flag(day_.probing) +
-            R"(,"peers":)" + flag(day_.peers) + R"(},"report":{"via":"probe","columns":["x0"]},)" +
-            R"("rules":{"stop_sending_within":3.0,"cold":)" + in_seconds(day_.host.cold) +
-            R"(,"cold_from":)" + std::to_string(day_.host.slow_start_initial_factor) + R"(,"fall":)" +
-            in_seconds(day_.host.fall) + R"(,"tip_multiple":)" + std::to_string(day_.host.overload_multiple) +
-            R"(},"costs":{"probe":)" + std::to_string(day_.probe_price) + R"(,"peer":)" +
-            std::to_string(day_.peer_price) + R"(},"profiles":[)" + profiles + "]}}";
+            (scenario_.must_poll ? "ask" : "push") + R"(","weight_kind":"nominal",)" +
+            R"("domain":{"mode":")" + (scenario_.packet_passthrough ? "pass" : "proxy") + R"(","groups":)" +
+            flag(scenario_.groups) + R"(,"tells_delay":true,"message_aim":[0.25,0.25,0.25,0.25]},)" +
+            R"("limits":{"max_setups":)" + std::to_string(scenario_.max_attempts) +
+            R"(,"connect_timeout":0.25,"probing":)" + flag(scenario_.probing) + R"(,"peers":)" +
+            flag(scenario_.peers) + R"(},"report":{"via":"probe","columns":["x0"]},)" +
+            R"("rules":{"stop_sending_within":3.0,"cold":)" + in_seconds(scenario_.server.cold) +
+            R"(,"cold_from":)" + std::to_string(scenario_.server.slow_start_initial_factor) + R"(,"fall":)" +
+            in_seconds(scenario_.server.overload_window) + R"(,"tip_multiple":)" +
+            std::to_string(scenario_.server.overload_multiple) + R"(},"costs":{"probe":)" +
+            std::to_string(scenario_.probe_price) + R"(,"peer":)" + std::to_string(scenario_.peer_price) +
+            R"(},"profiles":[)" + profiles + "]}}";
     return text;
 }
 
 // ---- faults
 
 void Fixture::tell(std::uint32_t host, Phase phase) {
-    fakes::Listed& e = entries_[host];
+    fakes::DiscoveryEntry& e = entries_[host];
     e.phase = phase;
     e.up_since_ms = hosts_[host]->up_since_ms();
-    for (auto& r : rosters_) r->change(host, e, day_.told_after);
+    for (auto& r : discovery_services_) r->change(host, e, scenario_.discovery_delay);
 }
 
 bool Fixture::begin(const Fault& f) {
@@ -180,38 +192,38 @@
 }
 
 bool Fixture::begin_at_hosts(const Fault& f) {
-    if (row_of(f.kind).who != FaultRow::Who::host) return false;
-    fakes::FakeServer& host = *hosts_[f.who];
+    if (fault_info(f.kind).target != FaultInfo::Target::server) return false;
+    fakes::FakeServer& host = *hosts_[f.target];
     switch (f.kind) {
-        case K::host_slow:
-            host.slow_down(f.much);
+        case K::server_slow:
+            host.slow_down(f.magnitude);
             break;
-        case K::host_errors:
+        case K::server_errors:
             host.fail_setups(true);
             break;
-        case K::host_full:
+        case K::server_full:
             host.refuse_setups(true);
             break;
-        case K::host_hang:
-            rules_.host_answers_nothing(f.who, true);
+        case K::server_hang:
+            invariants_.server_silent(f.target, true);
             host.hang(true);
             break;
-        case K::host_kill:
+        case K::server_kill:
             host.stop();
-            tell(f.who, Phase::terminated);
+            tell(f.target, Phase::terminated);
             break;
-        case K::host_vanish:
-            ground_.cut_off(host.machine(), true);
-            rules_.machine_cut(host.machine(), true);
+        case K::server_vanish:
+            topology_.cut_off(host.machine(), true);
+            invariants_.machine_cut(host.machine(), true);
             break;
-        case K::host_drain:
-            tell(f.who, Phase::terminating);
+        case K::server_drain:
+            tell(f.target, Phase::terminating);
             break;
-        case K::host_resets:
-            host.reset_some(f.much);
+        case K::server_resets:
+            host.reset_some(f.magnitude);
             break;
-        case K::host_sends_away:
-            host.ask_to_leave(f.span);
+        case K::server_moves_clients:
+            host.ask_to_leave(f.duration);
             break;
         default:
             return false;
@@ -220,30 +232,31 @@
 }
 
 bool Fixture::begin_at_discovery(const Fault& f) {
-    fakes::Roster& roster = *rosters_.back();
+    fakes::FakeDiscovery& discovery = *discovery_services_.back();
     switch (f.kind) {
         case K::discovery_down:
-            roster.down(true);
+            discovery.down(true);
             return true;
         case K::discovery_silent:
-            roster.silent(true);
+            discovery.silent(true);
             return true;
         case K::discovery_slow:
-            roster.answer_after(static_cast<Ticks>(f.much * second));
+            discovery.answer_after(static_cast<Ticks>(f.magnitude * second));
             return true;
-        case K::discovery_spoilt:
-            roster.spoil_next(static_cast<int>(f.count));
+        case K::discovery_corrupt:
+            discovery.corrupt_next(static_cast<int>(f.count));
             return true;
-        case K::discovery_anew:
-            roster.begin_anew(1);
+        case K::discovery_restart:
+            discovery.restart(1);
             return true;
         case K::discovery_move:
-            roster.retire(second * 3 / 2);
-            rosters_.push_back(std::make_unique<fakes::Roster>(
-                town_, first_service_, static_cast<std::uint16_t>(discovery_port + rosters_.size()), 1,
-                chance_.part(50 + rosters_.size())));
-            rosters_.back()->open(entries_);
-            for (std::uint32_t n = 0; n < day_.nodes; ++n) ground_.new_file(n, file_for(n));
+            discovery.retire(second * 3 / 2);
+            discovery_services_.push_back(std::make_unique<fakes::FakeDiscovery>(
+                environment_, first_service_,
+                static_cast<std::uint16_t>(discovery_port + discovery_services_.size()), 1,
+                random_.part(50 + discovery_services_.size())));
+            discovery_services_.back()->open(entries_);
+            for (std::uint32_t n = 0; n < scenario_.nodes; ++n) topology_.new_file(n, file_for(n));
             return true;
         default:
             return false;
@@ -253,35 +266,38 @@
 bool Fixture::begin_on_network(const Fault& f) {
     switch (f.kind) {
         case K::node_vanish:
-            ground_.cut_off(f.who, true);
-            rules_.machine_cut(f.who, true);
+            topology_.cut_off(f.target, true);
+            invariants_.machine_cut(f.target, true);
             return true;
         case K::network_slow:
-            for (Machine m = 0; m < day_.nodes + day_.hosts; ++m) ground_.slow_by(m, f.much);
+            for (Machine m = 0; m < scenario_.nodes + scenario_.servers; ++m)
+                topology_.slow_by(m, f.magnitude);
             return true;
         case K::datagrams_lost:
-            ground_.datagrams().lost = f.much;
+            topology_.datagrams().lost = f.magnitude;
             return true;
         case K::datagrams_doubled:
-            ground_.datagrams().doubled = f.much;
+            topology_.datagrams().doubled = f.magnitude;
             return true;
         case K::datagrams_late:
-            ground_.datagrams().jitter = static_cast<Ticks>(f.much * second);
+            topology_.datagrams().jitter = static_cast<Ticks>(f.magnitude * second);
             return true;
         case K::datagrams_old:
-            ground_.send_again(f.who, f.count);
+            topology_.send_again(f.target, f.count);
             return true;
         case K::nodes_deaf:
         case K::nodes_mute:
         case K::nodes_apart:
-        case K::nodes_cut_from_hosts:
+        case K::nodes_cut_from_servers:
         case K::path_cut:
             return set_apart(f, true), true;
-        case K::crowd:
-            members_->add(wishes(f.count, f.at, f.span, wished_));
+        case K::client_surge:
+            clients_->add(plans(f.count, f.start, f.duration, planned_));
             return true;
-        case K::rude:
-            rude_->come(static_cast<int>(f.count), static_cast<fakes::Rude::Kind>(f.other), f.count % 2 == 0);
+        case K::misbehaving_clients:
+            misbehaving_clients_->start(static_cast<int>(f.count),
+                                       static_cast<fakes::MisbehavingClients::Kind>(f.second_target),
+                                       f.count % 2 == 0);
             return true;
         default:
             return false;
@@ -290,68 +306,69 @@
 
 // Faults of `count` nodes from one on.
 void Fixture::set_apart(const Fault& f, bool on) {
-    const std::uint32_t last = std::min(f.who + std::max(f.count, 1U), day_.nodes);
-    if (f.kind == K::nodes_apart) return ground_.datagrams().apart(f.who, last - f.who, on);
-    if (f.kind == K::path_cut) rules_.machine_cut(hosts_[f.other]->machine(), on);
-    for (std::uint32_t n = f.who; n < last; ++n) {
-        if (f.kind == K::path_cut) ground_.cut_path(n, hosts_[f.other]->machine(), on);
-        if (f.kind == K::nodes_deaf) ground_.datagrams().deaf(n, on);
-        if (f.kind == K::nodes_mute) ground_.datagrams().mute(n, on);
-        if (f.kind != K::nodes_cut_from_hosts) continue;
-        for (auto& h : hosts_) ground_.cut_path(n, h->machine(), on);
-        rules_.machine_cut(n, on);  // what it cannot do for want of hosts is not held against it
+    const std::uint32_t last = std::min(f.target + std::max(f.count, 1U), scenario_.nodes);
+    if (f.kind == K::nodes_apart) return topology_.datagrams().apart(f.target, last - f.target, on);
+    if (f.kind == K::path_cut) invariants_.machine_cut(hosts_[f.second_target]->machine(), on);
+    for (std::uint32_t n = f.target; n < last; ++n) {
+        if (f.kind == K::path_cut) topology_.cut_path(n, hosts_[f.second_target]->machine(), on);
+        if (f.kind == K::nodes_deaf) topology_.datagrams().deaf(n, on);
+        if (f.kind == K::nodes_mute) topology_.datagrams().mute(n, on);
+        if (f.kind != K::nodes_cut_from_servers) continue;
+        for (auto& h : hosts_) topology_.cut_path(n, h->machine(), on);
+        invariants_.machine_cut(n, on);  // what it cannot do for want of hosts is not held against it
     }
 }
 
 void Fixture::end(const Fault& f) {
-    fakes::FakeServer* host = row_of(f.kind).who == FaultRow::Who::host ? hosts_[f.who].get() : nullptr;
+    fakes::FakeServer* host =
+        fault_info(f.kind).target == FaultInfo::Target::server ? hosts_[f.target].get() : nullptr;
     switch (f.kind) {
         case K::node_vanish:
-            ground_.cut_off(f.who, false);
-            return rules_.machine_cut(f.who, false);
-        case K::host_slow:
+            topology_.cut_off(f.target, false);
+            return invariants_.machine_cut(f.target, false);
+        case K::server_slow:
             return host->slow_down(1);
-        case K::host_errors:
+        case K::server_errors:
             return host->fail_setups(false);
-        case K::host_full:
+        case K::server_full:
             return host->refuse_setups(false);
-        case K::host_hang:
-            rules_.host_answers_nothing(f.who, false);
+        case K::server_hang:
+            invariants_.server_silent(f.target, false);
             return host->hang(false);
-        case K::host_kill:
+        case K::server_kill:
             host->start(true);
-            rules_.host_started(f.who);
-            return tell(f.who, Phase::active);
-        case K::host_vanish:
-            ground_.forget(host->machine());
+            invariants_.server_started(f.target);
+            return tell(f.target, Phase::active);
+        case K::server_vanish:
+            topology_.forget(host->machine());
             host->stop();
-            ground_.cut_off(host->machine(), false);
-            rules_.machine_cut(host->machine(), false);
+            topology_.cut_off(host->machine(), false);
+            invariants_.machine_cut(host->machine(), false);
             host->start(true);
-            rules_.host_started(f.who);
-            return tell(f.who, Phase::active);
+            invariants_.server_started(f.target);
+            return tell(f.target, Phase::active);
         case K::discovery_down:
-            return rosters_.back()->down(false);
+            return discovery_services_.back()->down(false);
         case K::discovery_silent:
-            return rosters_.back()->silent(false);
+            return discovery_services_.back()->silent(false);
         case K::discovery_slow:
-            return rosters_.back()->answer_after(5);
+            return discovery_services_.back()->answer_after(5);
         case K::network_slow:
-            for (Machine m = 0; m < day_.nodes + day_.hosts; ++m) ground_.slow_by(m, 1);
+            for (Machine m = 0; m < scenario_.nodes + scenario_.servers; ++m) topology_.slow_by(m, 1);
             return;
         case K::datagrams_lost:
-            ground_.datagrams().lost = day_.weather.lost;
+            topology_.datagrams().lost = scenario_.network.lost;
             return;
         case K::datagrams_doubled:
-            ground_.datagrams().doubled = day_.weather.doubled;
+            topology_.datagrams().doubled = scenario_.network.doubled;
             return;
         case K::datagrams_late:
-            ground_.datagrams().jitter = day_.weather.datagram_jitter;
+            topology_.datagrams().jitter = scenario_.network.datagram_jitter;
             return;
         case K::nodes_deaf:
         case K::nodes_mute:
         case K::nodes_apart:
-        case K::nodes_cut_from_hosts:
+        case K::nodes_cut_from_servers:
         case K::path_cut:
             return set_apart(f, false);
         default:
@@ -361,15 +378,15 @@
 
 // A host that drains stops in the end, and comes back.
 bool Fixture::later(const Fault& f) {
-    fakes::FakeServer& host = *hosts_[f.who];
+    fakes::FakeServer& host = *hosts_[f.target];
     if (host.state() == fakes::FakeServer::State::up) {
         host.stop();
-        tell(f.who, Phase::terminated);
+        tell(f.target, Phase::terminated);
         return true;
     }
     host.start(true);
-    rules_.host_started(f.who);
-    tell(f.who, Phase::active);
+    invariants_.server_started(f.target);
+    tell(f.target, Phase::active);
     return false;
 }
 
--- a/src/simulation/fixture.h
+++ b/src/simulation/fixture.h
@@ -42,12 +42,13 @@
     static constexpr std::uint16_t client_port = 8443, peer_port = 8444, discovery_port = 8500;
 
     // Machines 0 to `nodes` - 1 of the network are the nodes'; the stage adds the others.
-    Fixture(const Scenario& day, simnet::EventQueue& events, simnet::Trace& trace, simnet::Streams& network,
-            Invariants& rules, simnet::RandomSource& chance, Topology& ground);
+    Fixture(const Scenario& scenario, simnet::EventQueue& events, simnet::Trace& trace,
+            simnet::Streams& network, Invariants& invariants, simnet::RandomSource& random,
+            Topology& topology);
     // Hosts and list, before the nodes start; then the front and the clients.
     void open();
-    void let_clients_come();
-    void go_home();
+    void start_clients();
+    void stop_all();
 
     std::string file_for(std::uint32_t node) const;
     // A fault that is not a node's own affair; false: it is.
@@ -56,34 +57,34 @@
     // What follows a drain, twice; true: once more after two seconds.
     bool later(const Fault& fault);
 
-    fakes::TestEnvironment& town() { return town_; }
+    fakes::TestEnvironment& environment() { return environment_; }
     fakes::Front& front() { return *front_; }
-    fakes::FakeClients& members() { return *members_; }
+    fakes::FakeClients& clients() { return *clients_; }
     fakes::FakeServer& host(std::uint32_t n) { return *hosts_[n]; }
 
   private:
-    std::vector<fakes::Wish> wishes(std::uint32_t count, Ticks from, Ticks within, std::uint32_t first);
-    void tell(std::uint32_t host, fakes::Listed::Phase phase);
+    std::vector<fakes::ClientPlan> plans(std::uint32_t count, Ticks from, Ticks within, std::uint32_t first);
+    void tell(std::uint32_t host, fakes::DiscoveryEntry::Phase phase);
     bool begin_at_hosts(const Fault& fault);
     bool begin_at_discovery(const Fault& fault);
     bool begin_on_network(const Fault& fault);
     void set_apart(const Fault& fault, bool on);
 
-    const Scenario& day_;
+    const Scenario& scenario_;
     simnet::EventQueue& events_;
     simnet::Streams& network_;
-    Invariants& rules_;
-    simnet::RandomSource& chance_;
-    Topology& ground_;
-    fakes::TestEnvironment town_;
+    Invariants& invariants_;
+    simnet::RandomSource& random_;
+    Topology& topology_;
+    fakes::TestEnvironment environment_;
     std::vector<std::unique_ptr<fakes::FakeServer>> hosts_;
-    std::vector<fakes::Listed> entries_;
-    std::vector<std::unique_ptr<fakes::Roster>> rosters_;
+    std::vector<fakes::DiscoveryEntry> entries_;
+    std::vector<std::unique_ptr<fakes::FakeDiscovery>> discovery_services_;
     std::unique_ptr<fakes::Front> front_;
-    std::unique_ptr<fakes::FakeClients> members_;
-    std::unique_ptr<fakes::Rude> rude_;
+    std::unique_ptr<fakes::FakeClients> clients_;
+    std::unique_ptr<fakes::MisbehavingClients> misbehaving_clients_;
     double mean_load_ = 0.02;
-    std::uint32_t wished_ = 0;
+    std::uint32_t planned_ = 0;
     simnet::Machine first_service_ = 0;
 };
 
--- a/src/simulation/invariants.cpp
+++ b/src/simulation/invariants.cpp
@@ -11,69 +11,70 @@
 
 }  // namespace
 
-Invariants::Invariants(const Scenario& day, simnet::EventQueue& events, simnet::Streams& network)
-    : day_(day),
+Invariants::Invariants(const Scenario& scenario, simnet::EventQueue& events, simnet::Streams& network)
+    : scenario_(scenario),
       events_(events),
       network_(network),
-      nodes_(day.nodes),
-      hosts_(day.hosts),
-      cuts_(day.nodes + day.hosts),
-      ledger_(day.hosts) {
+      nodes_(scenario.nodes),
+      hosts_(scenario.servers),
+      cuts_(scenario.nodes + scenario.servers),
+      ledger_(scenario.servers) {
     for (Node& n : nodes_) {
-        n.not_in_service.assign(day.hosts, 0);
-        n.told_at.assign(day.hosts, 0);
+        n.inactive_since.assign(scenario.servers, 0);
+        n.notified_at.assign(scenario.servers, 0);
     }
 }
 
-void Invariants::broke(std::string rule, std::string what) {
+void Invariants::report(std::string rule, std::string what) {
     if (broken_.size() < most_broken)
         broken_.push_back({events_.now() - events_.start_time(), std::move(rule), std::move(what)});
 }
 
 void Invariants::judge_bounds() {
-    for (std::uint32_t h = 0; h < day_.hosts; ++h) {
+    for (std::uint32_t h = 0; h < scenario_.servers; ++h) {
         std::string who = "host h";
         who += std::to_string(h);
-        const double spent = ledger_.most_of_budget(h, day_.host.fall);
-        if (day_.most_of_budget > 0 && spent > day_.most_of_budget)
-            broke("budget", who + " was sent " + std::to_string(spent) + " of its budget");
-        const double over = ledger_.most_over_allowance(h, day_.host.fall);
-        if (day_.slow_start_judged && over > 0)
-            broke("slow_start",
-                  who + " was sent " + std::to_string(over) + " over what a cold host is allowed");
+        const double spent = ledger_.most_of_budget(h, scenario_.server.overload_window);
+        if (scenario_.max_budget_share > 0 && spent > scenario_.max_budget_share)
+            report("budget", who + " was sent " + std::to_string(spent) + " of its budget");
+        const double over = ledger_.most_over_allowance(h, scenario_.server.overload_window);
+        if (scenario_.judge_slow_start && over > 0)
+            report("slow_start",
+                   who + " was sent " + std::to_string(over) + " over what a cold host is allowed");
     }
 }
 
-std::string Invariants::named(fakes::TunnelNo tunnel) const {
+std::string Invariants::named(fakes::TunnelId tunnel) const {
     char text[32];
     std::snprintf(text, sizeof text, "tunnel t%x", tunnel);
     std::string out = text;
-    if (tunnel < books_.size()) out += " at node " + std::to_string(books_[tunnel].asked.node);
+    if (tunnel < tunnels_by_id_.size())
+        out += " at node " + std::to_string(tunnels_by_id_[tunnel].asked.node);
     return out;
 }
 
-Invariants::Book& Invariants::book(fakes::TunnelNo tunnel) {
-    while (books_.size() <= tunnel) books_.emplace_back();
-    return books_[tunnel];
+Invariants::TunnelRecord& Invariants::record_of(fakes::TunnelId tunnel) {
+    while (tunnels_by_id_.size() <= tunnel) tunnels_by_id_.emplace_back();
+    return tunnels_by_id_[tunnel];
 }
 
 // ---- disturbances
 
 void Invariants::node_started(std::uint32_t node) {
-    nodes_[node].lives.push_back({events_.now(), 0, NodeEnd::killed, 0});
-    nodes_[node].not_in_service.assign(day_.hosts, 0);
-    nodes_[node].told_at.assign(day_.hosts, 0);
+    nodes_[node].incarnations.push_back({events_.now(), 0, NodeEnd::killed, 0});
+    nodes_[node].inactive_since.assign(scenario_.servers, 0);
+    nodes_[node].notified_at.assign(scenario_.servers, 0);
 }
 
-void Invariants::node_told_to_leave(std::uint32_t node) {
-    if (!nodes_[node].lives.empty()) nodes_[node].lives.back().leaving_since = events_.now();
+void Invariants::node_told_to_drain_out(std::uint32_t node) {
+    if (!nodes_[node].incarnations.empty()) nodes_[node].incarnations.back().leaving_since = events_.now();
 }
 
 void Invariants::node_ended(std::uint32_t node, NodeEnd how) {
-    Life& life = nodes_[node].lives.back();
+    Incarnation& life = nodes_[node].incarnations.back();
     life.until = events_.now();
     life.how = how;
-    for (const Book& b : books_)
+    for (const TunnelRecord& b : tunnels_by_id_)
         if (b.state == State::taken && b.asked.node == node) ++tally_.orphaned;
 }
 
@@ -89,14 +90,14 @@
         cuts.back().second = events_.now();
 }
 
-const Invariants::Life* Invariants::life_at(std::uint32_t node, Ticks when) const {
-    const auto& lives = nodes_[node].lives;
-    for (auto it = lives.rbegin(); it != lives.rend(); ++it)
+const Invariants::Incarnation* Invariants::incarnation_at(std::uint32_t node, Ticks when) const {
+    const auto& incarnations = nodes_[node].incarnations;
+    for (auto it = incarnations.rbegin(); it != incarnations.rend(); ++it)
         if (it->from <= when) return &*it;
     return nullptr;
 }
 
-bool Invariants::machine_reached(simnet::Machine machine, Ticks from, Ticks until) const {
+bool Invariants::was_reachable(simnet::Machine machine, Ticks from, Ticks until) const {
     // What was under way when it was cut off comes up to some seconds after it is back.
     constexpr Ticks after = 25000;
     for (const auto& [a, b] : cuts_[machine])
@@ -104,12 +105,12 @@
     return true;
 }
 
-bool Invariants::undisturbed(std::uint32_t node, Ticks from, Ticks until) const {
-    const Life* life = life_at(node, from);
+bool Invariants::was_undisturbed(std::uint32_t node, Ticks from, Ticks until) const {
+    const Incarnation* life = incarnation_at(node, from);
     if (life == nullptr || (life->until != 0 && life->until <= until)) return false;
     for (const auto& [a, b] : nodes_[node].stalls)
         if (a <= until && b >= from) return false;
-    return machine_reached(node, from, until);
+    return was_reachable(node, from, until);
 }
 
 }  // namespace lemonstair::simulation
--- a/src/simulation/invariants.h
+++ b/src/simulation/invariants.h
@@ -20,37 +20,37 @@
     std::string what;
 };
 
-struct RuleRow {
+struct RuleInfo {
     const char *name, *says;
 };
-const std::vector<RuleRow>& rule_rows();
+const std::vector<RuleInfo>& rule_catalogue();
 
 class Invariants final : public fakes::ExecutionLog {
   public:
-    Invariants(const Scenario& day, simnet::EventQueue& events, simnet::Streams& network);
-    void begin(const fakes::TestEnvironment& town) { town_ = &town; }
+    Invariants(const Scenario& scenario, simnet::EventQueue& events, simnet::Streams& network);
+    void begin(const fakes::TestEnvironment& environment) { environment_ = &environment; }
 
     // ---- what the day does to the nodes and machines, so that nobody is blamed for it
     enum class NodeEnd : std::uint8_t { killed, left, killed_late, crashed };
     void node_started(std::uint32_t node);
-    void node_told_to_leave(std::uint32_t node);
+    void node_told_to_drain_out(std::uint32_t node);
     void node_ended(std::uint32_t node, NodeEnd how);
     void node_stalled(std::uint32_t node, Ticks until);
     // Operators send its clients away, or take them again.
     void node_drained(std::uint32_t node, bool on) { nodes_[node].drained_since = on ? events_.now() : 0; }
     void judge_drained(std::uint32_t node);
     // What `GET /stats` said, of a process that has run since; mixed: another answered some meanwhile.
-    void figures_told(std::uint32_t node, const std::string& body, Ticks since, bool mixed);
+    void judge_metrics(std::uint32_t node, const std::string& body, Ticks since, bool mixed);
     // Whether a node ran, was not held up, and could be reached, all through a span.
-    bool undisturbed(std::uint32_t node, Ticks from, Ticks until) const;
+    bool was_undisturbed(std::uint32_t node, Ticks from, Ticks until) const;
     void machine_cut(simnet::Machine machine, bool on);
     // Its process has started and counts as cold from now on.
-    void host_started(std::uint32_t host) { hosts_[host].started_at = events_.now(); }
-    void host_answers_nothing(std::uint32_t host, bool on) {
+    void server_started(std::uint32_t host) { hosts_[host].started_at = events_.now(); }
+    void server_silent(std::uint32_t host, bool on) {
         hosts_[host].mute = on;
         if (!on) hosts_[host].mute_until = events_.now();
     }
-    void broke(std::string rule, std::string what);
+    void report(std::string rule, std::string what);
 
     const std::vector<Broken>& broken() const { return broken_; }
     struct Tally {
@@ -62,33 +62,33 @@
     const Tally& tally() const { return tally_; }
     // Told which hosts could take more, when a tunnel is declined.
     using AnyIdle = std::function<bool()>;
-    void ask_idle(AnyIdle any) { any_idle_ = std::move(any); }
+    void set_idle_query(AnyIdle any) { any_idle_ = std::move(any); }
     // Told what all nodes together may send a host within a window; 0: no such bound.
     using Budget = std::function<double(std::uint32_t host)>;
-    void ask_budget(Budget of) { budget_ = std::move(of); }
+    void set_budget_query(Budget of) { budget_ = std::move(of); }
     Ledger& ledger() { return ledger_; }
     // Of the whole day, once it is over.
     void judge_bounds();
 
     // ---- stand::Witness
-    void asked(const fakes::Asked& what) override;
-    void taken(fakes::TunnelNo tunnel) override;
-    void answered(fakes::TunnelNo tunnel, fakes::Answer answer, Ticks written_at) override;
-    void said_on(fakes::TunnelNo tunnel, std::string_view text) override;
-    void left(fakes::TunnelNo tunnel) override;
-    void gave_up(fakes::TunnelNo tunnel) override;
-    void cut(fakes::TunnelNo tunnel, bool by_reset, Ticks written) override;
-    void unanswered(fakes::TunnelNo tunnel, Ticks span) override;
-    void rude_left_waiting(std::uint32_t node, std::string_view how) override;
-    void setup_came(fakes::TunnelNo tunnel, std::uint32_t host, simnet::End end, Ticks first,
-                    bool mid_flow) override;
-    void setup_answered(fakes::TunnelNo tunnel, std::uint32_t host, fakes::Answer answer) override;
-    void not_held(fakes::TunnelNo tunnel, std::uint32_t host) override;
-    void host_ended(fakes::TunnelNo tunnel, std::uint32_t host) override;
-    void pushed_over(std::uint32_t host, double asked, double bears) override;
-    void bad_line(std::uint32_t host, std::string_view line) override;
-    void told(std::uint32_t node, std::uint32_t host, bool active) override;
-    void line_wrong(fakes::TunnelNo tunnel, std::string_view what, std::string_view line) override;
+    void tunnel_requested(const fakes::TunnelRequest& what) override;
+    void request_delivered(fakes::TunnelId tunnel) override;
+    void request_answered(fakes::TunnelId tunnel, fakes::Answer answer, Ticks written_at) override;
+    void data_after_final(fakes::TunnelId tunnel, std::string_view text) override;
+    void client_left(fakes::TunnelId tunnel) override;
+    void client_timed_out(fakes::TunnelId tunnel) override;
+    void connection_cut(fakes::TunnelId tunnel, bool by_reset, Ticks written) override;
+    void connection_silent(fakes::TunnelId tunnel, Ticks span) override;
+    void misbehaving_client_unanswered(std::uint32_t node, std::string_view how) override;
+    void setup_received(fakes::TunnelId tunnel, std::uint32_t host, simnet::End end, Ticks first,
+                        bool mid_flow) override;
+    void setup_answered(fakes::TunnelId tunnel, std::uint32_t host, fakes::Answer answer) override;
+    void mid_flow_unknown(fakes::TunnelId tunnel, std::uint32_t host) override;
+    void server_ended(fakes::TunnelId tunnel, std::uint32_t host) override;
+    void server_overloaded(std::uint32_t host, double asked, double overload_limit) override;
+    void invalid_line(std::uint32_t host, std::string_view line) override;
+    void endpoint_state_delivered(std::uint32_t node, std::uint32_t host, bool active) override;
+    void line_corrupted(fakes::TunnelId tunnel, std::string_view what, std::string_view line) override;
 
   private:
     enum class State : std::uint8_t { unknown, asked, taken, open, over };
@@ -98,9 +98,9 @@
         Ticks sent;       // its first byte; a host that hangs may read it long after
         fakes::Answer answer = fakes::Answer::none;
     };
-    struct Book {
+    struct TunnelRecord {
         State state = State::unknown;
-        fakes::Asked asked;
+        fakes::TunnelRequest asked;
         Ticks asked_at = 0, taken_at = 0, opened_at = 0, host_ended_at = 0, left_at = 0;
         std::uint32_t holder = 0;
         std::size_t attempt = 0;  // the last, in attempts_
@@ -113,44 +113,46 @@
         Ticks asked_at = 0, answered_at = 0;
         fakes::Answer answer = fakes::Answer::none;
     };
-    struct Life {
+    struct Incarnation {
         Ticks from, until = 0;  // 0: it runs
         NodeEnd how = NodeEnd::killed;
         Ticks leaving_since = 0;
     };
     struct Node {
-        std::vector<Life> lives;
+        std::vector<Incarnation> incarnations;
         std::vector<std::pair<Ticks, Ticks>> stalls;
         Ticks drained_since = 0;            // 0: it is not
-        std::vector<Ticks> told_at;         // by host: when it was last told of it; 0: not yet
-        std::vector<Ticks> not_in_service;  // by host: since when it is told so; 0: it is in service
+        std::vector<Ticks> notified_at;     // by host: when it was last told of it; 0: not yet
+        std::vector<Ticks> inactive_since;  // by host: since when it is told so; 0: it is in service
     };
     struct Host {
         Ticks started_at = 0, mute_until = 0;
         bool mute = false;
     };
-    Book& book(fakes::TunnelNo tunnel);
-    void to(Book& b, State state) {
+    TunnelRecord& record_of(fakes::TunnelId tunnel);
+    void to(TunnelRecord& b, State state) {
         b.state = state;
         b.changed_at = events_.now();
     }
-    bool machine_reached(simnet::Machine machine, Ticks from, Ticks until) const;
-    const Life* life_at(std::uint32_t node, Ticks when) const;
-    simnet::Machine machine_of_host(std::uint32_t host) const { return day_.nodes + host; }
-    const fakes::Profile& profile(const Book& b) const { return town_->profiles[b.asked.profile]; }
-    void judge_late_attempt(const Book& b, std::uint32_t host, simnet::Machine node, Ticks sent);
-    void judge_effect(const Book& b, std::uint32_t host, Ticks sent);
+    bool was_reachable(simnet::Machine machine, Ticks from, Ticks until) const;
+    const Incarnation* incarnation_at(std::uint32_t node, Ticks when) const;
+    simnet::Machine machine_of_server(std::uint32_t host) const { return scenario_.nodes + host; }
+    const fakes::Profile& profile(const TunnelRecord& b) const {
+        return environment_->profiles[b.asked.profile];
+    }
+    void judge_late_attempt(const TunnelRecord& b, std::uint32_t host, simnet::Machine node, Ticks sent);
+    void judge_effect(const TunnelRecord& b, std::uint32_t host, Ticks sent);
     // Whether what nodes tell one another came to them, all through the day.
-    bool told_surely() const;
-    std::string named(fakes::TunnelNo tunnel) const;
+    bool gossip_is_reliable() const;
+    std::string named(fakes::TunnelId tunnel) const;
 
-    const Scenario& day_;
+    const Scenario& scenario_;
     simnet::EventQueue& events_;
     simnet::Streams& network_;
-    const fakes::TestEnvironment* town_ = nullptr;
-    std::deque<Book> books_;
+    const fakes::TestEnvironment* environment_ = nullptr;
+    std::deque<TunnelRecord> tunnels_by_id_;
     std::vector<Attempt> attempts_;
-    std::vector<std::pair<std::uint32_t, Ticks>> setups_came_;  // from which node, when sent
+    std::vector<std::pair<std::uint32_t, Ticks>> setups_received_;  // from which node, when sent
     std::vector<Node> nodes_;
     std::vector<Host> hosts_;
     std::vector<std::vector<std::pair<Ticks, Ticks>>> cuts_;  // by machine; until 0: it lasts
--- a/src/simulation/invariants_clients.cpp
+++ b/src/simulation/invariants_clients.cpp
@@ -18,8 +18,8 @@
 
 }  // namespace
 
-void Invariants::asked(const fakes::Asked& what) {
-    Book& b = book(what.tunnel);
+void Invariants::tunnel_requested(const fakes::TunnelRequest& what) {
+    TunnelRecord& b = record_of(what.tunnel);
     to(b, State::asked);
     b.asked = what;
     b.attempt = attempts_.size();
@@ -29,28 +29,28 @@
     if (what.mid_flow) ++tally_.resumed;
 }
 
-void Invariants::taken(fakes::TunnelNo tunnel) {
-    Book& b = book(tunnel);
+void Invariants::request_delivered(fakes::TunnelId tunnel) {
+    TunnelRecord& b = record_of(tunnel);
     if (b.state != State::asked) return;
     to(b, State::taken);
     b.taken_at = events_.now();
     ++tally_.taken;
 }
 
-void Invariants::answered(fakes::TunnelNo tunnel, Answer answer, Ticks written_at) {
-    Book& b = book(tunnel);
+void Invariants::request_answered(fakes::TunnelId tunnel, Answer answer, Ticks written_at) {
+    TunnelRecord& b = record_of(tunnel);
     const bool waited = b.state == State::asked || b.state == State::taken;
     if (answer == Answer::move) {
         to(b, State::over);
         return;
     }
-    if (!waited) return broke("twice", named(tunnel) + " was answered though it is not waiting");
+    if (!waited) return report("twice", named(tunnel) + " was answered though it is not waiting");
     attempts_[b.attempt].answer = answer;
     attempts_[b.attempt].answered_at = events_.now();
-    if (b.taken_at != 0 && written_at > b.taken_at + b.asked.wait + day_.answer_slack &&
-        undisturbed(b.asked.node, b.taken_at, written_at))
-        broke("answer", named(tunnel) + " was answered " +
-                            std::to_string((written_at - b.taken_at - b.asked.wait) / 10) + " ms late");
+    if (b.taken_at != 0 && written_at > b.taken_at + b.asked.wait + scenario_.answer_slack &&
+        was_undisturbed(b.asked.node, b.taken_at, written_at))
+        report("answer", named(tunnel) + " was answered " +
+                             std::to_string((written_at - b.taken_at - b.asked.wait) / 10) + " ms late");
     const bool ran =
         std::any_of(b.setups.begin(), b.setups.end(), [](const Setup& s) { return may_have_run(s.answer); });
     if (answer == Answer::up) {
@@ -59,7 +59,7 @@
         b.opened_at = events_.now();
         if (std::none_of(b.setups.begin(), b.setups.end(),
                          [](const Setup& s) { return s.answer == Answer::up; }))
-            broke("twice", named(tunnel) + " was opened by no host");
+            report("twice", named(tunnel) + " was opened by no host");
         return;
     }
     to(b, State::over);
@@ -70,78 +70,79 @@
     const bool safe =
         p.effect == fakes::Idempotency::idempotent ||
         (p.effect == fakes::Idempotency::idempotent_with_key && p.scope == fakes::DeduplicationScope::all &&
-         written_at <= b.setups.front().sent + p.window + margin + day_.held_up);
-    if (!safe) broke("effect", named(tunnel) + " was declined though it may have run");
+         written_at <= b.setups.front().sent + p.window + margin + scenario_.max_process_pause);
+    if (!safe) report("effect", named(tunnel) + " was declined though it may have run");
 }
 
-void Invariants::said_on(fakes::TunnelNo tunnel, std::string_view text) {
-    broke("twice", named(tunnel) + " heard '" + std::string(text.substr(0, 20)) + "' after its last words");
+void Invariants::data_after_final(fakes::TunnelId tunnel, std::string_view text) {
+    report("twice", named(tunnel) + " heard '" + std::string(text.substr(0, 20)) + "' after its last words");
 }
 
-void Invariants::left(fakes::TunnelNo tunnel) {
-    Book& b = book(tunnel);
+void Invariants::client_left(fakes::TunnelId tunnel) {
+    TunnelRecord& b = record_of(tunnel);
     to(b, State::over);
     b.left_at = events_.now();
 }
 
-void Invariants::gave_up(fakes::TunnelNo tunnel) {
-    Book& b = book(tunnel);
+void Invariants::client_timed_out(fakes::TunnelId tunnel) {
+    TunnelRecord& b = record_of(tunnel);
     const bool owed = b.state == State::taken;
     to(b, State::over);
     b.left_at = events_.now();
-    if (owed && undisturbed(b.asked.node, b.taken_at, events_.now()))
-        broke("answer", named(tunnel) + " got no answer in its time");
+    if (owed && was_undisturbed(b.asked.node, b.taken_at, events_.now()))
+        report("answer", named(tunnel) + " got no answer in its time");
 }
 
-void Invariants::cut(fakes::TunnelNo tunnel, bool by_reset, Ticks written) {
-    Book& b = book(tunnel);
+void Invariants::connection_cut(fakes::TunnelId tunnel, bool by_reset, Ticks written) {
+    TunnelRecord& b = record_of(tunnel);
     const State was = b.state;
     to(b, State::over);
     ++tally_.cut;
-    const Life* life = life_at(b.asked.node, b.asked_at);
+    const Incarnation* life = incarnation_at(b.asked.node, b.asked_at);
     const bool gone = life == nullptr || life->until != 0;
     if (gone) {
         const bool had_time =
             life != nullptr && life->leaving_since != 0 && life->until - life->leaving_since >= leaving_takes;
         const bool owes = life != nullptr &&
                           (life->how == NodeEnd::left || (life->how == NodeEnd::killed_late && had_time));
-        if (was == State::open && owes && !day_.packet_passthrough && !b.asked.slow_reader &&
-            undisturbed(b.asked.node, life->leaving_since, life->until - 1))
-            broke("leave", named(tunnel) + " was cut off when its node left");
+        if (was == State::open && owes && !scenario_.packet_passthrough && !b.asked.slow_reader &&
+            was_undisturbed(b.asked.node, life->leaving_since, life->until - 1))
+            report("leave", named(tunnel) + " was cut off when its node left");
         return;
     }
-    if (!undisturbed(b.asked.node, b.asked_at, events_.now())) return;
+    if (!was_undisturbed(b.asked.node, b.asked_at, events_.now())) return;
     // Where its host opened it and reset it at once, the reset is passed on and may overtake the answer.
     const bool host_reset = b.host_ended_at != 0 && by_reset;
     if (was == State::taken && !b.asked.mid_flow && !host_reset)
-        return broke("answer", named(tunnel) + " was closed without an answer");
+        return report("answer", named(tunnel) + " was closed without an answer");
     if (was != State::open) return;
     if (b.host_ended_at != 0) {
-        const Ticks late =
-            written - b.host_ended_at - end_passed_in - 2 * day_.weather.most_delay - day_.held_up;
+        const Ticks late = written - b.host_ended_at - end_passed_in - 2 * scenario_.network.max_delay -
+                           scenario_.max_process_pause;
         if (!by_reset && late > margin && !b.asked.slow_reader &&
-            machine_reached(machine_of_host(b.holder), b.host_ended_at - 1, events_.now()))
-            broke("end_late", named(tunnel) + " was ended " + std::to_string((late + end_passed_in) / 10) +
-                                  " ms after its host had ended it");
+            was_reachable(machine_of_server(b.holder), b.host_ended_at - 1, events_.now()))
+            report("end_late", named(tunnel) + " was ended " + std::to_string((late + end_passed_in) / 10) +
+                                   " ms after its host had ended it");
         return;
     }
     // The host keeps it, and can be reached, and says something.
     if (hosts_[b.holder].mute || b.asked.slow_reader ||
-        !machine_reached(machine_of_host(b.holder), b.asked_at, events_.now()))
+        !was_reachable(machine_of_server(b.holder), b.asked_at, events_.now()))
         return;
-    broke("cut_off", named(tunnel) + " was cut off though host " + std::to_string(b.holder) + " keeps it");
+    report("cut_off", named(tunnel) + " was cut off though host " + std::to_string(b.holder) + " keeps it");
 }
 
-void Invariants::unanswered(fakes::TunnelNo tunnel, Ticks span) {
-    const Book& b = book(tunnel);
-    if (b.state != State::open || !undisturbed(b.asked.node, events_.now() - span - second, events_.now()))
+void Invariants::connection_silent(fakes::TunnelId tunnel, Ticks span) {
+    const TunnelRecord& b = record_of(tunnel);
+    if (b.state != State::open ||
+        !was_undisturbed(b.asked.node, events_.now() - span - second, events_.now()))
         return;
-    broke("silent", named(tunnel) + " has had no line for " + std::to_string(span / 10) + " ms");
+    report("silent", named(tunnel) + " has had no line for " + std::to_string(span / 10) + " ms");
 }
 
-void Invariants::rude_left_waiting(std::uint32_t node, std::string_view how) {
-    if (undisturbed(node, events_.now() - 3 * second, events_.now()))
-        broke("bad_client", "a bad client at node " + std::to_string(node) + " had " + std::string(how));
+void Invariants::misbehaving_client_unanswered(std::uint32_t node, std::string_view how) {
+    if (was_undisturbed(node, events_.now() - 3 * second, events_.now()))
+        report("bad_client", "a bad client at node " + std::to_string(node) + " had " + std::string(how));
 }
 
 }  // namespace lemonstair::simulation
--- a/src/simulation/invariants_operators.cpp
+++ b/src/simulation/invariants_operators.cpp
@@ -24,48 +24,48 @@
 }  // namespace
 
 void Invariants::judge_drained(std::uint32_t node) {
-    if (day_.packet_passthrough || nodes_[node].drained_since == 0) return;
-    for (const Book& b : books_) {
+    if (scenario_.packet_passthrough || nodes_[node].drained_since == 0) return;
+    for (const TunnelRecord& b : tunnels_by_id_) {
         if (b.asked.node != node || b.state != State::open || b.asked.slow_reader) continue;
         // One that opened late is moved within a moment; one whose host has ended it ends by itself.
         if (events_.now() - b.opened_at < second || b.host_ended_at != 0) continue;
-        if (!machine_reached(machine_of_host(b.holder), b.opened_at, events_.now()) || hosts_[b.holder].mute)
+        if (!was_reachable(machine_of_server(b.holder), b.opened_at, events_.now()) || hosts_[b.holder].mute)
             continue;
-        broke("drained", named(b.asked.tunnel) + " is held 4 s after its node was told to drain");
+        report("drained", named(b.asked.tunnel) + " is held 4 s after its node was told to drain");
     }
 }
 
 // Page: counts are true to 1% or 3 and half a second old at most; of a client that had gone any count will
 // do.
-void Invariants::figures_told(std::uint32_t node, const std::string& body, Ticks since, bool mixed) {
+void Invariants::judge_metrics(std::uint32_t node, const std::string& body, Ticks since, bool mixed) {
     constexpr Ticks old = 6000, ending = 45000;
     const Ticks now = events_.now();
     const auto check = [&](std::string_view what, long told, long seen, long missing, long more,
                            double part) {
         const long slack = std::max(3L, static_cast<long>(part * static_cast<double>(seen)));
         if (told < seen - missing - slack || told > seen + more + slack)
-            broke("figures", "node " + std::to_string(node) + " tells " + std::to_string(told) + " " +
-                                 std::string(what) + ", seen were " + std::to_string(seen) + " (less " +
-                                 std::to_string(missing) + ", more " + std::to_string(more) + ")");
+            report("figures", "node " + std::to_string(node) + " tells " + std::to_string(told) + " " +
+                                  std::string(what) + ", seen were " + std::to_string(seen) + " (less " +
+                                  std::to_string(missing) + ", more " + std::to_string(more) + ")");
     };
     long open = 0, open_missing = 0, open_more = 0, came = 0;
-    for (const Book& b : books_) {
+    for (const TunnelRecord& b : tunnels_by_id_) {
         if (b.asked.node != node || b.state == State::unknown) continue;
         if (b.state == State::open || b.state == State::taken) ++open;
         if (now - b.changed_at < old) ++open_missing;
         if (b.state == State::asked || (b.state == State::over && now - b.changed_at < ending)) ++open_more;
     }
-    for (const auto& [from, sent] : setups_came_) came += from == node && sent >= since ? 1 : 0;
+    for (const auto& [from, sent] : setups_received_) came += from == node && sent >= since ? 1 : 0;
     check("open", number_in(body, "open_requests"), open, open_missing, open_more, 0.1);
     const long listed = number_in(body, "registry_entries"), out = number_in(body, "out_of_rotation");
-    if (listed < 0 || listed > static_cast<long>(day_.hosts) || out < 0 || out > listed)
-        broke("figures", "node " + std::to_string(node) + " lists " + std::to_string(listed) +
-                             " hosts and avoids " + std::to_string(out));
+    if (listed < 0 || listed > static_cast<long>(scenario_.servers) || out < 0 || out > listed)
+        report("figures", "node " + std::to_string(node) + " lists " + std::to_string(listed) +
+                              " hosts and avoids " + std::to_string(out));
     if (mixed) return;  // which process answered whom is not seen on the wire
     const long relayed = number_in(std::string_view(body).substr(body.rfind("},")), "relayed");
-    for (std::uint32_t p = 0; p < town_->profiles.size(); ++p) {
-        const auto at = body.find(std::string("\"").append(town_->profiles[p].name).append("\":{"));
-        if (at == std::string::npos) return broke("figures", "a class is missing");
+    for (std::uint32_t p = 0; p < environment_->profiles.size(); ++p) {
+        const auto at = body.find(std::string("\"").append(environment_->profiles[p].name).append("\":{"));
+        if (at == std::string::npos) return report("figures", "a class is missing");
         const std::string_view row = std::string_view(body).substr(at, body.find('}', at) - at);
         long seen[3] = {}, fresh[3] = {}, unsure = 0;
         for (const Attempt& b : attempts_) {
@@ -88,8 +88,8 @@
             check(names[i], number_in(row, names[i]), seen[i], fresh[i], unsure, 0.01);
     }
     if (relayed < came - 3 - came / 50)
-        broke("figures", "node " + std::to_string(node) + " tells " + std::to_string(relayed) +
-                             " attempts, hosts saw " + std::to_string(came));
+        report("figures", "node " + std::to_string(node) + " tells " + std::to_string(relayed) +
+                              " attempts, hosts saw " + std::to_string(came));
 }
 
 }  // namespace lemonstair::simulation
--- a/src/simulation/ledger.cpp
+++ b/src/simulation/ledger.cpp
@@ -29,9 +29,9 @@
     double most = 0;
     for (std::size_t first = 0, last = 0; last < h.came.size(); ++last) {
         while (h.came[last] - h.came[first] > window || (h.budget[first] <= 0 && first < last)) ++first;
-        const double bears = (h.budget[first] + h.budget[last]) / 2;
-        if (h.budget[last] > 0 && bears > 0)
-            most = std::max(most, static_cast<double>(last - first + 1) / bears);
+        const double overload_limit = (h.budget[first] + h.budget[last]) / 2;
+        if (h.budget[last] > 0 && overload_limit > 0)
+            most = std::max(most, static_cast<double>(last - first + 1) / overload_limit);
     }
     return most;
 }
--- a/src/simulation/main.cpp
+++ b/src/simulation/main.cpp
@@ -35,11 +35,12 @@
 double seconds(lemonstair::simulation::Ticks t) { return static_cast<double>(t) / 10000; }
 
 // A day of the file with the chances of a seed, or the seed's own.
-Scenario day_for(const std::string& file, std::uint64_t seed, bool operated) {
-    if (file.empty()) return operated ? simulation::draw_operated_day(seed) : simulation::draw_day(seed);
-    Scenario day = simulation::read_day(file);
-    day.seed = seed;
-    return day;
+Scenario scenario_for(const std::string& file, std::uint64_t seed, bool operated) {
+    if (file.empty())
+        return operated ? simulation::draw_operated_scenario(seed) : simulation::draw_scenario(seed);
+    Scenario scenario = simulation::read_scenario(file);
+    scenario.seed = seed;
+    return scenario;
 }
 
 // On a terminal only: how far a long work has come.
@@ -64,28 +65,28 @@
     std::chrono::steady_clock::time_point last_{};
 };
 
-void tell_broken(const Verdict& v, std::size_t most) {
+void print_violations(const Verdict& v, std::size_t most) {
     for (std::size_t i = 0; i < std::min(most, v.broken.size()); ++i)
         std::cout << "  " << std::fixed << std::setprecision(4) << seconds(v.broken[i].at) << " s  "
                   << v.broken[i].rule << ": " << v.broken[i].what << '\n';
     if (v.broken.size() > most) std::cout << "  and " << v.broken.size() - most << " more\n";
 }
 
-struct RunWish {
-    std::string seeds = "1..1000", day, json;
+struct RunOptions {
+    std::string seeds = "1..1000", scenario, json;
     unsigned jobs = std::max(1U, std::thread::hardware_concurrency());
     bool hashes = false, operated = false;
     std::size_t show = 3;
 };
 
-int run(const RunWish& wish) {
-    const simulation::Seeds seeds = simulation::parse_seeds(wish.seeds);
-    if (!wish.day.empty())
-        simulation::read_day(wish.day);  // a fault of the file is told before anything is played
+int run(const RunOptions& options) {
+    const simulation::SeedRange seeds = simulation::parse_seeds(options.seeds);
+    if (!options.scenario.empty())
+        simulation::read_scenario(options.scenario);  // a fault of the file is told before anything is played
     std::ofstream json;
-    if (!wish.json.empty()) json.open(wish.json);
-    if (!wish.json.empty() && !json) {
-        std::cerr << "lemonstair_simulation: '" << wish.json << "' cannot be written\n";
+    if (!options.json.empty()) json.open(options.json);
+    if (!options.json.empty() && !json) {
+        std::cerr << "lemonstair_simulation: '" << options.json << "' cannot be written\n";
         return wrong_use;
     }
     const auto begin = std::chrono::steady_clock::now();
@@ -96,18 +97,19 @@
     {
         Progress progress;
         simulation::play_all(
-            seeds, wish.jobs, [&](std::uint64_t seed) { return day_for(wish.day, seed, wish.operated); },
+            seeds, options.jobs,
+            [&](std::uint64_t seed) { return scenario_for(options.scenario, seed, options.operated); },
             [&](const Verdict& v) {
                 ++played;
                 simulated += seconds(v.simulated);
                 if (json.is_open()) json << simulation::json_of(v);
-                if (wish.hashes) std::cout << "seed " << v.seed << " trace " << hex(v.hash) << '\n';
+                if (options.hashes) std::cout << "seed " << v.seed << " trace " << hex(v.hash) << '\n';
                 if (!v.broken.empty()) {
                     ++bad;
-                    auto& [days, names] = rules[v.rule()];
-                    if (++days <= 8) names += " " + std::to_string(v.seed);
+                    auto& [scenarios, names] = rules[v.rule()];
+                    if (++scenarios <= 8) names += " " + std::to_string(v.seed);
                     std::cout << "seed " << v.seed << " breaks a rule:\n";
-                    tell_broken(v, wish.show);
+                    print_violations(v, options.show);
                 }
                 progress.say(std::to_string(played) + " of " + std::to_string(all) + " days, " +
                              std::to_string(bad) + " with a broken rule");
@@ -115,8 +117,8 @@
     }
     const double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - begin).count();
     std::cout << std::fixed << std::setprecision(1) << played << " days, " << simulated
-              << " simulated seconds in " << took << " s on " << wish.jobs
-              << " threads: " << std::setprecision(0) << simulated / took / wish.jobs
+              << " simulated seconds in " << took << " s on " << options.jobs
+              << " threads: " << std::setprecision(0) << simulated / took / options.jobs
               << " simulated seconds a second of one\n";
     if (bad == 0) {
         std::cout << "all rules kept\n";
@@ -130,38 +132,40 @@
     return broken;
 }
 
-struct ReplayWish {
+struct ReplayOptions {
     std::uint64_t seed = 0;
-    std::string day, trace;
+    std::string scenario, trace;
     bool operated = false;
 };
 
-int replay(const ReplayWish& wish) {
-    Scenario day = wish.seed == 0 && !wish.day.empty() ? simulation::read_day(wish.day)
-                                                       : day_for(wish.day, wish.seed, wish.operated);
+int replay(const ReplayOptions& options) {
+    Scenario scenario = options.seed == 0 && !options.scenario.empty()
+                            ? simulation::read_scenario(options.scenario)
+                            : scenario_for(options.scenario, options.seed, options.operated);
     std::ofstream trace;
-    if (!wish.trace.empty()) trace.open(wish.trace);
-    if (!wish.trace.empty() && !trace) {
-        std::cerr << "lemonstair_simulation: '" << wish.trace << "' cannot be written\n";
+    if (!options.trace.empty()) trace.open(options.trace);
+    if (!options.trace.empty() && !trace) {
+        std::cerr << "lemonstair_simulation: '" << options.trace << "' cannot be written\n";
         return wrong_use;
     }
-    const Verdict v = simulation::play(day, wish.trace.empty() ? nullptr : &trace);
+    const Verdict v = simulation::play(scenario, options.trace.empty() ? nullptr : &trace);
     std::cout << "seed " << v.seed << " trace " << hex(v.hash) << ", " << seconds(v.simulated)
               << " simulated seconds, " << v.steps << " steps\n  tunnels taken " << v.tally.taken
               << ", opened " << v.tally.opened << ", declined " << v.tally.declined << ", closed with error "
               << v.tally.failed << "; setups " << v.tally.setups << "; mid-flow " << v.tally.resumed
               << ", of which " << v.tally.not_held << " setups went to a host that does not hold it; moved "
-              << v.members.moved << "\n";
+              << v.clients.moved << "\n";
     if (v.broken.empty()) std::cout << "all rules kept\n";
-    tell_broken(v, 50);
+    print_violations(v, 50);
     return v.broken.empty() ? kept : broken;
 }
 
-int shrink(const ReplayWish& wish, const std::string& out) {
-    const Scenario day = wish.seed == 0 && !wish.day.empty() ? simulation::read_day(wish.day)
-                                                             : day_for(wish.day, wish.seed, wish.operated);
+int shrink(const ReplayOptions& options, const std::string& out) {
+    const Scenario scenario = options.seed == 0 && !options.scenario.empty()
+                                  ? simulation::read_scenario(options.scenario)
+                                  : scenario_for(options.scenario, options.seed, options.operated);
     const auto player = [](const Scenario& d) { return simulation::play(d); };
-    const Verdict v = player(day);
+    const Verdict v = player(scenario);
     if (v.broken.empty()) {
         std::cout << "all rules are kept: there is nothing to shrink\n";
         return kept;
@@ -169,12 +173,13 @@
     simulation::Shrunk small;
     {
         Progress progress;
-        small = simulation::shrink(day, v.rule(), player, 400, [&](const simulation::Shrunk& s) {
-            progress.say("played " + std::to_string(s.plays) + ", " + std::to_string(s.day.faults.size()) +
-                         " faults left");
+        small = simulation::shrink(scenario, v.rule(), player, 400, [&](const simulation::Shrunk& s) {
+            progress.say("played " + std::to_string(s.plays) + ", " +
+                         std::to_string(s.scenario.faults.size()) + " faults left");
         });
     }
-    const std::string text = "# breaks the rule '" + v.rule() + "'\n" + simulation::write_day(small.day);
+    const std::string text =
+        "# breaks the rule '" + v.rule() + "'\n" + simulation::write_scenario(small.scenario);
     if (out.empty()) {
         std::cout << text;
     } else {
@@ -184,28 +189,30 @@
             std::cerr << "lemonstair_simulation: '" << out << "' cannot be written\n";
             return wrong_use;
         }
-        std::cout << "'" << v.rule() << "' still breaks with " << small.day.faults.size() << " of "
-                  << day.faults.size() << " faults and " << small.day.members << " members; the day is in "
-                  << out << "\nnext: lemonstair_simulation replay --day " << out << " --trace FILE\n";
+        std::cout << "'" << v.rule() << "' still breaks with " << small.scenario.faults.size() << " of "
+                  << scenario.faults.size() << " faults and " << small.scenario.clients
+                  << " members; the day is in " << out << "\nnext: lemonstair_simulation replay --day " << out
+                  << " --trace FILE\n";
     }
     return broken;
 }
 
 void list() {
     std::cout << "Faults, as [[fault]] of a day with at_s:\n";
-    for (const auto& r : simulation::fault_rows()) {
+    for (const auto& r : simulation::fault_catalogue()) {
         std::string wants;
-        if (r.who == simulation::FaultRow::Who::node) wants += " node";
-        if (r.who == simulation::FaultRow::Who::host || r.kind == simulation::FaultKind::path_cut)
+        if (r.target == simulation::FaultInfo::Target::node) wants += " node";
+        if (r.target == simulation::FaultInfo::Target::server || r.kind == simulation::FaultKind::path_cut)
             wants += " host";
-        if (r.kind == simulation::FaultKind::rude) wants += " which";
-        if (r.spans) wants += " for_s";
-        if (r.measured) wants += " much";
-        if (r.counted) wants += " count";
-        std::cout << "  " << std::left << std::setw(20) << r.name << std::setw(22) << wants << r.does << '\n';
+        if (r.kind == simulation::FaultKind::misbehaving_clients) wants += " which";
+        if (r.has_duration) wants += " for_s";
+        if (r.has_magnitude) wants += " much";
+        if (r.has_count) wants += " count";
+        std::cout << "  " << std::left << std::setw(20) << r.name << std::setw(22) << wants << r.description
+                  << '\n';
     }
     std::cout << "\nRules:\n";
-    for (const auto& r : simulation::rule_rows())
+    for (const auto& r : simulation::rule_catalogue())
         std::cout << "  " << std::left << std::setw(14) << r.name << r.says << '\n';
     std::cout << "\nA day with all its keys (lemonstair_simulation list --day prints the one of a seed):\n";
 }
@@ -235,16 +242,16 @@
     }
     int run_chosen() {
         if (*run_) return run(run_options_);
-        if ((*replay_ || *shrink_) && one_.seed == 0 && one_.day.empty())
+        if ((*replay_ || *shrink_) && one_.seed == 0 && one_.scenario.empty())
             throw CLI::ValidationError("seed", "is missing, and no --day is given");
         if (*replay_) return replay(one_);
         if (*shrink_) return shrink(one_, out_);
         if (shown_ != 0) {
-            std::cout << simulation::write_day(simulation::draw_day(shown_));
+            std::cout << simulation::write_scenario(simulation::draw_scenario(shown_));
             return kept;
         }
         list();
-        std::cout << simulation::write_day(Scenario{});
+        std::cout << simulation::write_scenario(Scenario{});
         return kept;
     }
     CLI::App app{
@@ -256,7 +263,7 @@
         run_->add_option("--seeds", run_options_.seeds, "one seed or a range, as 1..10000")
             ->capture_default_str();
         run_->add_option("--jobs", run_options_.jobs, "threads")->check(CLI::Range(1U, 1024U));
-        run_->add_option("--day", run_options_.day, "this day with the chances of each seed");
+        run_->add_option("--day", run_options_.scenario, "this day with the chances of each seed");
         run_->add_option("--json", run_options_.json, "a line of JSON for each seed into this file");
         run_->add_option("--show", run_options_.show, "how many broken rules to tell of each day");
         run_->add_flag("--operated", run_options_.operated, operated_help);
@@ -264,11 +271,11 @@
     }
     void add_one(CLI::App* command) {
         command->add_option("seed", one_.seed, "the seed; left out, that of the day's file");
-        command->add_option("--day", one_.day, "a day written as TOML");
+        command->add_option("--day", one_.scenario, "a day written as TOML");
         command->add_flag("--operated", one_.operated, operated_help);
     }
-    RunWish run_options_;
-    ReplayWish one_;
+    RunOptions run_options_;
+    ReplayOptions one_;
     std::string out_;
     std::uint64_t shown_ = 0;
     CLI::App *run_ = nullptr, *replay_ = nullptr, *shrink_ = nullptr;
--- a/src/simulation/operator_actions.cpp
+++ b/src/simulation/operator_actions.cpp
@@ -17,12 +17,17 @@
 
 }  // namespace
 
-OperatorActions::OperatorActions(const Scenario& day, simnet::EventQueue& events, simnet::Network& network,
-                                 fakes::TestEnvironment& town, Invariants& rules, SimulatedNodes& nodes)
-    : day_(day), events_(events), rules_(rules), nodes_(nodes), upgrades_(day.nodes) {
-    if (!day_.operated) return;
-    client_ = std::make_unique<fakes::Operators>(town, network.add_machine());
-    for (std::uint32_t n = 0; n < day_.nodes; ++n) {
+OperatorActions::OperatorActions(const Scenario& scenario, simnet::EventQueue& events,
+                                 simnet::Network& network, fakes::TestEnvironment& environment,
+                                 Invariants& invariants, SimulatedNodes& nodes)
+    : scenario_(scenario),
+      events_(events),
+      invariants_(invariants),
+      nodes_(nodes),
+      upgrades_(scenario.nodes) {
+    if (!scenario_.operated) return;
+    client_ = std::make_unique<fakes::AdminClient>(environment, network.add_machine());
+    for (std::uint32_t n = 0; n < scenario_.nodes; ++n) {
         nodes_.share_listener(n);
         schedule(events_.start_time() + metrics_interval, Kind::read_metrics, n);
     }
@@ -34,17 +39,17 @@
 
 // A node that has no descriptors to spare cannot answer operators.
 bool OperatorActions::starved(std::uint32_t node) const {
-    return std::any_of(day_.faults.begin(), day_.faults.end(),
-                       [&](const Fault& f) { return f.kind == FaultKind::node_starve && f.who == node; });
+    return std::any_of(scenario_.faults.begin(), scenario_.faults.end(),
+                       [&](const Fault& f) { return f.kind == FaultKind::node_starve && f.target == node; });
 }
 
-void OperatorActions::call(std::uint32_t node, const char* line, fakes::Operators::Told told) {
+void OperatorActions::call(std::uint32_t node, const char* line, fakes::AdminClient::Callback callback) {
     client_->call(nodes_.slot(node).current.admin_address, std::string(line) + " HTTP/1.1\r\nHost: n\r\n\r\n",
-                  std::move(told));
+                  std::move(callback));
 }
 
 void OperatorActions::open_idle_connections(std::uint32_t node, int count) {
-    client_->come_and_stay(nodes_.slot(node).current.admin_address, count);
+    client_->open_idle(nodes_.slot(node).current.admin_address, count);
 }
 
 // ---- metrics
@@ -57,12 +62,13 @@
          [this, node, incarnation = s.incarnation, upgrades = s.upgrades](const auto& answer) {
              const Ticks now = events_.now();
              if (!nodes_.is_single_process(node, incarnation, upgrades) || starved(node) ||
-                 !rules_.undisturbed(node, now - answer.took - second, now))
+                 !invariants_.was_undisturbed(node, now - answer.took - second, now))
                  return;
              if (answer.status != 200)
-                 return rules_.broke("call", "node " + std::to_string(node) + " gave no figures in a second");
+                 return invariants_.report("call",
+                                           "node " + std::to_string(node) + " gave no figures in a second");
              const NodeProcess& current = nodes_.slot(node).current;
-             rules_.figures_told(node, answer.body, current.started_at, current.shared_clients);
+             invariants_.judge_metrics(node, answer.body, current.started_at, current.shared_clients);
          });
 }
 
@@ -77,10 +83,10 @@
 }
 
 void OperatorActions::poll_health(std::uint64_t fault, std::uint32_t upgrades) {
-    const Fault& f = day_.faults[fault];
-    const ProcessSlot& s = nodes_.slot(f.who);
+    const Fault& f = scenario_.faults[fault];
+    const ProcessSlot& s = nodes_.slot(f.target);
     if (s.upgrades != upgrades || !s.previous.process) return;
-    check_health(f.who, f.kind == FaultKind::node_upgrade);
+    check_health(f.target, f.kind == FaultKind::node_upgrade);
     schedule(events_.now() + health_interval, Kind::poll_health, fault, upgrades);
 }
 
@@ -96,8 +102,9 @@
         });
         return;
     }
-    if (!starved(node) && rules_.undisturbed(node, upgrade.began, now))
-        rules_.broke("upgrade", "the new process of node " + std::to_string(node) + " says no yes in 6 s");
+    if (!starved(node) && invariants_.was_undisturbed(node, upgrade.began, now))
+        invariants_.report("upgrade",
+                           "the new process of node " + std::to_string(node) + " says no yes in 6 s");
     upgrade.healthy_at = now;
 }
 
@@ -121,47 +128,47 @@
 // ---- drain
 
 void OperatorActions::drain(const Fault& f, std::uint64_t fault) {
-    ProcessSlot& s = nodes_.slot(f.who);
-    if (!nodes_.is_single_process(f.who, s.incarnation, s.upgrades) || s.drained) return;
+    ProcessSlot& s = nodes_.slot(f.target);
+    if (!nodes_.is_single_process(f.target, s.incarnation, s.upgrades) || s.drained) return;
     s.drained = true;
-    rules_.node_drained(f.who, true);
-    call(f.who, "POST /healthcheck/fail", [](const auto&) {});
+    invariants_.node_drained(f.target, true);
+    call(f.target, "POST /healthcheck/fail", [](const auto&) {});
     schedule(events_.now() + drained_within, Kind::check_drained, fault, s.incarnation);
 }
 
 // By then no client is sent there, and none is held there but where packets pass.
 void OperatorActions::check_drained(std::uint64_t fault, std::uint32_t incarnation) {
-    const Fault& f = day_.faults[fault];
-    const ProcessSlot& s = nodes_.slot(f.who);
+    const Fault& f = scenario_.faults[fault];
+    const ProcessSlot& s = nodes_.slot(f.target);
     const Ticks now = events_.now();
     if (!s.current.node || s.incarnation != incarnation) return;
-    const bool same = nodes_.is_single_process(f.who, incarnation, s.upgrades) &&
-                      rules_.undisturbed(f.who, now - drained_within - second, now);
-    if (same && s.drained && !starved(f.who)) {
-        rules_.judge_drained(f.who);
-        call(f.who, "GET /healthcheck", [this, node = f.who](const auto& answer) {
+    const bool same = nodes_.is_single_process(f.target, incarnation, s.upgrades) &&
+                      invariants_.was_undisturbed(f.target, now - drained_within - second, now);
+    if (same && s.drained && !starved(f.target)) {
+        invariants_.judge_drained(f.target);
+        call(f.target, "GET /healthcheck", [this, node = f.target](const auto& answer) {
             if (answer.status == 200 && nodes_.slot(node).drained)
-                rules_.broke("drained",
-                             "node " + std::to_string(node) + " still says yes 4 s after the call");
+                invariants_.report("drained",
+                                   "node " + std::to_string(node) + " still says yes 4 s after the call");
         });
     }
-    schedule(now + f.span, Kind::end_drain, fault, incarnation);
+    schedule(now + f.duration, Kind::end_drain, fault, incarnation);
 }
 
 void OperatorActions::end_drain(const Fault& f, std::uint32_t incarnation) {
-    ProcessSlot& s = nodes_.slot(f.who);
+    ProcessSlot& s = nodes_.slot(f.target);
     if (!s.current.node || s.incarnation != incarnation || !s.drained) return;
     s.drained = false;
-    rules_.node_drained(f.who, false);
-    call(f.who, "POST /healthcheck/ok", [](const auto&) {});
-    const auto check = [this, node = f.who, incarnation, upgrades = s.upgrades] {
+    invariants_.node_drained(f.target, false);
+    call(f.target, "POST /healthcheck/ok", [](const auto&) {});
+    const auto check = [this, node = f.target, incarnation, upgrades = s.upgrades] {
         call(node, "GET /healthcheck", [this, node, incarnation, upgrades](const auto& answer) {
             const Ticks now = events_.now();
             if (answer.status != 200 && nodes_.is_single_process(node, incarnation, upgrades) &&
                 !nodes_.slot(node).drained && !starved(node) &&
-                rules_.undisturbed(node, now - undrained_within - second, now))
-                rules_.broke("drained",
-                             "node " + std::to_string(node) + " says no 2 s after the drain's end");
+                invariants_.was_undisturbed(node, now - undrained_within - second, now))
+                invariants_.report("drained",
+                                   "node " + std::to_string(node) + " says no 2 s after the drain's end");
         });
     };
     undrained_checks_.emplace_back(check);
@@ -182,7 +189,7 @@
         case Kind::check_drained:
             return check_drained(event.index, event.incarnation);
         case Kind::end_drain:
-            return end_drain(day_.faults[event.index], event.incarnation);
+            return end_drain(scenario_.faults[event.index], event.incarnation);
         case Kind::check_undrained:
             return undrained_checks_[event.index]();
     }
--- a/src/simulation/operator_actions.h
+++ b/src/simulation/operator_actions.h
@@ -15,8 +15,8 @@
 class OperatorActions final : public simnet::EventTarget {
   public:
     // In a scenario with operators: adds their machine, and schedules the first reading of metrics.
-    OperatorActions(const Scenario& day, simnet::EventQueue& events, simnet::Network& network,
-                    fakes::TestEnvironment& town, Invariants& rules, SimulatedNodes& nodes);
+    OperatorActions(const Scenario& scenario, simnet::EventQueue& events, simnet::Network& network,
+                    fakes::TestEnvironment& environment, Invariants& invariants, SimulatedNodes& nodes);
 
     // `fault`: its place in the scenario. As the platform does it: the previous process has SIGTERM once the
     // new one says that it is healthy.
@@ -41,7 +41,7 @@
         Ticks began = 0, healthy_at = 0;  // 0: not yet
     };
     void schedule(Ticks when, Kind kind, std::uint64_t index, std::uint32_t incarnation = 0);
-    void call(std::uint32_t node, const char* line, fakes::Operators::Told told);
+    void call(std::uint32_t node, const char* line, fakes::AdminClient::Callback callback);
     bool starved(std::uint32_t node) const;
     void read_metrics(std::uint32_t node);
     void poll_health(std::uint64_t fault, std::uint32_t upgrades);
@@ -50,12 +50,12 @@
     void check_drained(std::uint64_t fault, std::uint32_t incarnation);
     void end_drain(const Fault& f, std::uint32_t incarnation);
 
-    const Scenario& day_;
+    const Scenario& scenario_;
     simnet::EventQueue& events_;
-    Invariants& rules_;
+    Invariants& invariants_;
     SimulatedNodes& nodes_;
-    std::unique_ptr<fakes::Operators> client_;  // null in a scenario without operators
-    std::vector<Upgrade> upgrades_;             // by node: the last
+    std::unique_ptr<fakes::AdminClient> client_;  // null in a scenario without operators
+    std::vector<Upgrade> upgrades_;               // by node: the last
     std::vector<std::function<void()>> undrained_checks_;
 };
 
--- a/src/simulation/rule_catalogue.cpp
+++ b/src/simulation/rule_catalogue.cpp
@@ -2,8 +2,8 @@
 
 namespace lemonstair::simulation {
 
-const std::vector<RuleRow>& rule_rows() {
-    static const std::vector<RuleRow> rows{
+const std::vector<RuleInfo>& rule_catalogue() {
+    static const std::vector<RuleInfo> rows{
         {"answer", "each tunnel taken gets one final answer, within the wait that it told and 50 ms"},
         {"twice", "nothing follows a decline, an error or a MOVE; nothing is served that no host gave"},
         {"effect",
--- a/src/simulation/runner.cpp
+++ b/src/simulation/runner.cpp
@@ -11,7 +11,7 @@
 
 namespace lemonstair::simulation {
 
-Seeds parse_seeds(const std::string& text) {
+SeedRange parse_seeds(const std::string& text) {
     const auto number = [&](std::string_view part) {
         std::uint64_t n = 0;
         const auto [stop, error] = std::from_chars(part.data(), part.data() + part.size(), n);
@@ -20,14 +20,14 @@
         return n;
     };
     const auto dots = text.find("..");
-    Seeds seeds;
+    SeedRange seeds;
     seeds.first = number(std::string_view(text).substr(0, dots));
     seeds.last = dots == std::string::npos ? seeds.first : number(std::string_view(text).substr(dots + 2));
     if (seeds.last < seeds.first) throw std::invalid_argument("'" + text + "' ends before it begins");
     return seeds;
 }
 
-void play_all(const Seeds& seeds, unsigned jobs, const DayOf& day_of,
+void play_all(const SeedRange& seeds, unsigned jobs, const ScenarioSource& scenario_of,
               const std::function<void(const Verdict&)>& each) {
     std::atomic<std::uint64_t> next{seeds.first};
     std::mutex telling;
@@ -39,7 +39,7 @@
             const std::uint64_t seed = next++;
             if (seed > seeds.last) return;
             try {
-                Verdict v = play(day_of(seed));
+                Verdict v = play(scenario_of(seed));
                 const std::lock_guard lock(telling);
                 early.emplace(seed, std::move(v));
                 for (auto it = early.find(turn); it != early.end(); it = early.find(++turn)) {
--- a/src/simulation/runner.h
+++ b/src/simulation/runner.h
@@ -10,18 +10,18 @@
 
 namespace lemonstair::simulation {
 
-struct Seeds {
+struct SeedRange {
     std::uint64_t first = 1, last = 1;
 };
 
 // "7" or "1..10000"; throws std::invalid_argument, in one sentence.
-Seeds parse_seeds(const std::string& text);
+SeedRange parse_seeds(const std::string& text);
 
 // The day of a seed: drawn from it, or the same day each time with its chances drawn anew.
-using DayOf = std::function<Scenario(std::uint64_t seed)>;
+using ScenarioSource = std::function<Scenario(std::uint64_t seed)>;
 
 // Plays all seeds on so many threads; `each` hears of them in the seeds' order, from one thread at a time.
-void play_all(const Seeds& seeds, unsigned jobs, const DayOf& day_of,
+void play_all(const SeedRange& seeds, unsigned jobs, const ScenarioSource& scenario_of,
               const std::function<void(const Verdict&)>& each);
 
 // One line of JSON, with its end.
--- a/src/simulation/scenario.h
+++ b/src/simulation/scenario.h
@@ -1,5 +1,5 @@
-// A day of the lab: the town, its traffic, and the faults that meet it. Drawn from a seed, or read from TOML.
-// Times are tenths of a ms since dawn.
+// Scenario of a simulation or a process harness run: the fleet, its traffic, the network and the faults that
+// meet it. Drawn from a seed, or read from TOML. Times are tenths of a ms since the scenario's start.
 #pragma once
 
 #include <cstdint>
@@ -16,54 +16,66 @@
 
 namespace lemonstair::simulation {
 
-// As many as machines and ports of the rig's blocks of the loopback leave room for (rig/places.h).
-inline constexpr std::uint32_t most_nodes = 4096, most_hosts = 2048;
+// The loopback plan of the process harness has addresses and ports for so many (address_plan.h).
+inline constexpr std::uint32_t most_nodes = 4096, most_servers = 2048;
 
+// A run's fleet, traffic, network and faults. Durations are tenths of a ms, work is in cores.
 struct Scenario {
     std::uint64_t seed = 1;
-    Ticks span = 200000;
-    std::uint32_t nodes = 3, hosts = 5, members = 100;
-    std::uint32_t cold_hosts = 0;                      // the last of them have just started at dawn
-    bool alike = false;                                // hosts and tunnels are of one size
+    Ticks duration = 200000;
+
+    // ---- fleet
+    std::uint32_t nodes = 3, servers = 5, clients = 100;
+    std::uint32_t cold_servers = 0;                    // the last of them, in slow start at the beginning
+    bool uniform = false;                              // servers and tunnels are of one size
     bool must_poll = false;                            // membership_mode "ask"
     double probe_price = 0.0016, peer_price = 0.0001;  // in credits; a datagram of 256 bytes
-
     bool packet_passthrough = true, peers = true, probing = true, groups = true;
     std::uint32_t sockets = 256;  // descriptors of a node
     int max_attempts = 3;
-    bool operated = false;        // operators call, and the platform holds the clients' listeners
-    double known = 1;             // share of the hosts that the nodes know at their start
-    Ticks clocks_apart = 0;       // nodes' clocks are ahead by up to this
-    Ticks notices_after = 20000;  // the front, that a node has died
-    Ticks told_after = 5000;      // discovery, that a host has changed
-    Ticks pass_takes = 1;
-    double load = 0.4;                             // of all hosts, by all members together
-    Ticks arrive_within = 80000;                   // members come evenly within this span
-    Ticks least_life = 20000, more_life = 120000;  // of a tunnel: at least, and a mean beyond that
-    double tunnel_load = 0;                        // mean of a tunnel, in cores; 0: from `load`
-    simnet::NetworkConditions weather;
-    fakes::ClientBehavior manners;
-    fakes::ServerTraits host;  // what hosts have in common; sizes are drawn around it
-    // Of each cold host's budget, in any window of host.fall, judged from the wire at the end; 0: not judged.
-    double most_of_budget = 0;
-    // Of the soak: a process may be held up for so long between reading its clock and writing; an answer
-    // counts as missing so long after its time; the bound on what a cold host is sent is judged.
-    Ticks held_up = 0, answer_slack = 500;
-    bool slow_start_judged = false;
+    bool operated = false;          // operators act, and the platform holds the clients' listeners
+    double known_share = 1;         // of the servers, that the nodes know at their start
+    Ticks max_clock_skew = 0;       // nodes' clocks are ahead by up to this
+    Ticks detection_delay = 20000;  // until the front notices that a node has died
+    Ticks discovery_delay = 5000;   // until discovery tells that a server has changed
+    Ticks loop_pass_time = 1;       // that a pass of a node's event loop takes
+
+    // ---- traffic
+    double load = 0.4;             // of all servers' capacity, by all clients together
+    Ticks arrival_window = 80000;  // clients arrive evenly within it
+    Ticks min_lifetime = 20000, mean_extra_lifetime = 120000;  // of a tunnel
+    double tunnel_load = 0;                                    // mean of a tunnel, in cores; 0: from `load`
+    fakes::ClientBehavior client_behavior;
+
+    simnet::NetworkConditions network;
+    fakes::ServerTraits server;  // what servers have in common; sizes are drawn around it
+
+    // ---- bounds
+    // Share of its budget that a server in slow start may be sent in any window of
+    // server.overload_window; 0: not judged.
+    double max_budget_share = 0;
+    // Process harness: a process may be paused for so long between reading its clock and writing.
+    Ticks max_process_pause = 0;
+    Ticks answer_slack = 500;       // an answer counts as late when it is so much over its time
+    bool judge_slow_start = false;  // whether the slow_start rule is judged
+
     std::vector<Fault> faults;
 };
 
-// A fault of the file: its name, line and key, and what is wrong, in one sentence.
+// A scenario file that cannot be used: what() names file, line and key, in one sentence.
 struct InvalidScenario : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
-Scenario draw_day(std::uint64_t seed);
-// The same, with operators who call, drain and upgrade nodes: the faults of the day and these.
-Scenario draw_operated_day(std::uint64_t seed);
-// Keys that the file leaves out keep what `Day` gives them. Throws InvalidScenario.
-Scenario read_day(const std::string& path);
-Scenario parse_day(std::string_view text, const std::string& name);
-std::string write_day(const Scenario& day);
+// The same seed draws the same scenario in every version.
+Scenario draw_scenario(std::uint64_t seed);
+// The same scenario, with operators who act: its faults and theirs.
+Scenario draw_operated_scenario(std::uint64_t seed);
+// Keys that the file leaves out keep Scenario's defaults. Throws InvalidScenario.
+Scenario read_scenario(const std::string& path);
+// `name`: the file's, for errors.
+Scenario parse_scenario(std::string_view text, const std::string& name);
+// As TOML, with all keys; parse_scenario gives the same scenario again.
+std::string write_scenario(const Scenario& scenario);
 
 }  // namespace lemonstair::simulation
--- a/src/simulation/shrink.h
+++ b/src/simulation/shrink.h
@@ -9,7 +9,7 @@
 namespace lemonstair::simulation {
 
 struct Shrunk {
-    Scenario day;
+    Scenario scenario;
     std::string rule;
     int plays = 0;
 };
@@ -19,7 +19,7 @@
 
 // Drops faults, then what the day does not need; at most so many days are played. `told` hears after each
 // play.
-Shrunk shrink(const Scenario& day, const std::string& rule, const Player& player, int most_plays = 400,
+Shrunk shrink(const Scenario& scenario, const std::string& rule, const Player& player, int most_plays = 400,
               const std::function<void(const Shrunk&)>& told = {});
 
 }  // namespace lemonstair::simulation
--- a/src/simulation/simulated_nodes.cpp
+++ b/src/simulation/simulated_nodes.cpp
@@ -19,30 +19,35 @@
 // Log lines of a node go into the trace; a violation that the node found itself breaks a rule.
 class TraceDrain final : public log::Drain {
   public:
-    TraceDrain(fakes::TestEnvironment& town, Invariants& rules, std::uint32_t node)
-        : town_(town), rules_(rules), node_(node) {}
+    TraceDrain(fakes::TestEnvironment& environment, Invariants& invariants, std::uint32_t node)
+        : environment_(environment), invariants_(invariants), node_(node) {}
     std::size_t take(std::string_view text) override {
-        town_.note("log", node_, 0, text.substr(0, text.size() - (text.empty() ? 0 : 1)));
+        environment_.note("log", node_, 0, text.substr(0, text.size() - (text.empty() ? 0 : 1)));
         if (const auto at = text.find(metrics::violation_mark); at != std::string_view::npos)
-            rules_.broke("self_check",
-                         "node " + std::to_string(node_) + ": " + std::string(text.substr(at, 100)));
+            invariants_.report("self_check",
+                               "node " + std::to_string(node_) + ": " + std::string(text.substr(at, 100)));
         return text.size();
     }
 
   private:
-    fakes::TestEnvironment& town_;
-    Invariants& rules_;
+    fakes::TestEnvironment& environment_;
+    Invariants& invariants_;
     std::uint32_t node_;
 };
 
 }  // namespace
 
-SimulatedNodes::SimulatedNodes(const Scenario& day, simnet::EventQueue& events, simnet::Network& network,
-                               simnet::RandomSource& chance, Invariants& rules, Tamper* tamper)
-    : day_(day), events_(events), network_(network), rules_(rules), tamper_(tamper), slots_(day.nodes) {
+SimulatedNodes::SimulatedNodes(const Scenario& scenario, simnet::EventQueue& events, simnet::Network& network,
+                               simnet::RandomSource& random, Invariants& invariants, Tamper* tamper)
+    : scenario_(scenario),
+      events_(events),
+      network_(network),
+      invariants_(invariants),
+      tamper_(tamper),
+      slots_(scenario.nodes) {
     for (ProcessSlot& s : slots_) {
         s.machine = network_.add_machine();
-        if (day_.clocks_apart > 0) s.clock_ahead = chance.between(Ticks{0}, day_.clocks_apart);
+        if (scenario_.max_clock_skew > 0) s.clock_ahead = random.between(Ticks{0}, scenario_.max_clock_skew);
     }
 }
 
@@ -71,25 +76,25 @@
     if (s.current.node) return;
     ++s.incarnation;
     s.leaving = s.drained = false;
-    rules_.node_started(node);
+    invariants_.node_started(node);
     if (!start_process(node)) end(node, Invariants::NodeEnd::crashed);
 }
 
 void SimulatedNodes::make_process(std::uint32_t node, NodeProcess& running) {
     const ProcessSlot& s = slots_[node];
-    const Process::Traits traits{s.clock_ahead, day_.pass_takes, day_.sockets};
+    const Process::Traits traits{s.clock_ahead, scenario_.loop_pass_time, scenario_.sockets};
     running.process = std::make_unique<Process>(events_, network_, s.machine, traits);
     running.process->files()[file_name] = s.file;
-    running.drain = std::make_unique<TraceDrain>(*town_, rules_, node);
+    running.drain = std::make_unique<TraceDrain>(*environment_, invariants_, node);
     running.log = std::make_unique<log::Log>(log::Level::info, *running.drain);
     running.started_at = events_.now();
     running.shared_clients = s.previous.process != nullptr;
 }
 
 config::Environment SimulatedNodes::make_environment(ProcessSlot& s) {
-    if (!day_.operated) return {};
+    if (!scenario_.operated) return {};
     NodeProcess& running = s.current;
-    running.process->live_beside(*s.local_sockets);
+    running.process->attach_local_sockets(*s.local_sockets);
     running.inherited = std::to_string(running.process->inherit(*s.listener));
     // Two processes of a node have admin addresses of their own.
     running.admin_address = simnet::Network::address(s.machine, admin_port);
@@ -122,12 +127,12 @@
     net::System* system = running.process.get();
     if (tamper_ != nullptr && (running.tampered = tamper_->between(*running.process)) != nullptr)
         system = running.tampered.get();
-    town_->note("node starts", node, s.incarnation);
+    environment_->note("node starts", node, s.incarnation);
     try {
         running.source = std::make_unique<config::ConfigSource>(*system, file_name, around);
         running.node = make_node(running, *system);
     } catch (const std::exception& e) {
-        rules_.broke("crash", "node " + std::to_string(node) + " does not start: " + e.what());
+        invariants_.report("crash", "node " + std::to_string(node) + " does not start: " + e.what());
         return false;
     }
     running.process->start([this, node, process = running.process.get()] { return pass(node, process); });
@@ -140,10 +145,10 @@
     const ProcessSlot& s = slots_[node];
     if (!s.previous.process || !s.previous.process->runs() || !s.current.process) return;
     const std::size_t current = s.current.process->held(), previous = s.previous.process->held();
-    if (current + previous <= day_.sockets) return;
-    rules_.broke("descriptors", "both processes of node " + std::to_string(node) + " held " +
-                                    std::to_string(current) + " and " + std::to_string(previous) + " of " +
-                                    std::to_string(day_.sockets));
+    if (current + previous <= scenario_.sockets) return;
+    invariants_.report("descriptors", "both processes of node " + std::to_string(node) + " held " +
+                                          std::to_string(current) + " and " + std::to_string(previous) +
+                                          " of " + std::to_string(scenario_.sockets));
 }
 
 // A process that has left is kept: it must not be destroyed while a call of it is on the stack.
@@ -154,11 +159,11 @@
         const bool goes_on = running.node->turn();
         check_descriptors(node);
         if (goes_on) return true;
-        town_->note("node left", node, s.incarnation);
-        if (&running == &s.current) rules_.node_ended(node, Invariants::NodeEnd::left);
+        environment_->note("node left", node, s.incarnation);
+        if (&running == &s.current) invariants_.node_ended(node, Invariants::NodeEnd::left);
     } catch (const std::exception& e) {
-        rules_.broke("crash", "node " + std::to_string(node) + ": " + e.what());
-        rules_.node_ended(node, Invariants::NodeEnd::crashed);
+        invariants_.report("crash", "node " + std::to_string(node) + ": " + e.what());
+        invariants_.node_ended(node, Invariants::NodeEnd::crashed);
     }
     return false;
 }
@@ -184,7 +189,7 @@
     s.previous = std::exchange(s.current, {});
     ++s.upgrades;
     s.drained = false;  // the new one begins serving
-    rules_.node_drained(node, false);
+    invariants_.node_drained(node, false);
     const bool started = start_process(node);
     if (!started) end(node, Invariants::NodeEnd::crashed);
     return started;
@@ -193,8 +198,8 @@
 // What the new one had taken over is lost to the clients, as in a stall.
 void SimulatedNodes::abort_upgrade(std::uint32_t node) {
     ProcessSlot& s = slots_[node];
-    town_->note("new process dies", node, s.incarnation);
-    rules_.node_stalled(node, events_.now());
+    environment_->note("new process dies", node, s.incarnation);
+    invariants_.node_stalled(node, events_.now());
     end_process(node, s.current);
     s.current = std::exchange(s.previous, {});
     s.current.shared_clients = true;
@@ -205,8 +210,8 @@
 void SimulatedNodes::end(std::uint32_t node, Invariants::NodeEnd how) {
     ProcessSlot& s = slots_[node];
     if (!s.current.process) return;
-    if (s.current.process->runs() || !s.current.node) rules_.node_ended(node, how);
-    town_->note("node ends", node, s.incarnation);
+    if (s.current.process->runs() || !s.current.node) invariants_.node_ended(node, how);
+    environment_->note("node ends", node, s.incarnation);
     end_process(node, s.previous);
     end_process(node, s.current);
 }
@@ -217,13 +222,13 @@
     usage_.passes += process.passes();
     usage_.most_descriptors = std::max(usage_.most_descriptors, process.most_held());
     usage_.longest_spin = std::max(usage_.longest_spin, process.longest_spin());
-    if (process.most_held() > day_.sockets)
-        rules_.broke("descriptors", "node " + std::to_string(node) + " held " +
-                                        std::to_string(process.most_held()) + " of " +
-                                        std::to_string(day_.sockets));
+    if (process.most_held() > scenario_.sockets)
+        invariants_.report("descriptors", "node " + std::to_string(node) + " held " +
+                                              std::to_string(process.most_held()) + " of " +
+                                              std::to_string(scenario_.sockets));
     if (process.longest_spin() > most_spin)
-        rules_.broke("spin", "node " + std::to_string(node) + " made " +
-                                 std::to_string(process.longest_spin()) + " passes for nothing");
+        invariants_.report("spin", "node " + std::to_string(node) + " made " +
+                                       std::to_string(process.longest_spin()) + " passes for nothing");
     running.process->die();
     running.node.reset();
     running.source.reset();
@@ -242,15 +247,15 @@
         usage_.most_timers = std::max(usage_.most_timers, holds.timers);
         const auto check = [&](std::size_t held, std::size_t most, const char* what) {
             if (held > most)
-                rules_.broke("left_over", "node " + std::to_string(n) + " is empty and holds " +
-                                              std::to_string(held) + what);
+                invariants_.report("left_over", "node " + std::to_string(n) + " is empty and holds " +
+                                                    std::to_string(held) + what);
         };
         check(clients, allowed, " connections of clients");
-        check(calls, day_.hosts + 1, " calls");
+        check(calls, scenario_.servers + 1, " calls");
         check(holds.tunnels, allowed, " tunnels");
         check(holds.buffers, allowed, " buffers");
         // Timers of tunnels that are gone fall due within their clients' time: two for each tunnel at most.
-        const std::size_t of_tunnels = 2 * std::size_t{day_.members} / day_.nodes;
+        const std::size_t of_tunnels = 2 * std::size_t{scenario_.clients} / scenario_.nodes;
         check(holds.timers, std::max(most_idle_timers, of_tunnels), " timers");
     }
 }
--- a/src/simulation/simulated_nodes.h
+++ b/src/simulation/simulated_nodes.h
@@ -55,13 +55,13 @@
     };
 
     // Adds a machine for each node to the network.
-    SimulatedNodes(const Scenario& day, simnet::EventQueue& events, simnet::Network& network,
-                   simnet::RandomSource& chance, Invariants& rules, Tamper* tamper);
+    SimulatedNodes(const Scenario& scenario, simnet::EventQueue& events, simnet::Network& network,
+                   simnet::RandomSource& random, Invariants& invariants, Tamper* tamper);
     SimulatedNodes(const SimulatedNodes&) = delete;
     SimulatedNodes& operator=(const SimulatedNodes&) = delete;
     ~SimulatedNodes();
     // Before the first start.
-    void attach(fakes::TestEnvironment& town) { town_ = &town; }
+    void attach(fakes::TestEnvironment& environment) { environment_ = &environment; }
     // The platform holds the node's listener, so that two processes of it can run at once.
     void share_listener(std::uint32_t node);
 
@@ -99,12 +99,12 @@
     bool pass(std::uint32_t node, const simnet::Process* process);
     void check_descriptors(std::uint32_t node);
 
-    const Scenario& day_;
+    const Scenario& scenario_;
     simnet::EventQueue& events_;
     simnet::Network& network_;
-    Invariants& rules_;
+    Invariants& invariants_;
     Tamper* tamper_;
-    fakes::TestEnvironment* town_ = nullptr;
+    fakes::TestEnvironment* environment_ = nullptr;
     std::vector<ProcessSlot> slots_;
     std::vector<std::unique_ptr<simnet::Process>> ended_;  // the event queue may still name them
     Usage usage_;
--- a/src/simulation/simulation.cpp
+++ b/src/simulation/simulation.cpp
@@ -24,7 +24,7 @@
 
 class Simulation final : public simnet::EventTarget, public Topology, public NodeFaults {
   public:
-    Simulation(const Scenario& day, std::ostream* trace, Tamper* tamper);
+    Simulation(const Scenario& scenario, std::ostream* trace, Tamper* tamper);
     Verdict run();
     void on_event(std::uint64_t token) override;
 
@@ -56,59 +56,60 @@
     void play_until(Ticks until);
     Verdict make_verdict();
 
-    const Scenario day_;
+    const Scenario scenario_;
     EventQueue events_;
     simnet::Trace trace_;
-    RandomSource chance_;
+    RandomSource random_;
     simnet::Network network_;
-    Invariants rules_;
-    std::unique_ptr<Fixture> stage_;  // outlives the nodes, whose logs go through it
+    Invariants invariants_;
+    std::unique_ptr<Fixture> fixture_;  // outlives the nodes, whose logs go through it
     SimulatedNodes nodes_;
     std::unique_ptr<OperatorActions> operators_;
     std::unique_ptr<FaultInjector> injector_;
 };
 
-Simulation::Simulation(const Scenario& day, std::ostream* trace, Tamper* tamper)
-    : day_(day),
+Simulation::Simulation(const Scenario& scenario, std::ostream* trace, Tamper* tamper)
+    : scenario_(scenario),
       trace_(trace),
-      chance_(day.seed ^ 0xda71a8),
-      network_(events_, trace_, chance_.part(1), day.weather),
-      rules_(day_, events_, network_),
-      nodes_(day_, events_, network_, chance_, rules_, tamper) {
-    stage_ = std::make_unique<Fixture>(day_, events_, trace_, network_, rules_, chance_, *this);
-    nodes_.attach(stage_->town());
-    operators_ = std::make_unique<OperatorActions>(day_, events_, network_, stage_->town(), rules_, nodes_);
-    injector_ = std::make_unique<FaultInjector>(day_, events_, *stage_, *this);
-    for (const Fault& f : day_.faults)
+      random_(scenario.seed ^ 0xda71a8),
+      network_(events_, trace_, random_.part(1), scenario.network),
+      invariants_(scenario_, events_, network_),
+      nodes_(scenario_, events_, network_, random_, invariants_, tamper) {
+    fixture_ = std::make_unique<Fixture>(scenario_, events_, trace_, network_, invariants_, random_, *this);
+    nodes_.attach(fixture_->environment());
+    operators_ = std::make_unique<OperatorActions>(scenario_, events_, network_, fixture_->environment(),
+                                                   invariants_, nodes_);
+    injector_ = std::make_unique<FaultInjector>(scenario_, events_, *fixture_, *this);
+    for (const Fault& f : scenario_.faults)
         if (f.kind == FaultKind::datagrams_old) network_.keep_datagrams();
 }
 
 // ---- faults of the nodes' processes
 
 void Simulation::leave(const Fault& f, std::uint64_t index) {
-    ProcessSlot& slot = nodes_.slot(f.who);
+    ProcessSlot& slot = nodes_.slot(f.target);
     if (!slot.current.node || slot.leaving || slot.previous.process) return;
     slot.leaving = true;
-    rules_.node_told_to_leave(f.who);
-    nodes_.signal(f.who, SIGTERM);
-    stage_->front().leaves(f.who, chance_.between(second / 5, second * 2 / 5));
+    invariants_.node_told_to_drain_out(f.target);
+    nodes_.signal(f.target, SIGTERM);
+    fixture_->front().leaves(f.target, random_.between(second / 5, second * 2 / 5));
     schedule(events_.now() + kill_after_leave, Kind::kill_late, index, slot.incarnation);
 }
 
 void Simulation::stall(const Fault& f) {
-    const ProcessSlot& slot = nodes_.slot(f.who);
+    const ProcessSlot& slot = nodes_.slot(f.target);
     if (!slot.runs()) return;
-    rules_.node_stalled(f.who, events_.now() + f.span);
-    if (slot.previous.process) slot.previous.process->stall(f.span);
-    slot.current.process->stall(f.span);
+    invariants_.node_stalled(f.target, events_.now() + f.duration);
+    if (slot.previous.process) slot.previous.process->stall(f.duration);
+    slot.current.process->stall(f.duration);
 }
 
 void Simulation::begin_node_fault(const Fault& f, std::uint64_t index) {
     using K = FaultKind;
-    const ProcessSlot& slot = nodes_.slot(f.who);
+    const ProcessSlot& slot = nodes_.slot(f.target);
     switch (f.kind) {
         case K::node_kill:
-            return nodes_.end(f.who, Invariants::NodeEnd::killed);
+            return nodes_.end(f.target, Invariants::NodeEnd::killed);
         case K::node_leave:
             return leave(f, index);
         case K::node_stall:
@@ -117,18 +118,18 @@
             if (slot.current.process) slot.current.process->starve(true);
             return;
         case K::node_reload:
-            return nodes_.signal(f.who, SIGHUP);
+            return nodes_.signal(f.target, SIGHUP);
         case K::node_upgrade:
         case K::node_upgrade_fails:
-            return operators_->upgrade(f.who, index);
+            return operators_->upgrade(f.target, index);
         case K::node_drain:
             return operators_->drain(f, index);
-        case K::node_callers:
-            return operators_->open_idle_connections(f.who, static_cast<int>(f.count));
+        case K::node_idle_connections:
+            return operators_->open_idle_connections(f.target, static_cast<int>(f.count));
         case K::node_reload_broken:
             if (!slot.current.process) return;
-            nodes_.write_half_file(f.who);
-            return nodes_.signal(f.who, SIGHUP);
+            nodes_.write_half_file(f.target);
+            return nodes_.signal(f.target, SIGHUP);
         default:
             return;
     }
@@ -138,16 +139,16 @@
     using K = FaultKind;
     switch (f.kind) {
         case K::node_kill:
-            nodes_.start(f.who);
+            nodes_.start(f.target);
             return true;
         case K::node_upgrade_fails:
-            operators_->fail_upgrade(f.who);
+            operators_->fail_upgrade(f.target);
             return true;
         case K::node_starve:
-            if (nodes_.slot(f.who).current.process) nodes_.slot(f.who).current.process->starve(false);
+            if (nodes_.slot(f.target).current.process) nodes_.slot(f.target).current.process->starve(false);
             return true;
         case K::node_reload_broken:
-            new_file(f.who, nodes_.slot(f.who).file);
+            new_file(f.target, nodes_.slot(f.target).file);
             return true;
         default:
             return false;
@@ -165,10 +166,10 @@
         case Kind::restart:
             return nodes_.start(static_cast<std::uint32_t>(event.index));
         case Kind::kill_late: {
-            const Fault& f = day_.faults[event.index];
-            if (nodes_.slot(f.who).incarnation != event.incarnation) return;
-            nodes_.end(f.who, Invariants::NodeEnd::killed_late);
-            return schedule(events_.now() + f.span, Kind::restart, f.who);
+            const Fault& f = scenario_.faults[event.index];
+            if (nodes_.slot(f.target).incarnation != event.incarnation) return;
+            nodes_.end(f.target, Invariants::NodeEnd::killed_late);
+            return schedule(events_.now() + f.duration, Kind::restart, f.target);
         }
     }
 }
@@ -178,42 +179,42 @@
 void Simulation::play_until(Ticks until) {
     while (events_.steps() < most_steps && events_.step(until)) continue;
     events_.pass_to(until);
-    if (events_.steps() >= most_steps) rules_.broke("spin", "the day does not end");
+    if (events_.steps() >= most_steps) invariants_.report("spin", "the day does not end");
 }
 
 Verdict Simulation::run() {
-    stage_->open();
+    fixture_->open();
     for (std::uint32_t n = 0; n < nodes_.size(); ++n) {
-        nodes_.slot(n).file = stage_->file_for(n);
+        nodes_.slot(n).file = fixture_->file_for(n);
         nodes_.start(n);
     }
-    stage_->let_clients_come();
-    const Ticks last = events_.start_time() + day_.span;
+    fixture_->start_clients();
+    const Ticks last = events_.start_time() + scenario_.duration;
     injector_->schedule_all();
     play_until(last);
-    stage_->go_home();
+    fixture_->stop_all();
     play_until(last + quiet);
     nodes_.check_leftovers();
-    rules_.judge_bounds();
+    invariants_.judge_bounds();
     for (std::uint32_t n = 0; n < nodes_.size(); ++n) nodes_.end(n, Invariants::NodeEnd::killed);
     return make_verdict();
 }
 
 Verdict Simulation::make_verdict() {
     Verdict verdict;
-    verdict.seed = day_.seed;
-    verdict.broken = rules_.broken();
-    verdict.tally = rules_.tally();
-    verdict.members = stage_->members().tally();
-    for (std::uint32_t h = 0; h < day_.hosts; ++h)
-        verdict.most_of_budget =
-            std::max(verdict.most_of_budget, rules_.ledger().most_of_budget(h, day_.host.fall));
+    verdict.seed = scenario_.seed;
+    verdict.broken = invariants_.broken();
+    verdict.tally = invariants_.tally();
+    verdict.clients = fixture_->clients().tally();
+    for (std::uint32_t h = 0; h < scenario_.servers; ++h)
+        verdict.most_of_budget = std::max(
+            verdict.most_of_budget, invariants_.ledger().most_of_budget(h, scenario_.server.overload_window));
     verdict.steps = events_.steps();
     verdict.passes = nodes_.usage().passes;
     verdict.most_descriptors = nodes_.usage().most_descriptors;
     verdict.longest_spin = nodes_.usage().longest_spin;
     verdict.most_timers = nodes_.usage().most_timers;
-    verdict.simulated = day_.span + quiet;
+    verdict.simulated = scenario_.duration + quiet;
     for (const Broken& b : verdict.broken) trace_.note(b.at, "broken", 0, 0, b.rule + ": " + b.what);
     verdict.hash = trace_.hash();
     return verdict;
@@ -221,8 +222,8 @@
 
 }  // namespace
 
-Verdict play(const Scenario& day, std::ostream* trace, Tamper* tamper) {
-    Simulation simulation(day, trace, tamper);
+Verdict play(const Scenario& scenario, std::ostream* trace, Tamper* tamper) {
+    Simulation simulation(scenario, trace, tamper);
     return simulation.run();
 }
 
--- a/src/simulation/simulation.h
+++ b/src/simulation/simulation.h
@@ -29,7 +29,7 @@
     std::uint64_t seed = 0, hash = 0;
     std::vector<Broken> broken;
     Invariants::Tally tally;
-    fakes::FakeClients::Tally members;
+    fakes::FakeClients::Tally clients;
     std::uint64_t steps = 0, passes = 0;
     std::size_t most_descriptors = 0, longest_spin = 0, most_timers = 0;
     Ticks simulated = 0;
@@ -39,6 +39,6 @@
 };
 
 // Plays a day to its end. The same day gives the same trace, whatever else the process does.
-Verdict play(const Scenario& day, std::ostream* trace = nullptr, Tamper* tamper = nullptr);
+Verdict play(const Scenario& scenario, std::ostream* trace = nullptr, Tamper* tamper = nullptr);
 
 }  // namespace lemonstair::simulation
--- a/src/soak/main.cpp
+++ b/src/soak/main.cpp
@@ -71,35 +71,35 @@
 };
 
 process_harness::RunResult play(const Options& options, std::uint64_t seed, const volatile bool& stop) {
-    const simulation::Scenario day = soak::draw_soak_day(seed, options.nodes);
+    const simulation::Scenario scenario = soak::draw_soak_scenario(seed, options.nodes);
     const LogFolder logs;
-    process_harness::HarnessOptions wish{options.program, logs.path().string(), {}};
-    wish.environment = [&](std::uint32_t node, std::uint32_t life) {
+    process_harness::HarnessOptions harness_options{options.program, logs.path().string(), {}};
+    harness_options.environment = [&](std::uint32_t node, std::uint32_t incarnation) {
         std::vector<std::string> more{"LEMONSTAIR_LOG=debug"};
         if (options.plain) return more;
         more.push_back("LD_PRELOAD=" + options.shim);
         more.push_back(std::string(soak::plan_variable) + "=" +
-                       soak::write_plan(soak::draw_plan(seed, node, life)));
+                       soak::write_plan(soak::draw_plan(seed, node, incarnation)));
         more.push_back("ASAN_OPTIONS=verify_asan_link_order=0");
         return more;
     };
-    process_harness::RunResult outcome = process_harness::play(day, wish, stop);
+    process_harness::RunResult outcome = process_harness::play(scenario, harness_options, stop);
     for (const std::string& line : logs.violations()) outcome.broken.push_back({0, "self_check", line});
     if (!outcome.broken.empty() && !options.keep.empty()) logs.keep_in(options.keep, seed);
     return outcome;
 }
 
-void tell(const Options& options, std::uint64_t seed, const process_harness::RunResult& outcome) {
-    const simulation::Scenario day = soak::draw_soak_day(seed, options.nodes);
+void print_result(const Options& options, std::uint64_t seed, const process_harness::RunResult& outcome) {
+    const simulation::Scenario scenario = soak::draw_soak_scenario(seed, options.nodes);
     std::cout << "seed " << seed << ": " << outcome.nodes << " processes, taken " << outcome.tally.taken
               << ", opened " << outcome.tally.opened << ", declined " << outcome.tally.declined
               << ", closed with error " << outcome.tally.failed << "; " << outcome.broken.size() << " broken"
-              << (outcome.can_tell() ? "" : " (machine too busy)") << '\n';
+              << (outcome.is_conclusive() ? "" : " (machine too busy)") << '\n';
     if (outcome.broken.empty()) return;
     std::cout << "  faults:";
-    for (const simulation::Fault& fault : day.faults)
-        std::cout << ' ' << simulation::row_of(fault.kind).name << '@'
-                  << static_cast<double>(fault.at) / 10000;
+    for (const simulation::Fault& fault : scenario.faults)
+        std::cout << ' ' << simulation::fault_info(fault.kind).name << '@'
+                  << static_cast<double>(fault.start) / 10000;
     std::cout << "\n  first process: " << soak::write_plan(soak::draw_plan(seed, 0, 1)) << '\n';
     for (std::size_t i = 0; i < std::min(options.show, outcome.broken.size()); ++i)
         std::cout << "  " << static_cast<double>(outcome.broken[i].at) / 10000 << " s  "
@@ -107,28 +107,28 @@
 }
 
 int run(const Options& options, const volatile bool& stop) {
-    const simulation::Seeds seeds = simulation::parse_seeds(options.seeds);
+    const simulation::SeedRange seeds = simulation::parse_seeds(options.seeds);
     std::ofstream json;
     if (!options.json.empty()) json.open(options.json, std::ios::app);
     std::map<std::string, int> seeds_of_rule;
-    int days = 0, days_broken = 0, days_untold = 0;
+    int scenarios = 0, scenarios_broken = 0, scenarios_undecided = 0;
     for (std::uint64_t seed = seeds.first; seed <= seeds.last && !stop; ++seed) {
         const process_harness::RunResult outcome = play(options, seed, stop);
         if (outcome.interrupted) break;
-        ++days;
+        ++scenarios;
         if (json.is_open()) json << process_harness::json_of(outcome) << std::flush;
-        tell(options, seed, outcome);
+        print_result(options, seed, outcome);
         std::cout << std::flush;
         if (outcome.broken.empty()) continue;
-        ++(outcome.can_tell() ? days_broken : days_untold);
+        ++(outcome.is_conclusive() ? scenarios_broken : scenarios_undecided);
         std::map<std::string, int> rules;
         for (const simulation::Broken& one : outcome.broken) rules[one.rule] = 1;
         for (const auto& [rule, one] : rules) seeds_of_rule[rule] += one;
     }
-    std::cout << days << " days, " << days_broken << " with a broken rule, " << days_untold
+    std::cout << scenarios << " days, " << scenarios_broken << " with a broken rule, " << scenarios_undecided
               << " more on which the machine was too busy to tell\n";
     for (const auto& [rule, count] : seeds_of_rule) std::cout << "  " << rule << " on " << count << '\n';
-    return days_broken > 0 ? broken : days_untold > 0 ? too_busy : kept;
+    return scenarios_broken > 0 ? broken : scenarios_undecided > 0 ? too_busy : kept;
 }
 
 }  // namespace
--- a/src/soak/soak_scenario.h
+++ b/src/soak/soak_scenario.h
@@ -10,9 +10,9 @@
 namespace lemonstair::soak {
 
 // `nodes`: so many processes; 0: drawn.
-simulation::Scenario draw_soak_day(std::uint64_t seed, std::uint32_t nodes);
+simulation::Scenario draw_soak_scenario(std::uint64_t seed, std::uint32_t nodes);
 
 // Of one life of one process.
-FaultPlan draw_plan(std::uint64_t seed, std::uint32_t node, std::uint32_t life);
+FaultPlan draw_plan(std::uint64_t seed, std::uint32_t node, std::uint32_t incarnation);
 
 }  // namespace lemonstair::soak
--- a/tests/lab.cpp
+++ b/tests/lab.cpp
@@ -64,7 +64,7 @@
 Verdict play_file(const std::string& name, std::string* trace = nullptr) {
     std::ostringstream out;
     const Verdict v = simulation::play(
-        simulation::read_day(std::string(LEMONSTAIR_SCENARIOS) + "/" + name + ".toml"), &out);
+        simulation::read_scenario(std::string(LEMONSTAIR_SCENARIOS) + "/" + name + ".toml"), &out);
     for (const auto& b : v.broken) MESSAGE(name << " " << b.at << ": " << b.rule << ": " << b.what);
     CHECK(v.broken.empty());
     CHECK(v.tally.opened > 0);
@@ -81,7 +81,7 @@
 // The fault of a day's text, in one sentence.
 std::string fault_of(const std::string& text) {
     try {
-        simulation::parse_day(text, "day.toml");
+        simulation::parse_scenario(text, "day.toml");
     } catch (const simulation::InvalidScenario& e) {
         return e.what();
     }
@@ -246,9 +246,9 @@
 
 TEST_CASE("a day that is drawn can be written, read again and plays the same") {
     for (const std::uint64_t seed : {3U, 17U, 40U, 41U}) {
-        const Scenario day = simulation::draw_day(seed);
-        const Scenario again = simulation::parse_day(simulation::write_day(day), "again.toml");
-        CHECK(simulation::write_day(again) == simulation::write_day(day));
+        const Scenario day = simulation::draw_scenario(seed);
+        const Scenario again = simulation::parse_scenario(simulation::write_scenario(day), "again.toml");
+        CHECK(simulation::write_scenario(again) == simulation::write_scenario(day));
         CHECK(simulation::play(again).hash == simulation::play(day).hash);
     }
 }
@@ -283,7 +283,7 @@
 
 TEST_CASE("a seed gives the same trace twice, on one thread and on many") {
     std::vector<std::uint64_t> alone, together;
-    const auto drawn = [](std::uint64_t seed) { return simulation::draw_day(seed); };
+    const auto drawn = [](std::uint64_t seed) { return simulation::draw_scenario(seed); };
     simulation::play_all({1, 24}, 1, drawn, [&](const Verdict& v) { alone.push_back(v.hash); });
     simulation::play_all({1, 24}, 7, drawn, [&](const Verdict& v) { together.push_back(v.hash); });
     CHECK(alone == together);
@@ -291,8 +291,8 @@
     CHECK(std::unique(alone.begin(), alone.end()) == alone.end());
     // As on the build that this was written with, optimised or not: the trace depends on the seed alone.
     std::ostringstream one, two;
-    const Verdict v = simulation::play(simulation::draw_day(5), &one);
-    CHECK(simulation::play(simulation::draw_day(5), &two).hash == v.hash);
+    const Verdict v = simulation::play(simulation::draw_scenario(5), &one);
+    CHECK(simulation::play(simulation::draw_scenario(5), &two).hash == v.hash);
     CHECK(one.str() == two.str());
 }
 
@@ -356,7 +356,7 @@
     const Verdict v = play_file("reload_while_leaving", &trace);
     CHECK(count(trace, "new configuration not taken") == 2);
     CHECK(count(trace, "node left") == 1);
-    CHECK(v.members.moved > 0);
+    CHECK(v.clients.moved > 0);
 }
 
 TEST_CASE("discovery moves to a service whose revisions are lower, and restarts") {
@@ -407,8 +407,8 @@
         for (int k = 0; k < 4; ++k) {
             simulation::Fault f;
             f.kind = simulation::FaultKind::node_upgrade;
-            f.at = 20000 + 40000 * k + 3000 * static_cast<simulation::Ticks>(n);
-            f.who = n;
+            f.start = 20000 + 40000 * k + 3000 * static_cast<simulation::Ticks>(n);
+            f.target = n;
             day.faults.push_back(f);
         }
     std::ostringstream out;
@@ -417,15 +417,15 @@
     CHECK(v.broken.empty());
     CHECK(count(out.str(), "hand-over: offering -> handing") == 12);
     CHECK(v.tally.cut == 0);
-    CHECK(v.members.moved == 0);
+    CHECK(v.clients.moved == 0);
     CHECK(v.tally.opened > 80);
 }
 
 TEST_CASE("the same day with operators gives the same trace, and its TOML gives it again") {
-    const Scenario day = simulation::draw_operated_day(7);
+    const Scenario day = simulation::draw_operated_scenario(7);
     const Verdict a = simulation::play(day), b = simulation::play(day);
     CHECK(a.hash == b.hash);
-    CHECK(simulation::play(simulation::parse_day(simulation::write_day(day), "day")).hash == a.hash);
+    CHECK(simulation::play(simulation::parse_scenario(simulation::write_scenario(day), "day")).hash == a.hash);
 }
 
 // ---- the rules can be broken
@@ -474,7 +474,7 @@
     };
     for (const Row& row : rows) {
         const auto draw = [&](std::uint64_t seed) {
-            return row.operated ? simulation::draw_operated_day(seed) : simulation::draw_day(seed);
+            return row.operated ? simulation::draw_operated_scenario(seed) : simulation::draw_scenario(seed);
         };
         const auto player = [&](const Scenario& day) {
             spoilt::Spoiler spoiler(row.fault);
@@ -493,11 +493,11 @@
         CHECK(simulation::play(day).broken.empty());  // the node as it is keeps the rule on this very day
         const auto small = simulation::shrink(day, found.rule(), player, 120);
         MESSAGE(row.name << ": seed " << seed << " breaks '" << found.rule() << "', shrunk to "
-                         << small.day.faults.size() << " of " << day.faults.size() << " faults, "
-                         << small.day.members << " members");
-        CHECK(small.day.faults.size() <= row.most_faults);
-        CHECK(small.day.members <= day.members);
-        const Verdict again = player(small.day);
+                         << small.scenario.faults.size() << " of " << day.faults.size() << " faults, "
+                         << small.scenario.clients << " members");
+        CHECK(small.scenario.faults.size() <= row.most_faults);
+        CHECK(small.scenario.clients <= day.clients);
+        const Verdict again = player(small.scenario);
         CHECK(std::any_of(again.broken.begin(), again.broken.end(),
                           [&](const simulation::Broken& b) { return b.rule == found.rule(); }));
     }
