--- a/src/fakes/clients.cpp
+++ b/src/fakes/clients.cpp
@@ -208,7 +208,7 @@
     close_connection(index);
     if (client.state == State::done || client.state == State::pausing) return;
     if (client.finished_sending) return transition_to(index, State::done);
-    // A way for its packets is looked for as long as the host keeps the connection.
+    // A way for its packets is looked for as long as the server keeps the connection.
     if (client.state == State::calling && client.resuming &&
         environment_.now() - client.lost_at < environment_.park)
         return pause(index, second / 3);
@@ -326,7 +326,7 @@
     expected = number;
     client.unechoed_since = client.echoes_received < client.lines_sent
                                 ? environment_.now()
-                                : 0;  // any line of the host is one that came back
+                                : 0;  // any line of the server is one that came back
 }
 
 void FakeClients::on_event(std::uint64_t what) {
--- a/src/fakes/clients.h
+++ b/src/fakes/clients.h
@@ -19,7 +19,7 @@
     std::uint32_t group = 0;    // 0: none
     std::uint32_t profile = 0;  // place in the town's
     double load = 0;            // in cores; told to the node as a guess
-    Ticks from = 0, until = 0;  // since dawn
+    Ticks from = 0, until = 0;  // since the start
 };
 
 struct ClientBehavior {
@@ -68,7 +68,7 @@
         LineReader reader;
         std::string waiting;
         std::uint32_t lines_sent = 0, echoes_received = 0,
-                      pushes_received = 0;  // lines: its own, answered, the host's
+                      pushes_received = 0;  // lines: its own, answered, the server's
         Ticks unechoed_since = 0, reported_silence = 0, lost_at = 0;
     };
     enum Kind : std::uint64_t {
--- a/src/fakes/discovery.cpp
+++ b/src/fakes/discovery.cpp
@@ -44,8 +44,8 @@
     sends_keepalives_ = true;
 }
 
-void FakeDiscovery::change(std::uint32_t host, const DiscoveryEntry& entry, Ticks after) {
-    pending_changes_.push_back({host, entry});
+void FakeDiscovery::change(std::uint32_t server, const DiscoveryEntry& entry, Ticks after) {
+    pending_changes_.push_back({server, entry});
     environment_.events.schedule(environment_.now() + after, *this,
                                  token(change_due, pending_changes_.size() - 1));
 }
@@ -131,11 +131,11 @@
 }
 
 std::string FakeDiscovery::list_json(Machine node, bool whole,
-                                     const std::vector<std::uint32_t>& hosts) const {
+                                     const std::vector<std::uint32_t>& servers) const {
     std::string text = "{\"revision\":" + std::to_string(revision_) +
                        ",\"complete\":" + (whole ? "true" : "false") + ",\"members\":[";
     bool first = true;
-    for (const std::uint32_t h : hosts) {
+    for (const std::uint32_t h : servers) {
         text += first ? "" : ",";
         text += entry_json(list_[h], environment_.network.seen_by(node, list_[h].at));
         first = false;
@@ -156,19 +156,19 @@
     if (c.known_revision == revision_) return write_chunk(index, "");
     // After a number that this service never gave, the whole list.
     const bool whole = c.known_revision == 0 || c.known_revision > revision_;
-    std::vector<std::uint32_t> hosts;
+    std::vector<std::uint32_t> servers;
     for (std::uint32_t h = 0; h < list_.size(); ++h)
         if (whole ? list_[h].phase != DiscoveryEntry::Phase::terminated : changed_[h] > c.known_revision)
-            hosts.push_back(h);
-    write_chunk(index, list_json(c.node, whole, hosts));
-    notify(index, hosts);
+            servers.push_back(h);
+    write_chunk(index, list_json(c.node, whole, servers));
+    notify(index, servers);
 }
 
 // The witness hears of it when it has come to the node's machine.
-void FakeDiscovery::notify(std::uint32_t index, const std::vector<std::uint32_t>& hosts) {
+void FakeDiscovery::notify(std::uint32_t index, const std::vector<std::uint32_t>& servers) {
     notifications_.push_back({calls_[index].node, {}});
-    for (const std::uint32_t h : hosts)
-        notifications_.back().hosts.emplace_back(h, list_[h].phase == DiscoveryEntry::Phase::active);
+    for (const std::uint32_t h : servers)
+        notifications_.back().servers.emplace_back(h, list_[h].phase == DiscoveryEntry::Phase::active);
     environment_.network.notify_delivered(calls_[index].end, *this,
                                           token(delivered, notifications_.size() - 1));
 }
@@ -185,28 +185,29 @@
             return environment_.events.schedule(environment_.now() + keepalive_interval, *this, what);
         case change_due: {
             const Change& c = pending_changes_[index];
-            list_[c.host] = c.entry;
-            changed_[c.host] = ++revision_;
-            environment_.note("discovery says", c.host, static_cast<std::uint64_t>(c.entry.phase),
+            list_[c.server] = c.entry;
+            changed_[c.server] = ++revision_;
+            environment_.note("discovery says", c.server, static_cast<std::uint64_t>(c.entry.phase),
                               c.entry.id);
             const int corrupt = std::exchange(corrupt_, 0);
             for (std::uint32_t i = 0; i < calls_.size(); ++i) {
                 if (calls_[i].over || !calls_[i].watches || silent_) continue;
                 if (corrupt == 1) write_chunk(i, "{\"revision\":");  // the watch is given up, and comes back
                 if (corrupt == 1) continue;
-                std::string text = list_json(calls_[i].node, false, {c.host});
+                std::string text = list_json(calls_[i].node, false, {c.server});
                 if (corrupt == 2)
                     text.insert(text.find('[') + 1,
                                 R"({"host_port":"10.77.0.9:8443","phase":"in_service"},)");
                 if (corrupt == 3) write_chunk(i, R"({"revision":1,"complete":true,"members":[]})");
                 write_chunk(i, text);
-                notify(i, {c.host});
+                notify(i, {c.server});
             }
             return;
         }
         case delivered:
-            for (const auto& [host, active] : notifications_[index].hosts)
-                environment_.execution_log.endpoint_state_delivered(notifications_[index].node, host, active);
+            for (const auto& [server, active] : notifications_[index].servers)
+                environment_.execution_log.endpoint_state_delivered(notifications_[index].node, server,
+                                                                    active);
             return;
         case retire_due:
             for (std::uint32_t i = 0; i < calls_.size(); ++i) end(i);
--- a/src/fakes/discovery.h
+++ b/src/fakes/discovery.h
@@ -13,7 +13,7 @@
 
 namespace lemonstair::fakes {
 
-// What the list says of a host, kept once for all services that tell it.
+// What the list says of a server, kept once for all services that tell it.
 struct DiscoveryEntry {
     std::string id, zone;
     std::uint32_t cell = 0;
@@ -23,7 +23,7 @@
     enum class Phase : std::uint8_t { active, terminating, terminated } phase = Phase::active;
 };
 
-// As the one who sees the host at this address is told.
+// As the one who sees the server at this address is told.
 std::string entry_json(const DiscoveryEntry& l, const net::Address& at);
 
 class FakeDiscovery final : public simnet::StreamListener, public simnet::EventTarget {
@@ -39,8 +39,8 @@
     void open(std::vector<DiscoveryEntry> list);
     net::Address address() const { return environment_.network.place(machine_, port_); }
     std::uint64_t revision() const { return revision_; }
-    // A host's entry has changed; watches are told after a while.
-    void change(std::uint32_t host, const DiscoveryEntry& entry, Ticks after);
+    // A server's entry has changed; watches are told after a while.
+    void change(std::uint32_t server, const DiscoveryEntry& entry, Ticks after);
 
     // ---- faults
     void down(bool on);    // calls are refused, watches end
@@ -65,9 +65,9 @@
     };
     enum Kind : std::uint64_t { answer_call, keepalive, change_due, delivered, retire_due };
     std::uint64_t token(Kind kind, std::uint64_t index) const { return std::uint64_t{kind} << 56 | index; }
-    std::string list_json(Machine node, bool whole, const std::vector<std::uint32_t>& hosts) const;
+    std::string list_json(Machine node, bool whole, const std::vector<std::uint32_t>& servers) const;
     void write_chunk(std::uint32_t index, std::string_view line);
-    void notify(std::uint32_t index, const std::vector<std::uint32_t>& hosts);
+    void notify(std::uint32_t index, const std::vector<std::uint32_t>& servers);
     void end(std::uint32_t index);
     void answer(std::uint32_t index);
 
@@ -77,17 +77,17 @@
     std::uint64_t revision_;
     simnet::RandomSource random_;
     std::vector<DiscoveryEntry> list_;
-    std::vector<std::uint64_t> changed_;  // by host: the revision of its last change
+    std::vector<std::uint64_t> changed_;  // by server: the revision of its last change
     std::vector<Call> calls_;
     std::unordered_map<std::uint64_t, std::uint32_t> by_end_;
     struct Change {
-        std::uint32_t host;
+        std::uint32_t server;
         DiscoveryEntry entry;
     };
     std::vector<Change> pending_changes_;
     struct Notification {
         Machine node;
-        std::vector<std::pair<std::uint32_t, bool>> hosts;  // and whether each is in service
+        std::vector<std::pair<std::uint32_t, bool>> servers;  // and whether each is in service
     };
     std::vector<Notification> notifications_;  // words under way
     Ticks answer_after_ = 5;
--- a/src/fakes/environment.h
+++ b/src/fakes/environment.h
@@ -1,4 +1,5 @@
-// What all stand-ins of a day share: the agenda, the network, the trace, the witness, and where everybody is.
+// What all stand-ins of a scenario share: the agenda, the network, the trace, the witness, and where
+// everybody is.
 #pragma once
 
 #include <array>
@@ -21,7 +22,7 @@
     ExecutionLog& execution_log;
     std::vector<Profile> profiles;
     bool packet_passthrough = false;  // a connection goes on through another node when its own has died
-    Ticks park = 60000;               // how long a host keeps such a connection whose packets have stopped
+    Ticks park = 60000;               // how long a server keeps such a connection whose packets have stopped
 
     Ticks now() const { return events.now(); }
     Ticks elapsed() const { return events.now() - events.start_time(); }
--- a/src/fakes/execution_log.h
+++ b/src/fakes/execution_log.h
@@ -35,7 +35,7 @@
     std::uint32_t node = 0;
     std::uint32_t profile = 0;
     Ticks wait = 0;            // that the line tells
-    bool mid_flow = false;     // the tunnel is open at a host
+    bool mid_flow = false;     // the tunnel is open at a server
     bool slow_reader = false;  // the client leaves bytes unread for seconds
     End end;
 };
@@ -64,20 +64,21 @@
     // A client that no node need serve had nothing in all its time.
     virtual void misbehaving_client_unanswered(std::uint32_t node, std::string_view how) = 0;
 
-    // ---- hosts
+    // ---- servers
     // A first line has come whole; its first byte was written at `first`.
-    virtual void setup_received(TunnelId tunnel, std::uint32_t host, End end, Ticks first, bool mid_flow) = 0;
-    virtual void setup_answered(TunnelId tunnel, std::uint32_t host, Answer answer) = 0;
-    // A mid-flow tunnel came to a host that does not hold it.
-    virtual void mid_flow_unknown(TunnelId tunnel, std::uint32_t host) = 0;
-    // The host has ended the tunnel's connection, or its process died.
-    virtual void server_ended(TunnelId tunnel, std::uint32_t host) = 0;
-    virtual void server_overloaded(std::uint32_t host, double asked, double overload_limit) = 0;
-    virtual void invalid_line(std::uint32_t host, std::string_view line) = 0;
+    virtual void setup_received(TunnelId tunnel, std::uint32_t server, End end, Ticks first,
+                                bool mid_flow) = 0;
+    virtual void setup_answered(TunnelId tunnel, std::uint32_t server, Answer answer) = 0;
+    // A mid-flow tunnel came to a server that does not hold it.
+    virtual void mid_flow_unknown(TunnelId tunnel, std::uint32_t server) = 0;
+    // The server has ended the tunnel's connection, or its process died.
+    virtual void server_ended(TunnelId tunnel, std::uint32_t server) = 0;
+    virtual void server_overloaded(std::uint32_t server, double asked, double overload_limit) = 0;
+    virtual void invalid_line(std::uint32_t server, std::string_view line) = 0;
 
     // ---- discovery
-    // Word that a host takes nothing new any more, or is in service, has come to a node's machine.
-    virtual void endpoint_state_delivered(std::uint32_t node, std::uint32_t host, bool active) = 0;
+    // Word that a server takes nothing new any more, or is in service, has come to a node's machine.
+    virtual void endpoint_state_delivered(std::uint32_t node, std::uint32_t server, bool active) = 0;
 
     // ---- both
     // A line was lost, doubled, changed or overtaken, or was under way for too long.
--- a/src/fakes/server_connections.cpp
+++ b/src/fakes/server_connections.cpp
@@ -111,7 +111,7 @@
     }
 }
 
-// The tunnel is over here; the witness hears of it where the host itself ended it.
+// The tunnel is over here; the witness hears of it where the server itself ended it.
 void FakeServer::finish(std::uint32_t index, bool says_so) {
     Connection& connection = connections_[index];
     if (connection.step == Step::open) {
--- a/src/process_harness/main.cpp
+++ b/src/process_harness/main.cpp
@@ -25,7 +25,7 @@
     std::string scenario, seeds, program, json, logs;
     std::uint32_t nodes = 0;
     std::size_t show = 10;
-    bool hosts = false;
+    bool servers = false;
 };
 
 void print_result(const Options& options, const process_harness::RunResult& o) {
@@ -37,11 +37,11 @@
               << o.costs.bytes << " bytes, " << std::setprecision(2) << o.costs.processor_ms
               << " ms of a core; " << o.costs.memory_kb / 1024 << " MB at most\n";
     bool any_cold = false;
-    for (const auto& h : o.hosts) any_cold = any_cold || h.cold || h.most_of_budget > 0;
-    for (std::size_t h = 0; h < o.hosts.size() && (any_cold || options.hosts); ++h)
-        std::cout << "  host " << std::setw(3) << h << (o.hosts[h].cold ? " cold" : " warm") << "  setups "
-                  << std::setw(5) << o.hosts[h].setups << "  at most at once " << o.hosts[h].most_at_once
-                  << ", " << o.hosts[h].most_of_budget << " of its budget\n";
+    for (const auto& h : o.servers) any_cold = any_cold || h.cold || h.most_of_budget > 0;
+    for (std::size_t h = 0; h < o.servers.size() && (any_cold || options.servers); ++h)
+        std::cout << "  host " << std::setw(3) << h << (o.servers[h].cold ? " cold" : " warm") << "  setups "
+                  << std::setw(5) << o.servers[h].setups << "  at most at once " << o.servers[h].most_at_once
+                  << ", " << o.servers[h].most_of_budget << " of its budget\n";
     for (std::size_t i = 0; i < std::min(options.show, o.broken.size()); ++i)
         std::cout << "  " << std::setprecision(4) << seconds(o.broken[i].at) << " s  " << o.broken[i].rule
                   << ": " << o.broken[i].what << '\n';
@@ -105,7 +105,7 @@
     command->add_option("--logs", options.logs, "the nodes' logs into this folder")
         ->check(CLI::ExistingDirectory);
     command->add_option("--show", options.show, "how many broken rules to tell of each day");
-    command->add_flag("--hosts", options.hosts, "a row for each host, also where none starts cold");
+    command->add_flag("--hosts", options.servers, "a row for each host, also where none starts cold");
     const volatile bool& stop = process_harness::stop_on_signals();
     return simulation::run_command_line(app, argc, argv, "lemonstair_process_harness",
                                         [&] { return run(options, stop); });
--- a/src/process_harness/process_harness.cpp
+++ b/src/process_harness/process_harness.cpp
@@ -28,7 +28,7 @@
 constexpr Ticks max_lag_allowed = 400;            // of the slack of 50 ms
 constexpr double max_core_wait_allowed_s = 0.06;  // s, of a node within a second
 
-// Clients come at dawn, when the processes have had time to start.
+// Clients come at the start, when the processes have had time to start.
 constexpr Ticks start_takes = 2 * second, start_takes_each = 100;
 
 void allow_descriptors(std::uint64_t wanted) {
@@ -259,7 +259,7 @@
     }
 }
 
-// ---- the day
+// ---- the scenario
 
 // Lets happen what is due, by the clock. False where somebody wants it to stop.
 bool ProcessHarness::play_until(Ticks until, const volatile bool& stop) {
@@ -308,10 +308,10 @@
     }
     invariants_.judge_bounds();
     const simulation::Ledger& ledger = invariants_.ledger();
-    for (std::uint32_t h = 0; h < ledger.hosts(); ++h)
-        o.hosts.push_back({ledger.cold(h), ledger.setups(h),
-                           ledger.most_within(h, scenario_.server.overload_window),
-                           ledger.most_of_budget(h, scenario_.server.overload_window)});
+    for (std::uint32_t h = 0; h < ledger.servers(); ++h)
+        o.servers.push_back({ledger.cold(h), ledger.setups(h),
+                             ledger.most_within(h, scenario_.server.overload_window),
+                             ledger.most_of_budget(h, scenario_.server.overload_window)});
     o.declined = ledger.declined();
     o.declined_idle = ledger.declined_idle();
     o.seed = scenario_.seed;
@@ -343,10 +343,10 @@
         << R"(,"opened":)" << o.tally.opened << R"(,"declined":)" << o.tally.declined
         << R"(,"declined_beside_idle":)" << o.declined_idle << R"(,"closed_with_error":)" << o.tally.failed
         << R"(,"setups":)" << o.tally.setups << R"(,"moved":)" << o.clients.moved << R"(,"hosts":[)";
-    for (std::size_t h = 0; h < o.hosts.size(); ++h)
-        out << (h > 0 ? "," : "") << R"({"cold":)" << (o.hosts[h].cold ? "true" : "false") << R"(,"setups":)"
-            << o.hosts[h].setups << R"(,"most_at_once":)" << o.hosts[h].most_at_once
-            << R"(,"most_of_budget":)" << o.hosts[h].most_of_budget << '}';
+    for (std::size_t h = 0; h < o.servers.size(); ++h)
+        out << (h > 0 ? "," : "") << R"({"cold":)" << (o.servers[h].cold ? "true" : "false")
+            << R"(,"setups":)" << o.servers[h].setups << R"(,"most_at_once":)" << o.servers[h].most_at_once
+            << R"(,"most_of_budget":)" << o.servers[h].most_of_budget << '}';
     out << R"(],"datagrams_a_node_s":)" << o.costs.datagrams << R"(,"bytes_a_node_s":)" << o.costs.bytes
         << R"(,"processor_ms_a_node_s":)" << o.costs.processor_ms << R"(,"memory_kb":)" << o.costs.memory_kb
         << R"(,"calls_of_nodes":)" << o.calls_of_nodes << R"(,"latest_ms":)"
--- a/src/process_harness/process_harness.h
+++ b/src/process_harness/process_harness.h
@@ -1,5 +1,5 @@
-// One day of the rig: real processes of the program on the loopback, between the stand-ins, judged by the
-// same rules as in the lab, with faults put between them.
+// One scenario of the rig: real processes of the program on the loopback, between the stand-ins, judged by
+// the same rules as in the lab, with faults put between them.
 #pragma once
 
 #include <cstdint>
@@ -23,9 +23,9 @@
     std::function<std::vector<std::string>(std::uint32_t node, std::uint32_t incarnation)> environment;
 };
 
-struct HostRow {
+struct ServerRow {
     bool cold = false;
-    std::size_t setups = 0, most_at_once = 0;  // the latter within `fall` of the rule on cold hosts
+    std::size_t setups = 0, most_at_once = 0;  // the latter within `fall` of the rule on cold servers
     double most_of_budget = 0;                 // while it was cold, in any such window
 };
 
@@ -40,8 +40,8 @@
     std::vector<simulation::Broken> broken;
     simulation::Invariants::Tally tally;
     fakes::FakeClients::Tally clients;
-    std::vector<HostRow> hosts;
-    std::uint64_t declined = 0, declined_idle = 0;  // idle: while a host stood at less than half
+    std::vector<ServerRow> servers;
+    std::uint64_t declined = 0, declined_idle = 0;  // idle: while a server stood at less than half
     NodeCosts costs;
     std::uint64_t calls_of_nodes = 0, too_long = 0;
     double took_s = 0;
@@ -52,7 +52,7 @@
     bool is_conclusive() const;
 };
 
-// Plays a day in real time. Throws std::exception where it cannot be played at all. It stops early where
+// Plays a scenario in real time. Throws std::exception where it cannot be played at all. It stops early where
 // `stop` becomes true; whatever happens, no process that it started is left.
 RunResult play(const Scenario& scenario, const HarnessOptions& options, const volatile bool& stop);
 
--- a/src/simnet/datagram_faults.h
+++ b/src/simnet/datagram_faults.h
@@ -1,5 +1,5 @@
-// What the network does to datagrams between nodes, by machine. Lab and rig share it, so that a day means
-// the same on either.
+// What the network does to datagrams between nodes, by machine. Lab and rig share it, so that a scenario
+// means the same on either.
 #pragma once
 
 #include <cstdint>
--- a/src/simnet/event_queue.h
+++ b/src/simnet/event_queue.h
@@ -1,4 +1,4 @@
-// The agenda of a simulated day: what happens when, in one order that depends on nothing but the seed.
+// The agenda of a simulated scenario: what happens when, in one order that depends on nothing but the seed.
 #pragma once
 
 #include <cstdint>
@@ -24,7 +24,7 @@
 
 class EventQueue {
   public:
-    // Simulated days begin at a fixed time, in Unix time, as the stamps of records want it.
+    // Simulated scenarios begin at a fixed time, in Unix time, as the stamps of records want it.
     static constexpr Ticks default_start_time = 17'000'000'000'000;
     EventQueue() : EventQueue(default_start_time, default_start_time) {}
     EventQueue(Ticks now, Ticks start_time) : start_time_(start_time), now_(now) {}
--- a/src/simnet/random_source.h
+++ b/src/simnet/random_source.h
@@ -1,4 +1,4 @@
-// Chance of a simulated day: one seeded engine, with draws of its own, since the standard library's
+// Chance of a simulated scenario: one seeded engine, with draws of its own, since the standard library's
 // distributions differ from one library to the next.
 #pragma once
 
@@ -11,7 +11,7 @@
 class RandomSource {
   public:
     explicit RandomSource(std::uint64_t seed) : engine_(seed) {}
-    // An engine of its own for a part of the day: what one part draws does not shift what another does.
+    // An engine of its own for a part of the scenario: what one part draws does not shift what another does.
     RandomSource part(std::uint64_t label) { return RandomSource(engine_() ^ (label * 0x9e3779b97f4a7c15U)); }
     std::uint64_t bits() { return engine_(); }
     // From 0 up to, and without, 1.
--- a/src/simnet/streams.h
+++ b/src/simnet/streams.h
@@ -15,7 +15,7 @@
 using net::Address;
 using Machine = std::uint32_t;
 
-// One end of a stream. A stream's number is never used again within a day.
+// One end of a stream. A stream's number is never used again within a scenario.
 struct End {
     std::uint32_t stream = 0;
     std::uint8_t side = 0;  // 0: who connected
--- a/src/simulation/fault_injector.cpp
+++ b/src/simulation/fault_injector.cpp
@@ -45,7 +45,7 @@
             if (!nodes_.end_node_fault(f)) fixture_.end(f);
             return;
         case Kind::drain_step:
-            if (fixture_.later(f))
+            if (fixture_.advance_drain(f))
                 schedule(events_.now() + restart_after_drain, Kind::drain_step, event.index);
             return;
     }
--- a/src/simulation/fixture.cpp
+++ b/src/simulation/fixture.cpp
@@ -12,7 +12,7 @@
 using Phase = fakes::DiscoveryEntry::Phase;
 
 constexpr Ticks second = 10000;
-constexpr double idle_below = 0.5;  // of what a host can do
+constexpr double idle_below = 0.5;  // of what a server can do
 
 std::string flag(bool b) { return b ? "true" : "false"; }
 std::string in_seconds(Ticks t) { return std::to_string(static_cast<double>(t) / second); }
@@ -38,16 +38,16 @@
         {"carte", Idempotency::non_idempotent, DeduplicationScope::all, 5000, 30000, 0}};
     invariants_.begin(environment_);
     invariants_.set_idle_query([this] {
-        return std::any_of(hosts_.begin(), hosts_.end(),
+        return std::any_of(servers_.begin(), servers_.end(),
                            [](const auto& h) { return h->takes_setups() && h->load() < idle_below; });
     });
     // Of tunnels that fill it over its warm-up, or over their lives where these are shorter.
     invariants_.set_budget_query([this](std::uint32_t h) {
-        const fakes::FakeServer& host = *hosts_[h];
+        const fakes::FakeServer& server = *servers_[h];
         const Ticks fills =
             std::min(scenario_.server.cold, scenario_.min_lifetime + scenario_.mean_extra_lifetime);
-        if (!host.in_slow_start() || !host.runs() || mean_load_ <= 0 || fills <= 0) return 0.0;
-        return host.overload_limit() / mean_load_ * static_cast<double>(scenario_.server.overload_window) /
+        if (!server.in_slow_start() || !server.runs() || mean_load_ <= 0 || fills <= 0) return 0.0;
+        return server.overload_limit() / mean_load_ * static_cast<double>(scenario_.server.overload_window) /
                static_cast<double>(fills);
     });
     double cores = 0;
@@ -57,13 +57,13 @@
         traits.zone = traits.cell = h % 2;
         cores += traits.cores;
         const Machine m = network_.add_machine();
-        hosts_.push_back(
+        servers_.push_back(
             std::make_unique<fakes::FakeServer>(environment_, h, m, traits, random_.part(100 + h)));
         fakes::DiscoveryEntry entry;
         entry.id.append(1, 'h').append(std::to_string(h));
         entry.zone.assign(1, h % 2 == 0 ? 'a' : 'b');
         entry.cell = h % 2;
-        entry.at = hosts_.back()->address();
+        entry.at = servers_.back()->address();
         entry.size = traits.cores / scenario_.server.cores;
         entries_.push_back(entry);
     }
@@ -73,26 +73,27 @@
     discovery_services_.push_back(std::make_unique<fakes::FakeDiscovery>(environment_, first_service_,
                                                                          discovery_port, 5, random_.part(2)));
     const Machine front = network_.add_machine();
-    std::vector<Machine> phones;
-    for (int i = 0; i < 3; ++i) phones.push_back(network_.add_machine());
-    std::vector<net::Address> doors;
-    doors.reserve(scenario_.nodes);
-    for (std::uint32_t n = 0; n < scenario_.nodes; ++n) doors.push_back(network_.place(n, client_port));
-    front_ = std::make_unique<fakes::Front>(environment_, front, doors, scenario_.detection_delay,
+    std::vector<Machine> client_machines;
+    for (int i = 0; i < 3; ++i) client_machines.push_back(network_.add_machine());
+    std::vector<net::Address> node_addresses;
+    node_addresses.reserve(scenario_.nodes);
+    for (std::uint32_t n = 0; n < scenario_.nodes; ++n)
+        node_addresses.push_back(network_.place(n, client_port));
+    front_ = std::make_unique<fakes::Front>(environment_, front, node_addresses, scenario_.detection_delay,
                                             random_.part(3));
-    clients_ = std::make_unique<fakes::FakeClients>(environment_, *front_, phones,
+    clients_ = std::make_unique<fakes::FakeClients>(environment_, *front_, client_machines,
                                                     plans(scenario_.clients, 0, scenario_.arrival_window, 0),
                                                     scenario_.client_behavior, random_.part(4));
-    misbehaving_clients_ =
-        std::make_unique<fakes::MisbehavingClients>(environment_, *front_, phones[0], random_.part(5));
+    misbehaving_clients_ = std::make_unique<fakes::MisbehavingClients>(environment_, *front_,
+                                                                       client_machines[0], random_.part(5));
 }
 
 void Fixture::open() {
-    for (std::uint32_t h = 0; h < hosts_.size(); ++h) {
-        const bool cold = h + scenario_.cold_servers >= hosts_.size();
-        hosts_[h]->start(cold, events_.start_time());
-        invariants_.ledger().host_stands(h, cold);
-        entries_[h].up_since_ms = hosts_[h]->up_since_ms();
+    for (std::uint32_t h = 0; h < servers_.size(); ++h) {
+        const bool cold = h + scenario_.cold_servers >= servers_.size();
+        servers_[h]->start(cold, events_.start_time());
+        invariants_.ledger().set_cold(h, cold);
+        entries_[h].up_since_ms = servers_[h]->up_since_ms();
     }
     discovery_services_[0]->open(entries_);
 }
@@ -180,50 +181,50 @@
 
 // ---- faults
 
-void Fixture::tell(std::uint32_t host, Phase phase) {
-    fakes::DiscoveryEntry& e = entries_[host];
+void Fixture::publish(std::uint32_t server, Phase phase) {
+    fakes::DiscoveryEntry& e = entries_[server];
     e.phase = phase;
-    e.up_since_ms = hosts_[host]->up_since_ms();
-    for (auto& r : discovery_services_) r->change(host, e, scenario_.discovery_delay);
+    e.up_since_ms = servers_[server]->up_since_ms();
+    for (auto& r : discovery_services_) r->change(server, e, scenario_.discovery_delay);
 }
 
 bool Fixture::begin(const Fault& f) {
-    return begin_at_hosts(f) || begin_at_discovery(f) || begin_on_network(f);
+    return begin_at_servers(f) || begin_at_discovery(f) || begin_on_network(f);
 }
 
-bool Fixture::begin_at_hosts(const Fault& f) {
+bool Fixture::begin_at_servers(const Fault& f) {
     if (fault_info(f.kind).target != FaultInfo::Target::server) return false;
-    fakes::FakeServer& host = *hosts_[f.target];
+    fakes::FakeServer& server = *servers_[f.target];
     switch (f.kind) {
         case K::server_slow:
-            host.slow_down(f.magnitude);
+            server.slow_down(f.magnitude);
             break;
         case K::server_errors:
-            host.fail_setups(true);
+            server.fail_setups(true);
             break;
         case K::server_full:
-            host.refuse_setups(true);
+            server.refuse_setups(true);
             break;
         case K::server_hang:
             invariants_.server_silent(f.target, true);
-            host.hang(true);
+            server.hang(true);
             break;
         case K::server_kill:
-            host.stop();
-            tell(f.target, Phase::terminated);
+            server.stop();
+            publish(f.target, Phase::terminated);
             break;
         case K::server_vanish:
-            topology_.cut_off(host.machine(), true);
-            invariants_.machine_cut(host.machine(), true);
+            topology_.cut_off(server.machine(), true);
+            invariants_.machine_cut(server.machine(), true);
             break;
         case K::server_drain:
-            tell(f.target, Phase::terminating);
+            publish(f.target, Phase::terminating);
             break;
         case K::server_resets:
-            host.reset_some(f.magnitude);
+            server.reset_some(f.magnitude);
             break;
         case K::server_moves_clients:
-            host.ask_to_leave(f.duration);
+            server.ask_to_leave(f.duration);
             break;
         default:
             return false;
@@ -290,14 +291,14 @@
         case K::nodes_apart:
         case K::nodes_cut_from_servers:
         case K::path_cut:
-            return set_apart(f, true), true;
+            return set_isolation(f, true), true;
         case K::client_surge:
             clients_->add(plans(f.count, f.start, f.duration, planned_));
             return true;
         case K::misbehaving_clients:
             misbehaving_clients_->start(static_cast<int>(f.count),
-                                       static_cast<fakes::MisbehavingClients::Kind>(f.second_target),
-                                       f.count % 2 == 0);
+                                        static_cast<fakes::MisbehavingClients::Kind>(f.second_target),
+                                        f.count % 2 == 0);
             return true;
         default:
             return false;
@@ -305,48 +306,48 @@
 }
 
 // Faults of `count` nodes from one on.
-void Fixture::set_apart(const Fault& f, bool on) {
+void Fixture::set_isolation(const Fault& f, bool on) {
     const std::uint32_t last = std::min(f.target + std::max(f.count, 1U), scenario_.nodes);
     if (f.kind == K::nodes_apart) return topology_.datagrams().apart(f.target, last - f.target, on);
-    if (f.kind == K::path_cut) invariants_.machine_cut(hosts_[f.second_target]->machine(), on);
+    if (f.kind == K::path_cut) invariants_.machine_cut(servers_[f.second_target]->machine(), on);
     for (std::uint32_t n = f.target; n < last; ++n) {
-        if (f.kind == K::path_cut) topology_.cut_path(n, hosts_[f.second_target]->machine(), on);
+        if (f.kind == K::path_cut) topology_.cut_path(n, servers_[f.second_target]->machine(), on);
         if (f.kind == K::nodes_deaf) topology_.datagrams().deaf(n, on);
         if (f.kind == K::nodes_mute) topology_.datagrams().mute(n, on);
         if (f.kind != K::nodes_cut_from_servers) continue;
-        for (auto& h : hosts_) topology_.cut_path(n, h->machine(), on);
-        invariants_.machine_cut(n, on);  // what it cannot do for want of hosts is not held against it
+        for (auto& h : servers_) topology_.cut_path(n, h->machine(), on);
+        invariants_.machine_cut(n, on);  // what it cannot do for want of servers is not held against it
     }
 }
 
 void Fixture::end(const Fault& f) {
-    fakes::FakeServer* host =
-        fault_info(f.kind).target == FaultInfo::Target::server ? hosts_[f.target].get() : nullptr;
+    fakes::FakeServer* server =
+        fault_info(f.kind).target == FaultInfo::Target::server ? servers_[f.target].get() : nullptr;
     switch (f.kind) {
         case K::node_vanish:
             topology_.cut_off(f.target, false);
             return invariants_.machine_cut(f.target, false);
         case K::server_slow:
-            return host->slow_down(1);
+            return server->slow_down(1);
         case K::server_errors:
-            return host->fail_setups(false);
+            return server->fail_setups(false);
         case K::server_full:
-            return host->refuse_setups(false);
+            return server->refuse_setups(false);
         case K::server_hang:
             invariants_.server_silent(f.target, false);
-            return host->hang(false);
+            return server->hang(false);
         case K::server_kill:
-            host->start(true);
+            server->start(true);
             invariants_.server_started(f.target);
-            return tell(f.target, Phase::active);
+            return publish(f.target, Phase::active);
         case K::server_vanish:
-            topology_.forget(host->machine());
-            host->stop();
-            topology_.cut_off(host->machine(), false);
-            invariants_.machine_cut(host->machine(), false);
-            host->start(true);
+            topology_.forget(server->machine());
+            server->stop();
+            topology_.cut_off(server->machine(), false);
+            invariants_.machine_cut(server->machine(), false);
+            server->start(true);
             invariants_.server_started(f.target);
-            return tell(f.target, Phase::active);
+            return publish(f.target, Phase::active);
         case K::discovery_down:
             return discovery_services_.back()->down(false);
         case K::discovery_silent:
@@ -370,23 +371,23 @@
         case K::nodes_apart:
         case K::nodes_cut_from_servers:
         case K::path_cut:
-            return set_apart(f, false);
+            return set_isolation(f, false);
         default:
             return;
     }
 }
 
-// A host that drains stops in the end, and comes back.
-bool Fixture::later(const Fault& f) {
-    fakes::FakeServer& host = *hosts_[f.target];
-    if (host.state() == fakes::FakeServer::State::up) {
-        host.stop();
-        tell(f.target, Phase::terminated);
+// A server that drains stops in the end, and comes back.
+bool Fixture::advance_drain(const Fault& f) {
+    fakes::FakeServer& server = *servers_[f.target];
+    if (server.state() == fakes::FakeServer::State::up) {
+        server.stop();
+        publish(f.target, Phase::terminated);
         return true;
     }
-    host.start(true);
+    server.start(true);
     invariants_.server_started(f.target);
-    tell(f.target, Phase::active);
+    publish(f.target, Phase::active);
     return false;
 }
 
--- a/src/simulation/fixture.h
+++ b/src/simulation/fixture.h
@@ -1,5 +1,5 @@
-// What a day plays on, whether in the lab or on real processes: the town with its hosts, lists, front and
-// clients, the files that nodes are started with, and the faults that meet all but the nodes' processes.
+// What a scenario plays on, whether in the lab or on real processes: the town with its servers, lists, front
+// and clients, the files that nodes are started with, and the faults that meet all but the nodes' processes.
 #pragma once
 
 #include <memory>
@@ -55,20 +55,20 @@
     bool begin(const Fault& fault);
     void end(const Fault& fault);
     // What follows a drain, twice; true: once more after two seconds.
-    bool later(const Fault& fault);
+    bool advance_drain(const Fault& fault);
 
     fakes::TestEnvironment& environment() { return environment_; }
     fakes::Front& front() { return *front_; }
     fakes::FakeClients& clients() { return *clients_; }
-    fakes::FakeServer& host(std::uint32_t n) { return *hosts_[n]; }
+    fakes::FakeServer& server(std::uint32_t n) { return *servers_[n]; }
 
   private:
     std::vector<fakes::ClientPlan> plans(std::uint32_t count, Ticks from, Ticks within, std::uint32_t first);
-    void tell(std::uint32_t host, fakes::DiscoveryEntry::Phase phase);
-    bool begin_at_hosts(const Fault& fault);
+    void publish(std::uint32_t server, fakes::DiscoveryEntry::Phase phase);
+    bool begin_at_servers(const Fault& fault);
     bool begin_at_discovery(const Fault& fault);
     bool begin_on_network(const Fault& fault);
-    void set_apart(const Fault& fault, bool on);
+    void set_isolation(const Fault& fault, bool on);
 
     const Scenario& scenario_;
     simnet::EventQueue& events_;
@@ -77,7 +77,7 @@
     simnet::RandomSource& random_;
     Topology& topology_;
     fakes::TestEnvironment environment_;
-    std::vector<std::unique_ptr<fakes::FakeServer>> hosts_;
+    std::vector<std::unique_ptr<fakes::FakeServer>> servers_;
     std::vector<fakes::DiscoveryEntry> entries_;
     std::vector<std::unique_ptr<fakes::FakeDiscovery>> discovery_services_;
     std::unique_ptr<fakes::Front> front_;
--- a/src/simulation/invariants.cpp
+++ b/src/simulation/invariants.cpp
@@ -16,7 +16,7 @@
       events_(events),
       network_(network),
       nodes_(scenario.nodes),
-      hosts_(scenario.servers),
+      servers_(scenario.servers),
       cuts_(scenario.nodes + scenario.servers),
       ledger_(scenario.servers) {
     for (Node& n : nodes_) {
@@ -49,7 +49,7 @@
     std::snprintf(text, sizeof text, "tunnel t%x", tunnel);
     std::string out = text;
     if (tunnel < tunnels_by_id_.size())
-        out += " at node " + std::to_string(tunnels_by_id_[tunnel].asked.node);
+        out += " at node " + std::to_string(tunnels_by_id_[tunnel].request.node);
     return out;
 }
 
@@ -74,8 +74,8 @@
     Incarnation& life = nodes_[node].incarnations.back();
     life.until = events_.now();
     life.how = how;
-    for (const TunnelRecord& b : tunnels_by_id_)
-        if (b.state == State::taken && b.asked.node == node) ++tally_.orphaned;
+    for (const TunnelRecord& record : tunnels_by_id_)
+        if (record.state == State::delivered && record.request.node == node) ++tally_.orphaned;
 }
 
 void Invariants::node_stalled(std::uint32_t node, Ticks until) {
@@ -100,16 +100,16 @@
 bool Invariants::was_reachable(simnet::Machine machine, Ticks from, Ticks until) const {
     // What was under way when it was cut off comes up to some seconds after it is back.
     constexpr Ticks after = 25000;
-    for (const auto& [a, b] : cuts_[machine])
-        if (a <= until && (b == 0 || b + after >= from)) return false;
+    for (const auto& [begin, end] : cuts_[machine])
+        if (begin <= until && (end == 0 || end + after >= from)) return false;
     return true;
 }
 
 bool Invariants::was_undisturbed(std::uint32_t node, Ticks from, Ticks until) const {
     const Incarnation* life = incarnation_at(node, from);
     if (life == nullptr || (life->until != 0 && life->until <= until)) return false;
-    for (const auto& [a, b] : nodes_[node].stalls)
-        if (a <= until && b >= from) return false;
+    for (const auto& [begin, end] : nodes_[node].stalls)
+        if (begin <= until && end >= from) return false;
     return was_reachable(node, from, until);
 }
 
--- a/src/simulation/invariants.h
+++ b/src/simulation/invariants.h
@@ -1,5 +1,5 @@
-// The rules of a day, judged from what the stand-ins saw on the wire. The nodes' own books have no part in
-// it.
+// The rules of a scenario, judged from what the stand-ins saw on the wire. The nodes' own books have no part
+// in it.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 namespace lemonstair::simulation {
 
 struct Broken {
-    Ticks at = 0;      // since dawn
+    Ticks at = 0;      // since the start
     std::string rule;  // one word of `rule_rows`
     std::string what;
 };
@@ -30,7 +30,7 @@
     Invariants(const Scenario& scenario, simnet::EventQueue& events, simnet::Streams& network);
     void begin(const fakes::TestEnvironment& environment) { environment_ = &environment; }
 
-    // ---- what the day does to the nodes and machines, so that nobody is blamed for it
+    // ---- what the scenario does to the nodes and machines, so that nobody is blamed for it
     enum class NodeEnd : std::uint8_t { killed, left, killed_late, crashed };
     void node_started(std::uint32_t node);
     void node_told_to_drain_out(std::uint32_t node);
@@ -45,10 +45,10 @@
     bool was_undisturbed(std::uint32_t node, Ticks from, Ticks until) const;
     void machine_cut(simnet::Machine machine, bool on);
     // Its process has started and counts as cold from now on.
-    void server_started(std::uint32_t host) { hosts_[host].started_at = events_.now(); }
-    void server_silent(std::uint32_t host, bool on) {
-        hosts_[host].mute = on;
-        if (!on) hosts_[host].mute_until = events_.now();
+    void server_started(std::uint32_t server) { servers_[server].started_at = events_.now(); }
+    void server_silent(std::uint32_t server, bool on) {
+        servers_[server].silent = on;
+        if (!on) servers_[server].silent_until = events_.now();
     }
     void report(std::string rule, std::string what);
 
@@ -57,17 +57,17 @@
         std::uint64_t taken = 0, opened = 0, declined = 0, failed = 0, setups = 0, setups_failed = 0,
                       resumed = 0, not_held = 0, cut = 0,
                       orphaned = 0,  // tunnels that waited when their node ended
-            raced = 0;               // setups out at a host when word came to their node that it drains
+            raced = 0;               // setups out at a server when word came to their node that it drains
     };
     const Tally& tally() const { return tally_; }
-    // Told which hosts could take more, when a tunnel is declined.
+    // Told which servers could take more, when a tunnel is declined.
     using AnyIdle = std::function<bool()>;
     void set_idle_query(AnyIdle any) { any_idle_ = std::move(any); }
-    // Told what all nodes together may send a host within a window; 0: no such bound.
-    using Budget = std::function<double(std::uint32_t host)>;
+    // Told what all nodes together may send a server within a window; 0: no such bound.
+    using Budget = std::function<double(std::uint32_t server)>;
     void set_budget_query(Budget of) { budget_ = std::move(of); }
     Ledger& ledger() { return ledger_; }
-    // Of the whole day, once it is over.
+    // Of the whole scenario, once it is over.
     void judge_bounds();
 
     // ---- stand::Witness
@@ -80,29 +80,29 @@
     void connection_cut(fakes::TunnelId tunnel, bool by_reset, Ticks written) override;
     void connection_silent(fakes::TunnelId tunnel, Ticks span) override;
     void misbehaving_client_unanswered(std::uint32_t node, std::string_view how) override;
-    void setup_received(fakes::TunnelId tunnel, std::uint32_t host, simnet::End end, Ticks first,
+    void setup_received(fakes::TunnelId tunnel, std::uint32_t server, simnet::End end, Ticks first,
                         bool mid_flow) override;
-    void setup_answered(fakes::TunnelId tunnel, std::uint32_t host, fakes::Answer answer) override;
-    void mid_flow_unknown(fakes::TunnelId tunnel, std::uint32_t host) override;
-    void server_ended(fakes::TunnelId tunnel, std::uint32_t host) override;
-    void server_overloaded(std::uint32_t host, double asked, double overload_limit) override;
-    void invalid_line(std::uint32_t host, std::string_view line) override;
-    void endpoint_state_delivered(std::uint32_t node, std::uint32_t host, bool active) override;
+    void setup_answered(fakes::TunnelId tunnel, std::uint32_t server, fakes::Answer answer) override;
+    void mid_flow_unknown(fakes::TunnelId tunnel, std::uint32_t server) override;
+    void server_ended(fakes::TunnelId tunnel, std::uint32_t server) override;
+    void server_overloaded(std::uint32_t server, double demand, double overload_limit) override;
+    void invalid_line(std::uint32_t server, std::string_view line) override;
+    void endpoint_state_delivered(std::uint32_t node, std::uint32_t server, bool active) override;
     void line_corrupted(fakes::TunnelId tunnel, std::string_view what, std::string_view line) override;
 
   private:
-    enum class State : std::uint8_t { unknown, asked, taken, open, over };
+    enum class State : std::uint8_t { unknown, requested, delivered, open, over };
     struct Setup {
-        std::uint32_t host;
-        simnet::End end;  // the host's
-        Ticks sent;       // its first byte; a host that hangs may read it long after
+        std::uint32_t server;
+        simnet::End end;  // the server's
+        Ticks sent;       // its first byte; a server that hangs may read it long after
         fakes::Answer answer = fakes::Answer::none;
     };
     struct TunnelRecord {
         State state = State::unknown;
-        fakes::TunnelRequest asked;
-        Ticks asked_at = 0, taken_at = 0, opened_at = 0, host_ended_at = 0, left_at = 0;
-        std::uint32_t holder = 0;
+        fakes::TunnelRequest request;
+        Ticks requested_at = 0, delivered_at = 0, opened_at = 0, server_ended_at = 0, left_at = 0;
+        std::uint32_t server = 0;
         std::size_t attempt = 0;  // the last, in attempts_
         Ticks changed_at = 0;
         std::vector<Setup> setups;
@@ -110,7 +110,7 @@
     // One first line at one node; a tunnel whose packets pass has several.
     struct Attempt {
         std::uint32_t node = 0, profile = 0;
-        Ticks asked_at = 0, answered_at = 0;
+        Ticks requested_at = 0, answered_at = 0;
         fakes::Answer answer = fakes::Answer::none;
     };
     struct Incarnation {
@@ -122,27 +122,28 @@
         std::vector<Incarnation> incarnations;
         std::vector<std::pair<Ticks, Ticks>> stalls;
         Ticks drained_since = 0;            // 0: it is not
-        std::vector<Ticks> notified_at;     // by host: when it was last told of it; 0: not yet
-        std::vector<Ticks> inactive_since;  // by host: since when it is told so; 0: it is in service
+        std::vector<Ticks> notified_at;     // by server: when it was last told of it; 0: not yet
+        std::vector<Ticks> inactive_since;  // by server: since when it is told so; 0: it is in service
     };
-    struct Host {
-        Ticks started_at = 0, mute_until = 0;
-        bool mute = false;
+    struct Server {
+        Ticks started_at = 0, silent_until = 0;
+        bool silent = false;
     };
     TunnelRecord& record_of(fakes::TunnelId tunnel);
-    void to(TunnelRecord& b, State state) {
-        b.state = state;
-        b.changed_at = events_.now();
+    void set_state(TunnelRecord& record, State state) {
+        record.state = state;
+        record.changed_at = events_.now();
     }
     bool was_reachable(simnet::Machine machine, Ticks from, Ticks until) const;
     const Incarnation* incarnation_at(std::uint32_t node, Ticks when) const;
-    simnet::Machine machine_of_server(std::uint32_t host) const { return scenario_.nodes + host; }
-    const fakes::Profile& profile(const TunnelRecord& b) const {
-        return environment_->profiles[b.asked.profile];
+    simnet::Machine machine_of_server(std::uint32_t server) const { return scenario_.nodes + server; }
+    const fakes::Profile& profile(const TunnelRecord& record) const {
+        return environment_->profiles[record.request.profile];
     }
-    void judge_late_attempt(const TunnelRecord& b, std::uint32_t host, simnet::Machine node, Ticks sent);
-    void judge_effect(const TunnelRecord& b, std::uint32_t host, Ticks sent);
-    // Whether what nodes tell one another came to them, all through the day.
+    void judge_late_attempt(const TunnelRecord& record, std::uint32_t server, simnet::Machine node,
+                            Ticks sent);
+    void judge_effect(const TunnelRecord& record, std::uint32_t server, Ticks sent);
+    // Whether what nodes tell one another came to them, all through the scenario.
     bool gossip_is_reliable() const;
     std::string named(fakes::TunnelId tunnel) const;
 
@@ -154,7 +155,7 @@
     std::vector<Attempt> attempts_;
     std::vector<std::pair<std::uint32_t, Ticks>> setups_received_;  // from which node, when sent
     std::vector<Node> nodes_;
-    std::vector<Host> hosts_;
+    std::vector<Server> servers_;
     std::vector<std::vector<std::pair<Ticks, Ticks>>> cuts_;  // by machine; until 0: it lasts
     std::vector<Broken> broken_;
     Tally tally_;
--- a/src/simulation/invariants_operators.cpp
+++ b/src/simulation/invariants_operators.cpp
@@ -25,13 +25,15 @@
 
 void Invariants::judge_drained(std::uint32_t node) {
     if (scenario_.packet_passthrough || nodes_[node].drained_since == 0) return;
-    for (const TunnelRecord& b : tunnels_by_id_) {
-        if (b.asked.node != node || b.state != State::open || b.asked.slow_reader) continue;
-        // One that opened late is moved within a moment; one whose host has ended it ends by itself.
-        if (events_.now() - b.opened_at < second || b.host_ended_at != 0) continue;
-        if (!was_reachable(machine_of_server(b.holder), b.opened_at, events_.now()) || hosts_[b.holder].mute)
+    for (const TunnelRecord& record : tunnels_by_id_) {
+        if (record.request.node != node || record.state != State::open || record.request.slow_reader)
             continue;
-        report("drained", named(b.asked.tunnel) + " is held 4 s after its node was told to drain");
+        // One that opened late is moved within a moment; one whose server has ended it ends by itself.
+        if (events_.now() - record.opened_at < second || record.server_ended_at != 0) continue;
+        if (!was_reachable(machine_of_server(record.server), record.opened_at, events_.now()) ||
+            servers_[record.server].silent)
+            continue;
+        report("drained", named(record.request.tunnel) + " is held 4 s after its node was told to drain");
     }
 }
 
@@ -49,11 +51,13 @@
                                   std::to_string(missing) + ", more " + std::to_string(more) + ")");
     };
     long open = 0, open_missing = 0, open_more = 0, came = 0;
-    for (const TunnelRecord& b : tunnels_by_id_) {
-        if (b.asked.node != node || b.state == State::unknown) continue;
-        if (b.state == State::open || b.state == State::taken) ++open;
-        if (now - b.changed_at < old) ++open_missing;
-        if (b.state == State::asked || (b.state == State::over && now - b.changed_at < ending)) ++open_more;
+    for (const TunnelRecord& record : tunnels_by_id_) {
+        if (record.request.node != node || record.state == State::unknown) continue;
+        if (record.state == State::open || record.state == State::delivered) ++open;
+        if (now - record.changed_at < old) ++open_missing;
+        if (record.state == State::requested ||
+            (record.state == State::over && now - record.changed_at < ending))
+            ++open_more;
     }
     for (const auto& [from, sent] : setups_received_) came += from == node && sent >= since ? 1 : 0;
     check("open", number_in(body, "open_requests"), open, open_missing, open_more, 0.1);
@@ -68,20 +72,20 @@
         if (at == std::string::npos) return report("figures", "a class is missing");
         const std::string_view row = std::string_view(body).substr(at, body.find('}', at) - at);
         long seen[3] = {}, fresh[3] = {}, unsure = 0;
-        for (const Attempt& b : attempts_) {
-            if (b.node != node || b.profile != p) continue;
-            const int kind = b.answer == Answer::none                            ? -1
-                             : b.answer == Answer::up || b.answer == Answer::bye ? 0
-                             : b.answer == Answer::busy                          ? 1
-                                                                                 : 2;
+        for (const Attempt& attempt : attempts_) {
+            if (attempt.node != node || attempt.profile != p) continue;
+            const int kind = attempt.answer == Answer::none                                  ? -1
+                             : attempt.answer == Answer::up || attempt.answer == Answer::bye ? 0
+                             : attempt.answer == Answer::busy                                ? 1
+                                                                                             : 2;
             // What came before the process began may have waited for it.
-            const bool before = b.asked_at < since;
+            const bool before = attempt.requested_at < since;
             if (kind < 0 || before) {
-                unsure += !before || since - b.asked_at < 4 * second ? 1 : 0;
+                unsure += !before || since - attempt.requested_at < 4 * second ? 1 : 0;
                 continue;
             }
             ++seen[kind];
-            if (now - b.answered_at < old) ++fresh[kind];
+            if (now - attempt.answered_at < old) ++fresh[kind];
         }
         constexpr const char* names[] = {"fulfilled", "throttled", "faulted"};
         for (int i = 0; i < 3; ++i)
--- a/src/simulation/invariants_servers.cpp
+++ b/src/simulation/invariants_servers.cpp
@@ -18,74 +18,77 @@
 }  // namespace
 
 // Guards against work for nobody: the client closed its connection before the attempt began.
-void Invariants::judge_late_attempt(const TunnelRecord& b, std::uint32_t host, simnet::Machine node,
+void Invariants::judge_late_attempt(const TunnelRecord& record, std::uint32_t server, simnet::Machine node,
                                     Ticks sent) {
     constexpr Ticks allowed = 1000;
-    if (b.left_at == 0 || sent <= b.left_at + allowed + margin) return;
-    // A host that hung meanwhile read it late: when its first byte was sent is not known.
-    if (hosts_[host].mute || hosts_[host].mute_until >= b.asked_at) return;
-    if (!was_reachable(machine_of_server(host), b.left_at, events_.now()) ||
-        !was_reachable(node, b.left_at, events_.now()))
+    if (record.left_at == 0 || sent <= record.left_at + allowed + margin) return;
+    // A server that hung meanwhile read it late: when its first byte was sent is not known.
+    if (servers_[server].silent || servers_[server].silent_until >= record.requested_at) return;
+    if (!was_reachable(machine_of_server(server), record.left_at, events_.now()) ||
+        !was_reachable(node, record.left_at, events_.now()))
         return;
-    report("late_attempt", named(b.asked.tunnel) + " went to host " + std::to_string(host) + " " +
-                               std::to_string((sent - b.left_at) / 10) + " ms after its client had left");
+    report("late_attempt", named(record.request.tunnel) + " went to host " + std::to_string(server) + " " +
+                               std::to_string((sent - record.left_at) / 10) +
+                               " ms after its client had left");
 }
 
-void Invariants::judge_effect(const TunnelRecord& b, std::uint32_t host, Ticks sent) {
-    const fakes::Profile& p = profile(b);
+void Invariants::judge_effect(const TunnelRecord& record, std::uint32_t server, Ticks sent) {
+    const fakes::Profile& p = profile(record);
     if (p.effect == fakes::Idempotency::idempotent) return;
-    for (const Setup& s : b.setups) {
+    for (const Setup& s : record.setups) {
         if (!may_have_run(s.answer)) continue;
         const auto place = [&](std::uint32_t h) {
             return p.scope == fakes::DeduplicationScope::all
                        ? 0U
-                       : h % 2;  // zones and cells go by the host's number
+                       : h % 2;  // zones and cells go by the server's number
         };
         if (p.effect == fakes::Idempotency::non_idempotent)
+            return report("effect", named(record.request.tunnel) + " ran a second time, at host " +
+                                        std::to_string(server));
+        if (place(s.server) != place(server) || std::abs(sent - s.sent) > p.window + margin)
             return report("effect",
-                          named(b.asked.tunnel) + " ran a second time, at host " + std::to_string(host));
-        if (place(s.host) != place(host) || std::abs(sent - s.sent) > p.window + margin)
-            return report("effect", named(b.asked.tunnel) + " was repeated where its mark is not known");
+                          named(record.request.tunnel) + " was repeated where its mark is not known");
     }
 }
 
-void Invariants::setup_received(fakes::TunnelId tunnel, std::uint32_t host, simnet::End end, Ticks first,
+void Invariants::setup_received(fakes::TunnelId tunnel, std::uint32_t server, simnet::End end, Ticks first,
                                 bool mid_flow) {
-    TunnelRecord& b = record_of(tunnel);
+    TunnelRecord& record = record_of(tunnel);
     ++tally_.setups;
-    if (b.state == State::unknown) return report("line", named(tunnel) + " is one that no client asked for");
+    if (record.state == State::unknown)
+        return report("line", named(tunnel) + " is one that no client asked for");
     const simnet::Machine node = network_.machine_of(end.other());
     if (!mid_flow) {
-        // What a host that hung reads long after the node gave it up is no longer out.
-        for (const Setup& s : b.setups)
+        // What a server that hung reads long after the node gave it up is no longer out.
+        for (const Setup& s : record.setups)
             if (network_.is_open(end.other()) && s.answer == Answer::none &&
                 network_.is_open(s.end.other()) && was_reachable(node, s.sent, events_.now()))
-                report("at_once", named(tunnel) + " is set up at host " + std::to_string(host) + " while " +
-                                      std::to_string(s.host) + " still has it");
-        judge_late_attempt(b, host, node, first);
-        judge_effect(b, host, first);
-        const Ticks since = nodes_[node].inactive_since[host];
+                report("at_once", named(tunnel) + " is set up at host " + std::to_string(server) + " while " +
+                                      std::to_string(s.server) + " still has it");
+        judge_late_attempt(record, server, node, first);
+        judge_effect(record, server, first);
+        const Ticks since = nodes_[node].inactive_since[server];
         if (since != 0 && first > since + drain_grace + margin && was_undisturbed(node, since, events_.now()))
-            report("drain", named(tunnel) + " went to host " + std::to_string(host) + " " +
+            report("drain", named(tunnel) + " went to host " + std::to_string(server) + " " +
                                 std::to_string((first - since) / 10) + " ms after its node was told");
     }
-    b.setups.push_back({host, end, first});
+    record.setups.push_back({server, end, first});
     // Whoever has not been told of its start takes it for warm.
-    const bool told = nodes_[node].notified_at[host] > hosts_[host].started_at;
-    ledger_.setup_came(host, first - events_.start_time(), mid_flow, budget_ ? budget_(host) : 0, told);
+    const bool told = nodes_[node].notified_at[server] > servers_[server].started_at;
+    ledger_.record_setup(server, first - events_.start_time(), mid_flow, budget_ ? budget_(server) : 0, told);
     setups_received_.emplace_back(node, first);
 }
 
-void Invariants::setup_answered(fakes::TunnelId tunnel, std::uint32_t host, Answer answer) {
-    TunnelRecord& b = record_of(tunnel);
-    for (auto it = b.setups.rbegin(); it != b.setups.rend(); ++it)
-        if (it->host == host && it->answer == Answer::none) {
+void Invariants::setup_answered(fakes::TunnelId tunnel, std::uint32_t server, Answer answer) {
+    TunnelRecord& record = record_of(tunnel);
+    for (auto it = record.setups.rbegin(); it != record.setups.rend(); ++it)
+        if (it->server == server && it->answer == Answer::none) {
             it->answer = answer;
             break;
         }
     if (answer == Answer::up) {
-        b.holder = host;
-        b.host_ended_at = 0;
+        record.server = server;
+        record.server_ended_at = 0;
     } else {
         ++tally_.setups_failed;
     }
@@ -104,11 +107,12 @@
     });
 }
 
-void Invariants::mid_flow_unknown(fakes::TunnelId tunnel, std::uint32_t host) {
+void Invariants::mid_flow_unknown(fakes::TunnelId tunnel, std::uint32_t server) {
     ++tally_.not_held;
-    const TunnelRecord& b = record_of(tunnel);
+    const TunnelRecord& record = record_of(tunnel);
     const Ticks now = events_.now();
-    if (!gossip_is_reliable() || b.opened_at == 0 || b.asked_at - b.opened_at < 2 * second) return;
+    if (!gossip_is_reliable() || record.opened_at == 0 || record.requested_at - record.opened_at < 2 * second)
+        return;
     // Its record is on a chain of two nodes and at its placer: any one of them may have ended.
     constexpr Ticks refreshed = 120000, settled = 30000, parked = 40000;
     int ended = 0;
@@ -121,51 +125,53 @@
     if (ended != 1 || now - last_end > parked) return;
     // A client that reads nothing may not know yet that it was moved.
     const bool sound =
-        b.host_ended_at == 0 && !b.asked.slow_reader && !hosts_[b.holder].mute &&
-        nodes_[b.asked.node].inactive_since[b.holder] == 0 &&
-        was_reachable(machine_of_server(b.holder), b.opened_at, now) &&
+        record.server_ended_at == 0 && !record.request.slow_reader && !servers_[record.server].silent &&
+        nodes_[record.request.node].inactive_since[record.server] == 0 &&
+        was_reachable(machine_of_server(record.server), record.opened_at, now) &&
         std::none_of(scenario_.faults.begin(), scenario_.faults.end(), [&](const Fault& f) {
-            return fault_info(f.kind).target == FaultInfo::Target::server && f.target == b.holder;
+            return fault_info(f.kind).target == FaultInfo::Target::server && f.target == record.server;
         });
     if (sound)
-        report("astray", named(tunnel) + " went to host " + std::to_string(host) + " though host " +
-                             std::to_string(b.holder) + " holds it");
+        report("astray", named(tunnel) + " went to host " + std::to_string(server) + " though host " +
+                             std::to_string(record.server) + " holds it");
 }
 
-void Invariants::server_ended(fakes::TunnelId tunnel, std::uint32_t host) {
-    TunnelRecord& b = record_of(tunnel);
-    if (b.holder == host && b.host_ended_at == 0) b.host_ended_at = events_.now();
+void Invariants::server_ended(fakes::TunnelId tunnel, std::uint32_t server) {
+    TunnelRecord& record = record_of(tunnel);
+    if (record.server == server && record.server_ended_at == 0) record.server_ended_at = events_.now();
 }
 
-void Invariants::server_overloaded(std::uint32_t host, double asked, double overload_limit) {
-    report("cold", "host " + std::to_string(host) + " was asked for " + std::to_string(asked) +
+void Invariants::server_overloaded(std::uint32_t server, double demand, double overload_limit) {
+    report("cold", "host " + std::to_string(server) + " was asked for " + std::to_string(demand) +
                        " cores and bears " + std::to_string(overload_limit));
 }
 
-void Invariants::invalid_line(std::uint32_t host, std::string_view line) {
-    report("line", "host " + std::to_string(host) + " got '" + std::string(line.substr(0, 40)) + "'");
+void Invariants::invalid_line(std::uint32_t server, std::string_view line) {
+    report("line", "host " + std::to_string(server) + " got '" + std::string(line.substr(0, 40)) + "'");
 }
 
-void Invariants::endpoint_state_delivered(std::uint32_t node, std::uint32_t host, bool active) {
+void Invariants::endpoint_state_delivered(std::uint32_t node, std::uint32_t server, bool active) {
     if (node >= nodes_.size()) return;
-    nodes_[node].notified_at[host] = events_.now();
-    Ticks& since = nodes_[node].inactive_since[host];
+    nodes_[node].notified_at[server] = events_.now();
+    Ticks& since = nodes_[node].inactive_since[server];
     if (since == 0 && !active)
-        for (const TunnelRecord& b : tunnels_by_id_)
-            if (b.state == State::taken && b.asked.node == node && !b.setups.empty() &&
-                b.setups.back().host == host && b.setups.back().answer == Answer::none)
+        for (const TunnelRecord& record : tunnels_by_id_)
+            if (record.state == State::delivered && record.request.node == node && !record.setups.empty() &&
+                record.setups.back().server == server && record.setups.back().answer == Answer::none)
                 ++tally_.raced;
     since = active ? 0 : since != 0 ? since : events_.now();
 }
 
 void Invariants::line_corrupted(fakes::TunnelId tunnel, std::string_view what, std::string_view line) {
-    const TunnelRecord& b = record_of(tunnel);
-    // Half a line is left of a connection whose node or host has died.
+    const TunnelRecord& record = record_of(tunnel);
+    // Half a line is left of a connection whose node or server has died.
     if (what == "cut within a line") {
-        const Incarnation* life = incarnation_at(b.asked.node, b.asked_at);
-        if (life == nullptr || life->until != 0 || b.host_ended_at != 0 || b.asked.slow_reader ||
-            !was_undisturbed(b.asked.node, b.asked_at, events_.now()) || hosts_[b.holder].mute ||
-            !was_reachable(machine_of_server(b.holder), b.asked_at, events_.now()))
+        const Incarnation* life = incarnation_at(record.request.node, record.requested_at);
+        if (life == nullptr || life->until != 0 || record.server_ended_at != 0 ||
+            record.request.slow_reader ||
+            !was_undisturbed(record.request.node, record.requested_at, events_.now()) ||
+            servers_[record.server].silent ||
+            !was_reachable(machine_of_server(record.server), record.requested_at, events_.now()))
             return;
     }
     report("line", named(tunnel) + ": " + std::string(what) + ": '" + std::string(line.substr(0, 40)) + "'");
--- a/src/simulation/ledger.h
+++ b/src/simulation/ledger.h
@@ -1,5 +1,5 @@
-// What each host was sent and how it stood, as seen on the wire: from it the bounds of what nodes share are
-// judged. Times are tenths of a ms since dawn.
+// What each server was sent and how it stood, as seen on the wire: from it the bounds of what nodes share are
+// judged. Times are tenths of a ms since the start.
 #pragma once
 
 #include <cstdint>
@@ -12,35 +12,35 @@
 class Ledger {
   public:
     using Ticks = simnet::Ticks;
-    explicit Ledger(std::uint32_t hosts) : hosts_(hosts) {}
-    void host_stands(std::uint32_t host, bool cold) { hosts_[host].cold = cold; }
+    explicit Ledger(std::uint32_t servers) : servers_(servers) {}
+    void set_cold(std::uint32_t server, bool cold) { servers_[server].cold = cold; }
     // budget: what all nodes together may send it in a window, as it stands now; 0: no such bound.
-    // told: its node has been told of the host's last start.
-    void setup_came(std::uint32_t host, Ticks at, bool mid_flow, double budget, bool told);
-    // A tunnel was declined while hosts stood idle, or while none did.
+    // told: its node has been told of the server's last start.
+    void record_setup(std::uint32_t server, Ticks at, bool mid_flow, double budget, bool notified);
+    // A tunnel was declined while servers stood idle, or while none did.
     void declined(bool beside_idle) { ++declined_, declined_idle_ += beside_idle ? 1 : 0; }
 
-    std::uint32_t hosts() const { return static_cast<std::uint32_t>(hosts_.size()); }
-    bool cold(std::uint32_t host) const { return hosts_[host].cold; }
-    std::size_t setups(std::uint32_t host) const { return hosts_[host].came.size(); }
+    std::uint32_t servers() const { return static_cast<std::uint32_t>(servers_.size()); }
+    bool cold(std::uint32_t server) const { return servers_[server].cold; }
+    std::size_t setups(std::uint32_t server) const { return servers_[server].setup_times.size(); }
     // The most that came within one window of such a length.
-    std::size_t most_within(std::uint32_t host, Ticks window) const;
+    std::size_t most_within(std::uint32_t server, Ticks window) const;
     // The most of its budget that came within one window of such a length; 0: none came while it had one.
-    double most_of_budget(std::uint32_t host, Ticks window) const;
+    double most_of_budget(std::uint32_t server, Ticks window) const;
     // How many more came within one window, from nodes that were told, than chance allows beyond the budget
     // then; at most 0: never more.
-    double most_over_allowance(std::uint32_t host, Ticks window) const;
+    double most_over_allowance(std::uint32_t server, Ticks window) const;
     std::uint64_t declined() const { return declined_; }
     std::uint64_t declined_idle() const { return declined_idle_; }
 
   private:
-    struct Host {
-        bool cold = false;  // it started cold at dawn
-        std::vector<Ticks> came;
+    struct Server {
+        bool cold = false;  // it started cold at the start
+        std::vector<Ticks> setup_times;
         std::vector<double> budget;  // at each of them
-        std::vector<char> told;
+        std::vector<char> notified;
     };
-    std::vector<Host> hosts_;
+    std::vector<Server> servers_;
     std::uint64_t declined_ = 0, declined_idle_ = 0;
 };
 
--- a/src/simulation/main.cpp
+++ b/src/simulation/main.cpp
@@ -1,5 +1,5 @@
 // lemonstair_simulation: the node on simulated machines, against faults drawn from a seed or written as a
-// day.
+// scenario.
 #include <unistd.h>
 
 #include <algorithm>
@@ -34,7 +34,7 @@
 
 double seconds(lemonstair::simulation::Ticks t) { return static_cast<double>(t) / 10000; }
 
-// A day of the file with the chances of a seed, or the seed's own.
+// A scenario of the file with the chances of a seed, or the seed's own.
 Scenario scenario_for(const std::string& file, std::uint64_t seed, bool operated) {
     if (file.empty())
         return operated ? simulation::draw_operated_scenario(seed) : simulation::draw_scenario(seed);
@@ -93,7 +93,7 @@
     const std::uint64_t all = seeds.last - seeds.first + 1;
     std::uint64_t played = 0, bad = 0;
     double simulated = 0;
-    std::map<std::string, std::pair<std::uint64_t, std::string>> rules;  // days and the first seeds
+    std::map<std::string, std::pair<std::uint64_t, std::string>> rules;  // scenarios and the first seeds
     {
         Progress progress;
         simulation::play_all(
--- a/src/simulation/runner.cpp
+++ b/src/simulation/runner.cpp
@@ -30,8 +30,8 @@
 void play_all(const SeedRange& seeds, unsigned jobs, const ScenarioSource& scenario_of,
               const std::function<void(const Verdict&)>& each) {
     std::atomic<std::uint64_t> next{seeds.first};
-    std::mutex telling;
-    std::map<std::uint64_t, Verdict> early;  // played before their turn to be told
+    std::mutex output_lock;
+    std::map<std::uint64_t, Verdict> finished_early;  // played before their turn to be told
     std::uint64_t turn = seeds.first;
     std::exception_ptr failed;
     const auto work = [&] {
@@ -40,14 +40,15 @@
             if (seed > seeds.last) return;
             try {
                 Verdict v = play(scenario_of(seed));
-                const std::lock_guard lock(telling);
-                early.emplace(seed, std::move(v));
-                for (auto it = early.find(turn); it != early.end(); it = early.find(++turn)) {
+                const std::lock_guard lock(output_lock);
+                finished_early.emplace(seed, std::move(v));
+                for (auto it = finished_early.find(turn); it != finished_early.end();
+                     it = finished_early.find(++turn)) {
                     each(it->second);
-                    early.erase(it);
+                    finished_early.erase(it);
                 }
             } catch (...) {
-                const std::lock_guard lock(telling);
+                const std::lock_guard lock(output_lock);
                 failed = std::current_exception();
                 next = seeds.last + 1;
             }
--- a/src/simulation/runner.h
+++ b/src/simulation/runner.h
@@ -1,4 +1,4 @@
-// Many days on many threads: each day is a world of its own, so what one gives depends on no other.
+// Many scenarios on many threads: each scenario is a world of its own, so what one gives depends on no other.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +17,7 @@
 // "7" or "1..10000"; throws std::invalid_argument, in one sentence.
 SeedRange parse_seeds(const std::string& text);
 
-// The day of a seed: drawn from it, or the same day each time with its chances drawn anew.
+// The scenario of a seed: drawn from it, or the same scenario each time with its chances drawn anew.
 using ScenarioSource = std::function<Scenario(std::uint64_t seed)>;
 
 // Plays all seeds on so many threads; `each` hears of them in the seeds' order, from one thread at a time.
--- a/src/simulation/shrink.cpp
+++ b/src/simulation/shrink.cpp
@@ -11,10 +11,11 @@
 
 class Shrinker {
   public:
-    Shrinker(Shrunk& best, const Player& player, int most, const std::function<void(const Shrunk&)>& told)
-        : best_(best), player_(player), most_(most), told_(told) {}
+    Shrinker(Shrunk& best, const Player& player, int most,
+             const std::function<void(const Shrunk&)>& on_progress)
+        : best_(best), player_(player), most_(most), on_progress_(on_progress) {}
 
-    // Takes the smaller day where the rule still breaks in it.
+    // Takes the smaller scenario where the rule still breaks in it.
     bool takes(const Scenario& smaller) {
         if (best_.plays >= most_) return false;
         ++best_.plays;
@@ -22,7 +23,7 @@
         const bool breaks = std::any_of(v.broken.begin(), v.broken.end(),
                                         [&](const Broken& b) { return b.rule == best_.rule; });
         if (breaks) best_.scenario = smaller;
-        if (told_) told_(best_);
+        if (on_progress_) on_progress_(best_);
         return breaks;
     }
     template <class Change>
@@ -46,17 +47,17 @@
     Shrunk& best_;
     const Player& player_;
     int most_;
-    const std::function<void(const Shrunk&)>& told_;
+    const std::function<void(const Shrunk&)>& on_progress_;
 };
 
 }  // namespace
 
 Shrunk shrink(const Scenario& scenario, const std::string& rule, const Player& player, int most_plays,
-              const std::function<void(const Shrunk&)>& told) {
+              const std::function<void(const Shrunk&)>& on_progress) {
     Shrunk best{scenario, rule, 0};
-    Shrinker s(best, player, most_plays, told);
+    Shrinker s(best, player, most_plays, on_progress);
     while (s.drop_faults()) continue;
-    // What makes a day rich, one thing at a time.
+    // What makes a scenario rich, one thing at a time.
     const std::vector<std::function<void(Scenario&)>> plainer{
         [](Scenario& d) { d.network.cut_reads = 0; },
         [](Scenario& d) { d.network.cut_writes = 0; },
--- a/src/simulation/shrink.h
+++ b/src/simulation/shrink.h
@@ -1,4 +1,4 @@
-// A day that breaks a rule, made smaller while the same rule still breaks.
+// A scenario that breaks a rule, made smaller while the same rule still breaks.
 #pragma once
 
 #include <functional>
@@ -14,12 +14,12 @@
     int plays = 0;
 };
 
-// Whether a day breaks a rule: plays it, as it is meant to be played.
+// Whether a scenario breaks a rule: plays it, as it is meant to be played.
 using Player = std::function<Verdict(const Scenario&)>;
 
-// Drops faults, then what the day does not need; at most so many days are played. `told` hears after each
-// play.
+// Drops faults, then what the scenario does not need; at most so many scenarios are played. `told` hears
+// after each play.
 Shrunk shrink(const Scenario& scenario, const std::string& rule, const Player& player, int most_plays = 400,
-              const std::function<void(const Shrunk&)>& told = {});
+              const std::function<void(const Shrunk&)>& on_progress = {});
 
 }  // namespace lemonstair::simulation
--- a/src/soak/main.cpp
+++ b/src/soak/main.cpp
@@ -1,6 +1,6 @@
 // lemonstair_soak: many real processes on the loopback, two or three troubles that overlap in time, a shim in
 // each process that lets calls, files and clocks fail; judged by the rules from the wire and by the
-// processes' own checks. Each seed is a day; the same seed draws the same day.
+// processes' own checks. Each seed is a scenario; the same seed draws the same scenario.
 #include <algorithm>
 #include <cstdlib>
 #include <filesystem>
@@ -33,7 +33,7 @@
     bool plain = false;
 };
 
-// Where the logs of one day are; gone with it, unless they are to be kept.
+// Where the logs of one scenario are; gone with it, unless they are to be kept.
 class LogFolder {
   public:
     LogFolder() {
--- a/src/soak/soak_scenario.h
+++ b/src/soak/soak_scenario.h
@@ -1,5 +1,5 @@
-// Soak days: a day of overlapping troubles, drawn from a seed, for many real processes; and what the fault
-// shim does to each process on it. The same seed draws the same day.
+// Soak scenarios: a scenario of overlapping troubles, drawn from a seed, for many real processes; and what
+// the fault shim does to each process on it. The same seed draws the same scenario.
 #pragma once
 
 #include <cstdint>
