--- a/src/fakes/admin_client.h
+++ b/src/fakes/admin_client.h
@@ -1,5 +1,5 @@
-// Stand-in of those who operate nodes: each call is one HTTP request on a connection of its own. What is said
-// of them (whether an answer was due, and true) is the asker's.
+// Fake of the operators: each call is one HTTP request on a connection of its own. Whether an answer was due
+// and true is for the caller to judge.
 #pragma once
 
 #include <functional>
@@ -20,8 +20,9 @@
     using Callback = std::function<void(const Answer&)>;
     AdminClient(TestEnvironment& environment, Machine machine)
         : environment_(environment), machine_(machine) {}
+    // `callback` gets the answer, or status 0 after a second. `request`: the whole HTTP request.
     void call(const net::Address& at, std::string request, Callback callback);
-    // Callers who say nothing, or half a call, and stay for four seconds.
+    // Connections that send nothing, or half a request, and stay open for four seconds.
     void open_idle(const net::Address& at, int how_many);
 
     void on_stream_event(End end) override;
--- a/src/fakes/clients.cpp
+++ b/src/fakes/clients.cpp
@@ -53,7 +53,7 @@
         clients_.begin(), clients_.end(), [](const Client& client) { return client.state == State::open; }));
 }
 
-// Each change of state ends the timers of the one before.
+// A change of state makes the timers of the old state stale.
 void FakeClients::transition_to(std::uint32_t index, State to) {
     ++clients_[index].timer_generation;
     clients_[index].state = to;
@@ -123,7 +123,7 @@
     environment_.network.close(client.end);
 }
 
-// Its last words have come; what comes behind them is wrong.
+// The final answer has come: the node must close, and send no more.
 void FakeClients::await_close(std::uint32_t index) {
     Client& client = clients_[index];
     client.connected = false;
@@ -208,7 +208,7 @@
     close_connection(index);
     if (client.state == State::done || client.state == State::pausing) return;
     if (client.finished_sending) return transition_to(index, State::done);
-    // A way for its packets is looked for as long as the server keeps the connection.
+    // Another node is tried as long as the server keeps the connection parked.
     if (client.state == State::calling && client.resuming &&
         environment_.now() - client.lost_at < environment_.park)
         return pause(index, second / 3);
@@ -219,7 +219,7 @@
                                               environment_.network.last_received_sent_at(client.end));
     ++tally_.cut;
     client.reconnecting = client.reconnecting || was_open;
-    // Its packets go on through another node, where the network lets them pass.
+    // With packet passthrough the same tunnel goes on through another node.
     if (was_open && environment_.packet_passthrough && by_reset) {
         client.resuming = client.gap_echoed = client.gap_heard = true;
         client.lost_at = environment_.now();
@@ -326,7 +326,7 @@
     expected = number;
     client.unechoed_since = client.echoes_received < client.lines_sent
                                 ? environment_.now()
-                                : 0;  // any line of the server is one that came back
+                                : 0;  // any line of the server counts as an answer
 }
 
 void FakeClients::on_event(std::uint64_t what) {
--- a/src/fakes/clients.h
+++ b/src/fakes/clients.h
@@ -13,19 +13,20 @@
 
 namespace lemonstair::fakes {
 
-// One member's wish for a connection.
+// What one client wants: a tunnel for this key, during this time.
 struct ClientPlan {
     std::string key;
     std::uint32_t group = 0;    // 0: none
-    std::uint32_t profile = 0;  // place in the town's
-    double load = 0;            // in cores; told to the node as a guess
-    Ticks from = 0, until = 0;  // since the start
+    std::uint32_t profile = 0;  // its place in TestEnvironment::profiles
+    double load = 0;            // in cores; sent to the node as an estimate
+    Ticks from = 0, until = 0;  // since the scenario's start
 };
 
+// How clients behave: pauses and intervals in tenths of a ms, shares from 0 to 1.
 struct ClientBehavior {
     int max_attempts = 6;
     Ticks min_pause = 200, max_pause = 5000;
-    double abandon_share = 0;  // share of waits that the client leaves
+    double abandon_share = 0;  // share of requests that the client abandons
     double slow_reader_share = 0;
     Ticks line_interval = 20000;
 };
@@ -37,9 +38,9 @@
                 std::vector<ClientPlan> plans, const ClientBehavior& client_behavior,
                 simnet::RandomSource random);
     void start();
-    // More of them, from now on.
+    // More clients, from now on.
     void add(std::vector<ClientPlan> plans);
-    // All that still wait or talk go home.
+    // All clients leave, and start no new connection.
     void stop_all();
     void on_stream_event(End end) override;
     void on_connection(const net::Address&) override {}
@@ -59,7 +60,7 @@
         End end;
         bool connected = false, slow_reader = false, reads = true, finished_sending = false, resuming = false,
              reconnecting = false;
-        bool gap_echoed = false, gap_heard = false;  // lines may be missing where packets took another way
+        bool gap_echoed = false, gap_heard = false;  // lines may be missing after a change of node
         Machine machine = 0;
         std::uint32_t node = 0;
         TunnelId tunnel = 0, last_tunnel = 0;
@@ -68,7 +69,7 @@
         LineReader reader;
         std::string waiting;
         std::uint32_t lines_sent = 0, echoes_received = 0,
-                      pushes_received = 0;  // lines: its own, answered, the server's
+                      pushes_received = 0;  // lines: sent, echoed by the server, and the server's own
         Ticks unechoed_since = 0, reported_silence = 0, lost_at = 0;
     };
     enum Kind : std::uint64_t {
@@ -114,7 +115,8 @@
     simnet::RandomSource random_;
     std::vector<Client> clients_;
     std::unordered_map<std::uint64_t, std::uint32_t> by_end_;
-    std::unordered_map<std::uint64_t, TunnelId> closing_;  // ends that have had their last words
+    std::unordered_map<std::uint64_t, TunnelId>
+        closing_;  // their final answer has come; more would be a fault
     TunnelId next_tunnel_ = 1;
     Tally tally_;
 };
--- a/src/fakes/discovery.cpp
+++ b/src/fakes/discovery.cpp
@@ -164,7 +164,7 @@
     notify(index, servers);
 }
 
-// The witness hears of it when it has come to the node's machine.
+// The execution log gets it once it has reached the node's machine.
 void FakeDiscovery::notify(std::uint32_t index, const std::vector<std::uint32_t>& servers) {
     notifications_.push_back({calls_[index].node, {}});
     for (const std::uint32_t h : servers)
--- a/src/fakes/discovery.h
+++ b/src/fakes/discovery.h
@@ -1,5 +1,4 @@
-// A stand-in of the platform's discovery: lists and watches over HTTP/1.1, late, down, silent or wrong on
-// demand.
+// Fake of the platform's discovery: lists and watches over HTTP/1.1; late, down, silent or corrupt on demand.
 #pragma once
 
 #include <map>
@@ -13,7 +12,7 @@
 
 namespace lemonstair::fakes {
 
-// What the list says of a server, kept once for all services that tell it.
+// A server's entry in the endpoint list.
 struct DiscoveryEntry {
     std::string id, zone;
     std::uint32_t cell = 0;
@@ -23,7 +22,7 @@
     enum class Phase : std::uint8_t { active, terminating, terminated } phase = Phase::active;
 };
 
-// As the one who sees the server at this address is told.
+// The entry as JSON, for a node that reaches the server at this address.
 std::string entry_json(const DiscoveryEntry& l, const net::Address& at);
 
 class FakeDiscovery final : public simnet::StreamListener, public simnet::EventTarget {
@@ -35,20 +34,21 @@
           port_(port),
           revision_(first_revision),
           random_(random) {}
-    // The list it begins with.
+    // Starts the service with this list.
     void open(std::vector<DiscoveryEntry> list);
     net::Address address() const { return environment_.network.place(machine_, port_); }
     std::uint64_t revision() const { return revision_; }
-    // A server's entry has changed; watches are told after a while.
+    // A server's entry changes; watches get it `after` from now.
     void change(std::uint32_t server, const DiscoveryEntry& entry, Ticks after);
 
     // ---- faults
-    void down(bool on);    // calls are refused, watches end
-    void silent(bool on);  // calls are taken and watches stand, and nothing is said
+    void down(bool on);    // connections are refused, watches are reset
+    void silent(bool on);  // connections stay open and nothing is sent
     void answer_after(Ticks span) { answer_after_ = span; }
     void corrupt_next(int kind) { corrupt_ = kind; }  // 1: no list; 2: an entry without id; 3: an old list
+    // A new instance, whose revisions count from here.
     void restart(std::uint64_t revision);
-    // Takes no new call; those that stand end after a while.
+    // Refuses new connections, and closes the open ones `after` from now.
     void retire(Ticks after);
 
     void on_stream_event(End end) override;
@@ -89,7 +89,7 @@
         Machine node;
         std::vector<std::pair<std::uint32_t, bool>> servers;  // and whether each is in service
     };
-    std::vector<Notification> notifications_;  // words under way
+    std::vector<Notification> notifications_;  // on their way to nodes
     Ticks answer_after_ = 5;
     int corrupt_ = 0;
     bool down_ = false, silent_ = false, sends_keepalives_ = false;
--- a/src/fakes/environment.h
+++ b/src/fakes/environment.h
@@ -1,5 +1,5 @@
-// What all stand-ins of a scenario share: the agenda, the network, the trace, the witness, and where
-// everybody is.
+// What all fakes of a run share: event queue, network, trace, execution log and traffic profiles; and helpers
+// for line protocols.
 #pragma once
 
 #include <array>
@@ -15,23 +15,26 @@
 
 namespace lemonstair::fakes {
 
+// Lives as long as the run. Times are tenths of a ms.
 struct TestEnvironment {
     simnet::EventQueue& events;
     simnet::Streams& network;
     simnet::Trace& trace;
     ExecutionLog& execution_log;
     std::vector<Profile> profiles;
-    bool packet_passthrough = false;  // a connection goes on through another node when its own has died
-    Ticks park = 60000;               // how long a server keeps such a connection whose packets have stopped
+    bool packet_passthrough = false;  // a tunnel goes on through another node when its own has died
+    Ticks park = 60000;               // how long a server keeps such a tunnel without a connection
 
     Ticks now() const { return events.now(); }
+    // Since the start of the scenario.
     Ticks elapsed() const { return events.now() - events.start_time(); }
+    // Writes into the trace.
     void note(std::string_view what, std::uint64_t a, std::uint64_t b, std::string_view text = {}) {
         trace.note(elapsed(), what, a, b, text);
     }
 };
 
-// Writes as much of what waits as there is room for, cut where the network cuts it.
+// Writes as much of the queued bytes as the network takes now, and removes it.
 inline void write_waiting(simnet::Streams& network, End end, std::string& waiting) {
     while (!waiting.empty()) {
         const std::size_t n = network.write(end, waiting).bytes;
@@ -40,7 +43,7 @@
     }
 }
 
-// The parts of a line, cut at blanks.
+// The next word of a line; `rest` is what follows the blank behind it.
 inline std::string_view next_word(std::string_view& rest) {
     const auto end = std::min(rest.find(' '), rest.size());
     const auto word = rest.substr(0, end);
@@ -48,6 +51,7 @@
     return word;
 }
 
+// False unless the whole text is one number.
 template <class Number>
 bool read_whole(std::string_view text, Number& into, int base = 10) {
     const auto [stop, error] = std::from_chars(text.data(), text.data() + text.size(), into, base);
--- a/src/fakes/execution_log.h
+++ b/src/fakes/execution_log.h
@@ -1,4 +1,4 @@
-// What the stand-ins see on the wire, told to whoever judges it. No node takes part in it.
+// What the fakes see on the wire, for whoever judges it. No node has a part in it. Times are tenths of a ms.
 #pragma once
 
 #include <cstdint>
@@ -12,15 +12,17 @@
 using simnet::Machine;
 using simnet::Ticks;
 
-// A tunnel as one connection of a client: its number is what its id on the wire says.
+// One tunnel of a client; its id on the wire is `t` and this number in hex.
 using TunnelId = std::uint32_t;
 
+// Final answer to a request, or the end of an open tunnel (move).
 enum class Answer : std::uint8_t { none, up, bye, busy, error, move };
 
+// Whether a request may run twice, and how far its key is known.
 enum class Idempotency : std::uint8_t { idempotent, idempotent_with_key, non_idempotent };
 enum class DeduplicationScope : std::uint8_t { all, zone, cell };
 
-// What clients ask for, as the settings name it.
+// Traffic class of the settings: latency objective, client timeout, deduplication window.
 struct Profile {
     std::string_view name;
     Idempotency effect = Idempotency::idempotent;
@@ -28,18 +30,19 @@
     Ticks latency_objective = 5000, client_timeout = 30000, window = 50000;
 };
 
-// One first line that a client has written.
+// First line that a client has sent.
 struct TunnelRequest {
     TunnelId tunnel = 0;
     TunnelId before = 0;  // the client's tunnel before this one; 0: its first
     std::uint32_t node = 0;
     std::uint32_t profile = 0;
-    Ticks wait = 0;            // that the line tells
+    Ticks wait = 0;            // the client's timeout, as the line says
     bool mid_flow = false;     // the tunnel is open at a server
     bool slow_reader = false;  // the client leaves bytes unread for seconds
     End end;
 };
 
+// Callbacks of the fakes, in the order of events.
 class ExecutionLog {
   public:
     ExecutionLog() = default;
@@ -49,23 +52,23 @@
 
     // ---- clients
     virtual void tunnel_requested(const TunnelRequest& what) = 0;
-    // Its last byte has come to the node's machine.
+    // The request's last byte has reached the node's machine.
     virtual void request_delivered(TunnelId tunnel) = 0;
     virtual void request_answered(TunnelId tunnel, Answer answer, Ticks written_at) = 0;
-    // More came behind a decline, an error or a MOVE.
+    // Bytes after a decline, an error or a MOVE.
     virtual void data_after_final(TunnelId tunnel, std::string_view text) = 0;
-    // The client went away, or its time has been up for a while.
+    // The client left by itself; or its timeout and a grace period are over.
     virtual void client_left(TunnelId tunnel) = 0;
     virtual void client_timed_out(TunnelId tunnel) = 0;
-    // The connection ended or was reset, with no MOVE before; written: when the node said so.
+    // Closed or reset without a MOVE; written: when the node did it.
     virtual void connection_cut(TunnelId tunnel, bool by_reset, Ticks written) = 0;
-    // Its connection brings no line back though it owes some, for so long.
+    // An open tunnel has not answered lines for so long.
     virtual void connection_silent(TunnelId tunnel, Ticks span) = 0;
-    // A client that no node need serve had nothing in all its time.
+    // A misbehaving client got neither an error nor an end in time.
     virtual void misbehaving_client_unanswered(std::uint32_t node, std::string_view how) = 0;
 
     // ---- servers
-    // A first line has come whole; its first byte was written at `first`.
+    // A complete first line; its first byte was sent at `first`.
     virtual void setup_received(TunnelId tunnel, std::uint32_t server, End end, Ticks first,
                                 bool mid_flow) = 0;
     virtual void setup_answered(TunnelId tunnel, std::uint32_t server, Answer answer) = 0;
@@ -77,7 +80,7 @@
     virtual void invalid_line(std::uint32_t server, std::string_view line) = 0;
 
     // ---- discovery
-    // Word that a server takes nothing new any more, or is in service, has come to a node's machine.
+    // A list with this state of the server has reached a node's machine.
     virtual void endpoint_state_delivered(std::uint32_t node, std::uint32_t server, bool active) = 0;
 
     // ---- both
--- a/src/fakes/front.h
+++ b/src/fakes/front.h
@@ -10,19 +10,19 @@
 
 namespace lemonstair::fakes {
 
-// The front takes in a node that answers PING, and notices after a while that one has died.
+// A node that answers PING is in rotation; one that has died leaves it after the detection delay.
 class Front final : public simnet::StreamListener, public simnet::EventTarget {
   public:
     static constexpr std::uint32_t none = 0xffffffffU;
     Front(TestEnvironment& environment, Machine machine, const std::vector<net::Address>& nodes,
           Ticks detection_delay, simnet::RandomSource random);
     void start();
-    // A node that is dealt clients; none where no node is.
+    // A random node in rotation; `none` where there is none.
     std::uint32_t pick();
     std::uint32_t pick_except(std::uint32_t node);
     const net::Address& address(std::uint32_t node) const { return nodes_[node].address; }
     std::size_t size() const { return nodes_.size(); }
-    // Told that a node leaves on purpose: it is dealt no one from a moment later on.
+    // The node shuts down: it leaves the rotation `after` from now.
     void leaves(std::uint32_t node, Ticks after);
 
     void on_stream_event(End end) override;
--- a/src/fakes/misbehaving_clients.h
+++ b/src/fakes/misbehaving_clients.h
@@ -9,7 +9,7 @@
 
 namespace lemonstair::fakes {
 
-// Clients that no node need serve.
+// Each opens a connection, sends what its kind says, and expects an error or an end within 3 s.
 class MisbehavingClients final : public simnet::StreamListener, public simnet::EventTarget {
   public:
     MisbehavingClients(TestEnvironment& environment, Front& front, Machine machine,
@@ -27,6 +27,7 @@
         again
     };
     static constexpr int kinds = 9;
+    // `again`: those that are answered come once more.
     void start(int how_many, Kind kind, bool again);
     void stop_all();
     void on_stream_event(End end) override;
--- a/src/fakes/server.cpp
+++ b/src/fakes/server.cpp
@@ -23,7 +23,7 @@
     busy_until_ = environment_.now();
     overloaded_since_ = 0;
     reported_ = 0;
-    fails_ = refuses_ = hangs_ = false;
+    fails_setups_ = declines_setups_ = hangs_ = false;
     environment_.network.listen(address(), *this, 256);
     environment_.note("host up", number_, cold ? 1 : 0);
     environment_.events.schedule(environment_.now() + 1, *this, token(report, 0));
@@ -35,7 +35,7 @@
     if (state_ != State::up) return;
     state_ = State::down;
     ++incarnation_;
-    environment_.note("host down", number_, tunnels_);
+    environment_.note("host down", number_, open_count_);
     environment_.network.unlisten(address());
     for (Connection& connection : connections_) {
         if (connection.step == Step::open)
@@ -46,7 +46,7 @@
     by_end_.clear();
     by_tunnel_.clear();
     groups_.clear();
-    tunnels_ = 0;
+    open_count_ = 0;
     load_ = 0;
 }
 
@@ -57,7 +57,7 @@
     return 1 - (1 - traits_.slow_start_initial_factor) * std::min(left, 1.0);
 }
 
-double FakeServer::capacity() const { return traits_.cores * slow_start_factor() / slow_; }
+double FakeServer::capacity() const { return traits_.cores * slow_start_factor() / slowdown_; }
 
 double FakeServer::demand() const { return load_ + traits_.group_load * static_cast<double>(groups_.size()); }
 
@@ -103,9 +103,9 @@
     }
 }
 
-void FakeServer::ask_to_leave(Ticks within) {
-    leave_every_ = std::max<Ticks>(1, within / static_cast<Ticks>(tunnels_ + 1));
-    environment_.events.schedule(environment_.now() + leave_every_, *this, token(leave_one, 0));
+void FakeServer::move_clients(Ticks within) {
+    move_interval_ = std::max<Ticks>(1, within / static_cast<Ticks>(open_count_ + 1));
+    environment_.events.schedule(environment_.now() + move_interval_, *this, token(move_due, 0));
 }
 
 }  // namespace lemonstair::fakes
--- a/src/fakes/server.h
+++ b/src/fakes/server.h
@@ -1,6 +1,5 @@
-// A stand-in of a chat server: it speaks the platform's protocol on a simulated network, works with so many
-// cores, starts cold, falls over when it is pushed, tells its load late and a little wrong, and fails on
-// demand in every way that has a name here.
+// Fake of a chat server: speaks the platform's protocol, has a capacity in cores and a slow start, goes down
+// when it is overloaded in slow start, reports its load late and with noise, and fails on demand.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +13,7 @@
 
 namespace lemonstair::fakes {
 
-// A figure in cores is work a second; spans are tenths of a ms.
+// Loads and capacities are in cores, durations in tenths of a ms.
 struct ServerTraits {
     double cores = 2;
     std::uint32_t zone = 0, cell = 0;
@@ -27,7 +26,7 @@
     double reports_always = 0;  // a load, whatever it holds; 0: what is so, with noise
     Ticks cold = 80000, overload_window = 15000;
     double slow_start_initial_factor = 0.33, overload_multiple = 2.5;
-    Ticks full_backlog = 10000;  // of work that waits: beyond it setups are turned away
+    Ticks full_backlog = 10000;  // queued work beyond which setups are declined
 };
 
 class FakeServer final : public simnet::StreamListener, public simnet::EventTarget {
@@ -37,7 +36,7 @@
     FakeServer(TestEnvironment& environment, std::uint32_t number, Machine machine,
                const ServerTraits& traits, simnet::RandomSource random);
 
-    // Cold: as one whose process started then.
+    // cold: in slow start, as a process that started `since`.
     void start(bool cold) { start(cold, environment_.now()); }
     void start(bool cold, Ticks since);
     // The process dies: connections are reset, new ones refused.
@@ -49,24 +48,24 @@
     const ServerTraits& traits() const { return traits_; }
     net::Address address() const { return environment_.network.place(machine_, port); }
     Machine machine() const { return machine_; }
-    std::size_t open_tunnels() const { return tunnels_; }
-    // What its tunnels ask for, over what it can do now.
+    std::size_t open_tunnels() const { return open_count_; }
+    // Demand of its tunnels over its capacity now.
     double load() const { return demand() / capacity(); }
     bool in_slow_start() const { return slow_start_factor() < 1; }
-    // What all nodes together may ask of it now, in cores, before it is pushed over.
+    // Demand in cores, above which it goes down when it is in slow start.
     double overload_limit() const { return traits_.overload_multiple * traits_.cores * slow_start_factor(); }
-    bool takes_setups() const { return answers() && !fails_ && !refuses_; }
+    bool accepts_setups() const { return answers() && !fails_setups_ && !declines_setups_; }
     // Whether it answers what is sent to it now.
     bool answers() const { return state_ == State::up && !hangs_ && !environment_.network.is_cut(machine_); }
 
     // ---- faults
-    void slow_down(double times) { slow_ = times; }
-    void fail_setups(bool on) { fails_ = on; }
-    void refuse_setups(bool on) { refuses_ = on; }
+    void slow_down(double times) { slowdown_ = times; }
+    void fail_setups(bool on) { fails_setups_ = on; }
+    void decline_setups(bool on) { declines_setups_ = on; }
     void hang(bool on);
     void reset_some(double share);
-    // Asks its clients to leave, a few at a time, within a span.
-    void ask_to_leave(Ticks within);
+    // Sends MOVE to its clients, spread over the duration.
+    void move_clients(Ticks within);
 
     void on_stream_event(End end) override;
     void on_connection(const net::Address& at) override;
@@ -76,7 +75,7 @@
 
   private:
     enum class Step : std::uint8_t { first_line, working, open, ended };
-    // A connection. One whose packets pass is kept for a while when they stop.
+    // With packet passthrough a tunnel is parked here when its connection is reset.
     struct Connection {
         End end;
         Step step = Step::first_line;
@@ -89,9 +88,9 @@
         double load = 0;
         std::uint32_t lines_received = 0, echoes_sent = 0,
                       pushes_sent = 0;  // lines: the client's, answered, its own
-        std::string waiting;            // for room
+        std::string waiting;            // until the network takes them
     };
-    enum Kind : std::uint64_t { answer_setup, echo, push, report, leave_one, overload_check, probe_answer };
+    enum Kind : std::uint64_t { answer_setup, echo, push, report, move_due, overload_check, probe_answer };
     std::uint64_t token(Kind kind, std::uint64_t at) const {
         return std::uint64_t{kind} << 56 | std::uint64_t{incarnation_ & 0xffffU} << 40 | at;
     }
@@ -124,15 +123,15 @@
     State state_ = State::down;
     std::uint32_t incarnation_ = 0;
     Ticks started_ = 0, cold_until_ = 0, busy_until_ = 0, overloaded_since_ = 0;
-    double slow_ = 1;
-    bool fails_ = false, refuses_ = false, hangs_ = false;
-    std::deque<Connection> connections_;  // places are not used again within a life
+    double slowdown_ = 1;
+    bool fails_setups_ = false, declines_setups_ = false, hangs_ = false;
+    std::deque<Connection> connections_;  // places are not reused within an incarnation
     std::unordered_map<std::uint64_t, std::uint32_t> by_end_;
     std::unordered_map<TunnelId, std::uint32_t> by_tunnel_;
     std::unordered_map<std::uint32_t, int> groups_;
-    std::size_t tunnels_ = 0;
+    std::size_t open_count_ = 0;
     double load_ = 0, reported_ = 0;
-    Ticks leave_every_ = 0;
+    Ticks move_interval_ = 0;
 };
 
 }  // namespace lemonstair::fakes
--- a/src/fakes/server_connections.cpp
+++ b/src/fakes/server_connections.cpp
@@ -103,7 +103,7 @@
         }
         return finish(index, false);
     }
-    // What comes after its last words is thrown away.
+    // What comes after the final answer is discarded.
     if (!connections_[index].gone) {
         const auto got = environment_.network.read(connections_[index].end, bytes, true);
         if (got.ended || got.error != 0)
@@ -111,11 +111,11 @@
     }
 }
 
-// The tunnel is over here; the witness hears of it where the server itself ended it.
+// Releases the tunnel; it is logged where the server itself ended it.
 void FakeServer::finish(std::uint32_t index, bool says_so) {
     Connection& connection = connections_[index];
     if (connection.step == Step::open) {
-        --tunnels_;
+        --open_count_;
         load_ = std::max(0.0, load_ - connection.load);
         if (connection.group != 0 && --groups_[connection.group] == 0) groups_.erase(connection.group);
         by_tunnel_.erase(connection.tunnel);
@@ -175,7 +175,7 @@
     const std::string_view list = next_word(rest);
     if (id.substr(0, 1) != "t" || !read_whole(id.substr(1), connection.tunnel, 16) || list.empty()) {
         if (id.substr(0, 1) != "r")
-            environment_.execution_log.invalid_line(number_, id);  // a rude client's first line may be good
+            environment_.execution_log.invalid_line(number_, id);  // misbehaving clients send such ids
         environment_.network.write(connection.end, "ERR\r\n", true);
         connection.step = Step::ended;
         environment_.network.finish(connection.end);
@@ -213,7 +213,7 @@
         environment_.execution_log.setup_answered(connection.tunnel, number_, Answer::up);
         return true;
     }
-    const double fails_in_ms = fails_ || refuses_ ? 0.1 : traits_.setup_work_ms;
+    const double fails_in_ms = fails_setups_ || declines_setups_ ? 0.1 : traits_.setup_work_ms;
     environment_.events.schedule(work(fails_in_ms), *this, token(answer_setup, index));
     return true;
 }
@@ -222,8 +222,8 @@
     Connection& connection = connections_[index];
     if (connection.gone || connection.step != Step::working) return;
     Answer a = Answer::up;
-    if (fails_) a = Answer::error;
-    if (refuses_ || tunnels_ >= traits_.most_connections ||
+    if (fails_setups_) a = Answer::error;
+    if (declines_setups_ || open_count_ >= traits_.most_connections ||
         busy_until_ - environment_.now() > traits_.full_backlog)
         a = Answer::busy;
     environment_.execution_log.setup_answered(connection.tunnel, number_, a);
@@ -236,7 +236,7 @@
 void FakeServer::begin(std::uint32_t index) {
     Connection& connection = connections_[index];
     connection.step = Step::open;
-    ++tunnels_;
+    ++open_count_;
     load_ += connection.load;
     if (connection.group != 0) ++groups_[connection.group];
     by_tunnel_[connection.tunnel] = index;
@@ -249,7 +249,7 @@
     read(index);
 }
 
-// What does not go out at once waits for room.
+// What the network does not take at once is queued.
 void FakeServer::send(std::uint32_t index, std::string_view text) {
     Connection& connection = connections_[index];
     if (connection.gone) return;
@@ -289,8 +289,8 @@
             return check_overload();
         case probe_answer:
             return answer_probe(static_cast<std::uint32_t>(place >> 1), (place & 1) != 0);
-        case leave_one:
-            if (move_one()) environment_.events.schedule(now + leave_every_, *this, what);
+        case move_due:
+            if (move_one()) environment_.events.schedule(now + move_interval_, *this, what);
             return;
     }
 }
--- a/src/process_harness/address_plan.cpp
+++ b/src/process_harness/address_plan.cpp
@@ -8,8 +8,7 @@
 
 namespace lemonstair::process_harness {
 
-// Two rigs on one machine keep apart by a listener that nobody calls: it ends with its process, however that
-// one ends.
+// A listener reserves the block against other harnesses; it ends with this process, however that ends.
 AddressPlan::AddressPlan(std::uint32_t nodes) : nodes_(nodes) {
     constexpr std::uint32_t first = 16, blocks = 72, wide = 3;
     const auto start = static_cast<std::uint32_t>(::getpid()) % blocks;
--- a/src/process_harness/address_plan.h
+++ b/src/process_harness/address_plan.h
@@ -1,6 +1,6 @@
-// Where everybody is on the loopback: one block of 127.0.0.0/8 for each of the nodes' own addresses, the
-// places as each node sees them, and the doors of the post office. A node dials addresses that are its own
-// alone, so that whoever is called knows who calls, and a fault can meet one pair.
+// Address plan of the process harness: blocks of 127.0.0.0/8 for the nodes' own addresses, for the servers as
+// each node sees them, and for the datagram proxy. Each node connects to addresses of its own, so that the
+// proxy knows who connects, and a fault can meet one pair.
 #pragma once
 
 #include <arpa/inet.h>
@@ -18,7 +18,7 @@
 
 class AddressPlan {
   public:
-    // Takes blocks that no other rig of this machine holds; throws std::system_error where none is free.
+    // Takes blocks that no other harness on this machine holds; throws std::system_error where none is free.
     explicit AddressPlan(std::uint32_t nodes);
 
     std::uint32_t nodes() const { return nodes_; }
@@ -32,7 +32,7 @@
                     static_cast<std::uint16_t>(first_port + slot * ports_each + port_of(own) % ports_each));
     }
     // Under which a node is known to the other nodes.
-    Address proxy(Machine node) const { return make(block_ + 2, node, datagram_port); }
+    Address datagram_address(Machine node) const { return make(block_ + 2, node, datagram_port); }
     Address broadcast_address() const { return make(block_ + 2, 0xff01, datagram_port); }
 
   private:
--- a/src/process_harness/datagram_proxy.cpp
+++ b/src/process_harness/datagram_proxy.cpp
@@ -9,9 +9,9 @@
 
 namespace {
 
-constexpr std::size_t longest = 256, most_kept = 64;
+constexpr std::size_t max_datagram = 256, max_kept = 64;
 constexpr Ticks usual_delay = 5;
-constexpr int room = 1 << 20;
+constexpr int receive_buffer = 1 << 20;
 
 }  // namespace
 
@@ -25,17 +25,17 @@
       counts_(addresses.nodes()),
       kept_(addresses.nodes()) {
     for (Machine n = 0; n <= addresses.nodes(); ++n) {
-        net::Fd fd =
-            net::bind_datagrams(n < addresses.nodes() ? addresses.proxy(n) : addresses.broadcast_address());
-        ::setsockopt(fd.get(), SOL_SOCKET, SO_RCVBUF, &room, sizeof room);
+        net::Fd fd = net::bind_datagrams(n < addresses.nodes() ? addresses.datagram_address(n)
+                                                               : addresses.broadcast_address());
+        ::setsockopt(fd.get(), SOL_SOCKET, SO_RCVBUF, &receive_buffer, sizeof receive_buffer);
         poller.add(fd.get(), EPOLLIN, *this, n, false);
-        (n < addresses.nodes() ? proxy_listeners_.emplace_back() : to_all_) = std::move(fd);
+        (n < addresses.nodes() ? sockets_.emplace_back() : broadcast_socket_) = std::move(fd);
     }
 }
 
 void DatagramProxy::on_ready(std::uint64_t token, std::uint32_t) {
     const auto to = static_cast<Machine>(token);
-    const int fd = to < proxy_listeners_.size() ? proxy_listeners_[to].get() : to_all_.get();
+    const int fd = to < sockets_.size() ? sockets_[to].get() : broadcast_socket_.get();
     std::array<std::uint8_t, 2048> bytes;
     for (int i = 0; i < 64; ++i) {
         sockaddr_in from{};
@@ -45,23 +45,23 @@
         if (n < 0) return;
         const Machine who = addresses_.machine_at({from});
         if (who >= addresses_.nodes() || !(addresses_.own(who, peer_port_) == Address{from})) continue;
-        if (static_cast<std::size_t>(n) > longest) ++too_long_;
+        if (static_cast<std::size_t>(n) > max_datagram) ++too_long_;
         const std::span<const std::uint8_t> text(bytes.data(), static_cast<std::size_t>(n));
-        if (to < proxy_listeners_.size()) {
-            carry(who, to, text);
+        if (to < sockets_.size()) {
+            forward(who, to, text);
             continue;
         }
         for (Machine m = 0; m < addresses_.nodes(); ++m)
-            if (m != who) carry(who, m, text);
+            if (m != who) forward(who, m, text);
     }
 }
 
-void DatagramProxy::carry(Machine from, Machine to, std::span<const std::uint8_t> bytes) {
+void DatagramProxy::forward(Machine from, Machine to, std::span<const std::uint8_t> bytes) {
     ++counts_[from].sent;
     counts_[from].bytes += bytes.size();
     auto& kept = kept_[from];
     kept.push_back({from, to, {bytes.begin(), bytes.end()}});
-    if (kept.size() > most_kept) kept.pop_front();
+    if (kept.size() > max_kept) kept.pop_front();
     const int copies = random_.odds(faults_.lost) ? 0 : random_.odds(faults_.doubled) ? 2 : 1;
     for (int i = 0; i < copies; ++i) {
         const Ticks jitter = faults_.jitter > 0 ? random_.between(Ticks{0}, faults_.jitter) : 0;
@@ -84,11 +84,11 @@
     deliver(datagram);
 }
 
-void DatagramProxy::deliver(const Datagram& l) {
-    if (!faults_.passes(l.from, l.to) || !passes_(l.from, l.to)) return;
-    const Address at = addresses_.own(l.to, peer_port_);
-    static_cast<void>(::sendto(proxy_listeners_[l.from].get(), l.bytes.data(), l.bytes.size(), MSG_NOSIGNAL,
-                               reinterpret_cast<const sockaddr*>(&at.at), sizeof at.at));
+void DatagramProxy::deliver(const Datagram& datagram) {
+    if (!faults_.passes(datagram.from, datagram.to) || !passes_(datagram.from, datagram.to)) return;
+    const Address at = addresses_.own(datagram.to, peer_port_);
+    static_cast<void>(::sendto(sockets_[datagram.from].get(), datagram.bytes.data(), datagram.bytes.size(),
+                               MSG_NOSIGNAL, reinterpret_cast<const sockaddr*>(&at.at), sizeof at.at));
 }
 
 void DatagramProxy::send_again(Machine from, std::size_t most) {
--- a/src/process_harness/datagram_proxy.h
+++ b/src/process_harness/datagram_proxy.h
@@ -1,5 +1,5 @@
-// The post office: all datagrams between nodes pass through it. Each node is known to the others by a door
-// here, one socket a node: what comes to a door is for its node, and goes on from the door of who sent it.
+// Datagram proxy: all datagrams between nodes pass through it. It has one socket for each node, whose address
+// is the node's for the others; a datagram is forwarded from the socket of its sender.
 #pragma once
 
 #include <cstdint>
@@ -13,6 +13,7 @@
 
 namespace lemonstair::process_harness {
 
+// Loses, delays, doubles and replays datagrams as the scenario says. Times are tenths of a ms.
 class DatagramProxy final : public Ready, public EventTarget {
   public:
     struct Counts {
@@ -36,7 +37,7 @@
         Machine from = 0, to = 0;
         std::vector<std::uint8_t> bytes;
     };
-    void carry(Machine from, Machine to, std::span<const std::uint8_t> bytes);
+    void forward(Machine from, Machine to, std::span<const std::uint8_t> bytes);
     void deliver(const Datagram& datagram);
 
     EventQueue& events_;
@@ -46,8 +47,8 @@
     Passes passes_;
     simnet::DatagramFaults faults_;
     double slow_ = 1;
-    std::vector<net::Fd> proxy_listeners_;
-    net::Fd to_all_;
+    std::vector<net::Fd> sockets_;
+    net::Fd broadcast_socket_;
     std::vector<Counts> counts_;
     std::uint64_t too_long_ = 0;
     std::vector<Datagram> under_way_;  // places are used again
--- a/src/process_harness/process.h
+++ b/src/process_harness/process.h
@@ -14,8 +14,8 @@
 
 class Process {
   public:
-    // `environment`: "NAME=value", beside what tells it its configuration.
-    // Throws std::system_error where it cannot be started. No log folder: what it says is thrown away.
+    // `environment`: "NAME=value", beside the variables for its configuration.
+    // Throws std::system_error where it cannot be started. No log folder: its output is discarded.
     Process(const std::string& program, const std::string& name, const std::string& configuration,
             const std::string& log_folder, const std::vector<std::string>& environment = {});
     Process(const Process&) = delete;
--- a/src/process_harness/process_harness.cpp
+++ b/src/process_harness/process_harness.cpp
@@ -28,7 +28,7 @@
 constexpr Ticks max_lag_allowed = 400;            // of the slack of 50 ms
 constexpr double max_core_wait_allowed_s = 0.06;  // s, of a node within a second
 
-// Clients come at the start, when the processes have had time to start.
+// The scenario starts when the processes have had time to start.
 constexpr Ticks start_takes = 2 * second, start_takes_each = 100;
 
 void allow_descriptors(std::uint64_t wanted) {
@@ -43,7 +43,7 @@
     std::string file;
     std::uint32_t incarnation = 0;
     Process::Used last_use{};  // at the last look
-    double processor_s = 0;    // of lives that are over
+    double processor_s = 0;    // of earlier incarnations
     bool leaving = false, stalled = false;
 };
 
@@ -156,7 +156,7 @@
     s.process->signal(SIGHUP);
 }
 
-// True: its process had ended, as it was told to or unasked.
+// True: its process had ended, by request or by itself.
 bool ProcessHarness::check_ended(std::uint32_t node) {
     ProcessSlot& s = slots_[node];
     if (s.process->runs()) return false;
@@ -186,7 +186,7 @@
 void ProcessHarness::leave(std::uint32_t node, const Fault& f) {
     ProcessSlot& s = slots_[node];
     s.leaving = true;
-    invariants_.node_told_to_drain_out(node);
+    invariants_.node_shutdown_requested(node);
     s.process->signal(SIGTERM);
     fixture_->front().leaves(node, random_.between(second / 5, second * 2 / 5));
     schedule(events_.now() + kill_after_leave, Kind::kill_late, node, s.incarnation);
@@ -259,9 +259,9 @@
     }
 }
 
-// ---- the scenario
+// ---- the run
 
-// Lets happen what is due, by the clock. False where somebody wants it to stop.
+// Delivers events by the real clock. False where the run was interrupted.
 bool ProcessHarness::play_until(Ticks until, const volatile bool& stop) {
     while (!stop) {
         const Ticks now = clock_.now();
--- a/src/process_harness/process_harness.h
+++ b/src/process_harness/process_harness.h
@@ -1,5 +1,5 @@
-// One scenario of the rig: real processes of the program on the loopback, between the stand-ins, judged by
-// the same rules as in the lab, with faults put between them.
+// Process harness: plays a scenario in real time on real processes of the program on the loopback, between
+// the same fakes and under the same invariants as the simulation.
 #pragma once
 
 #include <cstdint>
@@ -16,17 +16,19 @@
 using net::Ticks;
 using simulation::Scenario;
 
+// How to start the nodes.
 struct HarnessOptions {
     std::string program;     // the node's
     std::string log_folder;  // empty: their logs are thrown away
-    // What one life of a process finds in its environment beside its configuration; empty: nothing.
+    // Environment variables of one incarnation, beside its configuration; null: none.
     std::function<std::vector<std::string>(std::uint32_t node, std::uint32_t incarnation)> environment;
 };
 
+// What one server was sent.
 struct ServerRow {
     bool cold = false;
-    std::size_t setups = 0, most_at_once = 0;  // the latter within `fall` of the rule on cold servers
-    double most_of_budget = 0;                 // while it was cold, in any such window
+    std::size_t setups = 0, most_at_once = 0;  // the latter within one budget window
+    double most_of_budget = 0;                 // in slow start, in any such window
 };
 
 struct NodeCosts {  // means of a node and second
@@ -34,21 +36,22 @@
     std::uint64_t memory_kb = 0;  // of the largest
 };
 
+// What a run gave.
 struct RunResult {
     std::uint64_t seed = 0;
     std::uint32_t nodes = 0;
-    std::vector<simulation::Broken> broken;
+    std::vector<simulation::Violation> broken;
     simulation::Invariants::Tally tally;
     fakes::FakeClients::Tally clients;
     std::vector<ServerRow> servers;
-    std::uint64_t declined = 0, declined_idle = 0;  // idle: while a server stood at less than half
+    std::uint64_t declined = 0, declined_idle = 0;  // idle: while a server was less than half loaded
     NodeCosts costs;
     std::uint64_t calls_of_nodes = 0, too_long = 0;
     double took_s = 0;
-    Ticks max_lag = 0;           // the rig was behind its own clock by so much at most
-    double max_core_wait_s = 0;  // a node waited for a core so long within one second
+    Ticks max_lag = 0;           // by which the harness itself was behind the clock
+    double max_core_wait_s = 0;  // a node waited for a core within one second
     bool interrupted = false;
-    // Whether the machine kept up well enough to blame the program for what broke.
+    // Whether the machine was fast enough to blame the program for violations.
     bool is_conclusive() const;
 };
 
@@ -56,7 +59,7 @@
 // `stop` becomes true; whatever happens, no process that it started is left.
 RunResult play(const Scenario& scenario, const HarnessOptions& options, const volatile bool& stop);
 
-// One line of JSON, with its end.
+// One line of JSON, with its line end.
 std::string json_of(const RunResult& outcome);
 
 }  // namespace lemonstair::process_harness
--- a/src/process_harness/stream_proxy.cpp
+++ b/src/process_harness/stream_proxy.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::uint64_t listener_bit = std::uint64_t{1} << 40;
-constexpr int calls_that_fill = 4;
+constexpr int filler_count = 4;
 
 }  // namespace
 
@@ -56,7 +56,7 @@
 Address StreamProxy::seen_by(Machine who, const Address& at) const {
     const Machine there = addresses_.machine_at(at);
     if (who >= addresses_.nodes()) return at;
-    return there < addresses_.nodes() ? addresses_.proxy(there) : addresses_.seen(who, at);
+    return there < addresses_.nodes() ? addresses_.datagram_address(there) : addresses_.seen(who, at);
 }
 
 void StreamProxy::open_listener(Listener& listener, Machine node, const Address& at, Machine machine) {
@@ -67,7 +67,7 @@
     if (!passes(node, machine)) block(proxy_listeners_.back(), true);
 }
 
-// A machine that is no node is called by nodes alone, each at a door of its own.
+// Only nodes connect to other machines, each to a listener of its own.
 void StreamProxy::listen(const Address& at, StreamListener& listener, std::size_t backlog) {
     unlisten(at);
     Listener& l = listeners_[key(at)];
@@ -83,7 +83,7 @@
     if (it == listeners_.end()) return;
     for (const auto d : it->second.doors) {
         poller_.remove(proxy_listeners_[d].fd.get());
-        proxy_listeners_[d].fill.clear();
+        proxy_listeners_[d].fillers.clear();
         proxy_listeners_[d].fd.close();
     }
     const auto waiting = std::move(it->second.waiting);
@@ -91,12 +91,12 @@
     for (const End e : waiting) drop(e, true);
 }
 
-// A queue that is full lets no call come up, as a machine that says nothing. Calls of our own fill it.
+// While its queue is full, no connection comes up, as with an unreachable machine. Own connections fill it.
 void StreamProxy::block(ProxyListener& proxy, bool on) {
-    if (!proxy.fd.open() || on != proxy.fill.empty()) return;
+    if (!proxy.fd.open() || on != proxy.fillers.empty()) return;
     if (!on) {
         while (kernel_.accept(proxy.fd.get()).open()) continue;  // ours, and a node's that had got in
-        proxy.fill.clear();
+        proxy.fillers.clear();
         ::listen(proxy.fd.get(), 1024);
         return;
     }
@@ -105,12 +105,12 @@
     Address at;
     socklen_t size = sizeof at.at;
     ::getsockname(proxy.fd.get(), reinterpret_cast<sockaddr*>(&at.at), &size);
-    for (int i = 0; i < calls_that_fill; ++i) proxy.fill.push_back(net::connect_to(at));
+    for (int i = 0; i < filler_count; ++i) proxy.fillers.push_back(net::connect_to(at));
 }
 
 void StreamProxy::accept_waiting(std::uint32_t number) {
     ProxyListener& proxy = proxy_listeners_[number];
-    if (!proxy.fd.open() || !proxy.fill.empty()) return;
+    if (!proxy.fd.open() || !proxy.fillers.empty()) return;
     const auto it = listeners_.find(proxy.key);
     if (it == listeners_.end()) return;
     for (;;) {
@@ -124,9 +124,9 @@
         s.side = 1;
         s.up = true;
         s.owner = it->second.listener;
-        s.came_from = events_.now();
+        s.last_receive_time = events_.now();
         s.fd = std::move(fd);
-        ++calls_of_nodes_;
+        ++connections_of_nodes_;
         it->second.waiting.push_back(end);
     }
     if (!it->second.waiting.empty()) it->second.listener->on_connection(it->second.at);
@@ -151,7 +151,7 @@
     s.here = from;
     s.node = addresses_.machine_at(to);
     s.owner = &owner;
-    if (!passes(s)) return end;  // nobody hears the call
+    if (!passes(s)) return end;  // as to an unreachable machine
     s.fd = net::connect_to(to);
     if (s.fd.open()) {
         poller_.add(s.fd.get(), EPOLLIN | EPOLLOUT | EPOLLRDHUP, *this, end.stream, true);
@@ -169,7 +169,7 @@
     if (!passes(s)) return;  // looked at again when it is healed
     if ((events & (EPOLLERR | EPOLLHUP)) != 0 && !s.up) s.failed = kernel_.connected(s.fd.get());
     if ((events & EPOLLOUT) != 0 && s.failed == 0) s.up = true;
-    if ((events & (EPOLLIN | EPOLLRDHUP | EPOLLERR)) != 0) s.came_from = events_.now();
+    if ((events & (EPOLLIN | EPOLLRDHUP | EPOLLERR)) != 0) s.last_receive_time = events_.now();
     notify_owner(number);
 }
 
@@ -218,9 +218,9 @@
 }
 
 // On the loopback what is written is at the other's machine at once.
-void StreamProxy::notify_delivered(End end, EventTarget& actor, std::uint64_t token) {
-    if (passes(streams_[end.stream])) return events_.schedule(events_.now(), actor, token);
-    undelivered_[end.stream].push_back({&actor, token});
+void StreamProxy::notify_delivered(End end, EventTarget& target, std::uint64_t token) {
+    if (passes(streams_[end.stream])) return events_.schedule(events_.now(), target, token);
+    undelivered_[end.stream].push_back({&target, token});
 }
 
 Machine StreamProxy::machine_of(End end) const {
@@ -262,7 +262,7 @@
         if (!s.over && ::poll(&p, 1, 0) > 0) on_ready(i, static_cast<std::uint32_t>(p.revents));
         const auto it = undelivered_.find(i);
         if (it == undelivered_.end()) continue;
-        for (const Delivery& d : it->second) events_.schedule(events_.now(), *d.actor, d.token);
+        for (const Delivery& d : it->second) events_.schedule(events_.now(), *d.target, d.token);
         undelivered_.erase(it);
     }
 }
--- a/src/process_harness/stream_proxy.h
+++ b/src/process_harness/stream_proxy.h
@@ -1,7 +1,6 @@
-// The kernel's streams as stand-ins use them, between this process and real nodes on the loopback. A stream
-// has one end here; the other is a node's. What is cut off is held back here: its bytes stay unread, nothing
-// is written, and calls of nodes to it never come up (their listener's queue is kept full).
-// Times are tenths of a ms of the agenda, which runs by the clock.
+// Kernel streams for the fakes, between this process and real nodes on the loopback. One end of a stream is
+// here, the other is a node's. A cut is made here: bytes stay unread, nothing is written, and connections of
+// nodes stay unaccepted (the listen queue is kept full). Times are tenths of a ms.
 #pragma once
 
 #include <sys/epoll.h>
@@ -26,7 +25,7 @@
 using simnet::StreamListener;
 using simnet::Ticks;
 
-// Whose descriptor is ready at the rig's one poller.
+// Callback of the poller for a descriptor.
 class Ready {
   public:
     Ready() = default;
@@ -36,15 +35,15 @@
     virtual void on_ready(std::uint64_t token, std::uint32_t events) = 0;
 };
 
-// epoll(7): thousands of descriptors, few of them ready.
+// On epoll(7): thousands of descriptors, few of them ready.
 class Poller {
   public:
     Poller();
-    // Edge-triggered: told once for each change.
+    // edge: one callback for each change.
     void add(int fd, std::uint32_t events, Ready& who, std::uint64_t token, bool edge);
     void remove(int fd);
-    // Waits for so long at most, in tenths of a ms, and tells who is ready; `woken` hears first that the wait
-    // is over. False: a signal came.
+    // Waits for at most `longest`, calls on_timer, then the callbacks of ready descriptors. False: a signal
+    // interrupted the wait.
     template <class Woken>
     bool turn(Ticks longest, Woken&& on_timer) {
         const int n = wait(longest);
@@ -77,7 +76,7 @@
     void cut_path(Machine a, Machine b, bool on);
     // What the machine held is gone: its streams are reset once they may be.
     void forget(Machine machine);
-    std::uint64_t calls_of_nodes() const { return calls_of_nodes_; }
+    std::uint64_t calls_of_nodes() const { return connections_of_nodes_; }
 
     // ---- simnet::Streams
     Machine add_machine() override { return machines_++; }
@@ -96,9 +95,9 @@
     void finish(End end) override;
     void close(End end) override { drop(end, false); }
     void reset(End end) override { drop(end, true); }
-    void notify_delivered(End end, EventTarget& actor, std::uint64_t token) override;
+    void notify_delivered(End end, EventTarget& target, std::uint64_t token) override;
     bool is_up(End end) const override { return streams_[end.stream].up; }
-    Ticks last_received_sent_at(End end) const override { return streams_[end.stream].came_from; }
+    Ticks last_received_sent_at(End end) const override { return streams_[end.stream].last_receive_time; }
     Machine machine_of(End end) const override;
     bool is_open(End end) const override;
 
@@ -114,14 +113,14 @@
         bool up = false, over = false, sent_end = false;
         bool ends_when_healed = false;
         int failed = 0;  // errno not yet handed out
-        Ticks came_from = 0;
+        Ticks last_receive_time = 0;
     };
-    // One place of a machine as one node sees it, or as all do.
+    // Listening socket for one machine's port, as one node reaches it.
     struct ProxyListener {
         std::uint64_t key;
         Machine node, machine;
         net::Fd fd;
-        std::vector<net::Fd> fill;  // calls that keep its queue full while it is cut off
+        std::vector<net::Fd> fillers;  // connections that keep the queue full while it is cut off
     };
     struct Listener {
         StreamListener* listener = nullptr;
@@ -131,7 +130,7 @@
         std::deque<End> waiting;
     };
     struct Delivery {
-        EventTarget* actor;
+        EventTarget* target;
         std::uint64_t token;
     };
     static std::uint64_t key(const Address& at) {
@@ -162,7 +161,7 @@
     std::set<Machine> cut_;
     std::set<std::uint64_t> cut_paths_;
     std::unordered_map<std::uint32_t, std::vector<Delivery>> undelivered_;  // by stream
-    std::uint64_t calls_of_nodes_ = 0;
+    std::uint64_t connections_of_nodes_ = 0;
 };
 
 }  // namespace lemonstair::process_harness
--- a/src/simnet/datagram_faults.h
+++ b/src/simnet/datagram_faults.h
@@ -1,5 +1,5 @@
-// What the network does to datagrams between nodes, by machine. Lab and rig share it, so that a scenario
-// means the same on either.
+// Faults of datagrams between nodes, by machine. Shared by the simulation and the process harness, so that a
+// scenario means the same in both.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
     double lost = 0, doubled = 0;  // shares of datagrams
     Ticks jitter = 0;              // added to a datagram's delay, drawn: they overtake
 
-    // Hears nothing of the others, or is heard by none.
+    // Receives nothing from other machines; or reaches none.
     void deaf(Machine machine, bool on) { count(deaf_, machine, on); }
     void mute(Machine machine, bool on) { count(mute_, machine, on); }
     // The machines from one on are cut off from all others; several such cuts may overlap.
--- a/src/simnet/event_queue.h
+++ b/src/simnet/event_queue.h
@@ -1,4 +1,4 @@
-// The agenda of a simulated scenario: what happens when, in one order that depends on nothing but the seed.
+// Event queue of a simulation: what happens when, in one order that depends on nothing but the seed.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 
 using net::Ticks;
 
-// To whom something happens; the token is what it gave when it asked.
+// Receives events; the token is the one given to schedule().
 class EventTarget {
   public:
     EventTarget() = default;
@@ -22,34 +22,34 @@
     virtual void on_event(std::uint64_t token) = 0;
 };
 
+// Times are tenths of a ms since the Unix epoch.
 class EventQueue {
   public:
-    // Simulated scenarios begin at a fixed time, in Unix time, as the stamps of records want it.
+    // Simulations begin at a fixed Unix time, which the nodes' wall clocks show.
     static constexpr Ticks default_start_time = 17'000'000'000'000;
     EventQueue() : EventQueue(default_start_time, default_start_time) {}
     EventQueue(Ticks now, Ticks start_time) : start_time_(start_time), now_(now) {}
     Ticks start_time() const { return start_time_; }
     Ticks now() const { return now_; }
-    // Never before now. There is no way to take it back: the actor tells by the token whether it still
-    // counts.
-    void schedule(Ticks when, EventTarget& actor, std::uint64_t token) {
-        queue_.push({when < now_ ? now_ : when, order_++, &actor, token});
+    // Not before now. An event cannot be cancelled: the target recognises a stale one by its token.
+    void schedule(Ticks when, EventTarget& target, std::uint64_t token) {
+        queue_.push({when < now_ ? now_ : when, order_++, &target, token});
     }
-    // Lets the next thing happen; false where there is none, or none until a time.
+    // Delivers the next event; false where none is due by that time.
     bool step(Ticks until) {
         if (queue_.empty() || queue_.top().at > until) return false;
         const Item next = queue_.top();
         queue_.pop();
-        now_ = next.at > now_ ? next.at : now_;  // by a real clock things may come late
+        now_ = next.at > now_ ? next.at : now_;  // with a real clock events may be late
         ++steps_;
-        next.actor->on_event(next.token);
+        next.target->on_event(next.token);
         return true;
     }
-    // When the next thing is to happen; nothing: there is none.
+    // When the next event is due.
     std::optional<Ticks> next() const {
         return queue_.empty() ? std::nullopt : std::optional(queue_.top().at);
     }
-    // Time goes on though nothing happens.
+    // Advances the time without an event.
     void pass_to(Ticks when) { now_ = when > now_ ? when : now_; }
     std::uint64_t steps() const { return steps_; }
 
@@ -57,7 +57,7 @@
     struct Item {
         Ticks at;
         std::uint64_t order;
-        EventTarget* actor;
+        EventTarget* target;
         std::uint64_t token;
         bool operator<(const Item& other) const {
             return at != other.at ? at > other.at : order > other.order;
--- a/src/simnet/local_socket.h
+++ b/src/simnet/local_socket.h
@@ -1,6 +1,5 @@
 // What two processes of one machine share without the network: a listener that the platform holds for them,
-// and packets that may hand over connections. Nothing of it is late or lost; a line whose process dies is
-// over.
+// and local packet sockets that may pass connections. Nothing of it is late or lost.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +13,7 @@
 
 namespace lemonstair::simnet {
 
-// Who is woken when something has come, or the other side is gone.
+// Woken when a packet or connection has arrived, or the other side has closed.
 class LocalSocketListener {
   public:
     LocalSocketListener() = default;
@@ -24,7 +23,7 @@
     virtual void on_local_event() = 0;
 };
 
-// A listener that lives as long as its machine: each process that has it hears of each call.
+// Listener that lives as long as its machine; each process that holds it is woken for each connection.
 class SharedListener final : public StreamListener {
   public:
     SharedListener(Network& network, const Address& at, std::size_t backlog) : at_(at) {
@@ -43,7 +42,7 @@
     std::vector<LocalSocketListener*> holders_;
 };
 
-// The packets of one machine.
+// One machine's local packet sockets.
 class LocalSockets final : public StreamListener {
   public:
     explicit LocalSockets(Network& network) : network_(network) {}
@@ -52,7 +51,7 @@
         std::string bytes;
         std::vector<End> ends;
     };
-    // Takes the name from whoever has it.
+    // Takes over a name that is in use.
     void listen(const std::string& name, LocalSocketListener& who) { listeners_[name] = {&who, {}}; }
     void unlisten(const std::string& name, LocalSocketListener& who);
     // A line; none where nobody listens.
--- a/src/simnet/network.cpp
+++ b/src/simnet/network.cpp
@@ -193,8 +193,8 @@
     Side& s = at(end);
     s.last_arrival = std::max(s.last_arrival, events_.now() + delay(s.machine, at(end.other()).machine));
     s.under_way.push_back({s.last_arrival, events_.now(), std::string(bytes), ends});
-    if (!s.will_deliver) {
-        s.will_deliver = true;
+    if (!s.delivery_scheduled) {
+        s.delivery_scheduled = true;
         later(s.last_arrival, deliver, end);
     }
 }
@@ -202,13 +202,13 @@
 // What is under way from this end comes to the other.
 void Network::deliver_bytes(End end) {
     Side& s = at(end);
-    s.will_deliver = false;
+    s.delivery_scheduled = false;
     Side& there = at(end.other());
     bool came = false;
     while (!s.under_way.empty() && s.under_way.front().arrives <= events_.now()) {
         if (!passes(s.machine, there.machine)) {  // lost: it is sent again, later each time
             s.retry = std::min(longest_retry, std::max(first_retry, 2 * s.retry));
-            s.will_deliver = true;
+            s.delivery_scheduled = true;
             return later(events_.now() + s.retry, deliver, end);
         }
         s.retry = 0;
@@ -222,15 +222,16 @@
             return send_reset(end.other());
         }
         if (there.phase == Phase::failed) continue;
-        there.phase = Phase::up;  // bytes may come before word that the connection is up
+        there.phase = Phase::up;  // bytes may overtake the confirmation of the connection
         there.inbox.append(next.bytes);
-        there.came_from = next.sent;
+        there.last_sent_time = next.sent;
         if (next.end) there.end_came = true;
-        if (next.tells != nullptr) events_.schedule(events_.now(), *next.tells, next.token);
+        if (next.delivery_target != nullptr)
+            events_.schedule(events_.now(), *next.delivery_target, next.token);
         came = true;
     }
     if (!s.under_way.empty()) {
-        s.will_deliver = true;
+        s.delivery_scheduled = true;
         later(std::max(s.under_way.front().arrives, events_.now() + 1), deliver, end);
     }
     if (came) notify_owner(end.other());
@@ -302,10 +303,10 @@
     return static_cast<short>(out);
 }
 
-void Network::notify_delivered(End end, EventTarget& actor, std::uint64_t token) {
+void Network::notify_delivered(End end, EventTarget& target, std::uint64_t token) {
     auto& under_way = at(end).under_way;
-    if (under_way.empty()) return events_.schedule(events_.now(), actor, token);
-    under_way.back().tells = &actor;
+    if (under_way.empty()) return events_.schedule(events_.now(), target, token);
+    under_way.back().delivery_target = &target;
     under_way.back().token = token;
 }
 
--- a/src/simnet/network.h
+++ b/src/simnet/network.h
@@ -1,6 +1,5 @@
-// A simulated network of machines: streams as TCP makes them, and datagrams. Bytes wait in windows, come
-// after a delay, cut anywhere; ends come in order, resets overtake; a machine that has vanished says nothing.
-// Times are tenths of a ms of the agenda. docs/lab.md says what is not simulated.
+// Simulated network of machines: TCP-like streams and datagrams. Bytes are limited by windows, arrive after a
+// delay and may be cut anywhere; ends arrive in order, resets overtake. Times are tenths of a ms.
 #pragma once
 
 #include <cstdint>
@@ -22,7 +21,7 @@
 
 namespace lemonstair::simnet {
 
-// What the network does to all that it carries.
+// Conditions of all links; times in tenths of a ms, shares from 0 to 1.
 struct NetworkConditions {
     Ticks min_delay = 1, max_delay = 20;
     double cut_reads = 0, cut_writes = 0;  // the share of them that end at a byte drawn
@@ -43,7 +42,7 @@
     // ---- machines
     Machine add_machine() override;
     static Address address(Machine machine, std::uint16_t port);
-    // A machine that says nothing and hears nothing, and one that is back. What it ran goes on meanwhile.
+    // Nothing passes to or from the machine, until it is healed. Its processes go on.
     void cut_off(Machine machine) { machines_[machine].cut = true; }
     void heal(Machine machine) { machines_[machine].cut = false; }
     bool is_cut(Machine machine) const override { return machines_[machine].cut; }
@@ -53,8 +52,8 @@
     void cut_path(Machine from, Machine to) { cut_paths_.insert(path(from, to)); }
     void heal_path(Machine from, Machine to) { cut_paths_.erase(path(from, to)); }
     void slow_by(Machine machine, double times) { machines_[machine].slow = times; }
-    // What the machine held is gone and nobody is told: a reboot, or a death of the machine. What still comes
-    // for it is answered with a reset once it is heard again.
+    // As in a reboot: the machine's connections are gone, and the peers are not told. Later segments are
+    // answered with a reset once the machine is reachable.
     void forget(Machine machine);
     DatagramFaults& datagram_faults() { return datagram_faults_; }
 
@@ -67,8 +66,8 @@
     std::optional<End> accept(const Address& at) override;
     End connect(Machine from, const Address& to, StreamListener& owner) override;
     void own(End end, StreamListener& owner) override { at(end).owner = &owner; }
-    // An end that several processes of a machine hold: who came last hears of it. False where the last one
-    // lets go: then it has to be closed.
+    // Several processes of a machine may hold one end; the last to take it gets its events. release() is
+    // false where no other holds it: then it has to be closed.
     void hold(End end, StreamListener& also);
     bool release(End end, StreamListener& one);
     net::IoResult read(End end, std::span<char> into, bool whole = false) override;
@@ -80,11 +79,11 @@
     int connected(End end);
     short events(End end, short wanted) const;
 
-    void notify_delivered(End end, EventTarget& actor, std::uint64_t token) override;
+    void notify_delivered(End end, EventTarget& target, std::uint64_t token) override;
 
-    // ---- what the rules ask
+    // ---- for the invariants
     bool is_up(End end) const override { return at(end).phase == Phase::up; }
-    Ticks last_received_sent_at(End end) const override { return at(end).came_from; }
+    Ticks last_received_sent_at(End end) const override { return at(end).last_sent_time; }
     static Machine machine_at(const Address& at);
     Machine machine_of(End end) const override { return at(end).machine; }
     bool is_open(End end) const override { return at(end).open; }
@@ -109,7 +108,7 @@
         Ticks arrives, sent;
         std::string bytes;
         bool end = false;
-        EventTarget* tells = nullptr;  // who wants to know when it has come
+        EventTarget* delivery_target = nullptr;  // gets an event when it has arrived
         std::uint64_t token = 0;
     };
     struct Side {
@@ -117,15 +116,15 @@
         std::vector<StreamListener*> before;  // who holds it beside the owner
         Machine machine = 0;
         Phase phase = Phase::connecting;
-        bool open = true;             // the application holds it
-        bool forgotten = false;       // its machine knows nothing of it any more
-        bool sent_end = false;        // it has ended its sending
-        bool end_came = false;        // the other side's end came
-        bool blocked = false;         // a write here fell short
-        bool reset_reported = false;  // the error was handed out once
-        bool will_deliver = false;    // an event is on the way that delivers what is under way from here
+        bool open = true;                 // the application holds it
+        bool forgotten = false;           // its machine knows nothing of it any more
+        bool sent_end = false;            // it has ended its sending
+        bool end_came = false;            // the other side's end came
+        bool blocked = false;             // a write here fell short
+        bool reset_reported = false;      // the error was handed out once
+        bool delivery_scheduled = false;  // an event is on the way that delivers what is under way from here
         int error = 0;
-        Ticks last_arrival = 0, came_from = 0;
+        Ticks last_arrival = 0, last_sent_time = 0;
         Ticks retry = 0;                // pause before what is lost is sent again
         std::string inbox;              // came, not read
         std::size_t head = 0;           // of the inbox
--- a/src/simnet/process.cpp
+++ b/src/simnet/process.cpp
@@ -52,25 +52,25 @@
     events_.schedule(when, *this, next_run_);
 }
 
-// A wait that is over early costs nothing: the node asks again. It is told of nothing that is not so.
+// A poll that returns early is harmless: the node polls again.
 void Process::on_event(std::uint64_t token) {
     if (token != next_run_ || !pass_) return;
     next_run_ = 0;
     running_ = true;
     effects_ = 0;
-    found_ready_ = 0;
+    ready_count_ = 0;
     sleeps_until_ = events_.now();
     ++passes_;
     const bool goes_on = pass_();
     running_ = false;
     if (!goes_on) return die();
-    // Guards against a loop that is called for something again and again and does nothing about it.
-    if (found_ready_ > 0 && effects_ == 0)
+    // Busy loop: a descriptor is ready, and the pass does nothing about it.
+    if (ready_count_ > 0 && effects_ == 0)
         longest_spin_ = std::max(longest_spin_, ++spin_);
     else
         spin_ = 0;
     busy_until_ = std::max(busy_until_, events_.now() + traits_.loop_pass_time);
-    run_at(found_ready_ > 0 ? busy_until_ : std::max(sleeps_until_, busy_until_));
+    run_at(ready_count_ > 0 ? busy_until_ : std::max(sleeps_until_, busy_until_));
 }
 
 short Process::ready(const pollfd& p) const {
@@ -106,13 +106,13 @@
         p.revents = p.fd < 0 ? short{0} : ready(p);
         n += p.revents != 0 ? 1 : 0;
     }
-    found_ready_ = n;
+    ready_count_ = n;
     if (n == 0) sleeps_until_ = events_.now() + longest;
     return n;
 }
 
 int Process::take(Use use) {
-    if (held_ >= std::min(most_now_, traits_.descriptors)) {
+    if (held_ >= std::min(descriptor_limit_now_, traits_.descriptors)) {
         errno = held_ >= traits_.descriptors ? EMFILE : ENFILE;
         return -1;
     }
@@ -207,18 +207,18 @@
 int Process::connected(int fd) { return network_.connected(slot(fd).end); }
 
 net::IoResult Process::read_some(int fd, std::span<char> into) {
-    return had(network_.read(slot(fd).end, into));
+    return count_effect(network_.read(slot(fd).end, into));
 }
 
 net::IoResult Process::peek(int fd, std::span<char> into) { return network_.peek(slot(fd).end, into); }
 
 net::IoResult Process::discard_some(int fd) {
     std::array<char, 1 << 14> untouched;
-    return had(network_.read(slot(fd).end, untouched));
+    return count_effect(network_.read(slot(fd).end, untouched));
 }
 
 net::IoResult Process::write_some(int fd, std::string_view text) {
-    return had(network_.write(slot(fd).end, text));
+    return count_effect(network_.write(slot(fd).end, text));
 }
 
 void Process::shutdown_write(int fd) { network_.finish(slot(fd).end); }
@@ -300,7 +300,7 @@
     std::vector<End> ends;
     for (const int one : descriptors) ends.push_back(slot(one).end);
     local_sockets_->send(s.line, s.side, bytes, ends);
-    return had({.bytes = bytes.size()});
+    return count_effect({.bytes = bytes.size()});
 }
 
 net::IoResult Process::receive_packet(int fd, std::span<char> into, std::vector<net::Fd>& descriptors) {
--- a/src/simnet/process.h
+++ b/src/simnet/process.h
@@ -1,4 +1,4 @@
-// A process on a simulated machine: the system that a node takes all from, on a network and an agenda.
+// Process on a simulated machine: the System that a node runs on, on a simulated network and event queue.
 #pragma once
 
 #include <cstdint>
@@ -23,7 +23,7 @@
                       public LocalSocketListener {
   public:
     struct Traits {
-        Ticks clock_ahead = 0;           // of the agenda's
+        Ticks clock_ahead = 0;           // of the event queue's
         Ticks loop_pass_time = 1;        // at least 1
         std::size_t descriptors = 1024;  // the system's limit
     };
@@ -40,17 +40,17 @@
     // ---- faults
     void signal(int number);
     void stall(Ticks span);
-    // The whole system has no descriptor left but those that this process gives up itself.
-    void starve(bool on) { most_now_ = on ? held_ : traits_.descriptors; }
+    // The system has no free descriptor but those that this process closes.
+    void starve(bool on) { descriptor_limit_now_ = on ? held_ : traits_.descriptors; }
     std::map<std::string, std::string>& files() { return files_; }
     // What the platform gives it before it runs: the machine's place for packets, and a listener, whose
     // number is handed back.
     void attach_local_sockets(LocalSockets& local_sockets) { local_sockets_ = &local_sockets; }
     int inherit(SharedListener& listener);
-    // It dies: what it held is reset, unless its machine has gone too.
+    // The process dies: its connections are reset, unless its machine is gone too.
     void die();
 
-    // ---- what the rules ask
+    // ---- for the invariants
     std::size_t held() const { return held_; }
     std::size_t most_held() const { return most_held_; }
     // Passes in a row that were called for something that is ready and changed nothing.
@@ -96,7 +96,7 @@
     int next_signal(int fd) override;
     const char* read_file(const std::string& path, std::size_t longest, std::string& into) override;
 
-    // ---- Ear, Actor
+    // ---- StreamListener, LocalSocketListener, EventTarget
     void on_stream_event(End) override { wake(); }
     void on_connection(const Address&) override { wake(); }
     void on_local_event() override { wake(); }
@@ -118,8 +118,8 @@
     struct Slot {
         Use use = Use::free;
         bool resets = false;
-        int side = 0;            // of a line nearby
-        std::uint32_t line = 0;  // nearby
+        int side = 0;            // of a local connection
+        std::uint32_t line = 0;  // local
         std::string name;
         End end;
         Address at;
@@ -131,7 +131,7 @@
     short ready(const pollfd& p) const;
     void wake() { run_at(events_.now()); }
     void run_at(Ticks when);
-    net::IoResult had(net::IoResult t) {
+    net::IoResult count_effect(net::IoResult t) {
         if (t.bytes > 0 || t.error != 0) ++effects_;
         return t;
     }
@@ -148,11 +148,11 @@
     std::map<std::string, std::string> files_;
     bool running_ = false, dead_ = false;
     std::size_t held_ = 3, most_held_ = 3;  // the standard ones among them
-    std::size_t most_now_ = traits_.descriptors;
+    std::size_t descriptor_limit_now_ = traits_.descriptors;
     std::uint64_t next_run_ = 0;  // token of the run that counts; 0: none
     std::uint64_t runs_ = 0, passes_ = 0;
     Ticks run_due_ = 0, busy_until_ = 0, sleeps_until_ = 0;
-    int found_ready_ = 0;
+    int ready_count_ = 0;
     std::size_t effects_ = 0, spin_ = 0, longest_spin_ = 0;
 };
 
--- a/src/simnet/random_source.h
+++ b/src/simnet/random_source.h
@@ -1,5 +1,5 @@
-// Chance of a simulated scenario: one seeded engine, with draws of its own, since the standard library's
-// distributions differ from one library to the next.
+// Random numbers of a simulation: one seeded engine, with distributions of its own, since the standard
+// library's differ between implementations.
 #pragma once
 
 #include <cmath>
@@ -11,7 +11,7 @@
 class RandomSource {
   public:
     explicit RandomSource(std::uint64_t seed) : engine_(seed) {}
-    // An engine of its own for a part of the scenario: what one part draws does not shift what another does.
+    // A separate engine for one component: its draws do not shift those of others.
     RandomSource part(std::uint64_t label) { return RandomSource(engine_() ^ (label * 0x9e3779b97f4a7c15U)); }
     std::uint64_t bits() { return engine_(); }
     // From 0 up to, and without, 1.
--- a/src/simnet/streams.h
+++ b/src/simnet/streams.h
@@ -1,5 +1,5 @@
-// What stand-ins need of a network: streams between machines, and who owns their ends. It has two sides:
-// `Network`, all simulated, and `rig::Wires`, the kernel's sockets between real processes.
+// Network interface of the fakes: streams between machines, and who owns their ends. Implemented by Network
+// (simulated) and by process_harness::StreamProxy (the kernel's sockets, to real processes).
 #pragma once
 
 #include <cstdint>
@@ -15,7 +15,7 @@
 using net::Address;
 using Machine = std::uint32_t;
 
-// One end of a stream. A stream's number is never used again within a scenario.
+// One end of a stream. A stream's number is never reused within a run.
 struct End {
     std::uint32_t stream = 0;
     std::uint8_t side = 0;  // 0: who connected
@@ -24,14 +24,14 @@
     std::uint64_t number() const { return std::uint64_t{stream} << 1 | side; }
 };
 
-// Who owns ends, listens, or takes datagrams.
+// Owner of stream ends, listening addresses or datagram sockets.
 class StreamListener {
   public:
     StreamListener() = default;
     StreamListener(const StreamListener&) = delete;
     StreamListener& operator=(const StreamListener&) = delete;
     virtual ~StreamListener() = default;
-    // The end came up or failed, has bytes, an end, a reset, or room again.
+    // The end connected or failed, is readable, closed, reset or writable again.
     virtual void on_stream_event(End end) = 0;
     // A connection waits to be accepted at this address.
     virtual void on_connection(const Address& at) = 0;
@@ -40,6 +40,7 @@
     }
 };
 
+// As non-blocking sockets; read and write return at once. Times are tenths of a ms.
 class Streams {
   public:
     Streams() = default;
@@ -49,7 +50,7 @@
 
     virtual Machine add_machine() = 0;
     virtual bool is_cut(Machine machine) const = 0;
-    // Where a machine is reached, and under which address another sees that place.
+    // Address of a machine's port, and the address under which another machine reaches it.
     virtual Address place(Machine machine, std::uint16_t port) const = 0;
     virtual Address seen_by(Machine who, const Address& at) const = 0;
 
@@ -58,19 +59,19 @@
     virtual std::optional<End> accept(const Address& at) = 0;
     virtual End connect(Machine from, const Address& to, StreamListener& owner) = 0;
     virtual void own(End end, StreamListener& owner) = 0;
-    // As the calls of the system; whole: not cut at a byte drawn.
+    // whole: never shortened at random.
     virtual net::IoResult read(End end, std::span<char> into, bool whole = false) = 0;
     virtual net::IoResult write(End end, std::string_view text, bool whole = false) = 0;
     virtual void finish(End end) = 0;
     virtual void close(End end) = 0;
     virtual void reset(End end) = 0;
-    // Tells an actor when all that was written at this end until now has come to the other's machine; never,
-    // where it is lost on the way.
-    virtual void notify_delivered(End end, EventTarget& actor, std::uint64_t token) = 0;
+    // Schedules an event for when all bytes written at this end so far have reached the other machine; none
+    // if they are lost.
+    virtual void notify_delivered(End end, EventTarget& target, std::uint64_t token) = 0;
 
-    // ---- what the rules ask
+    // ---- for the invariants
     virtual bool is_up(End end) const = 0;
-    // When the other end wrote, or ended, what came here last; 0: nothing has.
+    // When the other end sent what was received here last; 0: nothing yet.
     virtual Ticks last_received_sent_at(End end) const = 0;
     virtual Machine machine_of(End end) const = 0;
     virtual bool is_open(End end) const = 0;
--- a/src/simnet/trace.h
+++ b/src/simnet/trace.h
@@ -1,5 +1,5 @@
-// The trace of a simulated scenario: all that crossed its network, what its parts did, the nodes' log. It is
-// hashed whole as it comes (xxh3), and written out as text only where somebody wants to read it.
+// Trace of a simulation: all that crossed its network, what its parts did, the nodes' logs. It is hashed as
+// it comes (xxh3), and written out as text only on demand.
 #pragma once
 
 #define XXH_INLINE_ALL
@@ -22,7 +22,7 @@
         XXH3_64bits_reset(&state_);
         waiting_.reserve(chunk + 4096);
     }
-    // One thing that happened: when (since the start), what, to whom, and in which words.
+    // `at`: tenths of a ms since the start; `a` and `b`: what the event concerns.
     void note(net::Ticks at, std::string_view what, std::uint64_t a, std::uint64_t b,
               std::string_view text = {}) {
         const std::array<std::uint64_t, 4> head{static_cast<std::uint64_t>(at), a, b, text.size()};
--- a/src/simulation/fixture.cpp
+++ b/src/simulation/fixture.cpp
@@ -12,7 +12,7 @@
 using Phase = fakes::DiscoveryEntry::Phase;
 
 constexpr Ticks second = 10000;
-constexpr double idle_below = 0.5;  // of what a server can do
+constexpr double idle_below = 0.5;  // of a server's capacity
 
 std::string flag(bool b) { return b ? "true" : "false"; }
 std::string in_seconds(Ticks t) { return std::to_string(static_cast<double>(t) / second); }
@@ -39,9 +39,9 @@
     invariants_.begin(environment_);
     invariants_.set_idle_query([this] {
         return std::any_of(servers_.begin(), servers_.end(),
-                           [](const auto& h) { return h->takes_setups() && h->load() < idle_below; });
+                           [](const auto& h) { return h->accepts_setups() && h->load() < idle_below; });
     });
-    // Of tunnels that fill it over its warm-up, or over their lives where these are shorter.
+    // Tunnels that fill the server over its slow start, or over their lifetime where that is shorter.
     invariants_.set_budget_query([this](std::uint32_t h) {
         const fakes::FakeServer& server = *servers_[h];
         const Ticks fills =
@@ -203,7 +203,7 @@
             server.fail_setups(true);
             break;
         case K::server_full:
-            server.refuse_setups(true);
+            server.decline_setups(true);
             break;
         case K::server_hang:
             invariants_.server_silent(f.target, true);
@@ -224,7 +224,7 @@
             server.reset_some(f.magnitude);
             break;
         case K::server_moves_clients:
-            server.ask_to_leave(f.duration);
+            server.move_clients(f.duration);
             break;
         default:
             return false;
@@ -316,7 +316,7 @@
         if (f.kind == K::nodes_mute) topology_.datagrams().mute(n, on);
         if (f.kind != K::nodes_cut_from_servers) continue;
         for (auto& h : servers_) topology_.cut_path(n, h->machine(), on);
-        invariants_.machine_cut(n, on);  // what it cannot do for want of servers is not held against it
+        invariants_.machine_cut(n, on);  // without servers a node is excused
     }
 }
 
@@ -332,7 +332,7 @@
         case K::server_errors:
             return server->fail_setups(false);
         case K::server_full:
-            return server->refuse_setups(false);
+            return server->decline_setups(false);
         case K::server_hang:
             invariants_.server_silent(f.target, false);
             return server->hang(false);
@@ -377,7 +377,7 @@
     }
 }
 
-// A server that drains stops in the end, and comes back.
+// The first step stops a server that drains, the second starts it again.
 bool Fixture::advance_drain(const Fault& f) {
     fakes::FakeServer& server = *servers_[f.target];
     if (server.state() == fakes::FakeServer::State::up) {
--- a/src/simulation/fixture.h
+++ b/src/simulation/fixture.h
@@ -1,5 +1,6 @@
-// What a scenario plays on, whether in the lab or on real processes: the town with its servers, lists, front
-// and clients, the files that nodes are started with, and the faults that meet all but the nodes' processes.
+// Everything around the nodes of a scenario, in the simulation and in the process harness: servers,
+// discovery, front and clients, the nodes' configuration files, and the faults that meet all but the nodes'
+// processes.
 #pragma once
 
 #include <memory>
@@ -16,7 +17,7 @@
 
 namespace lemonstair::simulation {
 
-// What lies under the stage: the network and the nodes' processes, simulated or real.
+// The network and the nodes' processes below the fixture, simulated or real.
 class Topology {
   public:
     Topology() = default;
@@ -24,37 +25,41 @@
     Topology& operator=(const Topology&) = delete;
     virtual ~Topology() = default;
     virtual simnet::DatagramFaults& datagrams() = 0;
-    // A machine that says nothing and hears nothing; what it runs goes on.
+    // Nothing passes to or from the machine; its processes go on.
     virtual void cut_off(simnet::Machine machine, bool on) = 0;
-    // What it held is gone and nobody is told.
+    // As in a reboot: its connections are gone, and the peers are not told.
     virtual void forget(simnet::Machine machine) = 0;
     // Nothing passes between two machines.
     virtual void cut_path(simnet::Machine a, simnet::Machine b, bool on) = 0;
+    // Delays to and from the machine are so many times as long.
     virtual void slow_by(simnet::Machine machine, double times) = 0;
-    // Datagrams of an earlier life of a node come again.
+    // Replays up to `most` of the datagrams that a machine sent last.
     virtual void send_again(simnet::Machine from, std::size_t most) = 0;
-    // A node's file is another from now on; where it runs it is told by SIGHUP.
+    // Replaces a node's configuration file, and sends SIGHUP where it runs.
     virtual void new_file(std::uint32_t node, const std::string& text) = 0;
 };
 
+// Created once a run; begins and ends faults as the injector asks.
 class Fixture {
   public:
     static constexpr std::uint16_t client_port = 8443, peer_port = 8444, discovery_port = 8500;
 
-    // Machines 0 to `nodes` - 1 of the network are the nodes'; the stage adds the others.
+    // Machines 0 to `nodes` - 1 of the network are the nodes'; the fixture adds the others.
     Fixture(const Scenario& scenario, simnet::EventQueue& events, simnet::Trace& trace,
             simnet::Streams& network, Invariants& invariants, simnet::RandomSource& random,
             Topology& topology);
-    // Hosts and list, before the nodes start; then the front and the clients.
+    // Starts servers and discovery: before the nodes.
     void open();
     void start_clients();
+    // Clients leave, and none comes any more.
     void stop_all();
 
+    // The configuration file of a node, as JSON.
     std::string file_for(std::uint32_t node) const;
-    // A fault that is not a node's own affair; false: it is.
+    // False: the fault is one of a node's process, and is left to whoever runs it.
     bool begin(const Fault& fault);
     void end(const Fault& fault);
-    // What follows a drain, twice; true: once more after two seconds.
+    // Next step of a draining server: it stops, then it is back. True: there is another step.
     bool advance_drain(const Fault& fault);
 
     fakes::TestEnvironment& environment() { return environment_; }
--- a/src/simulation/invariants.cpp
+++ b/src/simulation/invariants.cpp
@@ -66,7 +66,7 @@
     nodes_[node].notified_at.assign(scenario_.servers, 0);
 }
 
-void Invariants::node_told_to_drain_out(std::uint32_t node) {
+void Invariants::node_shutdown_requested(std::uint32_t node) {
     if (!nodes_[node].incarnations.empty()) nodes_[node].incarnations.back().leaving_since = events_.now();
 }
 
--- a/src/simulation/invariants.h
+++ b/src/simulation/invariants.h
@@ -1,5 +1,5 @@
-// The rules of a scenario, judged from what the stand-ins saw on the wire. The nodes' own books have no part
-// in it.
+// Invariants of a run, judged from what the fakes see on the wire. Nothing that the nodes themselves report
+// is trusted, except where a rule is about it (figures, self_check). Times are tenths of a ms.
 #pragma once
 
 #include <cstdint>
@@ -14,63 +14,71 @@
 
 namespace lemonstair::simulation {
 
-struct Broken {
-    Ticks at = 0;      // since the start
-    std::string rule;  // one word of `rule_rows`
+// A rule that was broken.
+struct Violation {
+    Ticks at = 0;      // since the start of the scenario
+    std::string rule;  // a name of the rule catalogue
     std::string what;
 };
 
+// A rule: the name that runs report, and what it demands.
 struct RuleInfo {
     const char *name, *says;
 };
 const std::vector<RuleInfo>& rule_catalogue();
 
+// Judges one run. The owner tells it of every fault, so that no node is blamed for what a fault explains.
 class Invariants final : public fakes::ExecutionLog {
   public:
     Invariants(const Scenario& scenario, simnet::EventQueue& events, simnet::Streams& network);
+    // Before the first event.
     void begin(const fakes::TestEnvironment& environment) { environment_ = &environment; }
 
-    // ---- what the scenario does to the nodes and machines, so that nobody is blamed for it
+    // ---- faults that excuse nodes
     enum class NodeEnd : std::uint8_t { killed, left, killed_late, crashed };
     void node_started(std::uint32_t node);
-    void node_told_to_drain_out(std::uint32_t node);
+    void node_shutdown_requested(std::uint32_t node);
     void node_ended(std::uint32_t node, NodeEnd how);
     void node_stalled(std::uint32_t node, Ticks until);
-    // Operators send its clients away, or take them again.
+    // Operators drain the node, or end the drain.
     void node_drained(std::uint32_t node, bool on) { nodes_[node].drained_since = on ? events_.now() : 0; }
+    // Rule drained: whether the node still holds tunnels that it should have moved.
     void judge_drained(std::uint32_t node);
-    // What `GET /stats` said, of a process that has run since; mixed: another answered some meanwhile.
+    // Rule figures: `body` is the answer to `GET /stats` of a process that runs since then. `mixed`: another
+    // process of the node served some of its clients meanwhile.
     void judge_metrics(std::uint32_t node, const std::string& body, Ticks since, bool mixed);
-    // Whether a node ran, was not held up, and could be reached, all through a span.
+    // Whether the node ran, was not stalled and could be reached all the time.
     bool was_undisturbed(std::uint32_t node, Ticks from, Ticks until) const;
     void machine_cut(simnet::Machine machine, bool on);
-    // Its process has started and counts as cold from now on.
+    // Its process has started: it is in slow start from now on.
     void server_started(std::uint32_t server) { servers_[server].started_at = events_.now(); }
     void server_silent(std::uint32_t server, bool on) {
         servers_[server].silent = on;
         if (!on) servers_[server].silent_until = events_.now();
     }
+    // Records a violation; beyond 200 they are dropped.
     void report(std::string rule, std::string what);
 
-    const std::vector<Broken>& broken() const { return broken_; }
+    const std::vector<Violation>& broken() const { return broken_; }
+    // Counts of what happened, whether right or wrong.
     struct Tally {
         std::uint64_t taken = 0, opened = 0, declined = 0, failed = 0, setups = 0, setups_failed = 0,
                       resumed = 0, not_held = 0, cut = 0,
                       orphaned = 0,  // tunnels that waited when their node ended
-            raced = 0;               // setups out at a server when word came to their node that it drains
+            raced = 0;               // setups pending at a server when their node was notified that it drains
     };
     const Tally& tally() const { return tally_; }
-    // Told which servers could take more, when a tunnel is declined.
+    // Whether any server could take more; asked when a tunnel is declined.
     using AnyIdle = std::function<bool()>;
     void set_idle_query(AnyIdle any) { any_idle_ = std::move(any); }
-    // Told what all nodes together may send a server within a window; 0: no such bound.
+    // What all nodes together may send a server within a budget window; 0: no such bound.
     using Budget = std::function<double(std::uint32_t server)>;
     void set_budget_query(Budget of) { budget_ = std::move(of); }
     Ledger& ledger() { return ledger_; }
-    // Of the whole scenario, once it is over.
+    // Rules budget and slow_start, at the end of the run.
     void judge_bounds();
 
-    // ---- stand::Witness
+    // ---- fakes::ExecutionLog
     void tunnel_requested(const fakes::TunnelRequest& what) override;
     void request_delivered(fakes::TunnelId tunnel) override;
     void request_answered(fakes::TunnelId tunnel, fakes::Answer answer, Ticks written_at) override;
@@ -122,8 +130,8 @@
         std::vector<Incarnation> incarnations;
         std::vector<std::pair<Ticks, Ticks>> stalls;
         Ticks drained_since = 0;            // 0: it is not
-        std::vector<Ticks> notified_at;     // by server: when it was last told of it; 0: not yet
-        std::vector<Ticks> inactive_since;  // by server: since when it is told so; 0: it is in service
+        std::vector<Ticks> notified_at;     // by server: when it was last notified of it; 0: not yet
+        std::vector<Ticks> inactive_since;  // by server: since when it is known to be so; 0: it is active
     };
     struct Server {
         Ticks started_at = 0, silent_until = 0;
@@ -143,7 +151,7 @@
     void judge_late_attempt(const TunnelRecord& record, std::uint32_t server, simnet::Machine node,
                             Ticks sent);
     void judge_effect(const TunnelRecord& record, std::uint32_t server, Ticks sent);
-    // Whether what nodes tell one another came to them, all through the scenario.
+    // Whether gossip between nodes can be relied on in this scenario.
     bool gossip_is_reliable() const;
     std::string named(fakes::TunnelId tunnel) const;
 
@@ -157,7 +165,7 @@
     std::vector<Node> nodes_;
     std::vector<Server> servers_;
     std::vector<std::vector<std::pair<Ticks, Ticks>>> cuts_;  // by machine; until 0: it lasts
-    std::vector<Broken> broken_;
+    std::vector<Violation> broken_;
     Tally tally_;
     Ledger ledger_;
     AnyIdle any_idle_;
--- a/src/simulation/main.cpp
+++ b/src/simulation/main.cpp
@@ -34,7 +34,7 @@
 
 double seconds(lemonstair::simulation::Ticks t) { return static_cast<double>(t) / 10000; }
 
-// A scenario of the file with the chances of a seed, or the seed's own.
+// The scenario of the file with this seed, or the one that the seed draws.
 Scenario scenario_for(const std::string& file, std::uint64_t seed, bool operated) {
     if (file.empty())
         return operated ? simulation::draw_operated_scenario(seed) : simulation::draw_scenario(seed);
@@ -43,7 +43,7 @@
     return scenario;
 }
 
-// On a terminal only: how far a long work has come.
+// Progress of a long run on standard error, where that is a terminal.
 class Progress {
   public:
     void say(const std::string& text) {
@@ -82,7 +82,8 @@
 int run(const RunOptions& options) {
     const simulation::SeedRange seeds = simulation::parse_seeds(options.seeds);
     if (!options.scenario.empty())
-        simulation::read_scenario(options.scenario);  // a fault of the file is told before anything is played
+        simulation::read_scenario(
+            options.scenario);  // an invalid file ends the run before anything is played
     std::ofstream json;
     if (!options.json.empty()) json.open(options.json);
     if (!options.json.empty() && !json) {
@@ -93,7 +94,8 @@
     const std::uint64_t all = seeds.last - seeds.first + 1;
     std::uint64_t played = 0, bad = 0;
     double simulated = 0;
-    std::map<std::string, std::pair<std::uint64_t, std::string>> rules;  // scenarios and the first seeds
+    std::map<std::string, std::pair<std::uint64_t, std::string>>
+        rules;  // count of scenarios, and their first seeds
     {
         Progress progress;
         simulation::play_all(
--- a/src/simulation/runner.cpp
+++ b/src/simulation/runner.cpp
@@ -31,7 +31,7 @@
               const std::function<void(const Verdict&)>& each) {
     std::atomic<std::uint64_t> next{seeds.first};
     std::mutex output_lock;
-    std::map<std::uint64_t, Verdict> finished_early;  // played before their turn to be told
+    std::map<std::uint64_t, Verdict> finished_early;  // done before seeds that are reported first
     std::uint64_t turn = seeds.first;
     std::exception_ptr failed;
     const auto work = [&] {
--- a/src/simulation/shrink.cpp
+++ b/src/simulation/shrink.cpp
@@ -21,7 +21,7 @@
         ++best_.plays;
         const Verdict v = player_(smaller);
         const bool breaks = std::any_of(v.broken.begin(), v.broken.end(),
-                                        [&](const Broken& b) { return b.rule == best_.rule; });
+                                        [&](const Violation& b) { return b.rule == best_.rule; });
         if (breaks) best_.scenario = smaller;
         if (on_progress_) on_progress_(best_);
         return breaks;
@@ -57,7 +57,7 @@
     Shrunk best{scenario, rule, 0};
     Shrinker s(best, player, most_plays, on_progress);
     while (s.drop_faults()) continue;
-    // What makes a scenario rich, one thing at a time.
+    // Conditions that a scenario may do without, one at a time.
     const std::vector<std::function<void(Scenario&)>> plainer{
         [](Scenario& d) { d.network.cut_reads = 0; },
         [](Scenario& d) { d.network.cut_writes = 0; },
@@ -71,7 +71,7 @@
     };
     for (const auto& change : plainer) s.takes_with(change);
     while (best.scenario.clients > 1 && s.takes_with([](Scenario& d) {
-        // Each member keeps its weight.
+        // Each client keeps its load.
         const std::uint32_t fewer = d.clients / 2;
         d.load *= static_cast<double>(fewer) / d.clients;
         d.clients = fewer;
--- a/src/simulation/shrink.h
+++ b/src/simulation/shrink.h
@@ -1,4 +1,4 @@
-// A scenario that breaks a rule, made smaller while the same rule still breaks.
+// Shrinks a scenario that breaks a rule, as long as the same rule still breaks.
 #pragma once
 
 #include <functional>
@@ -8,13 +8,14 @@
 
 namespace lemonstair::simulation {
 
+// The smallest scenario so far, and how many were played for it.
 struct Shrunk {
     Scenario scenario;
     std::string rule;
     int plays = 0;
 };
 
-// Whether a scenario breaks a rule: plays it, as it is meant to be played.
+// Plays a scenario, with the tampering of its test if there is any.
 using Player = std::function<Verdict(const Scenario&)>;
 
 // Drops faults, then what the scenario does not need; at most so many scenarios are played. `told` hears
--- a/src/simulation/simulation.cpp
+++ b/src/simulation/simulation.cpp
@@ -90,7 +90,7 @@
     ProcessSlot& slot = nodes_.slot(f.target);
     if (!slot.current.node || slot.leaving || slot.previous.process) return;
     slot.leaving = true;
-    invariants_.node_told_to_drain_out(f.target);
+    invariants_.node_shutdown_requested(f.target);
     nodes_.signal(f.target, SIGTERM);
     fixture_->front().leaves(f.target, random_.between(second / 5, second * 2 / 5));
     schedule(events_.now() + kill_after_leave, Kind::kill_late, index, slot.incarnation);
@@ -215,7 +215,7 @@
     verdict.longest_spin = nodes_.usage().longest_spin;
     verdict.most_timers = nodes_.usage().most_timers;
     verdict.simulated = scenario_.duration + quiet;
-    for (const Broken& b : verdict.broken) trace_.note(b.at, "broken", 0, 0, b.rule + ": " + b.what);
+    for (const Violation& b : verdict.broken) trace_.note(b.at, "broken", 0, 0, b.rule + ": " + b.what);
     verdict.hash = trace_.hash();
     return verdict;
 }
--- a/src/soak/main.cpp
+++ b/src/soak/main.cpp
@@ -1,6 +1,6 @@
-// lemonstair_soak: many real processes on the loopback, two or three troubles that overlap in time, a shim in
-// each process that lets calls, files and clocks fail; judged by the rules from the wire and by the
-// processes' own checks. Each seed is a scenario; the same seed draws the same scenario.
+// lemonstair_soak: real processes on the loopback, two or three overlapping faults, and a shim in each
+// process that makes calls, files and clocks fail; judged by the invariants on the wire and by the processes'
+// own checks. The same seed draws the same scenario.
 #include <algorithm>
 #include <cstdlib>
 #include <filesystem>
@@ -33,7 +33,7 @@
     bool plain = false;
 };
 
-// Where the logs of one scenario are; gone with it, unless they are to be kept.
+// Temporary folder for the logs of one run; removed at its end.
 class LogFolder {
   public:
     LogFolder() {
@@ -48,7 +48,7 @@
         std::filesystem::remove_all(path_, ignored);
     }
     const std::filesystem::path& path() const { return path_; }
-    // Lines that tell a violation that a process found itself.
+    // Log lines of violations that a process found itself.
     std::vector<std::string> violations() const {
         std::vector<std::string> found;
         for (const auto& entry : std::filesystem::directory_iterator(path_)) {
@@ -122,7 +122,7 @@
         if (outcome.broken.empty()) continue;
         ++(outcome.is_conclusive() ? scenarios_broken : scenarios_undecided);
         std::map<std::string, int> rules;
-        for (const simulation::Broken& one : outcome.broken) rules[one.rule] = 1;
+        for (const simulation::Violation& one : outcome.broken) rules[one.rule] = 1;
         for (const auto& [rule, one] : rules) seeds_of_rule[rule] += one;
     }
     std::cout << scenarios << " days, " << scenarios_broken << " with a broken rule, " << scenarios_undecided
--- a/src/soak/soak_scenario.cpp
+++ b/src/soak/soak_scenario.cpp
@@ -144,7 +144,7 @@
 
 FaultPlan draw_plan(std::uint64_t seed, std::uint32_t node, std::uint32_t incarnation) {
     RandomSource scenario(seed * 0x2545f4914f6cdd1dU + 0xc10c);
-    // What meets the whole fleet, or a half of it, on this scenario.
+    // What meets the whole fleet, or a half of it.
     constexpr std::array<std::int64_t, 4> steps{hour_ms, -hour_ms, 5000, -5000};
     const bool clocks = scenario.odds(0.4), calls = scenario.odds(0.4), shorts = scenario.odds(0.3),
                holds = scenario.odds(0.3);
--- a/src/soak/soak_scenario.h
+++ b/src/soak/soak_scenario.h
@@ -1,5 +1,5 @@
-// Soak scenarios: a scenario of overlapping troubles, drawn from a seed, for many real processes; and what
-// the fault shim does to each process on it. The same seed draws the same scenario.
+// Soak scenarios: overlapping faults, drawn from a seed, for many real processes; and the plan of the fault
+// shim for each process. The same seed draws the same.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +12,7 @@
 // `nodes`: so many processes; 0: drawn.
 simulation::Scenario draw_soak_scenario(std::uint64_t seed, std::uint32_t nodes);
 
-// Of one life of one process.
+// For one incarnation of one process.
 FaultPlan draw_plan(std::uint64_t seed, std::uint32_t node, std::uint32_t incarnation);
 
 }  // namespace lemonstair::soak
--- a/tests/lab.cpp
+++ b/tests/lab.cpp
@@ -499,6 +499,6 @@
         CHECK(small.scenario.clients <= day.clients);
         const Verdict again = player(small.scenario);
         CHECK(std::any_of(again.broken.begin(), again.broken.end(),
-                          [&](const simulation::Broken& b) { return b.rule == found.rule(); }));
+                          [&](const simulation::Violation& b) { return b.rule == found.rule(); }));
     }
 }
