--- a/src/simulation/fixture.h
+++ b/src/simulation/fixture.h
@@ -1,5 +1,6 @@
-// What a day plays on, whether in the lab or on real processes: the town with its hosts, lists, front and
-// clients, the files that nodes are started with, and the faults that meet all but the nodes' processes.
+// Everything around the nodes of a scenario, in the simulation and in the process harness: servers,
+// discovery, front and clients, the nodes' configuration files, and the faults that meet all but the nodes'
+// processes.
 #pragma once
 
 #include <memory>
@@ -16,7 +17,7 @@
 
 namespace lemonstair::simulation {
 
-// What lies under the stage: the network and the nodes' processes, simulated or real.
+// The network and the nodes' processes below the fixture, simulated or real.
 class Topology {
   public:
     Topology() = default;
@@ -24,66 +25,71 @@
     Topology& operator=(const Topology&) = delete;
     virtual ~Topology() = default;
     virtual simnet::DatagramFaults& datagrams() = 0;
-    // A machine that says nothing and hears nothing; what it runs goes on.
+    // Nothing passes to or from the machine; its processes go on.
     virtual void cut_off(simnet::Machine machine, bool on) = 0;
-    // What it held is gone and nobody is told.
+    // As in a reboot: its connections are gone, and the peers are not told.
     virtual void forget(simnet::Machine machine) = 0;
     // Nothing passes between two machines.
     virtual void cut_path(simnet::Machine a, simnet::Machine b, bool on) = 0;
+    // Delays to and from the machine are so many times as long.
     virtual void slow_by(simnet::Machine machine, double times) = 0;
-    // Datagrams of an earlier life of a node come again.
+    // Replays up to `most` of the datagrams that a machine sent last.
     virtual void send_again(simnet::Machine from, std::size_t most) = 0;
-    // A node's file is another from now on; where it runs it is told by SIGHUP.
+    // Replaces a node's configuration file, and sends SIGHUP where it runs.
     virtual void new_file(std::uint32_t node, const std::string& text) = 0;
 };
 
+// Created once a run; begins and ends faults as the injector asks.
 class Fixture {
   public:
     static constexpr std::uint16_t client_port = 8443, peer_port = 8444, discovery_port = 8500;
 
-    // Machines 0 to `nodes` - 1 of the network are the nodes'; the stage adds the others.
-    Fixture(const Scenario& day, simnet::EventQueue& events, simnet::Trace& trace, simnet::Streams& network,
-            Invariants& rules, simnet::RandomSource& chance, Topology& ground);
-    // Hosts and list, before the nodes start; then the front and the clients.
+    // Machines 0 to `nodes` - 1 of the network are the nodes'; the fixture adds the others.
+    Fixture(const Scenario& scenario, simnet::EventQueue& events, simnet::Trace& trace,
+            simnet::Streams& network, Invariants& invariants, simnet::RandomSource& random,
+            Topology& topology);
+    // Starts servers and discovery: before the nodes.
     void open();
-    void let_clients_come();
-    void go_home();
+    void start_clients();
+    // Clients leave, and none comes any more.
+    void stop_all();
 
+    // The configuration file of a node, as JSON.
     std::string file_for(std::uint32_t node) const;
-    // A fault that is not a node's own affair; false: it is.
+    // False: the fault is one of a node's process, and is left to whoever runs it.
     bool begin(const Fault& fault);
     void end(const Fault& fault);
-    // What follows a drain, twice; true: once more after two seconds.
-    bool later(const Fault& fault);
+    // Next step of a draining server: it stops, then it is back. True: there is another step.
+    bool advance_drain(const Fault& fault);
 
-    fakes::TestEnvironment& town() { return town_; }
+    fakes::TestEnvironment& environment() { return environment_; }
     fakes::Front& front() { return *front_; }
-    fakes::FakeClients& members() { return *members_; }
-    fakes::FakeServer& host(std::uint32_t n) { return *hosts_[n]; }
+    fakes::FakeClients& clients() { return *clients_; }
+    fakes::FakeServer& server(std::uint32_t n) { return *servers_[n]; }
 
   private:
-    std::vector<fakes::Wish> wishes(std::uint32_t count, Ticks from, Ticks within, std::uint32_t first);
-    void tell(std::uint32_t host, fakes::Listed::Phase phase);
-    bool begin_at_hosts(const Fault& fault);
+    std::vector<fakes::ClientPlan> plans(std::uint32_t count, Ticks from, Ticks within, std::uint32_t first);
+    void publish(std::uint32_t server, fakes::DiscoveryEntry::Phase phase);
+    bool begin_at_servers(const Fault& fault);
     bool begin_at_discovery(const Fault& fault);
     bool begin_on_network(const Fault& fault);
-    void set_apart(const Fault& fault, bool on);
+    void set_isolation(const Fault& fault, bool on);
 
-    const Scenario& day_;
+    const Scenario& scenario_;
     simnet::EventQueue& events_;
     simnet::Streams& network_;
-    Invariants& rules_;
-    simnet::RandomSource& chance_;
-    Topology& ground_;
-    fakes::TestEnvironment town_;
-    std::vector<std::unique_ptr<fakes::FakeServer>> hosts_;
-    std::vector<fakes::Listed> entries_;
-    std::vector<std::unique_ptr<fakes::Roster>> rosters_;
+    Invariants& invariants_;
+    simnet::RandomSource& random_;
+    Topology& topology_;
+    fakes::TestEnvironment environment_;
+    std::vector<std::unique_ptr<fakes::FakeServer>> servers_;
+    std::vector<fakes::DiscoveryEntry> entries_;
+    std::vector<std::unique_ptr<fakes::FakeDiscovery>> discovery_services_;
     std::unique_ptr<fakes::Front> front_;
-    std::unique_ptr<fakes::FakeClients> members_;
-    std::unique_ptr<fakes::Rude> rude_;
+    std::unique_ptr<fakes::FakeClients> clients_;
+    std::unique_ptr<fakes::MisbehavingClients> misbehaving_clients_;
     double mean_load_ = 0.02;
-    std::uint32_t wished_ = 0;
+    std::uint32_t planned_ = 0;
     simnet::Machine first_service_ = 0;
 };
 
--- a/src/simulation/invariants.h
+++ b/src/simulation/invariants.h
@@ -1,5 +1,5 @@
-// The rules of a day, judged from what the stand-ins saw on the wire. The nodes' own books have no part in
-// it.
+// Invariants of a run, judged from what the fakes see on the wire. Nothing that the nodes themselves report
+// is trusted, except where a rule is about it (figures, self_check). Times are tenths of a ms.
 #pragma once
 
 #include <cstdint>
@@ -14,95 +14,103 @@
 
 namespace lemonstair::simulation {
 
-struct Broken {
-    Ticks at = 0;      // since dawn
-    std::string rule;  // one word of `rule_rows`
+// A rule that was broken.
+struct Violation {
+    Ticks at = 0;      // since the start of the scenario
+    std::string rule;  // a name of the rule catalogue
     std::string what;
 };
 
-struct RuleRow {
+// A rule: the name that runs report, and what it demands.
+struct RuleInfo {
     const char *name, *says;
 };
-const std::vector<RuleRow>& rule_rows();
+const std::vector<RuleInfo>& rule_catalogue();
 
+// Judges one run. The owner tells it of every fault, so that no node is blamed for what a fault explains.
 class Invariants final : public fakes::ExecutionLog {
   public:
-    Invariants(const Scenario& day, simnet::EventQueue& events, simnet::Streams& network);
-    void begin(const fakes::TestEnvironment& town) { town_ = &town; }
+    Invariants(const Scenario& scenario, simnet::EventQueue& events, simnet::Streams& network);
+    // Before the first event.
+    void begin(const fakes::TestEnvironment& environment) { environment_ = &environment; }
 
-    // ---- what the day does to the nodes and machines, so that nobody is blamed for it
+    // ---- faults that excuse nodes
     enum class NodeEnd : std::uint8_t { killed, left, killed_late, crashed };
     void node_started(std::uint32_t node);
-    void node_told_to_leave(std::uint32_t node);
+    void node_shutdown_requested(std::uint32_t node);
     void node_ended(std::uint32_t node, NodeEnd how);
     void node_stalled(std::uint32_t node, Ticks until);
-    // Operators send its clients away, or take them again.
+    // Operators drain the node, or end the drain.
     void node_drained(std::uint32_t node, bool on) { nodes_[node].drained_since = on ? events_.now() : 0; }
+    // Rule drained: whether the node still holds tunnels that it should have moved.
     void judge_drained(std::uint32_t node);
-    // What `GET /stats` said, of a process that has run since; mixed: another answered some meanwhile.
-    void figures_told(std::uint32_t node, const std::string& body, Ticks since, bool mixed);
-    // Whether a node ran, was not held up, and could be reached, all through a span.
-    bool undisturbed(std::uint32_t node, Ticks from, Ticks until) const;
+    // Rule figures: `body` is the answer to `GET /stats` of a process that runs since then. `mixed`: another
+    // process of the node served some of its clients meanwhile.
+    void judge_metrics(std::uint32_t node, const std::string& body, Ticks since, bool mixed);
+    // Whether the node ran, was not stalled and could be reached all the time.
+    bool was_undisturbed(std::uint32_t node, Ticks from, Ticks until) const;
     void machine_cut(simnet::Machine machine, bool on);
-    // Its process has started and counts as cold from now on.
-    void host_started(std::uint32_t host) { hosts_[host].started_at = events_.now(); }
-    void host_answers_nothing(std::uint32_t host, bool on) {
-        hosts_[host].mute = on;
-        if (!on) hosts_[host].mute_until = events_.now();
+    // Its process has started: it is in slow start from now on.
+    void server_started(std::uint32_t server) { servers_[server].started_at = events_.now(); }
+    void server_silent(std::uint32_t server, bool on) {
+        servers_[server].silent = on;
+        if (!on) servers_[server].silent_until = events_.now();
     }
-    void broke(std::string rule, std::string what);
+    // Records a violation; beyond 200 they are dropped.
+    void report(std::string rule, std::string what);
 
-    const std::vector<Broken>& broken() const { return broken_; }
+    const std::vector<Violation>& broken() const { return broken_; }
+    // Counts of what happened, whether right or wrong.
     struct Tally {
         std::uint64_t taken = 0, opened = 0, declined = 0, failed = 0, setups = 0, setups_failed = 0,
                       resumed = 0, not_held = 0, cut = 0,
                       orphaned = 0,  // tunnels that waited when their node ended
-            raced = 0;               // setups out at a host when word came to their node that it drains
+            raced = 0;               // setups pending at a server when their node was notified that it drains
     };
     const Tally& tally() const { return tally_; }
-    // Told which hosts could take more, when a tunnel is declined.
+    // Whether any server could take more; asked when a tunnel is declined.
     using AnyIdle = std::function<bool()>;
-    void ask_idle(AnyIdle any) { any_idle_ = std::move(any); }
-    // Told what all nodes together may send a host within a window; 0: no such bound.
-    using Budget = std::function<double(std::uint32_t host)>;
-    void ask_budget(Budget of) { budget_ = std::move(of); }
+    void set_idle_query(AnyIdle any) { any_idle_ = std::move(any); }
+    // What all nodes together may send a server within a budget window; 0: no such bound.
+    using Budget = std::function<double(std::uint32_t server)>;
+    void set_budget_query(Budget of) { budget_ = std::move(of); }
     Ledger& ledger() { return ledger_; }
-    // Of the whole day, once it is over.
+    // Rules budget and slow_start, at the end of the run.
     void judge_bounds();
 
-    // ---- stand::Witness
-    void asked(const fakes::Asked& what) override;
-    void taken(fakes::TunnelNo tunnel) override;
-    void answered(fakes::TunnelNo tunnel, fakes::Answer answer, Ticks written_at) override;
-    void said_on(fakes::TunnelNo tunnel, std::string_view text) override;
-    void left(fakes::TunnelNo tunnel) override;
-    void gave_up(fakes::TunnelNo tunnel) override;
-    void cut(fakes::TunnelNo tunnel, bool by_reset, Ticks written) override;
-    void unanswered(fakes::TunnelNo tunnel, Ticks span) override;
-    void rude_left_waiting(std::uint32_t node, std::string_view how) override;
-    void setup_came(fakes::TunnelNo tunnel, std::uint32_t host, simnet::End end, Ticks first,
-                    bool mid_flow) override;
-    void setup_answered(fakes::TunnelNo tunnel, std::uint32_t host, fakes::Answer answer) override;
-    void not_held(fakes::TunnelNo tunnel, std::uint32_t host) override;
-    void host_ended(fakes::TunnelNo tunnel, std::uint32_t host) override;
-    void pushed_over(std::uint32_t host, double asked, double bears) override;
-    void bad_line(std::uint32_t host, std::string_view line) override;
-    void told(std::uint32_t node, std::uint32_t host, bool active) override;
-    void line_wrong(fakes::TunnelNo tunnel, std::string_view what, std::string_view line) override;
+    // ---- fakes::ExecutionLog
+    void tunnel_requested(const fakes::TunnelRequest& what) override;
+    void request_delivered(fakes::TunnelId tunnel) override;
+    void request_answered(fakes::TunnelId tunnel, fakes::Answer answer, Ticks written_at) override;
+    void data_after_final(fakes::TunnelId tunnel, std::string_view text) override;
+    void client_left(fakes::TunnelId tunnel) override;
+    void client_timed_out(fakes::TunnelId tunnel) override;
+    void connection_cut(fakes::TunnelId tunnel, bool by_reset, Ticks written) override;
+    void connection_silent(fakes::TunnelId tunnel, Ticks span) override;
+    void misbehaving_client_unanswered(std::uint32_t node, std::string_view how) override;
+    void setup_received(fakes::TunnelId tunnel, std::uint32_t server, simnet::End end, Ticks first,
+                        bool mid_flow) override;
+    void setup_answered(fakes::TunnelId tunnel, std::uint32_t server, fakes::Answer answer) override;
+    void mid_flow_unknown(fakes::TunnelId tunnel, std::uint32_t server) override;
+    void server_ended(fakes::TunnelId tunnel, std::uint32_t server) override;
+    void server_overloaded(std::uint32_t server, double demand, double overload_limit) override;
+    void invalid_line(std::uint32_t server, std::string_view line) override;
+    void endpoint_state_delivered(std::uint32_t node, std::uint32_t server, bool active) override;
+    void line_corrupted(fakes::TunnelId tunnel, std::string_view what, std::string_view line) override;
 
   private:
-    enum class State : std::uint8_t { unknown, asked, taken, open, over };
+    enum class State : std::uint8_t { unknown, requested, delivered, open, over };
     struct Setup {
-        std::uint32_t host;
-        simnet::End end;  // the host's
-        Ticks sent;       // its first byte; a host that hangs may read it long after
+        std::uint32_t server;
+        simnet::End end;  // the server's
+        Ticks sent;       // its first byte; a server that hangs may read it long after
         fakes::Answer answer = fakes::Answer::none;
     };
-    struct Book {
+    struct TunnelRecord {
         State state = State::unknown;
-        fakes::Asked asked;
-        Ticks asked_at = 0, taken_at = 0, opened_at = 0, host_ended_at = 0, left_at = 0;
-        std::uint32_t holder = 0;
+        fakes::TunnelRequest request;
+        Ticks requested_at = 0, delivered_at = 0, opened_at = 0, server_ended_at = 0, left_at = 0;
+        std::uint32_t server = 0;
         std::size_t attempt = 0;  // the last, in attempts_
         Ticks changed_at = 0;
         std::vector<Setup> setups;
@@ -110,51 +118,54 @@
     // One first line at one node; a tunnel whose packets pass has several.
     struct Attempt {
         std::uint32_t node = 0, profile = 0;
-        Ticks asked_at = 0, answered_at = 0;
+        Ticks requested_at = 0, answered_at = 0;
         fakes::Answer answer = fakes::Answer::none;
     };
-    struct Life {
+    struct Incarnation {
         Ticks from, until = 0;  // 0: it runs
         NodeEnd how = NodeEnd::killed;
         Ticks leaving_since = 0;
     };
     struct Node {
-        std::vector<Life> lives;
+        std::vector<Incarnation> incarnations;
         std::vector<std::pair<Ticks, Ticks>> stalls;
         Ticks drained_since = 0;            // 0: it is not
-        std::vector<Ticks> told_at;         // by host: when it was last told of it; 0: not yet
-        std::vector<Ticks> not_in_service;  // by host: since when it is told so; 0: it is in service
+        std::vector<Ticks> notified_at;     // by server: when it was last notified of it; 0: not yet
+        std::vector<Ticks> inactive_since;  // by server: since when it is known to be so; 0: it is active
     };
-    struct Host {
-        Ticks started_at = 0, mute_until = 0;
-        bool mute = false;
+    struct Server {
+        Ticks started_at = 0, silent_until = 0;
+        bool silent = false;
     };
-    Book& book(fakes::TunnelNo tunnel);
-    void to(Book& b, State state) {
-        b.state = state;
-        b.changed_at = events_.now();
+    TunnelRecord& record_of(fakes::TunnelId tunnel);
+    void set_state(TunnelRecord& record, State state) {
+        record.state = state;
+        record.changed_at = events_.now();
     }
-    bool machine_reached(simnet::Machine machine, Ticks from, Ticks until) const;
-    const Life* life_at(std::uint32_t node, Ticks when) const;
-    simnet::Machine machine_of_host(std::uint32_t host) const { return day_.nodes + host; }
-    const fakes::Profile& profile(const Book& b) const { return town_->profiles[b.asked.profile]; }
-    void judge_late_attempt(const Book& b, std::uint32_t host, simnet::Machine node, Ticks sent);
-    void judge_effect(const Book& b, std::uint32_t host, Ticks sent);
-    // Whether what nodes tell one another came to them, all through the day.
-    bool told_surely() const;
-    std::string named(fakes::TunnelNo tunnel) const;
+    bool was_reachable(simnet::Machine machine, Ticks from, Ticks until) const;
+    const Incarnation* incarnation_at(std::uint32_t node, Ticks when) const;
+    simnet::Machine machine_of_server(std::uint32_t server) const { return scenario_.nodes + server; }
+    const fakes::Profile& profile(const TunnelRecord& record) const {
+        return environment_->profiles[record.request.profile];
+    }
+    void judge_late_attempt(const TunnelRecord& record, std::uint32_t server, simnet::Machine node,
+                            Ticks sent);
+    void judge_effect(const TunnelRecord& record, std::uint32_t server, Ticks sent);
+    // Whether gossip between nodes can be relied on in this scenario.
+    bool gossip_is_reliable() const;
+    std::string named(fakes::TunnelId tunnel) const;
 
-    const Scenario& day_;
+    const Scenario& scenario_;
     simnet::EventQueue& events_;
     simnet::Streams& network_;
-    const fakes::TestEnvironment* town_ = nullptr;
-    std::deque<Book> books_;
+    const fakes::TestEnvironment* environment_ = nullptr;
+    std::deque<TunnelRecord> tunnels_by_id_;
     std::vector<Attempt> attempts_;
-    std::vector<std::pair<std::uint32_t, Ticks>> setups_came_;  // from which node, when sent
+    std::vector<std::pair<std::uint32_t, Ticks>> setups_received_;  // from which node, when sent
     std::vector<Node> nodes_;
-    std::vector<Host> hosts_;
+    std::vector<Server> servers_;
     std::vector<std::vector<std::pair<Ticks, Ticks>>> cuts_;  // by machine; until 0: it lasts
-    std::vector<Broken> broken_;
+    std::vector<Violation> broken_;
     Tally tally_;
     Ledger ledger_;
     AnyIdle any_idle_;
--- a/src/simulation/runner.cpp
+++ b/src/simulation/runner.cpp
@@ -11,7 +11,7 @@
 
 namespace lemonstair::simulation {
 
-Seeds parse_seeds(const std::string& text) {
+SeedRange parse_seeds(const std::string& text) {
     const auto number = [&](std::string_view part) {
         std::uint64_t n = 0;
         const auto [stop, error] = std::from_chars(part.data(), part.data() + part.size(), n);
@@ -20,18 +20,18 @@
         return n;
     };
     const auto dots = text.find("..");
-    Seeds seeds;
+    SeedRange seeds;
     seeds.first = number(std::string_view(text).substr(0, dots));
     seeds.last = dots == std::string::npos ? seeds.first : number(std::string_view(text).substr(dots + 2));
     if (seeds.last < seeds.first) throw std::invalid_argument("'" + text + "' ends before it begins");
     return seeds;
 }
 
-void play_all(const Seeds& seeds, unsigned jobs, const DayOf& day_of,
+void play_all(const SeedRange& seeds, unsigned jobs, const ScenarioSource& scenario_of,
               const std::function<void(const Verdict&)>& each) {
     std::atomic<std::uint64_t> next{seeds.first};
-    std::mutex telling;
-    std::map<std::uint64_t, Verdict> early;  // played before their turn to be told
+    std::mutex output_lock;
+    std::map<std::uint64_t, Verdict> finished_early;  // done before seeds that are reported first
     std::uint64_t turn = seeds.first;
     std::exception_ptr failed;
     const auto work = [&] {
@@ -39,15 +39,16 @@
             const std::uint64_t seed = next++;
             if (seed > seeds.last) return;
             try {
-                Verdict v = play(day_of(seed));
-                const std::lock_guard lock(telling);
-                early.emplace(seed, std::move(v));
-                for (auto it = early.find(turn); it != early.end(); it = early.find(++turn)) {
+                Verdict v = play(scenario_of(seed));
+                const std::lock_guard lock(output_lock);
+                finished_early.emplace(seed, std::move(v));
+                for (auto it = finished_early.find(turn); it != finished_early.end();
+                     it = finished_early.find(++turn)) {
                     each(it->second);
-                    early.erase(it);
+                    finished_early.erase(it);
                 }
             } catch (...) {
-                const std::lock_guard lock(telling);
+                const std::lock_guard lock(output_lock);
                 failed = std::current_exception();
                 next = seeds.last + 1;
             }
--- a/src/simulation/shrink.h
+++ b/src/simulation/shrink.h
@@ -1,4 +1,4 @@
-// A day that breaks a rule, made smaller while the same rule still breaks.
+// Shrinks a scenario that breaks a rule, as long as the same rule still breaks.
 #pragma once
 
 #include <functional>
@@ -8,18 +8,19 @@
 
 namespace lemonstair::simulation {
 
+// The smallest scenario so far, and how many were played for it.
 struct Shrunk {
-    Scenario day;
+    Scenario scenario;
     std::string rule;
     int plays = 0;
 };
 
-// Whether a day breaks a rule: plays it, as it is meant to be played.
+// Plays a scenario, with the tampering of its test if there is any.
 using Player = std::function<Verdict(const Scenario&)>;
 
-// Drops faults, then what the day does not need; at most so many days are played. `told` hears after each
-// play.
-Shrunk shrink(const Scenario& day, const std::string& rule, const Player& player, int most_plays = 400,
-              const std::function<void(const Shrunk&)>& told = {});
+// Drops faults, then what the scenario does not need; at most so many scenarios are played. `told` hears
+// after each play.
+Shrunk shrink(const Scenario& scenario, const std::string& rule, const Player& player, int most_plays = 400,
+              const std::function<void(const Shrunk&)>& on_progress = {});
 
 }  // namespace lemonstair::simulation
