--- a/tests/backoff_test.cpp
+++ b/tests/backoff_test.cpp
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <random>
 
-#include "node_fixture.h"
+#include "balancer_fixture.h"
 
 using namespace lemonstair;
 using backoff::Backoff;
--- a/tests/failure_detector_test.cpp
+++ b/tests/failure_detector_test.cpp
@@ -5,9 +5,9 @@
 #include <numeric>
 #include <random>
 
+#include "balancer_fixture.h"
 #include "failure_detector/failure_likelihood.h"
 #include "failure_detector/observations.h"
-#include "node_fixture.h"
 #include "peer/codec.h"
 
 using namespace fake;
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -3,6 +3,7 @@
 
 #include <set>
 
+#include "balancer_fixture.h"
 #include "node_fixture.h"
 #include "peer/codec.h"
 
--- a/tests/load_estimator_test.cpp
+++ b/tests/load_estimator_test.cpp
@@ -2,7 +2,7 @@
 #include <doctest/doctest.h>
 
 #include "balance/loads.h"
-#include "node_fixture.h"
+#include "balancer_fixture.h"
 #include "peer/codec.h"
 
 using namespace fake;
@@ -169,3 +169,46 @@
     CHECK(probes_of_1(20, Outcome::timed_out) >= 18);
     CHECK(probes_of_1(32, Outcome::ok) <= 6);
 }
+
+TEST_CASE("where nothing tells how long messages take, work that reports show piling up weighs") {
+    const auto goes_to = [](bool reports_message_delay) {
+        BalancerConfig terms = Node::usual(0, 1);
+        terms.reports_message_delay = reports_message_delay;
+        Node n(terms);
+        n.list({1, 2});
+        int first = 0;
+        for (int i = 0; i < 40; ++i) {
+            n.pass(s / 4);
+            for (const auto p : std::exchange(n.probes, {})) {
+                LoadReport r;
+                r.load =
+                    p == 1 ? (i < 24 ? 1.5 : 0.5) : 0.55;  // no longer asked too much, but not yet through
+                n.b->on_health_check(static_cast<std::uint32_t>(p), Outcome::ok, ms, r);
+            }
+            if (i < 30) continue;
+            const auto t = static_cast<std::uint64_t>(100 + i);
+            n.on_request(t);
+            first += n.last().ep == 1 ? 1 : 0;
+            n.b->on_ended(t, 0, n.last().ep, Outcome::cancelled, ms, true);
+        }
+        return first;
+    };
+    CHECK(goes_to(true) > 0);
+    CHECK(goes_to(false) == 0);
+}
+
+TEST_CASE("what an ep can do is not learned from the first few loads told, which may be tiny") {
+    Node n;
+    n.list({7, 8});
+    for (std::uint64_t t = 1; t <= 6; ++t) n.on_request(t), n.open(t);
+    for (std::uint64_t t = 1; t <= 6; ++t) n.b->on_load_changed(t, 0.001);
+    for (const double load : {0.3, 0.31, 0.32}) {
+        n.pass(2 * s);
+        n.answer_probes(load);
+    }
+    n.b->on_load_changed(1, 0.5);
+    n.b->on_load_changed(2, 0.5);
+    n.on_request(20);
+    CHECK(n.declined.empty());
+    CHECK(n.setups_of(20) == 1);
+}
--- a/tests/parsers_test.cpp
+++ b/tests/parsers_test.cpp
@@ -1,6 +1,7 @@
 // The project's own parsers: cut at every byte, and on what they must refuse.
 #include <doctest/doctest.h>
 
+#include "balancer_fixture.h"
 #include "config/node_config.h"
 #include "discovery/hosts.h"
 #include "discovery/http_lines.h"
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -10,7 +10,7 @@
 #include <unordered_set>
 #include <vector>
 
-#include "node_fixture.h"
+#include "balancer_fixture.h"
 
 using lemonstair::quota::Quota;
 using lemonstair::quota::QuotaSchedule;
--- /dev/null
+++ b/tests/simulation_faults_test.cpp
@@ -0,0 +1,87 @@
+// The invariants of the simulation find each fault that is injected into nodes, and the scenario is shrunk.
+#include <doctest/doctest.h>
+
+#include <algorithm>
+#include <string>
+#include <vector>
+
+#include "fault_injection.h"
+#include "simulation/runner.h"
+#include "simulation/shrink.h"
+
+using namespace lemonstair;
+using simulation::Scenario;
+using simulation::Verdict;
+
+TEST_CASE("each wilful fault of a node is found within 500 seeds and shrunk to a short day") {
+    struct Row {
+        spoilt::Fault fault;
+        std::string name;
+        std::vector<std::string> rules;  // any of them
+        std::uint64_t from = 1;          // where the search begins, to spare the sanitized run
+        // An old record misleads only where its member was placed twice and then a node ended.
+        std::size_t most_faults = 2;
+        std::uint64_t last = 500;  // seed looked at
+        bool operated = false;
+    };
+    const Row rows[] = {
+        {spoilt::Fault::answer_dropped, "an answer is dropped", {"answer"}},
+        {spoilt::Fault::second_setup, "a second setup while one is out", {"at_once", "effect"}},
+        {spoilt::Fault::drained_host_used, "a drained host is used", {"drain"}},
+        {spoilt::Fault::cold_host_flooded, "a cold host is flooded", {"cold"}, 300},
+        {spoilt::Fault::answer_after_the_last, "an answer after the final one", {"twice"}},
+        {spoilt::Fault::tunnel_leaked, "a connection is leaked", {"left_over", "answer", "silent"}},
+        {spoilt::Fault::old_record_believed, "an old record is believed", {"astray"}, 5500, 3, 5600},
+        {spoilt::Fault::line_overtaken, "a line is overtaken", {"line"}},
+        {spoilt::Fault::move_forgotten, "a client is cut off without MOVE", {"cut_off", "leave"}},
+        {spoilt::Fault::descriptors_hoarded,
+         "descriptors are hoarded",
+         {"left_over", "answer", "bad_client"}},
+        {spoilt::Fault::figures_untrue, "figures are untrue", {"figures"}, 1, 2, 500, true},
+        {spoilt::Fault::pong_while_drained, "a drained node says yes", {"drained"}, 1, 2, 500, true},
+        {spoilt::Fault::handed_tunnel_lost,
+         "a tunnel is lost in the hand-over",
+         {"silent", "cut_off", "line", "left_over"},
+         1,
+         2,
+         500,
+         true},
+        {spoilt::Fault::readiness_unsaid,
+         "two processes are the node",
+         {"cut_off", "leave", "answer", "astray", "descriptors"},
+         1,
+         2,
+         500,
+         true},
+        {spoilt::Fault::call_unanswered, "a call is not answered", {"call"}, 1, 2, 500, true},
+    };
+    for (const Row& row : rows) {
+        const auto draw = [&](std::uint64_t seed) {
+            return row.operated ? simulation::draw_operated_day(seed) : simulation::draw_day(seed);
+        };
+        const auto player = [&](const Scenario& day) {
+            spoilt::Spoiler spoiler(row.fault);
+            return simulation::play(day, nullptr, &spoiler);
+        };
+        const auto is_meant = [&](const Verdict& v) {
+            return std::find(row.rules.begin(), row.rules.end(), v.rule()) != row.rules.end();
+        };
+        std::uint64_t seed = row.from;
+        Verdict found;
+        for (; seed <= row.last; ++seed)
+            if (is_meant(found = player(draw(seed)))) break;
+        INFO(row.name);
+        REQUIRE(seed <= row.last);
+        const Scenario day = draw(seed);
+        CHECK(simulation::play(day).broken.empty());  // the node as it is keeps the rule on this very day
+        const auto small = simulation::shrink(day, found.rule(), player, 120);
+        MESSAGE(row.name << ": seed " << seed << " breaks '" << found.rule() << "', shrunk to "
+                         << small.day.faults.size() << " of " << day.faults.size() << " faults, "
+                         << small.day.members << " members");
+        CHECK(small.day.faults.size() <= row.most_faults);
+        CHECK(small.day.members <= day.members);
+        const Verdict again = player(small.day);
+        CHECK(std::any_of(again.broken.begin(), again.broken.end(),
+                          [&](const simulation::Broken& b) { return b.rule == found.rule(); }));
+    }
+}
