--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -89,7 +89,9 @@
         {"POST /healthcheck/ok HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n", 400},
         {long_head(), 431},
         {many_fields(), 431}};
-    for (const auto& [call, status] : calls) {
+    for (const auto& row : calls) {
+        const std::string& call = row.first;
+        const int status = row.second;
         const std::string answer = answer_to(call);
         CAPTURE(call.substr(0, 80));
         CHECK(status_of(answer) == status);
@@ -125,7 +127,7 @@
 
 TEST_CASE("a node that leaves is not ready and cannot be told to take clients again") {
     Town town(operated());
-    auto [c, h] = town.opened();
+    OpenTunnel tunnel = town.opened();
     std::raise(SIGTERM);
     town.pass(20);
     CHECK(status_of(town.get("/healthcheck")) == 503);
@@ -142,8 +144,8 @@
         CHECK(figure(f, name) == 0);
     CHECK(figure(f, "registry_entries") == 2);
     CHECK(f.find(R"({"operations":{"chat":{)") != std::string::npos);
-    auto [c, h] = town.opened();
-    auto [c2, h2] = town.opened();
+    OpenTunnel tunnel = town.opened();
+    OpenTunnel second = town.opened();
     End waits = town.client(town.line());
     End asked = town.setup();
     f = town.get("/stats");
@@ -154,10 +156,10 @@
     asked.say("BUSY\r\n");
     for (int i = 0; i < 2; ++i) town.setup().say("BUSY\r\n");
     CHECK(town.until([&] { return waits.heard("BUSY\r\n"); }));
-    c.finish();
-    CHECK(town.until([&] { return h.over(); }));
-    h.finish();
-    CHECK(town.until([&] { return c.over(); }));
+    tunnel.client.finish();
+    CHECK(town.until([&] { return tunnel.host.over(); }));
+    tunnel.host.finish();
+    CHECK(town.until([&] { return tunnel.client.over(); }));
     End bad = town.client("OPEN 1 k c=nothing,d=2000\r\n");
     CHECK(town.until([&] { return bad.heard("ERR\r\n"); }));
     f = town.get("/stats");
@@ -189,7 +191,7 @@
     const auto from = std::chrono::steady_clock::now();
     for (int i = 0; i < 5; ++i) CHECK(status_of(town.get("/stats")) == 200);
     CHECK(std::chrono::steady_clock::now() - from < std::chrono::seconds(1));
-    auto [c, h] = town.opened();
+    OpenTunnel tunnel = town.opened();
     CHECK(town.until([&] { return std::all_of(slow.begin(), slow.end(), [](End& e) { return e.over(); }); },
                      9000));
     End half = town.caller("GET /hea");
@@ -235,6 +237,7 @@
     }
     CHECK(!declined.empty());
     std::vector<End> idle;
+    idle.reserve(40);
     for (int i = 0; i < 40; ++i) idle.push_back(town.client());
     const std::string f = town.get("/stats");
     CHECK(figure(f, "open_requests") == static_cast<long>(open.size()));
@@ -274,10 +277,10 @@
 
 TEST_CASE("a drained node moves its clients between two lines, stays, and takes clients again") {
     Town town({.mode = "proxy", .operators = true});
-    auto [c, h] = town.opened();
-    auto [c2, h2] = town.opened();
-    h2.say("half a li");  // its host is in the middle of a line, and then says nothing more
-    CHECK(town.until([&] { return c2.heard("half a li"); }));
+    OpenTunnel tunnel = town.opened();
+    OpenTunnel second = town.opened();
+    second.host.say("half a li");  // its host is in the middle of a line, and then says nothing more
+    CHECK(town.until([&] { return second.client.heard("half a li"); }));
     End waits = town.client(town.line());
     End asked = town.setup();
     CHECK(status_of(town.post("/healthcheck/fail")) == 200);
@@ -285,49 +288,49 @@
     // Who came before the no is served, and moved when it is open.
     asked.say("UP r\r\n");
     CHECK(town.until([&] { return waits.heard("UP r\r\n"); }));
-    CHECK(town.until([&] { return c.over() && waits.over() && c2.over(); }, 4000));
+    CHECK(town.until([&] { return tunnel.client.over() && waits.over() && second.client.over(); }, 4000));
     CHECK(std::chrono::steady_clock::now() - from < std::chrono::milliseconds(3500));
-    CHECK(c.got == "MOVE\r\n");
+    CHECK(tunnel.client.got == "MOVE\r\n");
     CHECK(waits.got == "UP r\r\nMOVE\r\n");
-    CHECK(!c.reset);
-    CHECK(h.over());
+    CHECK(!tunnel.client.reset);
+    CHECK(tunnel.host.over());
     town.pass(1200);
     CHECK(town.runs);
     CHECK(figure(town.get("/stats"), "open_requests") == 0);
     CHECK(status_of(town.post("/healthcheck/ok")) == 200);
-    auto [c3, h3] = town.opened();
+    OpenTunnel third = town.opened();
     town.pass(1500);
-    CHECK(!c3.over());
+    CHECK(!third.client.over());
 }
 
 TEST_CASE("a drain that is taken back half way moves nobody from then on") {
     Town town({.mode = "proxy", .operators = true});
-    auto [c, h] = town.opened();
+    OpenTunnel tunnel = town.opened();
     town.post("/healthcheck/fail");
     town.pass(100);
     town.post("/healthcheck/ok");
     town.pass(2000);
-    CHECK(!c.over());
-    c.say("still here\r\n");
-    CHECK(town.until([&] { return h.heard("still here\r\n"); }));
+    CHECK(!tunnel.client.over());
+    tunnel.client.say("still here\r\n");
+    CHECK(town.until([&] { return tunnel.host.heard("still here\r\n"); }));
 }
 
 TEST_CASE("where packets pass a drained node keeps what it carries") {
     Town town({.mode = "pass", .operators = true});
-    auto [c, h] = town.opened();
+    OpenTunnel tunnel = town.opened();
     town.post("/healthcheck/fail");
     town.pass(2500);
-    CHECK(!c.over());
-    h.say("on\r\n");
-    CHECK(town.until([&] { return c.heard("on\r\n"); }));
+    CHECK(!tunnel.client.over());
+    tunnel.host.say("on\r\n");
+    CHECK(town.until([&] { return tunnel.client.heard("on\r\n"); }));
 }
 
 TEST_CASE("SIGTERM while drained makes it leave") {
     Town town({.mode = "proxy", .operators = true});
-    auto [c, h] = town.opened();
+    OpenTunnel tunnel = town.opened();
     town.post("/healthcheck/fail");
     town.pass(100);
     std::raise(SIGTERM);
-    CHECK(town.until([&] { return c.over() && !town.runs; }, 4000));
-    CHECK(c.got == "MOVE\r\n");
+    CHECK(town.until([&] { return tunnel.client.over() && !town.runs; }, 4000));
+    CHECK(tunnel.client.got == "MOVE\r\n");
 }
--- a/tests/balancer_fixture.h
+++ b/tests/balancer_fixture.h
@@ -97,7 +97,7 @@
         now = until;
         b->set_time(now);
     }
-    void list(std::vector<std::uint32_t> eps, EndpointListKind kind = EndpointListKind::complete,
+    void list(const std::vector<std::uint32_t>& eps, EndpointListKind kind = EndpointListKind::complete,
               EndpointState life = EndpointState::active, Ticks started = 0) {
         b->begin_endpoint_list(kind);
         for (const auto e : eps) b->add_endpoint(e, 0, 0, life, 1, started);
--- a/tests/clock_skew_test.cpp
+++ b/tests/clock_skew_test.cpp
@@ -53,16 +53,16 @@
     for (const Ticks ahead : {hour, -hour}) {
         Town town({.mode = "proxy", .operators = true, .inherits = true});
         town.newer.clock_ahead = ahead;
-        auto [client, host] = town.opened();
-        client.say("hello\r\n");
-        REQUIRE(town.until([&] { return host.heard("hello\r\n"); }));
+        OpenTunnel tunnel = town.opened();
+        tunnel.client.say("hello\r\n");
+        REQUIRE(town.until([&] { return tunnel.host.heard("hello\r\n"); }));
         town.upgrade();
         REQUIRE(town.until([&] { return town.get("/healthcheck").find(" 200 ") != std::string::npos; }));
         const auto over = std::chrono::steady_clock::now();
         town.pass(1500);
-        CHECK(!client.heard("MOVE"));
+        CHECK(!tunnel.client.heard("MOVE"));
         // It stays silent, and is moved within 7 s.
-        CHECK(town.until([&] { return client.heard("MOVE"); }, 7000));
+        CHECK(town.until([&] { return tunnel.client.heard("MOVE"); }, 7000));
         CHECK(std::chrono::steady_clock::now() - over > 2s);
     }
 }
--- a/tests/failure_detector_test.cpp
+++ b/tests/failure_detector_test.cpp
@@ -25,8 +25,8 @@
 // A node of sixty that has been among these eps for a while, and what it hears of them.
 struct Hearer {
     Node n{priced(0)};
-    explicit Hearer(std::vector<std::uint32_t> eps = {7, 8, 9}) {
-        n.list(std::move(eps));
+    explicit Hearer(const std::vector<std::uint32_t>& eps = {7, 8, 9}) {
+        n.list(eps);
         n.pass(5 * s);
     }
     void hear(std::uint32_t from, std::uint32_t ep, std::uint32_t first, std::uint32_t other, Ticks age = 0) {
@@ -80,7 +80,7 @@
     CHECK(!w.found(nobody, at, at));
     CHECK(!w.found(nobody + 1, at, at));
     const auto told = static_cast<std::uint32_t>(at);
-    for (const Ticks later : {20 * s, 3600 * s, 100 * 3600 * s})
+    for (const Ticks later : {20 * s, 3600 * s, 100 * (3600 * s)})
         CHECK(!w.found(3, failure_detector::whole_time(told, at + later), at + later));
     CHECK(failure_detector::whole_time(told, at + 3 * s) == at);
     CHECK(failure_detector::whole_time(told, at - 2000) == at);
@@ -237,7 +237,7 @@
     h.n.post.clear();
     h.n.lines.clear();
     for (int i = 0; i < 40; ++i) {
-        for (std::uint32_t ep = 7; ep <= 14; ++ep) h.n.b->on_unresponsive(ep, 1 * s + i * 100 * ms);
+        for (std::uint32_t ep = 7; ep <= 14; ++ep) h.n.b->on_unresponsive(ep, 1 * s + i * (100 * ms));
         for (const auto p : std::exchange(h.n.probes, {}))
             h.n.b->on_health_check(static_cast<std::uint32_t>(p), Outcome::timed_out, s, LoadReport{});
         h.n.pass(100 * ms);
--- a/tests/gossip_test.cpp
+++ b/tests/gossip_test.cpp
@@ -41,7 +41,7 @@
         for (const auto& [to, bytes] : n.post) hearers += to == 99 ? nodes - 1 : 1;
         return hearers;
     };
-    CHECK(said(400) <= said(100) + 2 * 400);
+    CHECK(said(400) <= said(100) + 2 * std::size_t{400});
 }
 
 TEST_CASE(
--- a/tests/graceful_shutdown_test.cpp
+++ b/tests/graceful_shutdown_test.cpp
@@ -25,10 +25,10 @@
 TEST_CASE(
     "with deadlines of half a second all clients are moved before the node can be killed, stuck lines too") {
     Town town({.mode = "proxy", .timeout = "0.55"});
-    auto [c, h] = town.opened();
-    auto [stuck, host_of_stuck] = town.opened();
-    stuck.say("half a line");
-    REQUIRE(town.until([&] { return host_of_stuck.heard("half a line"); }));
+    OpenTunnel tunnel = town.opened();
+    OpenTunnel stuck = town.opened();
+    stuck.client.say("half a line");
+    REQUIRE(town.until([&] { return stuck.host.heard("half a line"); }));
     const auto told = Clock::now();
     std::raise(SIGTERM);
     REQUIRE(town.until([&] { return ms_since(told) >= 380; }, 2000));
@@ -39,10 +39,12 @@
     // The longest deadline and 0.7 s later comes SIGKILL.
     const int left = 1250 - ms_since(told);
     REQUIRE(left > 0);
-    town.until([&] { return c.heard("MOVE") && stuck.heard("MOVE") && late.heard("MOVE"); }, left);
-    CHECK(c.heard("MOVE\r\n"));
+    town.until(
+        [&] { return tunnel.client.heard("MOVE") && stuck.client.heard("MOVE") && late.heard("MOVE"); },
+        left);
+    CHECK(tunnel.client.heard("MOVE\r\n"));
     CHECK(late.heard("UP r\r\nMOVE\r\n"));
-    CHECK(stuck.heard("MOVE\r\n"));
+    CHECK(stuck.client.heard("MOVE\r\n"));
 }
 
 TEST_CASE("a setup that is out for longer than a node that leaves has time is answered before it is killed") {
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -99,36 +99,37 @@
 
 TEST_CASE("open tunnels go over with what is half read of them, and neither side notices") {
     Town town(upgraded());
-    auto [c, h] = town.opened();
-    auto [c2, h2] = town.opened();
-    c.say("half a ");
-    h2.say("LOAD 1");
-    CHECK(town.until([&] { return h.heard("half a ") && c2.heard("LOAD 1"); }));
+    OpenTunnel tunnel = town.opened();
+    OpenTunnel second = town.opened();
+    tunnel.client.say("half a ");
+    second.host.say("LOAD 1");
+    CHECK(town.until([&] { return tunnel.host.heard("half a ") && second.client.heard("LOAD 1"); }));
     town.upgrade();
     CHECK(town.until([&] { return all_over(town); }));
     CHECK(town.next->holds().tunnels == 2);
-    c.say("line\r\n");
-    h2.say("20\r\n");
-    CHECK(town.until([&] { return h.heard("half a line\r\n") && c2.heard("LOAD 120\r\n"); }));
+    tunnel.client.say("line\r\n");
+    second.host.say("20\r\n");
+    CHECK(town.until(
+        [&] { return tunnel.host.heard("half a line\r\n") && second.client.heard("LOAD 120\r\n"); }));
     // The old one leaves, and nothing of it is felt.
     std::raise(SIGTERM);
     CHECK(town.until([&] { return !town.runs; }, 4000));
     town.old_is_gone();
-    h.say("still\r\n");
-    CHECK(town.until([&] { return c.heard("still\r\n"); }));
-    CHECK(!c.over());
-    c.finish();
-    CHECK(town.until([&] { return h.over(); }));
-    CHECK(!h.reset);
+    tunnel.host.say("still\r\n");
+    CHECK(town.until([&] { return tunnel.client.heard("still\r\n"); }));
+    CHECK(!tunnel.client.over());
+    tunnel.client.finish();
+    CHECK(town.until([&] { return tunnel.host.over(); }));
+    CHECK(!tunnel.host.reset);
 }
 
 TEST_CASE("bytes that one side does not take yet go over too, none lost and none twice") {
     Town town(upgraded());
-    auto [c, h] = town.opened();
+    OpenTunnel tunnel = town.opened();
     std::string sent;
     for (int i = 0; i < 30000; ++i) {
         const std::string line = std::to_string(i) + std::string(200, 'x') + "\r\n";
-        if (net::write_some(h.fd.get(), line).bytes < line.size()) break;
+        if (net::write_some(tunnel.host.fd.get(), line).bytes < line.size()) break;
         sent += line;
         if (i % 1000 == 0) town.pass(1);
     }
@@ -137,10 +138,10 @@
     CHECK(town.until([&] { return all_over(town); }));
     town.runs = false;  // it has nothing left to do
     CHECK(town.until([&] {
-        c.hear();
-        return c.got.size() >= sent.size();
+        tunnel.client.hear();
+        return tunnel.client.got.size() >= sent.size();
     }));
-    const bool same = c.got.substr(0, sent.size()) == sent;
+    const bool same = tunnel.client.got.substr(0, sent.size()) == sent;
     CHECK(same);
 }
 
@@ -203,7 +204,7 @@
 
 TEST_CASE("a new process that dies after its yes leaves the node to the old one") {
     Town town(upgraded());
-    auto [c, h] = town.opened();
+    OpenTunnel tunnel = town.opened();
     town.upgrade();
     CHECK(town.until([&] { return all_over(town); }));
     auto late = town.client(town.line());
@@ -221,7 +222,7 @@
     town.runs = false;  // it is not called any more
     town.upgrade();
     CHECK(town.until([&] { return state_of(town) == "serving"; }, 4000));
-    auto [c, h] = town.opened();
+    OpenTunnel tunnel = town.opened();
     CHECK(town.next->holds().tunnels == 1);
     // When it goes on it finds that it was replaced, and leaves the clients to the other when it is told to
     // go.
@@ -243,7 +244,7 @@
 
 TEST_CASE("foreign, torn and untimely words end the line and nothing else") {
     Town town(upgraded());
-    auto [c, h] = town.opened();
+    OpenTunnel tunnel = town.opened();
     Stranger stranger(town);
     const std::string hello =
         hot_restart::encode({.kind = hot_restart::Kind::greet, .held = 10, .text = "n0"});
@@ -265,16 +266,16 @@
         CAPTURE(word.substr(0, 20));
         CHECK(stranger.hear(town, [&] { return stranger.over; }));
     }
-    h.say("on\r\n");
-    CHECK(town.until([&] { return c.heard("on\r\n"); }));
-    auto [c2, h2] = town.opened();
+    tunnel.host.say("on\r\n");
+    CHECK(town.until([&] { return tunnel.client.heard("on\r\n"); }));
+    OpenTunnel second = town.opened();
     CHECK(state_of(town) == "serving");
 }
 
 TEST_CASE(
     "a new process that greets and says no more, or dies half way, changes nothing; the next one may come") {
     Town town(upgraded());
-    auto [c, h] = town.opened();
+    OpenTunnel tunnel = town.opened();
     Stranger stranger(town), third(town);
     REQUIRE(stranger.call());
     stranger.say({.kind = hot_restart::Kind::greet, .held = 10, .text = "n0"});
@@ -293,14 +294,14 @@
     CHECK(third.hear(town, [&] { return third.has(hot_restart::Kind::tunnel); }));
     third.fd.close();  // before it has said that it has the tunnel
     CHECK(town.until([&] { return state_of(town) == "serving"; }));
-    h.say("on\r\n");
-    CHECK(town.until([&] { return c.heard("on\r\n"); }));
+    tunnel.host.say("on\r\n");
+    CHECK(town.until([&] { return tunnel.client.heard("on\r\n"); }));
     CHECK(town.until([&] { return true; }));
 }
 
 TEST_CASE("a third version that is started during an upgrade waits for its turn") {
     Town town(upgraded());
-    auto [c, h] = town.opened();
+    OpenTunnel tunnel = town.opened();
     town.upgrade();
     CHECK(town.until([&] { return all_over(town); }));
     auto second = std::move(town.next);
@@ -314,8 +315,8 @@
             return !town.runs && state_of(town) == "serving" && town.next->holds().tunnels == 1;
         },
         6000));
-    h.say("on\r\n");
-    CHECK(town.until([&] { return c.heard("on\r\n"); }));
+    tunnel.host.say("on\r\n");
+    CHECK(town.until([&] { return tunnel.client.heard("on\r\n"); }));
 }
 
 TEST_CASE("what the listener's number names must be a listening socket, else the start ends and says so") {
@@ -342,7 +343,7 @@
 TEST_CASE(
     "an upgrade while drained, and where connections end at the node, moves nobody once clients go over") {
     Town town(upgraded("proxy"));
-    auto [c, h] = town.opened();
+    OpenTunnel tunnel = town.opened();
     CHECK(town.post("/healthcheck/fail").substr(9, 3) == "200");
     town.upgrade();
     CHECK(town.until([&] { return all_over(town); }));
@@ -351,12 +352,13 @@
     CHECK(town.until([&] { return !town.runs; }, 4000));
     town.old_is_gone();
     town.pass(1500);
-    CHECK(!c.over());
+    CHECK(!tunnel.client.over());
 }
 
 TEST_CASE("with few descriptors both processes together stay within what is granted") {
     Town town(upgraded("pass", 64));
-    std::vector<std::pair<End, End>> open;
+    std::vector<OpenTunnel> open;
+    open.reserve(12);
     for (int i = 0; i < 12; ++i) open.push_back(town.opened());
     town.upgrade();
     std::size_t most = 0;
@@ -367,8 +369,8 @@
     CHECK(town.next->holds().tunnels == open.size());
     CHECK(most + 12 <=
           64 + 8);  // twice what both have outside their loops, and the desk's, which are set aside
-    for (auto& [c, h] : open) {
-        h.say("on\r\n");
-        CHECK(town.until([&] { return c.heard("on\r\n"); }));
+    for (OpenTunnel& tunnel : open) {
+        tunnel.host.say("on\r\n");
+        CHECK(town.until([&] { return tunnel.client.heard("on\r\n"); }));
     }
 }
--- a/tests/load_estimator_test.cpp
+++ b/tests/load_estimator_test.cpp
@@ -186,7 +186,7 @@
                 n.b->on_health_check(static_cast<std::uint32_t>(p), Outcome::ok, ms, r);
             }
             if (i < 30) continue;
-            const auto t = static_cast<std::uint64_t>(100 + i);
+            const auto t = 100 + static_cast<std::uint64_t>(i);
             n.on_request(t);
             first += n.last().ep == 1 ? 1 : 0;
             n.b->on_ended(t, 0, n.last().ep, Outcome::cancelled, ms, true);
--- a/tests/node_discovery_test.cpp
+++ b/tests/node_discovery_test.cpp
@@ -32,7 +32,7 @@
     "on SIGHUP a node calls the new discovery at once, whose lists count from the start, and serves on") {
     for (const bool leaving : {false, true}) {
         Town town({.mode = "pass", .sockets = 256, .probing = false});
-        auto [c, h] = town.opened();
+        OpenTunnel tunnel = town.opened();
         for (int i = 0; i < 3; ++i)  // the old one fails again and again: the next call to it would be late
             called(town, town.discovery, "index=4 ").say("HTTP/1.1 503 Busy\r\n\r\n");
         if (leaving) std::raise(SIGTERM);
@@ -63,8 +63,8 @@
         std::raise(SIGHUP);  // nothing has changed: the watch stands
         town.pass(50);
         CHECK(!watch.over());
-        h.say("still here\r\n");
-        CHECK(town.until([&] { return c.heard("still here\r\n"); }));
+        tunnel.host.say("still here\r\n");
+        CHECK(town.until([&] { return tunnel.client.heard("still here\r\n"); }));
     }
 }
 
@@ -89,7 +89,7 @@
     CHECK(reread(R"("name":"chat")", R"("name":"talk")").find("profiles") != std::string::npos);
     CHECK(reread(R"("listen":"127.0.0.1)", R"("listen":"127.0.0.2)").find("listen") != std::string::npos);
     CHECK(!watch.over());
-    CHECK(town.opened().first.fd.open());
+    CHECK(town.opened().client.fd.open());
 }
 
 TEST_CASE("the watch is kept, dead when silent, back after a pause; broken and old lists do no harm") {
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -125,6 +125,11 @@
     }
 };
 
+// A client and its host's end, with the tunnel open between them.
+struct OpenTunnel {
+    End client, host;
+};
+
 struct Town {
     struct BalancerConfig {
         std::string mode = "pass";
@@ -267,8 +272,7 @@
     }
     // A first line with an id of its own.
     std::string line() { return "OPEN " + std::to_string(++lines) + " k c=chat,d=2000\r\n"; }
-    // A client and its host's end, with the tunnel open between them.
-    std::pair<End, End> opened() {
+    OpenTunnel opened() {
         End c = client(line()), h = setup();
         h.say("UP r\r\n");
         until([&] { return c.heard("UP r\r\n"); });
--- a/tests/node_input_test.cpp
+++ b/tests/node_input_test.cpp
@@ -36,8 +36,9 @@
     CHECK(town.until([&] { return net::write_some(rude.fd.get(), more).error != 0; }, 2000));
     CHECK(sent < (16 << 20));
     std::vector<End> rest;
+    rest.reserve(300);
     for (int i = 0; i < 300; ++i) rest.push_back(town.client("frob\r\n"));
-    CHECK(town.opened().first.fd.open());
+    CHECK(town.opened().client.fd.open());
     CHECK(town.until([&] { return std::all_of(rest.begin(), rest.end(), [](End& e) { return e.over(); }); }));
 }
 
@@ -78,7 +79,7 @@
 
 TEST_CASE("bad input ends its own connection and nothing else") {
     Town town;
-    auto [c, h] = town.opened();
+    OpenTunnel tunnel = town.opened();
     const std::string endless(9000, 'x');
     for (const std::string& bad :
          {endless, std::string("OPEN\r\n"), std::string("OPEN 1 k c=no,d=5\r\n"),
@@ -100,6 +101,6 @@
     CHECK(town.until([&] { return c2.heard("UP r\r\n"); }));
     h2.say(endless);
     CHECK(town.until([&] { return c2.over(); }));
-    h.say("still here\r\n");
-    CHECK(town.until([&] { return c.heard("still here\r\n"); }));
+    tunnel.host.say("still here\r\n");
+    CHECK(town.until([&] { return tunnel.client.heard("still here\r\n"); }));
 }
--- a/tests/node_overload_test.cpp
+++ b/tests/node_overload_test.cpp
@@ -20,13 +20,13 @@
         End h = town.setup();
         h.say("UP r\r\n");
         town.until([&] { return refused.heard("\r\n"); });
-        if (refused.got[0] == 'U') open.emplace_back(std::move(refused), std::move(h));
+        if (refused.got[0] == 'U') open.emplace_back(std::exchange(refused, {}), std::move(h));
     }
     CHECK((open.size() >= 5 && open.size() < 20));
     CHECK(refused.got == "BUSY\r\n");
     open.clear();
     town.pass(50);
-    CHECK(town.opened().first.fd.open());
+    CHECK(town.opened().client.fd.open());
 }
 
 TEST_CASE("clients that say nothing, or ask once and stay, give way to those that speak, and go within 3 s") {
@@ -38,7 +38,7 @@
     }
     for (int i = 0; i < 3; ++i) {
         auto t = std::chrono::steady_clock::now();
-        CHECK(town.opened().first.fd.open());
+        CHECK(town.opened().client.fd.open());
         CHECK(std::chrono::steady_clock::now() - t < std::chrono::milliseconds(200));
     }
     CHECK(town.until(
--- a/tests/node_tunnel_test.cpp
+++ b/tests/node_tunnel_test.cpp
@@ -62,43 +62,43 @@
     End h = town.setup();
     c.fd.close();
     CHECK(town.until([&] { return h.over(); }));
-    CHECK(town.opened().first.fd.open());
+    CHECK(town.opened().client.fd.open());
 }
 
 TEST_CASE("an end is passed on as an end behind the last byte, a reset as a reset") {
     Town town;
-    auto [c, h] = town.opened();
-    h.say("last words\r\nBYE\r\n");
-    h.finish();
-    CHECK(town.until([&] { return c.over(); }));
-    CHECK(c.got == "last words\r\nBYE\r\n");
-    CHECK(!c.reset);
-    auto [c2, h2] = town.opened();
-    h2.cut();
-    CHECK(town.until([&] { return c2.over(); }));
-    CHECK(c2.reset);
-    auto [c3, h3] = town.opened();
-    c3.say("bye\r\n");
-    c3.finish();
-    CHECK(town.until([&] { return h3.over(); }));
-    CHECK(h3.got == "bye\r\n");
-    CHECK(!h3.reset);
+    OpenTunnel tunnel = town.opened();
+    tunnel.host.say("last words\r\nBYE\r\n");
+    tunnel.host.finish();
+    CHECK(town.until([&] { return tunnel.client.over(); }));
+    CHECK(tunnel.client.got == "last words\r\nBYE\r\n");
+    CHECK(!tunnel.client.reset);
+    OpenTunnel second = town.opened();
+    second.host.cut();
+    CHECK(town.until([&] { return second.client.over(); }));
+    CHECK(second.client.reset);
+    OpenTunnel third = town.opened();
+    third.client.say("bye\r\n");
+    third.client.finish();
+    CHECK(town.until([&] { return third.host.over(); }));
+    CHECK(third.host.got == "bye\r\n");
+    CHECK(!third.host.reset);
 }
 
 TEST_CASE("a side that takes nothing holds the other back, and nothing is lost") {
     Town town;
-    auto [c, h] = town.opened();
+    OpenTunnel tunnel = town.opened();
     const std::string line(1022, 'x');
     std::size_t sent = 0;
     for (int i = 0; i < 20000; ++i) {
-        const auto r = net::write_some(h.fd.get(), line + "\r\n");
+        const auto r = net::write_some(tunnel.host.fd.get(), line + "\r\n");
         sent += r.bytes;
         if (r.bytes < 1024) town.pass(1);
         if (r.bytes < 1024 && sent > 8000000) break;
     }
     CHECK(town.until([&] {
-        c.hear();
-        return c.got.size() == sent;
+        tunnel.client.hear();
+        return tunnel.client.got.size() == sent;
     }));
 }
 
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -97,8 +97,8 @@
     CHECK(lender.lend(all[0], budget, n, rate, now));
     CHECK(lender.left(all[0], budget, rate, now) == had - 1);
     CHECK(!lender.lend(all[0], budget, n, rate, now));
-    CHECK(!lender.lend(all[0], budget, n - 1, rate, now));             // of another's slot
-    CHECK(!lender.lend(all[0], budget, n, rate, now + 3600 * 10000));  // asked again an hour later
+    CHECK(!lender.lend(all[0], budget, n - 1, rate, now));                    // of another's slot
+    CHECK(!lender.lend(all[0], budget, n, rate, now + Ticks{3600} * 10000));  // asked again an hour later
     const int own = taker.left(all[1], budget, rate, now);
     CHECK(taker.borrow(all[1], budget, n, 0, now));
     CHECK(taker.left(all[1], budget, rate, now) == own + 1);
--- a/tests/simnet_test.cpp
+++ b/tests/simnet_test.cpp
@@ -174,6 +174,7 @@
     w.network.listen(w.door(), w, 100);
     simnet::Process p(w.events, w.network, w.a, {0, 1, 8});
     std::vector<net::Fd> held;
+    held.reserve(5);
     for (int i = 0; i < 5; ++i) held.push_back(p.connect_to(w.door()));
     CHECK(held.back().open());
     CHECK(!p.connect_to(w.door()).open());
--- a/tests/simulation_test.cpp
+++ b/tests/simulation_test.cpp
@@ -17,7 +17,7 @@
 
 Verdict play_file(const std::string& name, std::string* trace = nullptr) {
     std::ostringstream out;
-    const Verdict v = simulation::play(
+    Verdict v = simulation::play(
         simulation::read_day(std::string(LEMONSTAIR_SCENARIOS) + "/" + name + ".toml"), &out);
     for (const auto& b : v.broken) MESSAGE(name << " " << b.at << ": " << b.rule << ": " << b.what);
     CHECK(v.broken.empty());
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -99,6 +99,7 @@
         all[n]->b->on_load_changed(1, 0.05);
     }
     std::vector<Node*> tier;
+    tier.reserve(nodes);
     for (auto& n : all) tier.push_back(n.get());
     for (int i = 0; i < 120; ++i) {
         for (auto& n : all) n->pass(100 * ms);
--- a/tests/system_fault_test.cpp
+++ b/tests/system_fault_test.cpp
@@ -14,11 +14,11 @@
 
 TEST_CASE("a poll that fails for want of memory does not end the node") {
     Town town;
-    auto [client, host] = town.opened();
+    OpenTunnel tunnel = town.opened();
     town.kernel.polls = {3, ENOMEM};
     town.pass(50);
-    client.say("hello\r\n");
-    CHECK(town.until([&] { return host.heard("hello\r\n"); }));
+    tunnel.client.say("hello\r\n");
+    CHECK(town.until([&] { return tunnel.host.heard("hello\r\n"); }));
 }
 
 TEST_CASE("a configuration that cannot be read in the moment of SIGHUP is read soon after") {
