--- a/src/backoff/backoff.h
+++ b/src/backoff/backoff.h
@@ -1,5 +1,6 @@
-// When discovery is called again after a call or a watch was lost: capped exponential backoff with jitter,
-// and the bound that it keeps. No I/O; chance and clock are the caller's. Times are whole tenths of a ms.
+/// Capped exponential backoff with jitter for calls to service discovery, and the time limits that together
+/// bound how stale an endpoint list can get while discovery is reachable. No I/O; the random number and the
+/// clock are the caller's. Times are whole tenths of a millisecond.
 #pragma once
 #include <algorithm>
 #include <cstddef>
@@ -9,38 +10,40 @@
 
 using Ticks = std::int64_t;
 
-// A change counts as told this long after discovery had it and could be reached, and this long after a watch
-// fell silent. All times below share it.
-constexpr Ticks told_after = 60000;
-constexpr Ticks sign_every = 20000;  // of a watch that stands, also while nothing changes
-// After so long a call that does not come up, one with no answer, a watch with no sign is given up.
-constexpr Ticks patience_connecting = 10000, patience_asking = 30000, patience_standing = 30000;
-constexpr Ticks longest_pause = 15000;
-// Left for the answer of the next call, which waits its turn among the calls of all nodes.
-constexpr Ticks for_answer = 15000;
-static_assert(patience_asking + longest_pause + for_answer <= told_after);
-static_assert(patience_connecting <= patience_asking);
-static_assert(patience_standing > sign_every && patience_standing + longest_pause + for_answer <= told_after);
+/// A change must reach the node within this time after discovery had it and was reachable, or after a watch
+/// stopped sending. The limits below add up to no more than this.
+constexpr Ticks list_staleness_limit = 60000;
+constexpr Ticks watch_sign_interval = 20000;  // sent on an open watch, also while nothing changes
+/// After this time a connection attempt, a request without a response, a watch without a sign is abandoned.
+constexpr Ticks connect_timeout = 10000, request_timeout = 30000, watch_timeout = 30000;
+constexpr Ticks max_delay = 15000;
+// Left for the response to the next call, which queues behind those of all other nodes.
+constexpr Ticks response_allowance = 15000;
+static_assert(request_timeout + max_delay + response_allowance <= list_staleness_limit);
+static_assert(connect_timeout <= request_timeout);
+static_assert(watch_timeout > watch_sign_interval &&
+              watch_timeout + max_delay + response_allowance <= list_staleness_limit);
 
-// A process that starts has the list of the one before it, of unknown age: it calls soon, yet not at the same
-// instant as all that started with it.
-constexpr Ticks first_call_within(std::size_t nodes) {
-    constexpr Ticks each = 500;  // discovery takes them in turn
-    return std::min<Ticks>(longest_pause, static_cast<Ticks>(std::min<std::size_t>(nodes, 10000)) * each);
+/// The interval over which the first calls of `nodes` nodes that start together are spread. A starting
+/// process holds a cached list of unknown age, so it calls soon.
+constexpr Ticks first_call_spread(std::size_t nodes) {
+    constexpr Ticks each = 500;  // discovery serves them one by one
+    return std::min<Ticks>(max_delay, static_cast<Ticks>(std::min<std::size_t>(nodes, 10000)) * each);
 }
 
+/// Delay before the next call, doubled by each consecutive failure.
 class Backoff {
   public:
-    // `first`: the longest pause after one failure; each further one doubles it, up to longest_pause.
-    explicit Backoff(Ticks first = 2500) : first_(std::clamp<Ticks>(first, 1, longest_pause)) {}
-    // The pause before the next call; `chance` is drawn evenly from 0 to 1, so that nodes that failed
-    // together come again apart.
-    Ticks failed(double chance) {
-        const Ticks cap = std::min(longest_pause, first_ << std::min(failures_, 8));
+    /// `first`: the longest delay after one failure; each further one doubles it, up to `max_delay`.
+    explicit Backoff(Ticks first = 2500) : first_(std::clamp<Ticks>(first, 1, max_delay)) {}
+    /// Counts a failure and returns the delay before the next call. `chance` is drawn evenly from 0 to 1, so
+    /// that nodes which failed together retry at different times.
+    Ticks on_failure(double chance) {
+        const Ticks cap = std::min(max_delay, first_ << std::min(failures_, 8));
         ++failures_;
         return cap / 4 + static_cast<Ticks>(chance * static_cast<double>(cap - cap / 4));
     }
-    void answered() { failures_ = 0; }
+    void on_success() { failures_ = 0; }
     int failures() const { return failures_; }
 
   private:
--- a/src/balance/balance.cpp
+++ b/src/balance/balance.cpp
@@ -24,7 +24,7 @@
 constexpr Ticks silent_peer = 5 * second / 2, trial_pause = 2 * second;
 constexpr Ticks unheard_limit = second;
 // The gate looks back about 3 s; its floor lets about one setup a second find out whether the jam is over.
-constexpr double gate_decay = failure_detector::fades_to, gate_floor = 4;
+constexpr double gate_decay = failure_detector::outcome_decay, gate_floor = 4;
 
 // The part of an ep's messages that come late at load x is taken as exp(-late_slope * (1 - x)).
 constexpr double late_slope = 8, harm_steps = 256, most_load = 3;
@@ -46,8 +46,8 @@
 
 struct Mind final : Balancer, peer::MessageHandler, Talk {
     Mind(BalancerConfig given, BalancerDelegate& to, Ticks at) : Talk(std::move(given), to, at) {
-        ask_list_at = now + draw_span(backoff::first_call_within(peers.size()));
-        list_calls = backoff::Backoff(std::max(second / 4, backoff::first_call_within(peers.size())));
+        ask_list_at = now + draw_span(backoff::first_call_spread(peers.size()));
+        list_calls = backoff::Backoff(std::max(second / 4, backoff::first_call_spread(peers.size())));
         last_report = now - draw_span(report_every);
         for (double x = 0; x <= most_load; x += 1 / harm_steps)
             harms.push_back((1 + late_slope * x) * std::exp(-late_slope * (1 - x)));
@@ -60,7 +60,7 @@
     }
     void say_hello() {
         hello_at = now;
-        if (talks()) outbox.tell_all([](peer::Message& m) { m.hello(); });
+        if (talks()) outbox.tell_all([](peer::Message& m) { m.node_started(); });
     }
 
     // ---- the list of eps
@@ -98,8 +98,8 @@
     void end_endpoint_list() override {
         if (list_kind == EndpointListKind::failed || list_kind == EndpointListKind::moved) {
             watching = false;  // what the old place failed is not held against the new one
-            if (list_kind == EndpointListKind::moved) list_calls.answered();
-            ask_list_at = now + (list_kind == EndpointListKind::failed ? list_calls.failed(draw()) : 0);
+            if (list_kind == EndpointListKind::moved) list_calls.on_success();
+            ask_list_at = now + (list_kind == EndpointListKind::failed ? list_calls.on_failure(draw()) : 0);
             say("list lost, failures %d", list_calls.failures());
             return keep_list();
         }
@@ -109,7 +109,7 @@
         find_reporters();
         if (list_kind == EndpointListKind::cached) return open_account();
         if (list_calls.failures() > 0) say("list back after %d failures", list_calls.failures());
-        list_calls.answered();
+        list_calls.on_success();
         watching = true;
     }
     // Before any traffic is seen, an ep is taken to get a tunnel in three seconds.
@@ -151,8 +151,8 @@
         if (sums_known || t.group == 0) return;
         const bool far = first && eps[t.ep].zone != terms.zone;
         const std::uint32_t to = keeper(t.group);
-        if (far && to == terms.own_node) crossed(t.group, terms.zone);
-        if (far) post(to, [&](peer::Message& m) { return m.crossed(t.group, terms.zone); });
+        if (far && to == terms.own_node) on_cross_zone(t.group, terms.zone);
+        if (far) post(to, [&](peer::Message& m) { return m.cross_zone(t.group, terms.zone); });
         if (to == terms.own_node || on_chain(t.key, to)) return keep_homes(t.group);
         post(to, [&](peer::Message& m) { return m.record(t.key, ep, t.stamp, t.group, t.load); });
     }
@@ -166,12 +166,12 @@
         if (!peers[node].lives) {
             say("node %u is back", node);
             renew_chains(node, true);
-            post(node, [&](peer::Message& m) { return m.lost(node); });  // so that it tells all
+            post(node, [&](peer::Message& m) { return m.peer_down(node); });  // so that it tells all
         }
         peer::decode(bytes, *this);
     }
-    void record(std::uint64_t key, std::uint32_t ep, std::int64_t stamp, std::uint32_t group,
-                double load) override {
+    void on_record(std::uint64_t key, std::uint32_t ep, std::int64_t stamp, std::uint32_t group,
+                   double load) override {
         heard_stamp(stamp);
         const Record* known = records.find(key);
         const bool fresh = known == nullptr || known->stamp != stamp;
@@ -185,12 +185,13 @@
         placed_new += sampled && known == nullptr ? 1 : 0;  // one that comes again pays for nothing
         keep_homes(group);
     }
-    void ask(std::uint64_t key) override {
+    void on_lookup(std::uint64_t key) override {
         const Record* r = records.find(key);
         const Record known = r != nullptr ? *r : Record{};
-        post(from, [&](peer::Message& m) { return m.answer(key, r != nullptr, known.ep, known.stamp); });
+        post(from,
+             [&](peer::Message& m) { return m.lookup_reply(key, r != nullptr, known.ep, known.stamp); });
     }
-    void answer(std::uint64_t key, bool known, std::uint32_t ep, std::int64_t stamp) override {
+    void on_lookup_reply(std::uint64_t key, bool known, std::uint32_t ep, std::int64_t stamp) override {
         const std::uint32_t at = asking.find(key);
         if (at == none) return;
         TrackedTunnel& t = tuns[at];
@@ -202,21 +203,21 @@
         if (!t.asked_all) return ask_near(at);
         if (++t.unknowing >= t.asked) resume(at, none);
     }
-    void hello() override {
+    void on_node_started() override {
         for (auto& e : eps) e.carried_by(from, 0), e.told = -1;
         if (sums_known) peers[from].summed = now;
         renew_chains(from, true);
     }
     // Its neighbour tells that a node fell silent; one that still runs says so itself.
-    void lost(std::uint32_t node) override {
+    void on_peer_down(std::uint32_t node) override {
         if (node == terms.own_node) return now - hello_at > second ? say_hello() : void();
         if (node < peers.size() && peers[node].lives) lose_peer(node);
     }
-    void outcome(std::uint32_t ep, std::uint8_t ending) override {
+    void on_outcome(std::uint32_t ep, std::uint8_t ending) override {
         if (ending > static_cast<std::uint8_t>(Outcome::not_sent)) return;
         if (Endpoint* e = ep_of(ep)) judge(*e, static_cast<Outcome>(ending), false, from);
     }
-    void report(std::uint32_t ep, bool good, double load) override {
+    void on_load_report(std::uint32_t ep, bool good, double load) override {
         if (ep_of(ep) == nullptr) return;
         Endpoint& e = *ep_of(ep);
         e.reported(load, now);
@@ -224,7 +225,7 @@
         e.x_told_at = now;
         if (good) e.bad_told = false, hear_good(e, "its reporter");
     }
-    void seen(std::uint32_t ep, bool good, double load) override {
+    void on_load_total(std::uint32_t ep, bool good, double load) override {
         if (ep_of(ep) == nullptr) return;
         Endpoint& e = *ep_of(ep);
         e.carried_by(from, load);
@@ -238,40 +239,44 @@
         come_back(e, who);
     }
     // One or two nodes found an ep dead. Who reports of it looks for itself.
-    void dead(std::uint32_t ep, std::uint32_t when, std::uint32_t first, std::uint32_t other) override {
+    void on_endpoint_failure(std::uint32_t ep, std::uint32_t when, std::uint32_t first,
+                             std::uint32_t other) override {
         Endpoint* const e = ep_of(ep);
-        const bool both = other != failure_detector::nobody;
+        const bool both = other != failure_detector::no_observer;
         if (e == nullptr || first >= peers.size() || (both && other >= peers.size())) return;
-        if (!e->found_dead.found(first, other, failure_detector::whole_time(when, now), now)) return;
+        if (!e->found_dead.add(first, other, failure_detector::expand_time(when, now), now)) return;
         if (both) e->bad_told = true, e->bad_told_at = now;
-        if (e->found_dead.dead(now)) return believe(*e);
+        if (e->found_dead.is_unresponsive(now)) return believe(*e);
         if (e->rank != not_reporting && !e->aside) suspect(*e);
     }
     // Guards against words of many that are wrong together: whoever has just had an answer does not believe
     // them, and of most of a zone or a cell a node wants to find one dead itself.
     void believe(Endpoint& e) {
-        if (e.aside && e.hearsay_until != 0) e.hearsay_until = now + failure_detector::word_lasts;
+        if (e.aside && e.hearsay_until != 0) e.hearsay_until = now + failure_detector::observation_lifetime;
         if (e.aside || now - e.good_at <= second) return;
-        if (hearsay_may(e)) return set_aside(e, "found dead by others", failure_detector::enough, true);
+        if (hearsay_may(e)) return set_aside(e, "found dead by others", failure_detector::quorum, true);
         suspect(e);
     }
     void suspect(Endpoint& e) {  // a failure of its own is enough now
-        e.outcomes.doubt = std::max(e.outcomes.doubt, failure_detector::doubt_limit / 2);
+        e.outcomes.log_likelihood_ratio =
+            std::max(e.outcomes.log_likelihood_ratio, failure_detector::ejection_threshold / 2);
         look(e);
     }
     // What it found dead itself, a node tells those who report of it, once any other ep has answered it
     // since. Guards against a node that is cut off from the eps and tells everyone that they are dead.
     void report_failure(Endpoint& e) {
         if (!e.aside || !e.silent || e.hearsay_until != 0 || sums_known || !talks()) return;
-        if (e.bad_at < e.witnessed_at + (e.rank == not_reporting ? never : failure_detector::renewed_after))
+        if (e.bad_at <
+            e.witnessed_at + (e.rank == not_reporting ? never : failure_detector::renewal_interval))
             return;
         if (answered_at <= e.bad_at) return look_elsewhere();
         if (e.bad_at < alone_until + unheard_limit) return;  // found while no line came from anywhere
         e.witnessed_at = now;
-        static_cast<void>(e.found_dead.found(terms.own_node, e.bad_at, now));
+        static_cast<void>(e.found_dead.add(terms.own_node, e.bad_at, now));
         for (const auto n : e.reporters)
-            post(n,
-                 [&](auto& m) { return m.dead(e.id, e.bad_at, terms.own_node, failure_detector::nobody); });
+            post(n, [&](auto& m) {
+                return m.endpoint_failure(e.id, e.bad_at, terms.own_node, failure_detector::no_observer);
+            });
     }
     void look_elsewhere() {
         if (alone_since <= answered_at) alone_since = now;
@@ -328,7 +333,7 @@
             if (std::find(watched.begin(), watched.end(), n) == watched.end() || !news_pays())
                 peers[n].heard = now;
             if (now - peers[n].heard <= silent_peer) continue;
-            outbox.tell_all([&](peer::Message& m) { m.lost(n); });
+            outbox.tell_all([&](peer::Message& m) { m.peer_down(n); });
             lose_peer(n);
         }
         watched = before;
@@ -425,7 +430,7 @@
         const std::uint32_t at = meeting_place(t, true);
         if (at != none && blind(eps[at])) held_at[at] = 1;
     }
-    void home(std::uint32_t group, std::uint32_t ep) override {
+    void on_affinity_target(std::uint32_t group, std::uint32_t ep) override {
         if (ep_of(ep) == nullptr || group == 0) return;
         homes_full(group, ep);
         records.groups().set_home(group, ep, now);
@@ -457,7 +462,7 @@
         open_home(group, new_home(group, std::clamp(fleet_load, home_full / 2, home_full)));
     }
     // Crossings of zones for a group are paid for as long as they cost less than a copy.
-    void crossed(std::uint32_t group, std::uint32_t zone) override {
+    void on_cross_zone(std::uint32_t group, std::uint32_t zone) override {
         const std::uint64_t id = std::uint64_t{group} << 32 | zone;
         const std::uint32_t n = crossings.find(id) == none ? 1 : crossings.find(id) + 1;
         crossings.put(id, n);
@@ -470,12 +475,12 @@
         double paid = 0;  // the group's tunnels pay for what is told of it
         for (const auto& p : records.groups().of(group)) {
             if (p.ep == eps[at].id && is_home(p)) return;
-            paid += talk_part * p.members - (is_home(p) ? hearer_price(peer::home_bytes) : 0);
+            paid += talk_part * p.members - (is_home(p) ? hearer_price(peer::affinity_target_bytes) : 0);
         }
-        if (paid < hearer_price(peer::home_bytes)) return;
-        home(group, eps[at].id);
+        if (paid < hearer_price(peer::affinity_target_bytes)) return;
+        on_affinity_target(group, eps[at].id);
         if (!talks()) return;
-        outbox.tell_all([&](peer::Message& m) { m.home(group, eps[at].id); });
+        outbox.tell_all([&](peer::Message& m) { m.affinity_target(group, eps[at].id); });
     }
 
     // What a tunnel may cost the others, in connections served late, before it is better declined. Guards
@@ -492,13 +497,13 @@
     // What all nodes together may send a cold ep a second: each has its share (src/budget), and borrows units
     // for tunnels that wait for one. In a window of `fall` come units of the window and of `keep` before it.
     double cold_rate(const Endpoint& e) const {
-        const double window =
-            static_cast<double>(terms.rules.overload_window) / (terms.rules.overload_window + dealing.keep);
+        const double window = static_cast<double>(terms.rules.overload_window) /
+                              (terms.rules.overload_window + dealing.spendable_for);
         return cold_part * window * terms.rules.overload_multiple * room(e) / (mean_load() * fills_in());
     }
     bool cold_allows(std::uint32_t at) const {
         const Endpoint& e = eps[at];
-        return !cold(e) || e.share.left(dealing, e.id, cold_rate(e), now) > 0;
+        return !cold(e) || e.share.available(dealing, e.id, cold_rate(e), now) > 0;
     }
     // A tunnel waits for want of a unit: some are asked for where they lie. Not for long where it could go
     // elsewhere.
@@ -507,21 +512,22 @@
         if (t.unit_by == 0) host.set_timer(t.unit_by = now + unit_wait, label_of(at));
         Endpoint& e = eps[short_of];
         for (int i = 0; i < lenders; ++i) {
-            const auto lender = e.share.ask(dealing, e.id, cold_rate(e), now);
+            const auto lender = e.share.request_lease(dealing, e.id, cold_rate(e), now);
             if (!lender) return;
             const auto slot = static_cast<std::uint32_t>(lender->slot);
-            post(lender->node, [&](peer::Message& m) { return m.want(e.id, slot); });
+            post(lender->node, [&](peer::Message& m) { return m.lease_request(e.id, slot); });
         }
     }
-    void want(std::uint32_t ep, std::uint32_t slot) override {
+    void on_lease_request(std::uint32_t ep, std::uint32_t slot) override {
         Endpoint* e = ep_of(ep);
         if (e == nullptr || !cold(*e)) return;
-        if (!e->share.lend(dealing, ep, dealing.whole(slot, now), cold_rate(*e), now)) return;
-        post(from, [&](peer::Message& m) { return m.lend(ep, slot); });
+        if (!e->share.grant_lease(dealing, ep, dealing.expand_slot(slot, now), cold_rate(*e), now)) return;
+        post(from, [&](peer::Message& m) { return m.lease_grant(ep, slot); });
     }
-    void lend(std::uint32_t ep, std::uint32_t slot) override {
+    void on_lease_grant(std::uint32_t ep, std::uint32_t slot) override {
         Endpoint* e = ep_of(ep);
-        if (e != nullptr && e->share.borrow(dealing, ep, dealing.whole(slot, now), from, now)) retry_held();
+        if (e != nullptr && e->share.accept_lease(dealing, ep, dealing.expand_slot(slot, now), from, now))
+            retry_held();
     }
 
     // ---- health
@@ -536,10 +542,10 @@
         // Setups may share a store that probes do without, so a setup's time-out says less of the ep.
         e.outcomes.count(ending != Outcome::ok, ending == Outcome::timed_out && !by_probe, lately, now);
         if (ending == Outcome::ok) {
-            e.found_dead.found_sound(now);
+            e.found_dead.on_healthy(now);
             // Outcomes come to the first reporter alone: where some found the ep dead, it tells the next
             // ones.
-            const bool contested = e.rank == 0 && e.found_dead.several(now);
+            const bool contested = e.rank == 0 && e.found_dead.is_failing(now);
             for (std::size_t i = 1; contested && i < e.reporters.size(); ++i)
                 post(e.reporters[i],
                      [&](auto& m) { return m.outcome(e.id, static_cast<std::uint8_t>(ending)); });
@@ -551,16 +557,16 @@
             if (e.aside) come_back(e, "its own answer");
             return;
         }
-        static_cast<void>(e.faulty.found(by, now, now));
+        static_cast<void>(e.faulty.add(by, now, now));
         if (own && (ending == Outcome::timed_out || ending == Outcome::unreachable)) {
             e.silent = true;
             e.bad_at = now;
             e.lost = e.lost || ending == Outcome::unreachable || (by_probe && ++e.unanswered >= 2);
         }
         if (e.aside) e.trial_at = now + trial_pause;
-        if (e.outcomes.doubt < failure_detector::doubt_limit) return;
-        if (own ? !e.aside || e.hearsay_until != 0 : !e.aside && e.faulty.several(now) && hearsay_may(e))
-            set_aside(e, e.silent ? "no answer" : "setups fail", e.outcomes.doubt, !own);
+        if (e.outcomes.log_likelihood_ratio < failure_detector::ejection_threshold) return;
+        if (own ? !e.aside || e.hearsay_until != 0 : !e.aside && e.faulty.is_failing(now) && hearsay_may(e))
+            set_aside(e, e.silent ? "no answer" : "setups fail", e.outcomes.log_likelihood_ratio, !own);
     }
     // An ep that was silent and answers again may have restarted: the list says so seconds later, and by then
     // it would have fallen over under what a warm one takes. Until the list is heard it counts as cold.
@@ -580,7 +586,7 @@
     }
     void set_aside(Endpoint& e, const char* why, double figure, bool hearsay = false) {
         e.aside = true;
-        e.hearsay_until = hearsay ? now + failure_detector::word_lasts : 0;
+        e.hearsay_until = hearsay ? now + failure_detector::observation_lifetime : 0;
         e.witnessed_at = -never;
         e.aside_at = now;
         e.trial_at = now + trial_pause;
@@ -596,7 +602,7 @@
     void come_back(Endpoint& e, const char* why) {
         say("ep %u back after %lld ms, told by %s", e.id, static_cast<long long>(now - e.aside_at) / 10, why);
         e.aside = e.silent = false;
-        e.outcomes.doubt = 0;
+        e.outcomes.log_likelihood_ratio = 0;
     }
     // ---- the gate
     // When what is sent fails everywhere (a store past its rate, queues full), each further setup keeps the
@@ -819,7 +825,7 @@
         if (nodes[0] == terms.own_node && r != nullptr) return resume(at, r->ep);
         if (!talks()) return resume(at, r != nullptr ? r->ep : none);
         if (nodes[0] == terms.own_node) return ask_near(at);
-        post(nodes[0], [&](peer::Message& m) { return m.ask(t.key); });
+        post(nodes[0], [&](peer::Message& m) { return m.lookup(t.key); });
         wait_for_answer(at);
     }
     void wait_for_answer(std::uint32_t at) {
@@ -841,7 +847,7 @@
             t.key, near_tail, [this](std::uint32_t k) { return lives(k); }, near);
         for (std::size_t i = 0; i < n; ++i) {
             if (near[i] == terms.own_node) continue;
-            post(near[i], [&](peer::Message& m) { return m.ask(t.key); });
+            post(near[i], [&](peer::Message& m) { return m.lookup(t.key); });
             ++t.asked;
         }
         if (t.asked == 0) return resume(at, none);
@@ -918,8 +924,8 @@
         const Reason reason = attempt_policy::may_repeat(allowance_of(t), history_of(t), ending, now);
         if (reason != Reason::allowed) return reason;
         // Where most setups fail everywhere, another try would only add to it.
-        if (ending == Outcome::timed_out &&
-            eps[t.ep].outcomes.elsewhere(lately, now) > failure_detector::bad_part / 2)
+        if (ending == Outcome::timed_out && eps[t.ep].outcomes.failure_rate_elsewhere(lately, now) >
+                                                failure_detector::outlier_failure_rate / 2)
             return Reason::failing_everywhere;
         return gate_open() ? Reason::allowed : Reason::gate_shut;
     }
@@ -982,7 +988,7 @@
         if (e.aside && e.silent) return;
         e.silent = true;
         e.bad_at = now;
-        e.outcomes.doubt = failure_detector::doubt_limit;
+        e.outcomes.log_likelihood_ratio = failure_detector::ejection_threshold;
         if (!e.aside || e.hearsay_until != 0) set_aside(e, why, static_cast<double>(figure) / second);
     }
     // A sound ep answers a line at once, on each connection. Guards against one that hangs or is cut off, of
@@ -1069,7 +1075,7 @@
         if (!greeted) greet();
         keep_list();
         forget_placed(sums_known ? report_pause : report_lag);
-        lately.fade(failure_detector::fades_to);
+        lately.fade(failure_detector::outcome_decay);
         for (double* part : {&opened_lately, &ended_lately, &stood_lately, &cut_lately}) *part *= gate_decay;
         for (auto& e : eps) e.fresh_drift *= drift_decay;
         expect_unheard();
--- a/src/balance/state.h
+++ b/src/balance/state.h
@@ -64,8 +64,8 @@
     double elsewhere = 0;        // their sum
     void begin_life(Ticks at) {  // what the old one showed counts no more
         listed_start = started = at;
-        room = piled = outcomes.doubt = 0;
-        found_dead.forget(), faulty.forget();
+        room = piled = outcomes.log_likelihood_ratio = 0;
+        found_dead.clear(), faulty.clear();
         aside = false;
         slow_by = 0;
         x = LoadReport::unknown;
@@ -205,7 +205,8 @@
     // How long a tunnel stays, from those carried here; few say little.
     double life() const { return (2 * usual_life + carried_time) / (2.0 + static_cast<double>(ends_in_all)); }
     double hearer_price(double bytes) const {  // of a message that all other nodes hear
-        return terms.costs.gossip_message * (bytes + peer::message_bytes) / peer::max_bytes * (nodes() - 1);
+        return terms.costs.gossip_message * (bytes + peer::message_overhead_bytes) / peer::max_bytes *
+               (nodes() - 1);
     }
     bool lives(std::uint32_t node) const { return node == terms.own_node || peers[node].lives; }
     std::size_t chain(std::uint64_t key, Ring::Chain& out) const {  // the tail first
@@ -238,14 +239,16 @@
         for (const Endpoint& e : eps) {
             if (e.life != EndpointState::active || !same(e)) continue;
             ++out.active;
-            if (e.aside) ++(e.hearsay_until != 0 ? out.by_hearsay : out.by_sight);
+            if (e.aside) ++(e.hearsay_until != 0 ? out.by_gossip : out.by_own_evidence);
         }
         return out;
     }
     // Hearsay may set one more aside in its zone and in its cell.
     bool hearsay_may(const Endpoint& one) const {
-        return out_of([&](const Endpoint& e) { return e.zone == one.zone; }).one_more() &&
-               out_of([&](const Endpoint& e) { return e.zone == one.zone && e.cell == one.cell; }).one_more();
+        return out_of([&](const Endpoint& e) { return e.zone == one.zone; }).allows_one_more() &&
+               out_of([&](const Endpoint& e) {
+                   return e.zone == one.zone && e.cell == one.cell;
+               }).allows_one_more();
     }
     bool avoided(const Endpoint& e) const { return e.life != EndpointState::active || e.aside; }
     EndpointCounts count_eps() const {
--- a/src/balance/state_codec.h
+++ b/src/balance/state_codec.h
@@ -28,8 +28,8 @@
 
 template <class Io, class E>
 void ep(Io& io, E& e) {
-    all(io, e.outcomes.doubt, e.outcomes.sums.tried, e.outcomes.sums.failed, e.room, e.last_report, e.told,
-        e.pending, e.piled, e.x, e.x_told);
+    all(io, e.outcomes.log_likelihood_ratio, e.outcomes.recent.tried, e.outcomes.recent.failed, e.room,
+        e.last_report, e.told, e.pending, e.piled, e.x, e.x_told);
     all(io, e.told_at, e.started, e.listed_start, e.probed_at, e.aside_at, e.trial_at, e.probe_good_at,
         e.good_at, e.slow_at, e.slow_since, e.slow_by, e.moved_at, e.x_at, e.x_told_at, e.outcomes.counted_at,
         e.home_at, e.hearsay_until);
--- a/src/balance/talk.h
+++ b/src/balance/talk.h
@@ -35,8 +35,8 @@
     void reckon_talk() {
         const auto servers = static_cast<double>(eps.size());
         const double reporters = std::min(nodes(), servers / 8 + 1);
-        report_pause = paced(report_every, hearer_price(peer::seen_bytes * servers) * nodes(), 8);
-        const double word = hearer_price(peer::report_bytes * servers / reporters);
+        report_pause = paced(report_every, hearer_price(peer::load_total_bytes * servers) * nodes(), 8);
+        const double word = hearer_price(peer::load_report_bytes * servers / reporters);
         tell_pause = paced(report_every, word * reporters, 16);
     }
     void tell_sums() {
@@ -48,7 +48,7 @@
                     (!all && std::abs(e.mine - e.told) < 0.02 * room(e) && !good))
                     continue;
                 e.told = e.mine;
-                put([&](peer::Message& m) { return m.seen(e.id, good, e.mine); });
+                put([&](peer::Message& m) { return m.load_total(e.id, good, e.mine); });
             }
         });
         last_report = now;
@@ -86,14 +86,14 @@
     bool to_tell_dead(const Endpoint& e) const {
         if (!e.aside || e.life != EndpointState::active || e.rank == not_reporting) return false;
         if (now - e.aside_at < e.rank * second / (e.silent ? 4 : 1)) return false;
-        return now - e.bad_told_at >= failure_detector::renewed_after &&
-               (e.silent ? e.found_dead.dead(now) : e.faulty.several(now));
+        return now - e.bad_told_at >= failure_detector::renewal_interval &&
+               (e.silent ? e.found_dead.is_unresponsive(now) : e.faulty.is_failing(now));
     }
     void tell_dead(Endpoint& e) {
-        const failure_detector::Two by = (e.silent ? e.found_dead : e.faulty).newest();
+        const failure_detector::ObservationPair by = (e.silent ? e.found_dead : e.faulty).newest();
         e.bad_told = true;
         e.bad_told_at = now;
-        outbox.tell_all([&](auto& m) { m.dead(e.id, by[1].when, by[0].node, by[1].node); });
+        outbox.tell_all([&](auto& m) { m.endpoint_failure(e.id, by[1].when, by[0].node, by[1].node); });
     }
     void tell_reports() {
         if (std::none_of(eps.begin(), eps.end(), [this](const Endpoint& e) { return to_tell(e); })) return;
@@ -105,7 +105,7 @@
                 e.bad_told = false;
                 e.x_told = std::isnan(e.x) ? 0 : e.x;
                 e.x_told_at = now;
-                put([&](peer::Message& m) { return m.report(e.id, true, e.x_told); });
+                put([&](peer::Message& m) { return m.load_report(e.id, true, e.x_told); });
             }
         });
         last_report = now;
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-using backoff::patience_asking, backoff::patience_connecting, backoff::patience_standing;
+using backoff::request_timeout, backoff::connect_timeout, backoff::watch_timeout;
 constexpr int reads_a_pass = 64;
 
 }  // namespace
@@ -25,7 +25,7 @@
                 " HTTP/1.1\r\nHost: discovery\r\nAccept: application/json\r\n\r\n";
     net::Fd fd = loop_.system().connect_to(discovery_);
     if (fd.open()) socket_ = net::Socket(loop_, std::move(fd), POLLOUT, *this, call_);
-    go(Phase::connecting, socket_.open() ? patience_connecting : 0);
+    go(Phase::connecting, socket_.open() ? connect_timeout : 0);
 }
 
 bool Watch::move_to(const net::Address& discovery) {
@@ -52,7 +52,7 @@
 void Watch::on_ready(std::uint64_t, short) {
     if (phase_ == Phase::connecting) {
         if (socket_.connected() != 0) return lose("not reached");
-        go(Phase::asking, patience_asking);
+        go(Phase::asking, request_timeout);
     }
     if (!question_.empty()) return ask();
     read();
@@ -73,7 +73,7 @@
         if (got.error != 0) return lose("broken");
         if (got.ended) return lose("ended by discovery");
         if (got.bytes == 0) return;
-        if (phase_ == Phase::standing) dead_at_ = loop_.now() + patience_standing;
+        if (phase_ == Phase::standing) dead_at_ = loop_.now() + watch_timeout;
         bool good = true;
         const bool framed = lines_.feed({at, got.bytes}, [&](std::string_view l) { good = good && take(l); });
         if (!framed || !good) return lose(framed ? "not a list" : "not a good answer");
@@ -85,11 +85,11 @@
     if (line.empty()) {  // nothing has changed after the revision asked for
         if (phase_ == Phase::asking) hearer_.nothing_new();
         hearer_.still_current();
-        if (phase_ == Phase::asking) go(Phase::standing, patience_standing);
+        if (phase_ == Phase::asking) go(Phase::standing, watch_timeout);
         return true;
     }
     if (!line_.parse(line) || !hearer_.list_heard(line_.root().told_as("list"))) return false;
-    if (phase_ == Phase::asking) go(Phase::standing, patience_standing);
+    if (phase_ == Phase::asking) go(Phase::standing, watch_timeout);
     return true;
 }
 
--- a/src/failure_detector/failure_likelihood.h
+++ b/src/failure_detector/failure_likelihood.h
@@ -1,5 +1,6 @@
-// The sequential test on a host's outcomes: "half of them fail" against "as many fail as elsewhere". What
-// fails everywhere is no host's fault. No I/O; the clock is an argument, in tenths of a ms.
+/// Sequential probability ratio test on an endpoint's outcomes: "half of them fail" against "as many fail as
+/// on the other endpoints". What fails everywhere is not an endpoint's fault. No I/O; the clock is an
+/// argument, in tenths of a millisecond.
 #pragma once
 
 #include <algorithm>
@@ -8,41 +9,48 @@
 
 namespace lemonstair::failure_detector {
 
-constexpr double bad_part = 0.5, usual_part = 0.015, shared_part = 0.1, doubt_limit = 6.0;
-// Outcomes are looked back on for about 3 s.
-constexpr double fades_to = 0.967;  // in a tenth of a second
-constexpr std::int64_t fades_in = 1000;
+constexpr double outlier_failure_rate = 0.5, baseline_failure_rate = 0.015, shared_failure_rate = 0.1,
+                 ejection_threshold = 6.0;
+/// Exponential decay of outcome counts: they look back about 3 s.
+constexpr double outcome_decay = 0.967;  // per outcome_decay_period
+constexpr std::int64_t outcome_decay_period = 1000;
 
-// Outcomes lately, and those of them that were failures.
+/// Recent outcomes, and the failures among them; both decay.
 struct OutcomeTotals {
     double tried = 0, failed = 0;
     void fade(double part) { tried *= part, failed *= part; }
 };
 
+/// How much likelier it is that an endpoint is an outlier than that it fails as often as the others.
 struct FailureLikelihood {
-    double doubt = 0;  // the log of how much likelier the first is; it is set aside at doubt_limit
-    OutcomeTotals sums;
+    double log_likelihood_ratio = 0;  // the endpoint is ejected at ejection_threshold
+    OutcomeTotals recent;
     std::int64_t counted_at = 0;
 
-    // The part that failed lately of the outcomes of all others.
-    double elsewhere(const OutcomeTotals& all, std::int64_t now) const {
-        const double old = faded(now);
-        return (all.failed - sums.failed * old + 5 * usual_part) / (all.tried - sums.tried * old + 5);
+    /// The recent failure rate of all other endpoints; `all` includes this one.
+    double failure_rate_elsewhere(const OutcomeTotals& all, std::int64_t now) const {
+        const double old = decay_since(now);
+        return (all.failed - recent.failed * old + 5 * baseline_failure_rate) /
+               (all.tried - recent.tried * old + 5);
     }
-    // `shared`: other things than the host may well have caused the failure.
+    /// Counts an outcome here and in `all`. `shared`: something else than the endpoint may well have caused a
+    /// failure (setups share a store that health checks do without).
     void count(bool failed, bool shared, OutcomeTotals& all, std::int64_t now) {
-        const double usual = std::clamp(elsewhere(all, now), shared ? shared_part : usual_part, bad_part);
-        sums.fade(faded(now));
+        const double usual =
+            std::clamp(failure_rate_elsewhere(all, now), shared ? shared_failure_rate : baseline_failure_rate,
+                       outlier_failure_rate);
+        recent.fade(decay_since(now));
         counted_at = now;
-        ++sums.tried, ++all.tried;
-        if (failed) ++sums.failed, ++all.failed;
-        doubt += failed ? std::log(bad_part / usual) : std::log((1 - bad_part) / (1 - usual));
-        doubt = std::clamp(doubt, 0.0, 2 * doubt_limit);
+        ++recent.tried, ++all.tried;
+        if (failed) ++recent.failed, ++all.failed;
+        log_likelihood_ratio += failed ? std::log(outlier_failure_rate / usual)
+                                       : std::log((1 - outlier_failure_rate) / (1 - usual));
+        log_likelihood_ratio = std::clamp(log_likelihood_ratio, 0.0, 2 * ejection_threshold);
     }
 
   private:
-    double faded(std::int64_t now) const {
-        return std::pow(fades_to, static_cast<double>((now - counted_at) / fades_in));
+    double decay_since(std::int64_t now) const {
+        return std::pow(outcome_decay, static_cast<double>((now - counted_at) / outcome_decay_period));
     }
 };
 
--- a/src/failure_detector/observations.cpp
+++ b/src/failure_detector/observations.cpp
@@ -4,14 +4,15 @@
 
 namespace lemonstair::failure_detector {
 
-bool Observations::found(std::uint32_t node, Ticks when, Ticks now) {
-    if (node >= nobody || when <= now - word_lasts || when > now + clocks_apart) return false;
-    const auto known =
-        std::find_if(words_.begin(), words_.end(), [&](const Observation& w) { return w.node == node; });
+bool Observations::add(std::uint32_t node, Ticks when, Ticks now) {
+    if (node >= no_observer || when <= now - observation_lifetime || when > now + max_clock_skew)
+        return false;
+    const auto known = std::find_if(observations_.begin(), observations_.end(),
+                                    [&](const Observation& w) { return w.node == node; });
     Observation& w =
-        known != words_.end()
+        known != observations_.end()
             ? *known
-            : *std::min_element(words_.begin(), words_.end(),
+            : *std::min_element(observations_.begin(), observations_.end(),
                                 [](const Observation& a, const Observation& b) { return a.when < b.when; });
     if (w.when >= when) return false;
     w = {node, when};
@@ -19,16 +20,17 @@
 }
 
 int Observations::count(Ticks now, Ticks since) const {
-    return static_cast<int>(std::count_if(words_.begin(), words_.end(), [&](const Observation& w) {
-        return w.node != nobody && w.when > now - word_lasts && w.when > since;
-    }));
+    return static_cast<int>(
+        std::count_if(observations_.begin(), observations_.end(), [&](const Observation& w) {
+            return w.node != no_observer && w.when > now - observation_lifetime && w.when > since;
+        }));
 }
 
-Two Observations::newest() const {
-    auto sorted = words_;
+ObservationPair Observations::newest() const {
+    auto sorted = observations_;
     std::sort(sorted.begin(), sorted.end(),
               [](const Observation& a, const Observation& b) { return a.when > b.when; });
-    Two out;
+    ObservationPair out;
     std::copy_n(sorted.begin(), out.size(), out.begin());
     return out;
 }
--- a/src/metrics/resource_counters.cpp
+++ b/src/metrics/resource_counters.cpp
@@ -30,7 +30,7 @@
     write("call_waited_ms", now.call_waited_ms, before.call_waited_ms);
     write("datagrams", now.datagrams, before.datagrams);
     for (std::size_t i = 0; i < now.peer_bytes.size(); ++i)
-        write(peer::name_of_kind(i), now.peer_bytes[i], before.peer_bytes[i]);
+        write(peer::kind_name(i), now.peer_bytes[i], before.peer_bytes[i]);
     write("processor_us", now.processor_us, before.processor_us);
 }
 
--- a/src/metrics/resource_counters.h
+++ b/src/metrics/resource_counters.h
@@ -15,7 +15,7 @@
 
 struct ResourceCounters {
     std::uint64_t datagrams = 0;                // to one node each
-    peer::Sizes peer_bytes{};                   // by kind, once for each node that is to hear them
+    peer::BytesByKind peer_bytes{};             // by kind, once for each node that is to hear them
     std::uint64_t probes = 0, probe_lines = 0;  // asked; connections opened for them
     std::uint64_t calls = 0, calls_failed = 0;  // to discovery
     std::uint64_t call_waited_ms = 0;           // for its answers
@@ -28,7 +28,7 @@
 
     void told(std::span<const std::uint8_t> bytes, std::size_t hearers) {
         datagrams += hearers;
-        peer::add_sizes(bytes, hearers, peer_bytes);
+        peer::add_bytes_by_kind(bytes, hearers, peer_bytes);
     }
     void explained(Reason reason) { ++because[static_cast<std::size_t>(reason)]; }
     void setup_ended(Outcome ending) { ++ended[static_cast<std::size_t>(ending)]; }
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -263,7 +263,7 @@
 
 bool Node::list_heard(const json::Value& list) {
     const bool taken = hosts_.take(list, stages_.floor.mind(), false, loop_.now());
-    if (taken) backoff_.answered();
+    if (taken) backoff_.on_success();
     return taken;
 }
 
@@ -275,7 +275,7 @@
 
 void Node::nothing_new() {
     tell_list(EndpointListKind::changes);
-    backoff_.answered();
+    backoff_.on_success();
 }
 
 // Where the node must ask, the module says when to ask again; else the watch comes back by itself, later
@@ -285,7 +285,7 @@
     if (launch_.terms.must_poll) return;
     const double drawn = static_cast<double>(rng_() - std::minstd_rand::min());
     const double chance = drawn / static_cast<double>(std::minstd_rand::max());
-    loop_.schedule(loop_.now() + backoff_.failed(chance), *this, list_timer);
+    loop_.schedule(loop_.now() + backoff_.on_failure(chance), *this, list_timer);
 }
 
 void Node::on_health_check(std::uint32_t ep, Outcome ending, Ticks took, const LoadReport& report) {
@@ -350,7 +350,7 @@
                 << stages_.admit.room();
     if (moved) hosts_.forget_revision();
     if (watch_.is_open()) return;
-    backoff_.answered();
+    backoff_.on_success();
     tell_list(EndpointListKind::moved);
     if (!launch_.terms.must_poll) watch_.open(hosts_.revision());
 }
--- a/src/peer/codec.cpp
+++ b/src/peer/codec.cpp
@@ -7,39 +7,39 @@
 namespace {
 enum Kind : std::uint8_t {
     record_kind = 1,
-    ask_kind,
-    answer_kind,
-    hello_kind,
-    seen_kind,
-    lost_kind,
+    lookup_kind,
+    lookup_reply_kind,
+    node_started_kind,
+    load_total_kind,
+    peer_down_kind,
     outcome_kind,
-    report_kind,
-    home_kind,
-    crossed_kind,
-    claim_kind,  // of older nodes: passed over
-    want_kind,
-    lend_kind,
-    dead_kind,
+    load_report_kind,
+    affinity_target_kind,
+    cross_zone_kind,
+    claim_kind,  // of older versions: skipped
+    lease_request_kind,
+    lease_grant_kind,
+    endpoint_failure_kind,
     kinds_end
 };
-constexpr std::array<std::size_t, kinds_end> body{
-    0, 24, 8, 19, 0, seen_bytes - 1, 4, 5, report_bytes - 1, home_bytes - 1,
-    8, 6,  8, 8,  12};  // bytes after the kind byte
-static_assert(kinds == kinds_end);
+constexpr std::array<std::size_t, kinds_end> body_bytes{
+    0, 24, 8, 19, 0, load_total_bytes - 1, 4, 5, load_report_bytes - 1, affinity_target_bytes - 1,
+    8, 6,  8, 8,  12};  // after the kind byte
+static_assert(kind_count == kinds_end);
 constexpr std::array<std::string_view, kinds_end> names{"sign",    "record", "ask",     "answer", "hello",
                                                         "seen",    "lost",   "outcome", "report", "home",
                                                         "crossed", "claim",  "want",    "lend",   "dead"};
 constexpr double load_steps = 1000;
 
-std::uint64_t get(const std::uint8_t* p, int width) {
+std::uint64_t read_integer(const std::uint8_t* item, int width) {
     std::uint64_t value = 0;
-    for (int i = 0; i < width; ++i) value |= std::uint64_t{p[i]} << (8 * i);
+    for (int i = 0; i < width; ++i) value |= std::uint64_t{item[i]} << (8 * i);
     return value;
 }
-std::uint64_t steps(double load) {  // a load past 65 cores says no more than 65
+std::uint64_t steps(double load) {  // loads saturate at 65 cores
     return static_cast<std::uint64_t>(std::lround(std::clamp(load * load_steps, 0.0, 65535.0)));
 }
-double load_at(const std::uint8_t* p) { return static_cast<double>(get(p, 2)) / load_steps; }
+double load_at(const std::uint8_t* item) { return static_cast<double>(read_integer(item, 2)) / load_steps; }
 }  // namespace
 
 void Message::clear() {
@@ -47,157 +47,162 @@
     size_ = 1;
 }
 
-bool Message::fits(std::size_t more, std::uint8_t kind) {
+bool Message::begin_item(std::size_t more, std::uint8_t kind) {
     if (size_ + 1 + more > max_bytes) return false;
     buffer_[size_++] = kind;
     return true;
 }
 
-void Message::put(std::uint64_t value, int width) {
+void Message::append(std::uint64_t value, int width) {
     for (int i = 0; i < width; ++i) buffer_[size_++] = static_cast<std::uint8_t>(value >> (8 * i));
 }
 
-bool Message::record(std::uint64_t key, std::uint32_t ep, std::int64_t stamp, std::uint32_t group,
+bool Message::record(std::uint64_t key, std::uint32_t endpoint_id, std::int64_t stamp, std::uint32_t group,
                      double load) {
-    if (!fits(body[record_kind], record_kind)) return false;
-    put(key, 8), put(ep, 4), put(static_cast<std::uint64_t>(stamp), 6), put(group, 4);
-    put(steps(load), 2);
+    if (!begin_item(body_bytes[record_kind], record_kind)) return false;
+    append(key, 8), append(endpoint_id, 4), append(static_cast<std::uint64_t>(stamp), 6), append(group, 4);
+    append(steps(load), 2);
     return true;
 }
 
-bool Message::ask(std::uint64_t key) {
-    if (!fits(body[ask_kind], ask_kind)) return false;
-    put(key, 8);
+bool Message::lookup(std::uint64_t key) {
+    if (!begin_item(body_bytes[lookup_kind], lookup_kind)) return false;
+    append(key, 8);
     return true;
 }
 
-bool Message::answer(std::uint64_t key, bool known, std::uint32_t ep, std::int64_t stamp) {
-    if (!fits(body[answer_kind], answer_kind)) return false;
-    put(key, 8), put(known ? 1 : 0, 1), put(ep, 4), put(static_cast<std::uint64_t>(stamp), 6);
+bool Message::lookup_reply(std::uint64_t key, bool known, std::uint32_t endpoint_id, std::int64_t stamp) {
+    if (!begin_item(body_bytes[lookup_reply_kind], lookup_reply_kind)) return false;
+    append(key, 8), append(known ? 1 : 0, 1), append(endpoint_id, 4),
+        append(static_cast<std::uint64_t>(stamp), 6);
     return true;
 }
 
-bool Message::hello() { return fits(body[hello_kind], hello_kind); }
+bool Message::node_started() { return begin_item(body_bytes[node_started_kind], node_started_kind); }
 
-bool Message::lost(std::uint32_t node) {
-    if (!fits(body[lost_kind], lost_kind)) return false;
-    put(node, 4);
+bool Message::peer_down(std::uint32_t node) {
+    if (!begin_item(body_bytes[peer_down_kind], peer_down_kind)) return false;
+    append(node, 4);
     return true;
 }
 
-bool Message::outcome(std::uint32_t ep, std::uint8_t ending) {
-    if (!fits(body[outcome_kind], outcome_kind)) return false;
-    put(ep, 4), put(ending, 1);
+bool Message::outcome(std::uint32_t endpoint_id, std::uint8_t outcome_code) {
+    if (!begin_item(body_bytes[outcome_kind], outcome_kind)) return false;
+    append(endpoint_id, 4), append(outcome_code, 1);
     return true;
 }
 
-bool Message::report(std::uint32_t ep, bool good, double load) {
-    if (!fits(body[report_kind], report_kind)) return false;
-    put(ep, 4), put(good ? 1 : 0, 1), put(steps(load), 2);
+bool Message::load_report(std::uint32_t endpoint_id, bool healthy, double load) {
+    if (!begin_item(body_bytes[load_report_kind], load_report_kind)) return false;
+    append(endpoint_id, 4), append(healthy ? 1 : 0, 1), append(steps(load), 2);
     return true;
 }
 
-bool Message::seen(std::uint32_t ep, bool good, double load) {
-    if (!fits(body[seen_kind], seen_kind)) return false;
-    put(ep, 4), put(good ? 1 : 0, 1), put(steps(load), 2);
+bool Message::load_total(std::uint32_t endpoint_id, bool healthy, double load) {
+    if (!begin_item(body_bytes[load_total_kind], load_total_kind)) return false;
+    append(endpoint_id, 4), append(healthy ? 1 : 0, 1), append(steps(load), 2);
     return true;
 }
 
-bool Message::home(std::uint32_t group, std::uint32_t ep) {
-    if (!fits(body[home_kind], home_kind)) return false;
-    put(group, 4), put(ep, 4);
+bool Message::affinity_target(std::uint32_t group, std::uint32_t endpoint_id) {
+    if (!begin_item(body_bytes[affinity_target_kind], affinity_target_kind)) return false;
+    append(group, 4), append(endpoint_id, 4);
     return true;
 }
 
-bool Message::crossed(std::uint32_t group, std::uint32_t zone) {
-    if (!fits(body[crossed_kind], crossed_kind)) return false;
-    put(group, 4), put(zone, 4);
+bool Message::cross_zone(std::uint32_t group, std::uint32_t zone) {
+    if (!begin_item(body_bytes[cross_zone_kind], cross_zone_kind)) return false;
+    append(group, 4), append(zone, 4);
     return true;
 }
 
-bool Message::want(std::uint32_t ep, std::uint32_t slot) {
-    if (!fits(body[want_kind], want_kind)) return false;
-    put(ep, 4), put(slot, 4);
+bool Message::lease_request(std::uint32_t endpoint_id, std::uint32_t slot) {
+    if (!begin_item(body_bytes[lease_request_kind], lease_request_kind)) return false;
+    append(endpoint_id, 4), append(slot, 4);
     return true;
 }
 
-bool Message::lend(std::uint32_t ep, std::uint32_t slot) {
-    if (!fits(body[lend_kind], lend_kind)) return false;
-    put(ep, 4), put(slot, 4);
+bool Message::lease_grant(std::uint32_t endpoint_id, std::uint32_t slot) {
+    if (!begin_item(body_bytes[lease_grant_kind], lease_grant_kind)) return false;
+    append(endpoint_id, 4), append(slot, 4);
     return true;
 }
 
-bool Message::dead(std::uint32_t ep, std::int64_t when, std::uint32_t first, std::uint32_t other) {
-    if (!fits(body[dead_kind], dead_kind)) return false;
-    put(ep, 4), put(static_cast<std::uint64_t>(when), 4), put(first, 2), put(other, 2);
+bool Message::endpoint_failure(std::uint32_t endpoint_id, std::int64_t observed_at, std::uint32_t observer,
+                               std::uint32_t second_observer) {
+    if (!begin_item(body_bytes[endpoint_failure_kind], endpoint_failure_kind)) return false;
+    append(endpoint_id, 4), append(static_cast<std::uint64_t>(observed_at), 4), append(observer, 2),
+        append(second_observer, 2);
     return true;
 }
 
-void add_sizes(std::span<const std::uint8_t> bytes, std::uint64_t times, Sizes& to) {
+void add_bytes_by_kind(std::span<const std::uint8_t> bytes, std::uint64_t times, BytesByKind& to) {
     to[0] += times;
-    for (std::size_t at = 1; at < bytes.size() && bytes[at] < kinds_end; at += 1 + body[bytes[at]])
-        to[bytes[at]] += (1 + body[bytes[at]]) * times;
+    for (std::size_t at = 1; at < bytes.size() && bytes[at] < kinds_end; at += 1 + body_bytes[bytes[at]])
+        to[bytes[at]] += (1 + body_bytes[bytes[at]]) * times;
 }
 
-std::string_view name_of_kind(std::size_t kind) { return names[kind]; }
+std::string_view kind_name(std::size_t kind) { return names[kind]; }
 
-bool decode(std::span<const std::uint8_t> bytes, MessageHandler& to) {
+bool decode(std::span<const std::uint8_t> bytes, MessageHandler& handler) {
     if (bytes.empty() || bytes.size() > max_bytes || bytes[0] != version) return false;
     for (std::size_t at = 1;
-         at < bytes.size();) {  // the whole shape first: nothing of a bad message is acted on
+         at < bytes.size();) {  // checked as a whole first: a malformed message has no effect
         const std::uint8_t kind = bytes[at];
-        if (kind == 0 || kind >= kinds_end || at + 1 + body[kind] > bytes.size()) return false;
-        at += 1 + body[kind];
+        if (kind == 0 || kind >= kinds_end || at + 1 + body_bytes[kind] > bytes.size()) return false;
+        at += 1 + body_bytes[kind];
     }
     for (std::size_t at = 1; at < bytes.size();) {
         const std::uint8_t kind = bytes[at];
-        const std::uint8_t* p = bytes.data() + at + 1;
-        const auto u32 = [&](int i) { return static_cast<std::uint32_t>(get(p + i, 4)); };
-        const auto time = [&](int i) { return static_cast<std::int64_t>(get(p + i, 6)); };
+        const std::uint8_t* item = bytes.data() + at + 1;
+        const auto read_u32 = [&](int i) { return static_cast<std::uint32_t>(read_integer(item + i, 4)); };
+        const auto read_time = [&](int i) { return static_cast<std::int64_t>(read_integer(item + i, 6)); };
         switch (kind) {
             case record_kind:
-                to.record(get(p, 8), u32(8), time(12), u32(18), load_at(p + 22));
+                handler.on_record(read_integer(item, 8), read_u32(8), read_time(12), read_u32(18),
+                                  load_at(item + 22));
                 break;
-            case ask_kind:
-                to.ask(get(p, 8));
+            case lookup_kind:
+                handler.on_lookup(read_integer(item, 8));
                 break;
-            case answer_kind:
-                to.answer(get(p, 8), p[8] != 0, u32(9), time(13));
+            case lookup_reply_kind:
+                handler.on_lookup_reply(read_integer(item, 8), item[8] != 0, read_u32(9), read_time(13));
                 break;
-            case hello_kind:
-                to.hello();
+            case node_started_kind:
+                handler.on_node_started();
                 break;
-            case lost_kind:
-                to.lost(u32(0));
+            case peer_down_kind:
+                handler.on_peer_down(read_u32(0));
                 break;
             case outcome_kind:
-                to.outcome(u32(0), p[4]);
+                handler.on_outcome(read_u32(0), item[4]);
                 break;
-            case report_kind:
-                to.report(u32(0), p[4] != 0, load_at(p + 5));
+            case load_report_kind:
+                handler.on_load_report(read_u32(0), item[4] != 0, load_at(item + 5));
                 break;
-            case home_kind:
-                to.home(u32(0), u32(4));
+            case affinity_target_kind:
+                handler.on_affinity_target(read_u32(0), read_u32(4));
                 break;
-            case crossed_kind:
-                to.crossed(u32(0), u32(4));
+            case cross_zone_kind:
+                handler.on_cross_zone(read_u32(0), read_u32(4));
                 break;
             case claim_kind:
                 break;
-            case want_kind:
-                to.want(u32(0), u32(4));
+            case lease_request_kind:
+                handler.on_lease_request(read_u32(0), read_u32(4));
                 break;
-            case lend_kind:
-                to.lend(u32(0), u32(4));
+            case lease_grant_kind:
+                handler.on_lease_grant(read_u32(0), read_u32(4));
                 break;
-            case dead_kind:
-                to.dead(u32(0), u32(4), static_cast<std::uint32_t>(get(p + 8, 2)),
-                        static_cast<std::uint32_t>(get(p + 10, 2)));
+            case endpoint_failure_kind:
+                handler.on_endpoint_failure(read_u32(0), read_u32(4),
+                                            static_cast<std::uint32_t>(read_integer(item + 8, 2)),
+                                            static_cast<std::uint32_t>(read_integer(item + 10, 2)));
                 break;
             default:
-                to.seen(u32(0), p[4] != 0, load_at(p + 5));
+                handler.on_load_total(read_u32(0), item[4] != 0, load_at(item + 5));
         }
-        at += 1 + body[kind];
+        at += 1 + body_bytes[kind];
     }
     return true;
 }
--- a/src/peer/codec.h
+++ b/src/peer/codec.h
@@ -1,5 +1,5 @@
-// Byte codec of the messages that nodes send one another: a version byte, then items until the end. Each item
-// is a kind byte and fixed fields, little-endian. A message that is malformed anywhere is ignored whole.
+/// Byte codec of gossip between nodes: a version byte, then items until the end. An item is a kind byte and
+/// fixed fields, little-endian. A message that is malformed anywhere is discarded as a whole.
 #pragma once
 #include <array>
 #include <cstdint>
@@ -9,68 +9,75 @@
 namespace lemonstair::peer {
 
 inline constexpr std::size_t max_bytes = 256;
-inline constexpr std::size_t message_bytes = 17;  // that a message is paid for beside its items
+inline constexpr std::size_t message_overhead_bytes = 17;  // charged for a message beside its items
 inline constexpr std::uint8_t version = 2;
-inline constexpr std::size_t seen_bytes = 8;    // of one `seen` item
-inline constexpr std::size_t home_bytes = 9;    // of one `home` item
-inline constexpr std::size_t report_bytes = 8;  // of one `report` item
+inline constexpr std::size_t load_total_bytes = 8;
+inline constexpr std::size_t affinity_target_bytes = 9;
+inline constexpr std::size_t load_report_bytes = 8;
 
-// Bytes by kind of item; at 0 what no item takes, which is all of a sign of life.
-inline constexpr std::size_t kinds = 15;
-using Sizes = std::array<std::uint64_t, kinds>;
-void add_sizes(std::span<const std::uint8_t> bytes, std::uint64_t times, Sizes& to);
-std::string_view name_of_kind(std::size_t kind);
+/// Bytes by kind of item; at 0 the version bytes, which are all of a heartbeat.
+inline constexpr std::size_t kind_count = 15;
+using BytesByKind = std::array<std::uint64_t, kind_count>;
+void add_bytes_by_kind(std::span<const std::uint8_t> bytes, std::uint64_t times, BytesByKind& to);
+std::string_view kind_name(std::size_t kind);
 
-// What a message says; the decoder turns each item into one call.
+/// Receives the items of a decoded message, one call an item, in their order. Times and stamps are in tenths
+/// of a millisecond, loads in standard cores.
 class MessageHandler {
   public:
     virtual ~MessageHandler() = default;
-    virtual void record(std::uint64_t key, std::uint32_t ep, std::int64_t stamp, std::uint32_t group,
-                        double load) = 0;
-    virtual void ask(std::uint64_t key) = 0;
-    virtual void answer(std::uint64_t key, bool known, std::uint32_t ep, std::int64_t stamp) = 0;
-    virtual void hello() = 0;
-    virtual void lost(std::uint32_t node) = 0;
-    virtual void seen(std::uint32_t ep, bool good, double load) = 0;
-    virtual void outcome(std::uint32_t ep, std::uint8_t ending) = 0;
-    virtual void report(std::uint32_t ep, bool good, double load) = 0;
-    virtual void home(std::uint32_t group, std::uint32_t ep) = 0;
-    virtual void crossed(std::uint32_t group, std::uint32_t zone) = 0;
-    // A unit of a slot of an ep's budget is asked for, and lent (src/budget); the slot by its last 32 bits.
-    virtual void want(std::uint32_t ep, std::uint32_t slot) = 0;
-    virtual void lend(std::uint32_t ep, std::uint32_t slot) = 0;
-    // Two nodes (src/witness; 65535: only the first) found an ep dead; when, by the last 32 bits of the time.
-    virtual void dead(std::uint32_t ep, std::uint32_t when, std::uint32_t first, std::uint32_t other) = 0;
+    virtual void on_record(std::uint64_t key, std::uint32_t endpoint_id, std::int64_t stamp,
+                           std::uint32_t group, double load) = 0;
+    virtual void on_lookup(std::uint64_t key) = 0;
+    virtual void on_lookup_reply(std::uint64_t key, bool known, std::uint32_t endpoint_id,
+                                 std::int64_t stamp) = 0;
+    virtual void on_node_started() = 0;
+    virtual void on_peer_down(std::uint32_t node) = 0;
+    virtual void on_load_total(std::uint32_t endpoint_id, bool healthy, double load) = 0;
+    virtual void on_outcome(std::uint32_t endpoint_id, std::uint8_t outcome_code) = 0;
+    virtual void on_load_report(std::uint32_t endpoint_id, bool healthy, double load) = 0;
+    virtual void on_affinity_target(std::uint32_t group, std::uint32_t endpoint_id) = 0;
+    virtual void on_cross_zone(std::uint32_t group, std::uint32_t zone) = 0;
+    // A unit of a slot of an endpoint's quota (src/quota); the slot by its low 32 bits.
+    virtual void on_lease_request(std::uint32_t endpoint_id, std::uint32_t slot) = 0;
+    virtual void on_lease_grant(std::uint32_t endpoint_id, std::uint32_t slot) = 0;
+    // One node, or two (second_observer: 65535 for none), observed an endpoint's failure
+    // (src/failure_detector); the time by its low 32 bits.
+    virtual void on_endpoint_failure(std::uint32_t endpoint_id, std::uint32_t observed_at,
+                                     std::uint32_t observer, std::uint32_t second_observer) = 0;
 };
 
-// Collects items into one message; an add that would pass the limit returns false and changes nothing.
+/// Builds one message of at most `max_bytes`; an item that does not fit is refused: false, without effect.
 class Message {
   public:
     Message() { clear(); }
     void clear();
     bool empty() const { return size_ <= 1; }
     std::span<const std::uint8_t> bytes() const { return {buffer_.data(), size_}; }
-    bool record(std::uint64_t key, std::uint32_t ep, std::int64_t stamp, std::uint32_t group, double load);
-    bool ask(std::uint64_t key);
-    bool answer(std::uint64_t key, bool known, std::uint32_t ep, std::int64_t stamp);
-    bool hello();
-    bool lost(std::uint32_t node);
-    bool seen(std::uint32_t ep, bool good, double load);
-    bool outcome(std::uint32_t ep, std::uint8_t ending);
-    bool report(std::uint32_t ep, bool good, double load);
-    bool home(std::uint32_t group, std::uint32_t ep);
-    bool crossed(std::uint32_t group, std::uint32_t zone);
-    bool want(std::uint32_t ep, std::uint32_t slot);
-    bool lend(std::uint32_t ep, std::uint32_t slot);
-    bool dead(std::uint32_t ep, std::int64_t when, std::uint32_t first, std::uint32_t other);
+    bool record(std::uint64_t key, std::uint32_t endpoint_id, std::int64_t stamp, std::uint32_t group,
+                double load);
+    bool lookup(std::uint64_t key);
+    bool lookup_reply(std::uint64_t key, bool known, std::uint32_t endpoint_id, std::int64_t stamp);
+    bool node_started();
+    bool peer_down(std::uint32_t node);
+    bool load_total(std::uint32_t endpoint_id, bool healthy, double load);
+    bool outcome(std::uint32_t endpoint_id, std::uint8_t outcome_code);
+    bool load_report(std::uint32_t endpoint_id, bool healthy, double load);
+    bool affinity_target(std::uint32_t group, std::uint32_t endpoint_id);
+    bool cross_zone(std::uint32_t group, std::uint32_t zone);
+    bool lease_request(std::uint32_t endpoint_id, std::uint32_t slot);
+    bool lease_grant(std::uint32_t endpoint_id, std::uint32_t slot);
+    bool endpoint_failure(std::uint32_t endpoint_id, std::int64_t observed_at, std::uint32_t observer,
+                          std::uint32_t second_observer);
 
   private:
-    bool fits(std::size_t more, std::uint8_t kind);
-    void put(std::uint64_t value, int width);
+    bool begin_item(std::size_t more, std::uint8_t kind);
+    void append(std::uint64_t value, int width);
     std::array<std::uint8_t, max_bytes> buffer_{};
     std::size_t size_ = 0;
 };
 
-bool decode(std::span<const std::uint8_t> bytes, MessageHandler& to);
+/// False, without any call, where the message is malformed.
+bool decode(std::span<const std::uint8_t> bytes, MessageHandler& handler);
 
 }  // namespace lemonstair::peer
--- a/tests/backoff.cpp
+++ b/tests/backoff.cpp
@@ -35,29 +35,28 @@
 
 TEST_CASE("whatever a call hangs in when discovery returns, the next one is out with time for its answer") {
     // What is left of each phase, at the worst, and then the longest pause.
-    const Ticks phases[] = {0, backoff::patience_connecting, backoff::patience_asking,
-                            backoff::patience_standing};
+    const Ticks phases[] = {0, backoff::connect_timeout, backoff::request_timeout, backoff::watch_timeout};
     for (const Ticks left : phases) {
         for (int failures = 0; failures < 40; ++failures) {
             Backoff b;
             Ticks pause = 0;
-            for (int i = 0; i <= failures; ++i) pause = b.failed(0.999999);
+            for (int i = 0; i <= failures; ++i) pause = b.on_failure(0.999999);
             CHECK(pause > 0);
-            CHECK(left + pause + backoff::for_answer <= 6 * s);
+            CHECK(left + pause + backoff::response_allowance <= 6 * s);
         }
     }
 }
 
 TEST_CASE("pauses grow with failures, are drawn apart, and begin anew after an answer") {
     Backoff b(1000);
-    CHECK(b.failed(0) == 250);
-    CHECK(b.failed(0) == 500);
-    CHECK(b.failed(0.5) == 2500);
+    CHECK(b.on_failure(0) == 250);
+    CHECK(b.on_failure(0) == 500);
+    CHECK(b.on_failure(0.5) == 2500);
     CHECK(b.failures() == 3);
-    for (int i = 0; i < 100; ++i) CHECK(b.failed(0) <= backoff::longest_pause / 4);
-    b.answered();
+    for (int i = 0; i < 100; ++i) CHECK(b.on_failure(0) <= backoff::max_delay / 4);
+    b.on_success();
     CHECK(b.failures() == 0);
-    CHECK(b.failed(0) == 250);
+    CHECK(b.on_failure(0) == 250);
 }
 
 TEST_CASE(
@@ -66,10 +65,10 @@
     std::vector<Ticks> next(300);
     std::vector<Backoff> backoffs(300);
     const auto chance = [&] { return static_cast<double>(rng()) / 2147483648.0; };
-    for (auto& at : next) at = backoffs[0].failed(chance()), backoffs[0].answered();
+    for (auto& at : next) at = backoffs[0].on_failure(chance()), backoffs[0].on_success();
     std::vector<int> calls(90);
     for (std::size_t i = 0; i < 300; ++i)
-        for (Ticks at = next[i]; at < 9 * s; at += backoffs[i].failed(chance())) ++calls[at / 1000];
+        for (Ticks at = next[i]; at < 9 * s; at += backoffs[i].on_failure(chance())) ++calls[at / 1000];
     for (std::size_t i = 30; i < 90; ++i) CHECK(calls[i] < 60);  // 33 in each tenth of a second on the mean
     int last = 0;
     for (std::size_t i = 50; i < 90; ++i) last += calls[i];
@@ -101,7 +100,7 @@
     }
     std::sort(after.begin(), after.end());
     CHECK(after[54] - after[6] > 7 * s / 10);
-    CHECK(after.back() <= backoff::longest_pause + 100 * ms);
+    CHECK(after.back() <= backoff::max_delay + 100 * ms);
 }
 
 TEST_CASE("a node that must ask calls again within the bound, after each of many failures") {
@@ -110,7 +109,7 @@
     n.pass(2 * s);
     for (int i = 0; i < 30; ++i) {
         n.list({}, EndpointListKind::failed);
-        CHECK(until_asked(n, 20 * s) <= backoff::longest_pause + 100 * ms);
+        CHECK(until_asked(n, 20 * s) <= backoff::max_delay + 100 * ms);
     }
     n.list({7, 8});
     const int before = n.watches;
--- a/tests/codec.cpp
+++ b/tests/codec.cpp
@@ -10,32 +10,39 @@
 namespace {
 struct Heard final : lemonstair::peer::MessageHandler {
     std::ostringstream said;
-    void record(std::uint64_t key, std::uint32_t ep, std::int64_t stamp, std::uint32_t group,
-                double load) override {
+    void on_record(std::uint64_t key, std::uint32_t ep, std::int64_t stamp, std::uint32_t group,
+                   double load) override {
         said << "r" << key << "," << ep << "," << stamp << "," << group << "," << load << ";";
     }
-    void ask(std::uint64_t key) override { said << "a" << key << ";"; }
-    void answer(std::uint64_t key, bool known, std::uint32_t ep, std::int64_t stamp) override {
+    void on_lookup(std::uint64_t key) override { said << "a" << key << ";"; }
+    void on_lookup_reply(std::uint64_t key, bool known, std::uint32_t ep, std::int64_t stamp) override {
         said << "w" << key << (known ? "+" : "-") << ep << "," << stamp << ";";
     }
-    void hello() override { said << "h;"; }
-    void lost(std::uint32_t node) override { said << "l" << node << ";"; }
-    void outcome(std::uint32_t ep, std::uint8_t ending) override {
+    void on_node_started() override { said << "h;"; }
+    void on_peer_down(std::uint32_t node) override { said << "l" << node << ";"; }
+    void on_outcome(std::uint32_t ep, std::uint8_t ending) override {
         said << "o" << ep << "," << int(ending) << ";";
     }
-    void report(std::uint32_t ep, bool good, double load) override {
+    void on_load_report(std::uint32_t ep, bool good, double load) override {
         said << "p" << ep << (good ? "+" : "-") << load << ";";
     }
-    void home(std::uint32_t group, std::uint32_t ep) override { said << "m" << group << "," << ep << ";"; }
-    void want(std::uint32_t ep, std::uint32_t slot) override { said << "w" << ep << "," << slot << ";"; }
-    void lend(std::uint32_t ep, std::uint32_t slot) override { said << "b" << ep << "," << slot << ";"; }
-    void dead(std::uint32_t ep, std::uint32_t when, std::uint32_t first, std::uint32_t other) override {
+    void on_affinity_target(std::uint32_t group, std::uint32_t ep) override {
+        said << "m" << group << "," << ep << ";";
+    }
+    void on_lease_request(std::uint32_t ep, std::uint32_t slot) override {
+        said << "w" << ep << "," << slot << ";";
+    }
+    void on_lease_grant(std::uint32_t ep, std::uint32_t slot) override {
+        said << "b" << ep << "," << slot << ";";
+    }
+    void on_endpoint_failure(std::uint32_t ep, std::uint32_t when, std::uint32_t first,
+                             std::uint32_t other) override {
         said << "d" << ep << "," << when << "," << first << "," << other << ";";
     }
-    void crossed(std::uint32_t group, std::uint32_t zone) override {
+    void on_cross_zone(std::uint32_t group, std::uint32_t zone) override {
         said << "c" << group << "," << zone << ";";
     }
-    void seen(std::uint32_t ep, bool good, double load) override {
+    void on_load_total(std::uint32_t ep, bool good, double load) override {
         said << "s" << ep << (good ? "+" : "-") << load << ";";
     }
 };
@@ -44,18 +51,18 @@
 TEST_CASE("what nodes say comes back as it was said, and a full message takes no more") {
     lemonstair::peer::Message m;
     CHECK(m.record(0xfedcba9876543210ULL, 4000000000U, 508436349652LL, 77, 0.125));
-    CHECK(m.ask(5));
-    CHECK(m.answer(6, true, 9, 1234567));
-    CHECK(m.hello());
-    CHECK(m.lost(300));
+    CHECK(m.lookup(5));
+    CHECK(m.lookup_reply(6, true, 9, 1234567));
+    CHECK(m.node_started());
+    CHECK(m.peer_down(300));
     CHECK(m.outcome(9, 3));
-    CHECK(m.report(8, true, 1.25));
-    CHECK(m.home(77, 4000000001U));
-    CHECK(m.crossed(77, 2));
-    CHECK(m.want(9, 4000000000U));
-    CHECK(m.lend(9, 7));
-    CHECK(m.dead(9, 4000000000U, 299, 65535));
-    CHECK(m.seen(3, true, 0.75));
+    CHECK(m.load_report(8, true, 1.25));
+    CHECK(m.affinity_target(77, 4000000001U));
+    CHECK(m.cross_zone(77, 2));
+    CHECK(m.lease_request(9, 4000000000U));
+    CHECK(m.lease_grant(9, 7));
+    CHECK(m.endpoint_failure(9, 4000000000U, 299, 65535));
+    CHECK(m.load_total(3, true, 0.75));
     Heard heard;
     CHECK(lemonstair::peer::decode(m.bytes(), heard));
     CHECK(heard.said.str() ==
@@ -68,8 +75,8 @@
 
 TEST_CASE("malformed messages are ignored whole") {
     lemonstair::peer::Message m;
-    m.lost(1);
-    m.ask(5);
+    m.peer_down(1);
+    m.lookup(5);
     Heard heard;
     std::vector<std::uint8_t> bytes(m.bytes().begin(), m.bytes().end());
     for (std::size_t n = 0; n < bytes.size(); ++n)
@@ -86,8 +93,8 @@
 
 TEST_CASE("bytes are counted by what a message says, for each node that hears it") {
     lemonstair::peer::Message m;
-    m.hello();
-    m.lost(3);
+    m.node_started();
+    m.peer_down(3);
     lemonstair::metrics::ResourceCounters before, costs;
     costs.told(m.bytes(), 9);
     costs.setup_ended(lemonstair::Outcome::overloaded);
--- a/tests/loads.cpp
+++ b/tests/loads.cpp
@@ -21,7 +21,7 @@
     }
     void on_gossip(std::uint32_t first, std::uint32_t last, double load) {
         peer::Message m;
-        for (std::uint32_t ep = first; ep <= last; ++ep) m.report(ep, true, load);
+        for (std::uint32_t ep = first; ep <= last; ++ep) m.load_report(ep, true, load);
         n.b->on_gossip(1, m.bytes());
     }
     // Two tunnels a second, that stay; how many went to the eps from first to last.
--- a/tests/spoilt.h
+++ b/tests/spoilt.h
@@ -254,21 +254,21 @@
     void log(std::string_view line) override { host_.log(line); }
 
     // ---- records as nodes tell them; the first that was heard of a key is believed for ever
-    void record(std::uint64_t key, std::uint32_t ep, std::int64_t, std::uint32_t, double) override {
+    void on_record(std::uint64_t key, std::uint32_t ep, std::int64_t, std::uint32_t, double) override {
         records_.emplace(key, ep);
     }
-    void ask(std::uint64_t) override {}
-    void answer(std::uint64_t, bool, std::uint32_t, std::int64_t) override {}
-    void hello() override {}
-    void lost(std::uint32_t) override {}
-    void seen(std::uint32_t, bool, double) override {}
-    void outcome(std::uint32_t, std::uint8_t) override {}
-    void report(std::uint32_t, bool, double) override {}
-    void home(std::uint32_t, std::uint32_t) override {}
-    void crossed(std::uint32_t, std::uint32_t) override {}
-    void want(std::uint32_t, std::uint32_t) override {}
-    void lend(std::uint32_t, std::uint32_t) override {}
-    void dead(std::uint32_t, std::uint32_t, std::uint32_t, std::uint32_t) override {}
+    void on_lookup(std::uint64_t) override {}
+    void on_lookup_reply(std::uint64_t, bool, std::uint32_t, std::int64_t) override {}
+    void on_node_started() override {}
+    void on_peer_down(std::uint32_t) override {}
+    void on_load_total(std::uint32_t, bool, double) override {}
+    void on_outcome(std::uint32_t, std::uint8_t) override {}
+    void on_load_report(std::uint32_t, bool, double) override {}
+    void on_affinity_target(std::uint32_t, std::uint32_t) override {}
+    void on_cross_zone(std::uint32_t, std::uint32_t) override {}
+    void on_lease_request(std::uint32_t, std::uint32_t) override {}
+    void on_lease_grant(std::uint32_t, std::uint32_t) override {}
+    void on_endpoint_failure(std::uint32_t, std::uint32_t, std::uint32_t, std::uint32_t) override {}
 
   private:
     std::uint32_t own(std::uint64_t tun, std::uint32_t ep) const {
--- a/tests/stories.cpp
+++ b/tests/stories.cpp
@@ -569,7 +569,7 @@
     a.list({7}), b.list({7});
     a.pass(1 * s), b.pass(2 * s);
     peer::Message lost;
-    lost.lost(5);
+    lost.peer_down(5);
     a.b->on_gossip(4, lost.bytes());
     a.post.clear(), b.post.clear();
     a.b->on_gossip(5, peer::Message().bytes());
@@ -667,7 +667,7 @@
     a.open(1);
     a.pass(2 * s);
     peer::Message m;
-    m.dead(a.last().ep, a.now, 3, 4);
+    m.endpoint_failure(a.last().ep, a.now, 3, 4);
     a.b->on_gossip(3, m.bytes());
     a.pass(3 * s);
     CHECK(a.moved.empty());  // setups may fail there while its lines are answered
@@ -712,7 +712,7 @@
             n.pass(100 * ms);
             n.answer_probes(load);
             for (const auto& [to, m] : std::exchange(n.post, {}))
-                if (to == 99 && m.size() == 1 + peer::report_bytes) return i;
+                if (to == 99 && m.size() == 1 + peer::load_report_bytes) return i;
         }
         return 600;
     };
@@ -724,7 +724,7 @@
     a.list({7});
     a.post.clear();
     peer::Message m;
-    m.lost(0);
+    m.peer_down(0);
     a.b->on_gossip(5, m.bytes());
     REQUIRE(a.post.size() == 1);
     CHECK(a.post[0].first == 99);
@@ -744,7 +744,7 @@
     }
     a.post.clear();
     peer::Message m;
-    m.hello();
+    m.node_started();
     a.b->on_gossip(17, m.bytes());
     std::size_t bytes = 0;
     for (const auto& p : a.post) bytes += p.second.size();
@@ -771,7 +771,7 @@
     CHECK(std::count(at.begin(), at.end(), at[0]) >= 55);
     for (auto& node : all) {  // that ep is full now: its tunnels meet at the next one
         peer::Message m;
-        for (std::uint32_t ep = 1; ep <= 10; ++ep) m.report(ep, true, ep == at[0] ? 1.2 : 0.3);
+        for (std::uint32_t ep = 1; ep <= 10; ++ep) m.load_report(ep, true, ep == at[0] ? 1.2 : 0.3);
         node->b->on_gossip((static_cast<std::uint32_t>(&node - all.data()) + 1) % nodes, m.bytes());
         node->pass(200 * ms);
         node->b->on_request(2, {.key = "late", .group = "g", .deadline = node->now + 3 * s});
@@ -786,13 +786,13 @@
     a.list({7, 8, 9});
     a.pass(5 * s);
     peer::Message m;
-    m.dead(7, a.now, 3, 4);
+    m.endpoint_failure(7, a.now, 3, 4);
     a.b->on_gossip(3, m.bytes());
     for (std::uint64_t t = 1; t <= 30; ++t) a.on_request(t);
     CHECK(std::none_of(a.sent.begin(), a.sent.end(), [](const Sent& x) { return x.ep == 7; }));
     a.pass(2 * s);
     m.clear();
-    m.report(7, true, 0);
+    m.load_report(7, true, 0);
     a.b->on_gossip(3, m.bytes());
     for (std::uint64_t t = 31; t <= 90; ++t) a.on_request(t);
     CHECK(std::any_of(a.sent.begin(), a.sent.end(), [](const Sent& x) { return x.ep == 7; }));
@@ -862,7 +862,7 @@
         b->on_gossip(from, m.bytes());
     }
     void told_home(std::uint32_t ep) {
-        hears(5, [&](peer::Message& m) { m.home(number(), ep); });
+        hears(5, [&](peer::Message& m) { m.affinity_target(number(), ep); });
     }
     auto sent_to(std::uint32_t ep, std::size_t since) const {
         return std::count_if(sent.begin() + static_cast<std::ptrdiff_t>(since), sent.end(),
