--- a/tests/witness.cpp
+++ b/tests/witness.cpp
@@ -167,7 +167,7 @@
     CHECK(h.excluded() == 0);
 }
 
-TEST_CASE("what was set aside by hearsay alone comes back once no_observer says it any more") {
+TEST_CASE("what was set aside by hearsay alone comes back once nobody says it any more") {
     Hearer h({7, 8, 9, 10});
     h.hear(3, 7, 3, 4);
     h.n.pass(8 * s);
