--- a/src/balance/attempt_policy.cpp
+++ b/src/balance/attempt_policy.cpp
@@ -5,9 +5,9 @@
 namespace {
 
 // With less time than this an attempt could not end before its client gives up.
-constexpr Ticks fewest_ticks = 4;
+constexpr Ticks min_remaining_resolutions = 4;
 
-Reason mark_still_known(const Allowance& allowance, const History& history, Ticks now, Ticks reserve) {
+Reason deduplication_holds(const Allowance& allowance, const History& history, Ticks now, Ticks reserve) {
     if (!history.may_have_run || allowance.idempotency == Idempotency::idempotent) return Reason::allowed;
     if (allowance.idempotency == Idempotency::non_idempotent) return Reason::may_have_run;
     const bool known = now + reserve < history.may_have_run_since + allowance.deduplication_window;
@@ -16,25 +16,26 @@
 
 }  // namespace
 
-Reason may_send_to(const EndpointPhase& endpoint, Ticks drain_grace, Ticks now, Ticks reserve) {
-    if (endpoint.life == EndpointState::active) return Reason::allowed;
-    const bool in_grace = now + reserve < endpoint.drain_told_at + drain_grace;
+Reason may_send(const EndpointPhase& endpoint, Ticks drain_grace, Ticks now, Ticks reserve) {
+    if (endpoint.state == EndpointState::active) return Reason::allowed;
+    const bool in_grace = now + reserve < endpoint.drain_notified_at + drain_grace;
     return in_grace ? Reason::allowed : Reason::endpoint_draining;
 }
 
-Reason may_repeat(const Allowance& allowance, const History& history, Outcome last, Ticks now) {
+Reason may_retry(const Allowance& allowance, const History& history, Outcome last, Ticks now) {
     if (history.attempts >= allowance.max_attempts) return Reason::attempts_used;
-    if (allowance.deadline - now <= fewest_ticks * allowance.clock_resolution) return Reason::no_time_left;
+    if (allowance.deadline - now <= min_remaining_resolutions * allowance.clock_resolution)
+        return Reason::no_time_left;
     if (last == Outcome::not_sent) return Reason::local_failure;
-    return mark_still_known(allowance, history, now, allowance.clock_resolution);
+    return deduplication_holds(allowance, history, now, allowance.clock_resolution);
 }
 
 Reason may_write(const Allowance& allowance, const History& before, const EndpointPhase& endpoint,
                  Ticks drain_grace, Ticks now, Ticks reserve) {
     if (now >= allowance.deadline) return Reason::no_time_left;
-    const Reason phase = may_send_to(endpoint, drain_grace, now, reserve);
+    const Reason phase = may_send(endpoint, drain_grace, now, reserve);
     if (phase != Reason::allowed) return phase;
-    return mark_still_known(allowance, before, now, reserve);
+    return deduplication_holds(allowance, before, now, reserve);
 }
 
 bool may_promise_no_effect(const Allowance& allowance, const History& history, Ticks now) {
@@ -45,13 +46,13 @@
 }
 
 Reason may_close_unanswered(const PendingInput& input) {
-    return input.unread > 0 || input.whole_line ? Reason::input_unread : Reason::allowed;
+    return input.unread > 0 || input.complete_line ? Reason::input_unread : Reason::allowed;
 }
 
-Reason may_exit(const Debts& debts) {
-    if (debts.tunnels > 0) return Reason::answer_owed;
-    if (debts.speaking_clients) return Reason::input_unread;
-    return debts.listener_empty ? Reason::allowed : Reason::queue_unread;
+Reason may_exit(const Obligations& obligations) {
+    if (obligations.tunnels > 0) return Reason::answer_owed;
+    if (obligations.clients_mid_line) return Reason::input_unread;
+    return obligations.listener_empty ? Reason::allowed : Reason::queue_unread;
 }
 
 }  // namespace lemonstair::attempt_policy
--- a/src/balance/attempt_policy.h
+++ b/src/balance/attempt_policy.h
@@ -13,16 +13,15 @@
 namespace lemonstair::attempt_policy {
 
 // For so long at most a process may be held up between reading its clock and writing (STANDING).
-constexpr Ticks longest_hold_up = 1500;
+constexpr Ticks max_write_delay = 1500;
 
 // An attempt at an endpoint that leaves service is allowed until the grace of its drain is over.
 struct EndpointPhase {
-    EndpointState life = EndpointState::active;
-    Ticks drain_told_at = 0;
+    EndpointState state = EndpointState::active;
+    Ticks drain_notified_at = 0;
 };
 // `reserve`: the time that may pass until it is written.
-Reason may_send_to(const EndpointPhase& endpoint, Ticks drain_grace, Ticks now,
-                   Ticks reserve = longest_hold_up);
+Reason may_send(const EndpointPhase& endpoint, Ticks drain_grace, Ticks now, Ticks reserve = max_write_delay);
 
 // What has been tried for one tunnel.
 struct History {
@@ -42,31 +41,31 @@
 };
 
 // Whether a further attempt may be chosen after one that ended so.
-Reason may_repeat(const Allowance& allowance, const History& history, Outcome last, Ticks now);
+Reason may_retry(const Allowance& allowance, const History& history, Outcome last, Ticks now);
 
 // An endpoint that was given less than this before its time was up is not judged by it.
 constexpr Ticks fair_wait(Ticks latency_objective) { return latency_objective / 2; }
 
 // Whether the line of an attempt that was chosen may still be written.
 Reason may_write(const Allowance& allowance, const History& before, const EndpointPhase& endpoint,
-                 Ticks drain_grace, Ticks now, Ticks reserve = longest_hold_up);
+                 Ticks drain_grace, Ticks now, Ticks reserve = max_write_delay);
 
 // Whether a tunnel that is given up may be told that trying again is harmless.
 bool may_promise_no_effect(const Allowance& allowance, const History& history, Ticks now);
 
 // What a connection that awaits its first line holds when it would be closed without an answer.
 struct PendingInput {
-    std::size_t unread = 0;   // bytes that the system holds
-    bool whole_line = false;  // a line has been read and not been answered
+    std::size_t unread = 0;      // bytes that the system holds
+    bool complete_line = false;  // a line has been read and not been answered
 };
 Reason may_close_unanswered(const PendingInput& input);
 
 // What a process that would exit still owes.
-struct Debts {
+struct Obligations {
     std::size_t tunnels = 0;        // without a final answer, or with last words on their way
-    bool speaking_clients = false;  // their first line has begun
+    bool clients_mid_line = false;  // their first line has begun
     bool listener_empty = true;     // the system said so, in this pass
 };
-Reason may_exit(const Debts& debts);
+Reason may_exit(const Obligations& obligations);
 
 }  // namespace lemonstair::attempt_policy
--- a/src/balance/outbox.h
+++ b/src/balance/outbox.h
@@ -10,58 +10,58 @@
 
 class Outbox {
   public:
-    Outbox(BalancerDelegate& host, std::size_t nodes) : host_(host), waiting_(nodes) {}
+    Outbox(BalancerDelegate& delegate, std::size_t nodes) : delegate_(delegate), pending_(nodes) {}
     template <class Add>
     void post(std::uint32_t node, Add&& add) {
-        any_ = true;
-        if (add(waiting_[node])) return;
+        has_pending_ = true;
+        if (add(pending_[node])) return;
         send(node);
-        add(waiting_[node]);
+        add(pending_[node]);
     }
     void flush() {
-        for (std::uint32_t n = 0; any_ && n < waiting_.size(); ++n)
-            if (!waiting_[n].empty()) send(n);
-        any_ = false;
+        for (std::uint32_t n = 0; has_pending_ && n < pending_.size(); ++n)
+            if (!pending_[n].empty()) send(n);
+        has_pending_ = false;
     }
     template <class Add>
-    void tell_all(Add&& add) {
+    void broadcast(Add&& add) {
         Message m;
         add(m);
-        host_.broadcast_gossip(m.bytes());
+        delegate_.broadcast_gossip(m.bytes());
     }
     // One message, and as many more as its items need, to all nodes.
     template <class Fill>
-    void tell_all_of(Fill&& fill) {
+    void broadcast_items(Fill&& fill) {
         Message m;
         fill([&](auto&& add) {
             if (add(m)) return;
-            host_.broadcast_gossip(m.bytes());
+            delegate_.broadcast_gossip(m.bytes());
             m.clear();
             add(m);
         });
-        host_.broadcast_gossip(m.bytes());
+        delegate_.broadcast_gossip(m.bytes());
     }
 
   private:
     void send(std::uint32_t node) {
-        host_.send_gossip(node, waiting_[node].bytes());
-        waiting_[node].clear();
+        delegate_.send_gossip(node, pending_[node].bytes());
+        pending_[node].clear();
     }
-    BalancerDelegate& host_;
-    std::vector<Message> waiting_;
-    bool any_ = false;
+    BalancerDelegate& delegate_;
+    std::vector<Message> pending_;
+    bool has_pending_ = false;
 };
 
 // Sends what is gathered when a call into the Balancer is over.
-class Delivery {
+class FlushOnExit {
   public:
-    explicit Delivery(Outbox& of) : of_(of) {}
-    Delivery(const Delivery&) = delete;
-    Delivery& operator=(const Delivery&) = delete;
-    ~Delivery() { of_.flush(); }
+    explicit FlushOnExit(Outbox& outbox) : outbox_(outbox) {}
+    FlushOnExit(const FlushOnExit&) = delete;
+    FlushOnExit& operator=(const FlushOnExit&) = delete;
+    ~FlushOnExit() { outbox_.flush(); }
 
   private:
-    Outbox& of_;
+    Outbox& outbox_;
 };
 
 }  // namespace lemonstair::peer
--- a/src/balance/reason.h
+++ b/src/balance/reason.h
@@ -21,7 +21,7 @@
     failing_everywhere,
     local_failure,
     // No attempt is made at all.
-    gate_shut,
+    admission_closed,
     too_costly,
     no_endpoint,
     node_full,
--- a/src/balance/record_table.h
+++ b/src/balance/record_table.h
@@ -1,5 +1,5 @@
-// RecordTable: the newest record of each key, and what these records add up to. Of equal stamps the larger ep
-// id stays, so that every node settles on the same.
+// RecordTable: the newest record of each key, and what these records add up to. Of equal stamps the larger
+// endpoint_id id stays, so that every node settles on the same.
 #pragma once
 #include <cstdint>
 
@@ -12,8 +12,8 @@
 
 struct Record {
     std::uint64_t key = 0;
-    Ticks stamp = 0, heard = 0;
-    std::uint32_t ep = 0, group = 0;
+    Ticks stamp = 0, heard_at = 0;
+    std::uint32_t endpoint_id = 0, group = 0;
     double load = 0;
     bool sampled = false;  // held as the carrier or on the chain, not for the group
 };
@@ -21,36 +21,38 @@
 class RecordTable {
   public:
     const Record* find(std::uint64_t key) const {
-        const std::uint32_t at = index_.find(key);
-        return at == IdIndex::none ? nullptr : &records_[at];
+        const std::uint32_t index = index_.find(key);
+        return index == IdIndex::none ? nullptr : &records_[index];
     }
     // False where a newer record stands.
-    bool put(const Record& r) {
-        std::uint32_t at = index_.find(r.key);
-        if (at == IdIndex::none) {
-            at = records_.take();
+    bool put(const Record& record) {
+        std::uint32_t index = index_.find(record.key);
+        if (index == IdIndex::none) {
+            index = records_.take();
             ++size_;
-            index_.put(r.key, at);
+            index_.put(record.key, index);
         } else {
-            const Record& old = records_[at];
-            if (old.stamp > r.stamp || (old.stamp == r.stamp && old.ep > r.ep)) return false;
-            count(old, -1);
+            const Record& existing = records_[index];
+            if (existing.stamp > record.stamp ||
+                (existing.stamp == record.stamp && existing.endpoint_id > record.endpoint_id))
+                return false;
+            count(existing, -1);
         }
-        records_[at] = r;
-        count(r, 1);
+        records_[index] = record;
+        count(record, 1);
         return true;
     }
-    void drop(std::uint64_t key) {
-        const std::uint32_t at = index_.find(key);
-        if (at == IdIndex::none) return;
-        count(records_[at], -1);
+    void erase(std::uint64_t key) {
+        const std::uint32_t index = index_.find(key);
+        if (index == IdIndex::none) return;
+        count(records_[index], -1);
         index_.drop(key);
-        records_.give_back(at);
+        records_.give_back(index);
         --size_;
     }
-    void drop_unheard_since(Ticks when) {
+    void erase_older_than(Ticks when) {
         for (std::uint32_t i = 0; i < records_.places(); ++i)
-            if (records_.used(i) && records_[i].heard < when) drop(records_[i].key);
+            if (records_.used(i) && records_[i].heard_at < when) erase(records_[i].key);
     }
     std::size_t size() const { return size_; }
     template <class Each>
@@ -68,16 +70,16 @@
     };
     Sampled sampled(Ticks since, Ticks born) const {
         Sampled sum;
-        each([&](const Record& r) {
-            if (!r.sampled || r.heard < since) return;
-            sum.load += r.load;
-            sum.older += r.stamp < born ? r.load : 0;
+        each([&](const Record& record) {
+            if (!record.sampled || record.heard_at < since) return;
+            sum.load += record.load;
+            sum.older += record.stamp < born ? record.load : 0;
         });
         return sum;
     }
 
   private:
-    void count(const Record& r, int by) { groups_.add(r.group, r.ep, by); }
+    void count(const Record& record, int by) { groups_.add(record.group, record.endpoint_id, by); }
     IdIndex index_;
     Slab<Record> records_;
     std::size_t size_ = 0;
--- a/src/balance/ring.h
+++ b/src/balance/ring.h
@@ -16,34 +16,34 @@
     using Chain = std::array<std::uint32_t, longest_chain>;
 
     void build(std::uint32_t nodes) {
-        constexpr int points_a_node = 32;
+        constexpr int points_per_node = 32;
         constexpr std::uint64_t salt = 0x9e3779b97f4a7c15ULL;
         for (std::uint32_t n = 0; n < nodes; ++n)
-            for (std::uint64_t i = 0; i < points_a_node; ++i)
+            for (std::uint64_t i = 0; i < points_per_node; ++i)
                 points_.emplace_back(mix((std::uint64_t{n} << 32) + i + salt), n);
         std::sort(points_.begin(), points_.end());
     }
     // The first living node from a place on.
-    template <class Lives>
-    std::uint32_t first(std::uint64_t key, Lives&& lives) const {
+    template <class IsAlive>
+    std::uint32_t first(std::uint64_t key, IsAlive&& is_alive) const {
         Chain nodes{};
-        chain(key, 1, lives, nodes);
+        chain(key, 1, is_alive, nodes);
         return nodes[0];
     }
     // The tail first (the first living node from the key's point on), then its predecessors; how many there
     // are.
-    template <class Lives>
-    std::size_t chain(std::uint64_t key, std::size_t length, Lives&& lives, Chain& out) const {
+    template <class IsAlive>
+    std::size_t chain(std::uint64_t key, std::size_t length, IsAlive&& is_alive, Chain& out) const {
         const auto it =
             std::lower_bound(points_.begin(), points_.end(), std::pair(mix(key), std::uint32_t{0}));
         std::size_t i = it == points_.end() ? 0 : static_cast<std::size_t>(it - points_.begin());
-        for (std::size_t step = 0; step < points_.size() && !lives(points_[i].second); ++step)
+        for (std::size_t step = 0; step < points_.size() && !is_alive(points_[i].second); ++step)
             i = (i + 1) % points_.size();
         std::size_t n = 0;
         for (std::size_t step = 0; step < points_.size() && n < std::min(length, out.size()); ++step) {
             const std::uint32_t node = points_[i].second;
             const auto end = out.begin() + static_cast<std::ptrdiff_t>(n);
-            if (lives(node) && std::find(out.begin(), end, node) == end) out[n++] = node;
+            if (is_alive(node) && std::find(out.begin(), end, node) == end) out[n++] = node;
             i = (i + points_.size() - 1) % points_.size();
         }
         return n;
--- a/src/balance/state_codec.h
+++ b/src/balance/state_codec.h
@@ -15,9 +15,9 @@
 constexpr std::uint32_t most = 1U << 20;  // of anything: a count past it is torn
 
 // The count of what follows, at most `most`.
-inline std::uint32_t count(serialization::Reader& from) {
-    const auto n = from.next<std::uint32_t>();
-    if (n > most) from.fail();
+inline std::uint32_t count(serialization::Reader& source) {
+    const auto n = source.next<std::uint32_t>();
+    if (n > most) source.fail();
     return n <= most ? n : 0;
 }
 
@@ -27,13 +27,19 @@
 }
 
 template <class Io, class E>
-void ep(Io& io, E& e) {
-    all(io, e.outcomes.log_likelihood_ratio, e.outcomes.recent.tried, e.outcomes.recent.failed, e.room,
-        e.last_report, e.told, e.pending, e.piled, e.x, e.x_told);
-    all(io, e.told_at, e.started, e.listed_start, e.probed_at, e.aside_at, e.trial_at, e.probe_good_at,
-        e.good_at, e.slow_at, e.slow_since, e.slow_by, e.moved_at, e.x_at, e.x_told_at, e.outcomes.counted_at,
-        e.home_at, e.hearsay_until);
-    all(io, e.unanswered, e.aside, e.silent, e.lost, e.bad_told);
+void endpoint_fields(Io& io, E& endpoint) {
+    all(io, endpoint.failure_likelihood.log_likelihood_ratio, endpoint.failure_likelihood.recent.tried,
+        endpoint.failure_likelihood.recent.failed, endpoint.learned_capacity, endpoint.last_reported_load,
+        endpoint.published_load, endpoint.pending_load, endpoint.backlog_estimate, endpoint.utilization,
+        endpoint.published_utilization);
+    all(io, endpoint.drain_notified_at, endpoint.started_at, endpoint.listed_start,
+        endpoint.health_checked_at, endpoint.ejected_at, endpoint.probation_at,
+        endpoint.health_check_passed_at, endpoint.succeeded_at, endpoint.slow_message_at,
+        endpoint.slow_messages_since, endpoint.slow_message_delay, endpoint.migrated_at,
+        endpoint.utilization_at, endpoint.published_at, endpoint.failure_likelihood.counted_at,
+        endpoint.affinity_target_at, endpoint.gossip_ejection_until);
+    all(io, endpoint.failed_health_checks, endpoint.ejected, endpoint.unresponsive, endpoint.contact_lost,
+        endpoint.failure_published);
 }
 
 // A point in time as this process's clock tells it; 0 and what is far off (never, long ago) are no points.
@@ -45,43 +51,49 @@
     (shift(clock_shift, times), ...);
 }
 
-inline void shift_times(Endpoint& e, Ticks by) {
-    shift_all(by, e.told_at, e.started, e.listed_start, e.probed_at, e.aside_at, e.trial_at, e.probe_good_at,
-              e.good_at, e.slow_at, e.slow_since, e.moved_at, e.x_at, e.x_told_at, e.outcomes.counted_at,
-              e.home_at, e.hearsay_until);
+inline void shift_times(Endpoint& endpoint, Ticks by) {
+    shift_all(by, endpoint.drain_notified_at, endpoint.started_at, endpoint.listed_start,
+              endpoint.health_checked_at, endpoint.ejected_at, endpoint.probation_at,
+              endpoint.health_check_passed_at, endpoint.succeeded_at, endpoint.slow_message_at,
+              endpoint.slow_messages_since, endpoint.migrated_at, endpoint.utilization_at,
+              endpoint.published_at, endpoint.failure_likelihood.counted_at, endpoint.affinity_target_at,
+              endpoint.gossip_ejection_until);
 }
 
 // A memory's figures that are no tables.
 template <class Io, class M>
 void figures(Io& io, M& m) {
-    all(io, m.born, m.last_report, m.hello_at, m.report_pause, m.tell_pause);
-    all(io, m.opened_lately, m.ended_lately, m.lately.tried, m.lately.failed, m.placed_lately, m.moves_left,
-        m.room_a_size, m.fleet_load, m.ends_a_second, m.carried_time, m.ends_in_all, m.any_load.value,
-        m.any_load.count);
-    all(io, m.greeted, m.gate_was_open, m.sums_known);
+    all(io, m.started_at, m.last_published_at, m.hello_sent_at, m.load_totals_interval, m.report_interval);
+    all(io, m.recent_opened, m.recent_ended, m.recent_outcomes.tried, m.recent_outcomes.failed,
+        m.placement_rate, m.migration_tokens, m.capacity_per_size, m.fleet_utilization, m.tunnel_end_rate,
+        m.total_open_seconds, m.ended_tunnels, m.overall_load.value, m.overall_load.count);
+    all(io, m.hello_sent, m.admission_was_open, m.load_totals_known);
 }
 
 inline void write(std::string& into, const Memory& m) {
     serialization::Writer out(into);
     figures(out, m);
-    out.value(static_cast<std::uint32_t>(m.profile_load.size()));
-    for (const RunningMean& mean : m.profile_load) all(out, mean.value, mean.count);
+    out.value(static_cast<std::uint32_t>(m.traffic_class_load.size()));
+    for (const RunningMean& mean : m.traffic_class_load) all(out, mean.value, mean.count);
     out.value(static_cast<std::uint32_t>(m.peers.size()));
-    for (const Peer& p : m.peers) all(out, p.heard, p.summed, p.lives);
-    out.value(static_cast<std::uint32_t>(m.eps.size()));
-    for (const Endpoint& e : m.eps) {
-        out.value(e.id);
-        ep(out, e);
-        for (const double load : e.others) out.value(load);
+    for (const Peer& p : m.peers) all(out, p.heard_at, p.load_totals_at, p.alive);
+    out.value(static_cast<std::uint32_t>(m.endpoints.size()));
+    for (const Endpoint& endpoint : m.endpoints) {
+        out.value(endpoint.id);
+        endpoint_fields(out, endpoint);
+        for (const double load : endpoint.load_by_node) out.value(load);
     }
-    out.value(static_cast<std::uint32_t>(m.placed.size()));
-    for (const RecentPlacement& p : m.placed) all(out, m.eps[p.ep].id, p.at, p.load);
+    out.value(static_cast<std::uint32_t>(m.recent_placements.size()));
+    for (const RecentPlacement& p : m.recent_placements)
+        all(out, m.endpoints[p.endpoint_index].id, p.placed_at, p.load);
     out.value(static_cast<std::uint32_t>(m.records.size()));
-    m.records.each(
-        [&](const Record& r) { all(out, r.key, r.stamp, r.heard, r.ep, r.group, r.load, r.sampled); });
-    m.records.groups().each_home([&](std::uint32_t group, std::uint32_t at, std::int64_t told) {
+    m.records.each([&](const Record& record) {
+        all(out, record.key, record.stamp, record.heard_at, record.endpoint_id, record.group, record.load,
+            record.sampled);
+    });
+    m.records.groups().each_affinity_target([&](std::uint32_t group, std::uint32_t index, std::int64_t told) {
         out.value(true);
-        all(out, group, at, told);
+        all(out, group, index, told);
     });
     out.value(false);
 }
@@ -91,66 +103,70 @@
 inline bool read(std::string_view told, Memory& m, Ticks clock_shift) {
     serialization::Reader in(told);
     figures(in, m);
-    shift_all(clock_shift, m.born, m.last_report, m.hello_at);
-    if (count(in) != m.profile_load.size()) in.fail();
-    for (RunningMean& mean : m.profile_load) all(in, mean.value, mean.count);
+    shift_all(clock_shift, m.started_at, m.last_published_at, m.hello_sent_at);
+    if (count(in) != m.traffic_class_load.size()) in.fail();
+    for (RunningMean& mean : m.traffic_class_load) all(in, mean.value, mean.count);
     if (count(in) != m.peers.size()) in.fail();
     for (Peer& p : m.peers) {
-        all(in, p.heard, p.summed, p.lives);
-        shift_all(clock_shift, p.heard, p.summed);
+        all(in, p.heard_at, p.load_totals_at, p.alive);
+        shift_all(clock_shift, p.heard_at, p.load_totals_at);
     }
     for (std::uint32_t n = count(in); n > 0 && in.good(); --n) {
-        Endpoint* known = m.ep_of(in.next<std::uint32_t>());
+        Endpoint* known = m.find_endpoint(in.next<std::uint32_t>());
         Endpoint unknown;  // read, and forgotten
-        Endpoint& e = known != nullptr ? *known : unknown;
-        ep(in, e);
-        shift_times(e, clock_shift);
-        e.others.assign(m.peers.size(), 0);
-        e.elsewhere = 0;
-        for (double& load : e.others) {
+        Endpoint& endpoint = known != nullptr ? *known : unknown;
+        endpoint_fields(in, endpoint);
+        shift_times(endpoint, clock_shift);
+        endpoint.load_by_node.assign(m.peers.size(), 0);
+        endpoint.load_on_other_nodes = 0;
+        for (double& load : endpoint.load_by_node) {
             in.value(load);
-            e.elsewhere += load;
+            endpoint.load_on_other_nodes += load;
         }
     }
-    m.placed.clear();
+    m.recent_placements.clear();
     for (std::uint32_t n = count(in); n > 0 && in.good(); --n) {
         RecentPlacement p;
-        p.ep = m.ep_index.find(in.next<std::uint32_t>());
-        all(in, p.at, p.load);
-        shift(clock_shift, p.at);
-        if (p.ep != none) m.placed.push_back(p);
+        p.endpoint_index = m.endpoint_by_id.find(in.next<std::uint32_t>());
+        all(in, p.placed_at, p.load);
+        shift(clock_shift, p.placed_at);
+        if (p.endpoint_index != none) m.recent_placements.push_back(p);
     }
     for (std::uint32_t n = count(in); n > 0 && in.good(); --n) {
-        Record r;
-        all(in, r.key, r.stamp, r.heard, r.ep, r.group, r.load, r.sampled);
-        shift(clock_shift, r.heard);
-        if (in.good()) m.records.put(r);
+        Record record;
+        all(in, record.key, record.stamp, record.heard_at, record.endpoint_id, record.group, record.load,
+            record.sampled);
+        shift(clock_shift, record.heard_at);
+        if (in.good()) m.records.put(record);
     }
     while (in.next<bool>()) {
-        std::uint32_t group = 0, at = 0;
+        std::uint32_t group = 0, index = 0;
         std::int64_t home_at = 0;
-        all(in, group, at, home_at);
+        all(in, group, index, home_at);
         shift(clock_shift, home_at);
-        if (in.good() && group != 0) m.records.groups().set_home(group, at, home_at);
+        if (in.good() && group != 0) m.records.groups().set_affinity_target(group, index, home_at);
     }
     m.ring_changed = true;
     return in.good() && in.at_end();
 }
 
 // A standing tunnel.
-inline void write(std::string& into, const TrackedTunnel& t, std::uint32_t ep) {
+inline void write(std::string& into, const TrackedTunnel& tunnel, std::uint32_t endpoint_id) {
     serialization::Writer out(into);
-    all(out, ep, t.key, t.give_up_at, t.arrived, t.sent, t.stamp, t.refresh_at, t.load, t.profile, t.group,
-        t.keyed, t.mid_flow);
+    all(out, endpoint_id, tunnel.key, tunnel.deadline, tunnel.arrived_at, tunnel.attempt_started_at,
+        tunnel.stamp, tunnel.refresh_records_at, tunnel.load, tunnel.traffic_class, tunnel.group,
+        tunnel.has_key, tunnel.mid_flow);
 }
-// Gives the id of its ep; `none` where the bytes are torn.
-inline std::uint32_t read(std::string_view told, TrackedTunnel& t, Ticks clock_shift) {
+// Gives the id of its endpoint_id; `none` where the bytes are torn.
+inline std::uint32_t read(std::string_view told, TrackedTunnel& tunnel, Ticks clock_shift) {
     serialization::Reader in(told);
-    std::uint32_t ep = none;
-    all(in, ep, t.key, t.give_up_at, t.arrived, t.sent, t.stamp, t.refresh_at, t.load, t.profile, t.group,
-        t.keyed, t.mid_flow);
-    shift_all(clock_shift, t.give_up_at, t.arrived, t.sent, t.refresh_at);
-    return in.good() && in.at_end() ? ep : none;
+    std::uint32_t endpoint_id = none;
+    all(in, endpoint_id, tunnel.key, tunnel.deadline, tunnel.arrived_at, tunnel.attempt_started_at,
+        tunnel.stamp, tunnel.refresh_records_at, tunnel.load, tunnel.traffic_class, tunnel.group,
+        tunnel.has_key, tunnel.mid_flow);
+    shift_all(clock_shift, tunnel.deadline, tunnel.arrived_at, tunnel.attempt_started_at,
+              tunnel.refresh_records_at);
+    return in.good() && in.at_end() ? endpoint_id : none;
 }
 
 }  // namespace lemonstair::state_codec
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -417,7 +417,7 @@
 
 // Who could not be accepted in its last moments would keep the node for ever.
 bool Node::may_leave() {
-    const Reason reason = attempt_policy::may_exit(stages_.take_in.debts());
+    const Reason reason = attempt_policy::may_exit(stages_.take_in.obligations());
     if (reason != Reason::allowed)
         log_.debug() << launch_.name << ": does not leave yet, " << lemonstair::name_of(reason);
     const bool too_late = loop_.now() >= stages_.floor.over_by;
--- a/src/tunnel/acceptor.cpp
+++ b/src/tunnel/acceptor.cpp
@@ -76,12 +76,12 @@
 
 // Guards against an exit in the instant in which a client's line is in its socket, or in the listener's
 // queue.
-attempt_policy::Debts Acceptor::debts() {
-    attempt_policy::Debts debts;
-    debts.listener_empty = accept_waiting();
-    debts.tunnels = floor_.admitted + floor_.departing;
-    debts.speaking_clients = any_speaks();
-    return debts;
+attempt_policy::Obligations Acceptor::obligations() {
+    attempt_policy::Obligations obligations;
+    obligations.listener_empty = accept_waiting();
+    obligations.tunnels = floor_.admitted + floor_.departing;
+    obligations.clients_mid_line = any_speaks();
+    return obligations;
 }
 
 bool Acceptor::any_speaks() const {
--- a/src/tunnel/acceptor.h
+++ b/src/tunnel/acceptor.h
@@ -20,7 +20,7 @@
     // Whether clients are accepted; they wait in the listener's queue else, for this process or another.
     void open(bool yes);
     // What an exit in this pass would leave unanswered, in the listener's queue too.
-    attempt_policy::Debts debts();
+    attempt_policy::Obligations obligations();
     void on_ready(std::uint64_t, short) override { static_cast<void>(accept_waiting()); }
     void on_timer(std::uint64_t token) override;
     // The connection of a client that has not sent its first line yet.
--- a/src/tunnel/attempt.cpp
+++ b/src/tunnel/attempt.cpp
@@ -101,7 +101,7 @@
     if (floor_.client_is_gone(t)) return book_.client_left(id), false;
     if (!t.known) return true;
     floor_.balancer->set_time(floor_.loop.refresh());
-    const Reason reason = floor_.balancer->may_write(id, attempt_policy::longest_hold_up);
+    const Reason reason = floor_.balancer->may_write(id, attempt_policy::max_write_delay);
     if (reason == Reason::allowed) return true;
     floor_.costs.explained(reason);
     floor_.log.debug() << "tunnel " << static_cast<std::uint32_t>(id) << " setup " << t.setups
--- a/tests/witness.cpp
+++ b/tests/witness.cpp
@@ -73,7 +73,7 @@
 }
 
 TEST_CASE(
-    "a word of long ago, of a time to come, or of no_observer has no effect, also an hour and five days "
+    "a word of long ago, of a time to come, or of nobody has no effect, also an hour and five days "
     "later") {
     Observations w;
     CHECK(!w.add(3, at - failure_detector::observation_lifetime, at));
@@ -272,7 +272,7 @@
 }
 
 TEST_CASE(
-    "what hearsay set aside is still hearsay after an upgrade: it comes back when no_observer renews it") {
+    "what hearsay set aside is still hearsay after an upgrade: it comes back when nobody renews it") {
     Hearer h;
     h.hear(3, 7, 3, 4);
     std::string told;
