--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -280,7 +280,7 @@
 
 void Node::nothing_new() {
     tell_list(EndpointListKind::changes);
-    backoff_.answered();
+    backoff_.on_success();
 }
 
 // Where the node must ask, the module says when to ask again; else the watch comes back by itself, later
@@ -290,7 +290,7 @@
     if (launch_.terms.must_poll) return;
     const double drawn = static_cast<double>(rng_() - std::minstd_rand::min());
     const double chance = drawn / static_cast<double>(std::minstd_rand::max());
-    loop_.schedule(loop_.now() + backoff_.failed(chance), *this, list_timer);
+    loop_.schedule(loop_.now() + backoff_.on_failure(chance), *this, list_timer);
 }
 
 void Node::on_health_check(std::uint32_t ep, Outcome ending, Ticks took, const LoadReport& report) {
@@ -355,7 +355,7 @@
                 << stages_.admission.capacity();
     if (moved) hosts_.forget_revision();
     if (watch_.is_open()) return;
-    backoff_.answered();
+    backoff_.on_success();
     tell_list(EndpointListKind::moved);
     if (!launch_.terms.must_poll) watch_.open(hosts_.revision());
 }
--- a/src/tunnel/acceptor.cpp
+++ b/src/tunnel/acceptor.cpp
@@ -97,8 +97,8 @@
     on_tunnel_ready(id, Side::client, POLLIN);
 }
 
-attempt_policy::Debts Acceptor::outstanding_work() {
-    attempt_policy::Debts work;
+attempt_policy::Obligations Acceptor::outstanding_work() {
+    attempt_policy::Obligations work;
     work.listener_empty = accept_pending();
     work.tunnels = registry_.admitted_count() + registry_.closing_count();
     work.speaking_clients = any_request_begun();
--- a/src/tunnel/acceptor.h
+++ b/src/tunnel/acceptor.h
@@ -22,7 +22,7 @@
     // While clients are not accepted they wait in the listener's queue, for this process or another one.
     void set_accepting(bool accepting);
     // What an exit at this moment would leave unanswered; accepts who waits in the listener's queue.
-    attempt_policy::Debts outstanding_work();
+    attempt_policy::Obligations outstanding_work();
 
     void on_ready(std::uint64_t, short) override { static_cast<void>(accept_pending()); }
     void on_timer(std::uint64_t token) override;
--- a/src/tunnel/attempt.cpp
+++ b/src/tunnel/attempt.cpp
@@ -123,7 +123,7 @@
     if (registry_.client_disconnected(tunnel)) return completion_.on_client_disconnected(id), false;
     if (!tunnel.tracked) return true;
     registry_.balancer->set_time(registry_.loop.refresh());
-    const Reason reason = registry_.balancer->may_write(id, attempt_policy::longest_hold_up);
+    const Reason reason = registry_.balancer->may_write(id, attempt_policy::max_write_delay);
     if (reason == Reason::allowed) return true;
     registry_.resource_counters.explained(reason);
     registry_.log.debug() << "tunnel " << static_cast<std::uint32_t>(id) << " attempt " << tunnel.attempts
--- a/tests/failure_detector_test.cpp
+++ b/tests/failure_detector_test.cpp
@@ -11,7 +11,7 @@
 #include "peer/codec.h"
 
 using namespace fake;
-using failure_detector::nobody;
+using failure_detector::no_observer;
 using failure_detector::Observations;
 
 namespace {
@@ -31,12 +31,12 @@
     }
     void hear(std::uint32_t from, std::uint32_t ep, std::uint32_t first, std::uint32_t other, Ticks age = 0) {
         peer::Message m;
-        m.dead(ep, n.now - age, first, other);
+        m.endpoint_failure(ep, n.now - age, first, other);
         n.b->on_gossip(from, m.bytes());
     }
     void report(std::uint32_t ep, bool good) {
         peer::Message m;
-        m.report(ep, good, 0.3);
+        m.load_report(ep, good, 0.3);
         n.b->on_gossip(3, m.bytes());
     }
     // Setups at an ep fail at other nodes, at each in turn.
@@ -52,8 +52,8 @@
 std::size_t accusations(const Node& n) {
     std::size_t sum = 0;
     for (const auto& [to, bytes] : n.post) {
-        peer::Sizes sizes{};
-        peer::add_sizes(bytes, 1, sizes);
+        peer::BytesByKind sizes{};
+        peer::add_bytes_by_kind(bytes, 1, sizes);
         sum += sizes[14] > 0 ? 1 : 0;
     }
     return sum;
@@ -62,23 +62,24 @@
 
 TEST_CASE("one node's word is one word, however often it is told; two nodes' are enough, until they lapse") {
     Observations w;
-    CHECK(w.found(3, at, at));
-    CHECK(!w.found(3, at, at + s));
-    CHECK(w.found(3, at + s, at + s));
-    CHECK(!w.dead(at + s));
-    CHECK(w.found(4, at + s, at + s));
-    CHECK(w.dead(at + s));
-    CHECK(w.dead(at + s + failure_detector::word_lasts - 1));
-    CHECK(!w.dead(at + s + failure_detector::word_lasts));
+    CHECK(w.add(3, at, at));
+    CHECK(!w.add(3, at, at + s));
+    CHECK(w.add(3, at + s, at + s));
+    CHECK(!w.is_unresponsive(at + s));
+    CHECK(w.add(4, at + s, at + s));
+    CHECK(w.is_unresponsive(at + s));
+    CHECK(w.is_unresponsive(at + s + failure_detector::observation_lifetime - 1));
+    CHECK(!w.is_unresponsive(at + s + failure_detector::observation_lifetime));
 }
 
 TEST_CASE(
-    "a word of long ago, of a time to come, or of nobody has no effect, also an hour and five days later") {
+    "a word of long ago, of a time to come, or of nobody has no effect, also an hour and five days "
+    "later") {
     Observations w;
-    CHECK(!w.found(3, at - failure_detector::word_lasts, at));
-    CHECK(!w.found(3, at + failure_detector::clocks_apart + 1, at));
-    CHECK(!w.found(nobody, at, at));
-    CHECK(!w.found(nobody + 1, at, at));
+    CHECK(!w.add(3, at - failure_detector::observation_lifetime, at));
+    CHECK(!w.add(3, at + failure_detector::max_clock_skew + 1, at));
+    CHECK(!w.add(no_observer, at, at));
+    CHECK(!w.add(no_observer + 1, at, at));
     const auto told = static_cast<std::uint32_t>(at);
     for (const Ticks later : {20 * s, 3600 * s, 100 * (3600 * s)})
         CHECK(!w.found(3, failure_detector::whole_time(told, at + later), at + later));
@@ -88,17 +89,17 @@
 
 TEST_CASE("an answer that anybody had counts more than what was found before it") {
     Observations w;
-    w.found(3, at, at);
-    w.found(4, at, at);
-    w.found_sound(at + 1);
-    CHECK(!w.dead(at + 1));
-    CHECK(w.several(at + 1));
-    w.found(3, at + 2, at + 2);
-    CHECK(!w.dead(at + 2));
-    w.found(5, at + 2, at + 2);
-    CHECK(w.dead(at + 2));
-    w.found_sound(at);  // an older one, late
-    CHECK(w.dead(at + 2));
+    w.add(3, at, at);
+    w.add(4, at, at);
+    w.on_healthy(at + 1);
+    CHECK(!w.is_unresponsive(at + 1));
+    CHECK(w.is_failing(at + 1));
+    w.add(3, at + 2, at + 2);
+    CHECK(!w.is_unresponsive(at + 2));
+    w.add(5, at + 2, at + 2);
+    CHECK(w.is_unresponsive(at + 2));
+    w.on_healthy(at);  // an older one, late
+    CHECK(w.is_unresponsive(at + 2));
 }
 
 TEST_CASE("words merge to the same in any order, told any number of times") {
@@ -113,13 +114,13 @@
             said.push_back(
                 {1 + static_cast<std::uint32_t>(rng() % 8), at - static_cast<Ticks>(rng() % (15 * s))});
         Observations in_order, mixed;
-        for (const auto& x : said) in_order.found(x.node, x.when, at);
+        for (const auto& x : said) in_order.add(x.node, x.when, at);
         auto twice = said;
         twice.insert(twice.end(), said.begin(), said.end());
         std::shuffle(twice.begin(), twice.end(), rng);
-        for (const auto& x : twice) mixed.found(x.node, x.when, at);
+        for (const auto& x : twice) mixed.add(x.node, x.when, at);
         const auto a = in_order.newest(), b = mixed.newest();
-        REQUIRE(in_order.dead(at) == mixed.dead(at));
+        REQUIRE(in_order.is_unresponsive(at) == mixed.is_unresponsive(at));
         REQUIRE(a[0].when == b[0].when);
         REQUIRE(a[1].when == b[1].when);
     }
@@ -131,20 +132,20 @@
     for (int i = 0; i < 40; ++i) good.count(false, false, all, at);
     bad.count(true, false, all, at);
     bad.count(true, false, all, at);
-    CHECK(bad.doubt >= failure_detector::doubt_limit);
+    CHECK(bad.log_likelihood_ratio >= failure_detector::ejection_threshold);
     failure_detector::OutcomeTotals jam;
     std::array<failure_detector::FailureLikelihood, 4> each;
     for (int i = 0; i < 12; ++i)
         for (auto& o : each) o.count(true, false, jam, at);
-    for (const auto& o : each) CHECK(o.doubt < failure_detector::doubt_limit);
+    for (const auto& o : each) CHECK(o.log_likelihood_ratio < failure_detector::ejection_threshold);
 }
 
 TEST_CASE("hearsay sets an ep aside with two nodes' words, not with one's told twice") {
     Hearer h;
-    h.hear(3, 7, 3, nobody);
+    h.hear(3, 7, 3, no_observer);
     h.n.pass(100 * ms);
-    h.hear(4, 7, 3, nobody);  // passed on by another
-    h.hear(4, 7, 3, 3);       // and named twice
+    h.hear(4, 7, 3, no_observer);  // passed on by another
+    h.hear(4, 7, 3, 3);            // and named twice
     CHECK(h.excluded() == 0);
     h.hear(4, 7, 4, 3);
     CHECK(h.excluded() == 1);
@@ -247,11 +248,11 @@
         return std::count_if(h.n.lines.begin(), h.n.lines.end(),
                              [&](const auto& l) { return l.find(what) != std::string::npos; });
     };
-    CHECK(says("the trouble is here") == 1);
-    CHECK(says("answer this node again") == 0);
+    CHECK(says("failures are not reported") == 1);
+    CHECK(says("respond to this node again") == 0);
     h.n.pass(1 * s);
     h.n.answer_probes(0.2);
-    CHECK(says("answer this node again") == 1);
+    CHECK(says("respond to this node again") == 1);
     h.n.pass(3 * s);  // and what it found meanwhile is told to nobody
     CHECK(accusations(h.n) == 0);
 }
@@ -270,7 +271,8 @@
     CHECK(half.excluded() == 2);  // half of the zone is out by hearsay
 }
 
-TEST_CASE("what hearsay set aside is still hearsay after an upgrade: it comes back when nobody renews it") {
+TEST_CASE(
+    "what hearsay set aside is still hearsay after an upgrade: it comes back when nobody renews it") {
     Hearer h;
     h.hear(3, 7, 3, 4);
     std::string told;
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -30,7 +30,7 @@
 
 // The first slot from one on that a node owns and that has a unit.
 SlotNumber owned(const QuotaSchedule& d, double rate, SlotNumber from) {
-    while (d.owner(budget, from) != d.me || d.units(budget, from, rate) == 0) ++from;
+    while (d.owner(budget, from) != d.own_node || d.units_in_slot(budget, from, rate) == 0) ++from;
     return from;
 }
 
@@ -60,23 +60,23 @@
     QuotaSchedule d{0, 3, slot, keep, 0};
     const SlotNumber n = owned(d, 20, 100);
     Quota before, after;
-    CHECK(before.spend(d, budget, 20, d.begin(n)));
-    d.born = d.begin(n) + 10;
-    CHECK(after.left(d, budget, 20, d.begin(n) + 10) == 0);
+    CHECK(before.spend(d, budget, 20, d.slot_begin(n)));
+    d.incarnation_started_at = d.slot_begin(n) + 10;
+    CHECK(after.available(d, budget, 20, d.slot_begin(n) + 10) == 0);
     const SlotNumber next = owned(d, 20, n + 1);
-    CHECK(after.left(d, budget, 20, d.begin(next)) > 0);
+    CHECK(after.available(d, budget, 20, d.slot_begin(next)) > 0);
 }
 
 TEST_CASE("a process that was stopped wakes with nothing that has run out") {
     const QuotaSchedule d{1, 3, slot, keep, 0};
     const SlotNumber n = owned(d, 20, 100);
     Quota share;
-    CHECK(share.left(d, budget, 20, d.begin(n)) >= 1);
-    const Ticks wakes = d.begin(n) + 50000;
+    CHECK(share.available(d, budget, 20, d.slot_begin(n)) >= 1);
+    const Ticks wakes = d.slot_begin(n) + 50000;
     int live = 0;
     for (SlotNumber s = d.slot_at(wakes - keep); s <= d.slot_at(wakes); ++s)
-        live += d.live(s, wakes) && d.owner(budget, s) == 1 ? d.units(budget, s, 20) : 0;
-    CHECK(share.left(d, budget, 20, wakes) == live);
+        live += d.is_spendable(s, wakes) && d.owner(budget, s) == 1 ? d.units_in_slot(budget, s, 20) : 0;
+    CHECK(share.available(d, budget, 20, wakes) == live);
 }
 
 TEST_CASE("a lent unit is the lender's no more, counts once, and is refused where it cannot be") {
@@ -85,11 +85,11 @@
     Quota lender, taker;
     SlotNumber n = owned(all[0], rate, 100);
     while (all[0].owner(budget, n - 1) == 0) n = owned(all[0], rate, n + 1);
-    const Ticks now = all[0].begin(n);
-    const int had = lender.left(all[0], budget, rate, now);
-    CHECK(!taker.borrow(all[1], budget, n, 0, now));  // nobody asked
+    const Ticks now = all[0].slot_begin(n);
+    const int had = lender.available(all[0], budget, rate, now);
+    CHECK(!taker.accept_lease(all[1], budget, n, 0, now));  // nobody asked
     for (;;) {
-        const auto ask = taker.ask(all[1], budget, rate, now);
+        const auto ask = taker.request_lease(all[1], budget, rate, now);
         REQUIRE(ask.has_value());
         if (ask->slot == n) break;
     }
@@ -104,22 +104,22 @@
     CHECK(taker.left(all[1], budget, rate, now) == own + 1);
     CHECK(!taker.borrow(all[1], budget, n, 0, now));  // doubled on its way
     Quota late;
-    while (const auto ask = late.ask(all[1], budget, rate, now)) static_cast<void>(ask);
-    CHECK(!late.borrow(all[1], budget, n, 0, now + keep));  // too late
+    while (const auto ask = late.request_lease(all[1], budget, rate, now)) static_cast<void>(ask);
+    CHECK(!late.accept_lease(all[1], budget, n, 0, now + keep));  // too late
     QuotaSchedule restarted = all[1];
-    restarted.born = now + 1;
+    restarted.incarnation_started_at = now + 1;
     Quota again;
-    CHECK(!again.borrow(restarted, budget, n, 0, now + 2));  // lent to the life before
-    CHECK(!taker.borrow(all[1], budget, n + 1000000, 0, now));
+    CHECK(!again.accept_lease(restarted, budget, n, 0, now + 2));  // lent to the life before
+    CHECK(!taker.accept_lease(all[1], budget, n + 1000000, 0, now));
 }
 
 TEST_CASE("a slot's number is known by its last bits, and one from far away is none that lives") {
     const QuotaSchedule d{0, 3, slot, keep, 0};
     const Ticks now = 17'000'000'000'000;
     for (const SlotNumber off : {-8, 0, 3})
-        CHECK(d.whole(static_cast<std::uint32_t>(d.slot_at(now) + off), now) == d.slot_at(now) + off);
-    CHECK(!d.live(d.whole(static_cast<std::uint32_t>(d.slot_at(now)) + 0x7fffffffU, now), now));
-    CHECK(!d.live(d.whole(static_cast<std::uint32_t>(d.slot_at(now)) + 0x80000001U, now), now));
+        CHECK(d.expand_slot(static_cast<std::uint32_t>(d.slot_at(now) + off), now) == d.slot_at(now) + off);
+    CHECK(!d.is_spendable(d.expand_slot(static_cast<std::uint32_t>(d.slot_at(now)) + 0x7fffffffU, now), now));
+    CHECK(!d.is_spendable(d.expand_slot(static_cast<std::uint32_t>(d.slot_at(now)) + 0x80000001U, now), now));
 }
 
 // ---- the checker
@@ -168,8 +168,8 @@
             put(of[static_cast<std::size_t>(s)]);
     for (std::uint32_t n = 0; n < nodes; ++n)
         for (std::uint32_t b = 0; b < budgets; ++b) {
-            key += w.share[n][b].told(w.now - lives + 1) + '|';
-            key += w.replayed[n][b].told(w.now - lives + 1) + '|';
+            key += w.share[n][b].serialize(w.now - lives + 1) + '|';
+            key += w.replayed[n][b].serialize(w.now - lives + 1) + '|';
         }
     return key;
 }
@@ -203,13 +203,15 @@
         Quota& share = of_replayed ? w.replayed[n][b] : w.share[n][b];
         const QuotaSchedule d = w.dealing(n);
         std::array<int, slots> before{};
-        const auto left = [&](SlotNumber s) { return share.left_of(d, b, unit_a_slot, first + s, w.time()); };
+        const auto left = [&](SlotNumber s) {
+            return share.available_in_slot(d, b, unit_a_slot, first + s, w.time());
+        };
         for (SlotNumber s = 0; s < slots; ++s) before[static_cast<std::size_t>(s)] = left(s);
         if (!share.spend(d, b, unit_a_slot, w.time())) return;
         for (SlotNumber s = 0; s < slots; ++s)
             if (left(s) < before[static_cast<std::size_t>(s)]) {
                 auto& spent = w.spent[b][static_cast<std::size_t>(s)];
-                if (++spent > d.units(b, first + s, unit_a_slot)) found_.passed = true;
+                if (++spent > d.units_in_slot(b, first + s, unit_a_slot)) found_.passed = true;
             }
         seen(w);
     }
@@ -220,7 +222,7 @@
                 spend(w, n, b, false);
                 if (mistake_ == Mistake::replay_counts) spend(w, n, b, true);
                 World asks = w;
-                if (const auto a = asks.share[n][b].ask(d, b, unit_a_slot, w.time())) {
+                if (const auto a = asks.share[n][b].request_lease(d, b, unit_a_slot, w.time())) {
                     post(asks, {static_cast<std::uint8_t>(n), static_cast<std::uint8_t>(a->node),
                                 static_cast<std::uint8_t>(b), static_cast<std::uint8_t>(a->slot)});
                     seen(asks);
@@ -255,16 +257,17 @@
         const QuotaSchedule d = w.dealing(l.to);
         const std::uint32_t b = l.what & 127U;
         if ((l.what & 128U) != 0) {
-            if (w.share[l.to][b].borrow(d, b, l.n, l.from, w.time()) || mistake_ != Mistake::replay_counts)
+            if (w.share[l.to][b].accept_lease(d, b, l.n, l.from, w.time()) ||
+                mistake_ != Mistake::replay_counts)
                 return;
             Quota& more = w.replayed[l.to][b];
-            while (more.ask(d, b, unit_a_slot, w.time())) continue;
-            static_cast<void>(more.borrow(d, b, l.n, l.from, w.time()));
+            while (more.request_lease(d, b, unit_a_slot, w.time())) continue;
+            static_cast<void>(more.accept_lease(d, b, l.n, l.from, w.time()));
             return;
         }
         Quota forgetful = w.share[l.to][b];
         Quota& share = mistake_ == Mistake::lends_without_debit ? forgetful : w.share[l.to][b];
-        if (share.lend(d, b, l.n, unit_a_slot, w.time()))
+        if (share.grant_lease(d, b, l.n, unit_a_slot, w.time()))
             post(w, {l.to, l.from, static_cast<std::uint8_t>(l.what | 128U), l.n});
     }
     // Whatever was lost: what a new slot has is there for its owner.
@@ -272,8 +275,9 @@
         for (std::uint32_t n = 0; n < nodes; ++n)
             for (std::uint32_t b = 0; b < budgets; ++b) {
                 const QuotaSchedule d = w.dealing(n);
-                if (d.owner(b, w.now) == n && w.share[n][b].left_of(d, b, unit_a_slot, w.now, w.time()) !=
-                                                  d.units(b, w.now, unit_a_slot))
+                if (d.owner(b, w.now) == n &&
+                    w.share[n][b].available_in_slot(d, b, unit_a_slot, w.now, w.time()) !=
+                        d.units_in_slot(b, w.now, unit_a_slot))
                     found_.never_back = true;
             }
     }
