--- /dev/null
+++ b/src/node/balancer_runner.cpp
@@ -0,0 +1,36 @@
+#include "node/balancer_runner.h"
+
+namespace lemonstair::node {
+
+BalancerRunner::BalancerRunner(tunnel::TunnelStages& stages, PeerLink& peers,
+                               const json::Value& initial_endpoints, Factory factory)
+    : stages_(stages),
+      initial_endpoints_(initial_endpoints.told_as("known")),
+      factory_(std::move(factory)),
+      actions_(stages.registry.loop, peers, stages.registry.log, stages.registry.resource_counters) {}
+
+void BalancerRunner::make_balancer(std::string_view endpoint_list) {
+    tunnel::TunnelRegistry& registry = stages_.registry;
+    const Ticks now = registry.loop.now();
+    actions_.retire_balancer();
+    balancer_ = factory_(registry.config.terms, actions_, now);
+    actions_.set_balancer(*balancer_);
+    registry.balancer = balancer_.get();
+    if (initial_endpoints_.type() == json::Type::object)
+        registry.endpoints.take(initial_endpoints_, registry.balancer_now(), true, now);
+    json::Document document;
+    if (!endpoint_list.empty() && document.parse(endpoint_list))
+        registry.endpoints.take_over(document.root().told_as("list handed over"), registry.balancer_now(),
+                                     stages_.transfer.clock_shift(), now);
+}
+
+void BalancerRunner::start(std::string_view endpoint_list, std::string_view state) {
+    make_balancer(endpoint_list);
+    if (state.empty()) return;
+    if (stages_.registry.balancer_now().restore_state(state, stages_.transfer.clock_shift())) return;
+    stages_.registry.log.error()
+        << "hand-over: the state of the old process cannot be read, the balancer begins anew";
+    make_balancer(endpoint_list);
+}
+
+}  // namespace lemonstair::node
--- /dev/null
+++ b/src/node/config_reloader.cpp
@@ -0,0 +1,49 @@
+#include "node/config_reloader.h"
+
+#include <utility>
+
+namespace lemonstair::node {
+
+namespace {
+
+// A discovery service that has moved must be in use 4 s after SIGHUP: retries take a part of that.
+constexpr Ticks retry_interval = 2500, retry_for = 25000;
+
+}  // namespace
+
+void ConfigReloader::reload() {
+    retry_at_ = 0;
+    retry_until_ = loop_.now() + retry_for;
+    if (!try_reload(Attempt::first)) schedule_retry();
+}
+
+void ConfigReloader::reload_deferred() {
+    if (std::exchange(deferred_, false)) reload();
+}
+
+void ConfigReloader::schedule_retry() {
+    retry_at_ = loop_.now() + retry_interval;
+    if (retry_at_ <= retry_until_) loop_.schedule(retry_at_, *this, 0);
+}
+
+void ConfigReloader::on_timer(std::uint64_t) {
+    if (retry_at_ == 0 || loop_.now() < retry_at_) return;  // a later SIGHUP has its own retries
+    retry_at_ = 0;
+    if (!try_reload(Attempt::retry)) schedule_retry();
+}
+
+// False where the file cannot be taken.
+bool ConfigReloader::try_reload(Attempt attempt) {
+    std::string unchanged_keys;
+    try {
+        unchanged_keys = config::renew(config_, read_());
+    } catch (const json::Malformed& error) {
+        if (attempt == Attempt::first) log_.error() << "new configuration not taken: " << error.what();
+        log_.debug() << "the configuration is read again in a moment: " << error.what();
+        return false;
+    }
+    on_reloaded_(unchanged_keys);
+    return true;
+}
+
+}  // namespace lemonstair::node
--- a/src/node/deferred_actions.h
+++ b/src/node/deferred_actions.h
@@ -1,5 +1,5 @@
-// The module's Host in the node. What it asks for waits until the call into the module has returned: a setup
-// that fails at once would otherwise call the module from within itself.
+// The balancer's decisions, kept until the call into the balancer has returned: carried out at once, an
+// attempt that fails immediately would call the balancer from within itself.
 #pragma once
 
 #include <cstdint>
@@ -14,57 +14,71 @@
 
 namespace lemonstair::node {
 
+// Carried out later: attempts, final answers, migrations, health checks and list requests. Timers, gossip and
+// log lines cannot call back and are carried out at once.
 class DeferredActions final : public BalancerDelegate {
   public:
-    enum class Kind : std::uint8_t { set_up, decline, close_with_error, move, probe, watch };
-    struct Order {
+    enum class Kind : std::uint8_t {
+        start_attempt,
+        reject,
+        fail,
+        migrate,
+        check_health,
+        request_endpoint_list
+    };
+    struct Action {
         Kind kind;
-        std::uint32_t ep = 0;
-        std::uint64_t tun = 0;
-        Ticks span = 0;
+        std::uint32_t endpoint = 0;  // of start_attempt, check_health
+        std::uint64_t tunnel = 0;
+        Ticks span = 0;  // max_wait of start_attempt, retry_after of reject
     };
-    DeferredActions(net::EventLoop& loop, PeerLink& peers, log::Log& log, metrics::ResourceCounters& costs)
-        : loop_(loop), peers_(peers), log_(log), costs_(costs) {}
-    // Another will decide from now on: what the last one was to be woken for counts no more.
-    void expect_another() {
-        if (!minds_.empty()) minds_.back()->balancer = nullptr;
-        minds_.push_back(std::make_unique<Mind>(loop_));
+    DeferredActions(net::EventLoop& loop, PeerLink& peers, log::Log& log, metrics::ResourceCounters& counters)
+        : loop_(loop), peers_(peers), log_(log), counters_(counters) {}
+    // Before a balancer is made: timers of the one before it are ignored from now on.
+    void retire_balancer() {
+        if (!timer_targets_.empty()) timer_targets_.back()->balancer = nullptr;
+        timer_targets_.push_back(std::make_unique<TimerTarget>(loop_));
     }
-    void decide_by(Balancer& balancer) { minds_.back()->balancer = &balancer; }
-    // Each order in turn, also those that carrying one out brings.
+    // Timers that were set since the last retire_balancer() go to this one.
+    void set_balancer(Balancer& balancer) { timer_targets_.back()->balancer = &balancer; }
+    // Calls carry_out(action) for each in turn, also for those that it adds.
     template <class CarryOut>
-    void carry_out(CarryOut&& each) {
-        for (std::size_t i = 0; i < waiting_.size(); ++i) {
-            const Order order = waiting_[i];
-            each(order);
+    void run_all(CarryOut&& carry_out) {
+        for (std::size_t i = 0; i < actions_.size(); ++i) {
+            const Action action = actions_[i];
+            carry_out(action);
         }
-        waiting_.clear();
+        actions_.clear();
     }
 
-    void start_attempt(std::uint64_t tun, std::uint32_t ep, Ticks max_wait) override {
-        waiting_.push_back({Kind::set_up, ep, tun, max_wait});
+    void start_attempt(std::uint64_t tunnel, std::uint32_t endpoint, Ticks max_wait) override {
+        actions_.push_back({Kind::start_attempt, endpoint, tunnel, max_wait});
+    }
+    void reject(std::uint64_t tunnel, Ticks retry_after) override {
+        actions_.push_back({Kind::reject, 0, tunnel, retry_after});
     }
-    void reject(std::uint64_t tun, Ticks come_back_after) override {
-        waiting_.push_back({Kind::decline, 0, tun, come_back_after});
+    void fail(std::uint64_t tunnel) override { actions_.push_back({Kind::fail, 0, tunnel}); }
+    void report_reason(std::uint64_t tunnel, Reason reason) override {
+        counters_.explained(reason);
+        log_.debug() << "tunnel " << static_cast<std::uint32_t>(tunnel)
+                     << " is given up: " << name_of(reason);
     }
-    void fail(std::uint64_t tun) override { waiting_.push_back({Kind::close_with_error, 0, tun}); }
-    void report_reason(std::uint64_t tun, Reason why) override {
-        costs_.explained(why);
-        log_.debug() << "tunnel " << static_cast<std::uint32_t>(tun) << " is given up: " << name_of(why);
+    void migrate(std::uint64_t tunnel) override { actions_.push_back({Kind::migrate, 0, tunnel}); }
+    void check_health(std::uint32_t endpoint) override { actions_.push_back({Kind::check_health, endpoint}); }
+    void request_endpoint_list() override { actions_.push_back({Kind::request_endpoint_list}); }
+    void set_timer(Ticks deadline, std::uint64_t label) override {
+        loop_.schedule(deadline, *timer_targets_.back(), label);
     }
-    void migrate(std::uint64_t tun) override { waiting_.push_back({Kind::move, 0, tun}); }
-    void check_health(std::uint32_t ep) override { waiting_.push_back({Kind::probe, ep}); }
-    void request_endpoint_list() override { waiting_.push_back({Kind::watch}); }
-    void set_timer(Ticks at, std::uint64_t label) override { loop_.schedule(at, *minds_.back(), label); }
     void send_gossip(std::uint32_t node, std::span<const std::uint8_t> bytes) override {
-        peers_.tell(node, bytes);
+        peers_.send_to(node, bytes);
     }
-    void broadcast_gossip(std::span<const std::uint8_t> bytes) override { peers_.tell_all(bytes); }
+    void broadcast_gossip(std::span<const std::uint8_t> bytes) override { peers_.broadcast(bytes); }
     void log(std::string_view line) override { log_.info() << line; }
 
   private:
-    struct Mind final : net::EventHandler {
-        explicit Mind(net::EventLoop& with) : loop(with) {}
+    // Timers cannot be unset: each balancer has a target of its own, which outlives it.
+    struct TimerTarget final : net::EventHandler {
+        explicit TimerTarget(net::EventLoop& event_loop) : loop(event_loop) {}
         void on_ready(std::uint64_t, short) override {}
         void on_timer(std::uint64_t label) override {
             if (balancer == nullptr) return;
@@ -77,9 +91,9 @@
     net::EventLoop& loop_;
     PeerLink& peers_;
     log::Log& log_;
-    metrics::ResourceCounters& costs_;
-    std::vector<std::unique_ptr<Mind>> minds_;  // timers may still name those before the last
-    std::vector<Order> waiting_;
+    metrics::ResourceCounters& counters_;
+    std::vector<std::unique_ptr<TimerTarget>> timer_targets_;  // the last one is in use
+    std::vector<Action> actions_;
 };
 
 }  // namespace lemonstair::node
--- /dev/null
+++ b/src/node/endpoint_list_client.cpp
@@ -0,0 +1,64 @@
+#include "node/endpoint_list_client.h"
+
+#include <utility>
+
+namespace lemonstair::node {
+
+EndpointListClient::EndpointListClient(tunnel::TunnelRegistry& registry, std::function<bool()> owns_node)
+    : registry_(registry),
+      owns_node_(std::move(owns_node)),
+      watch_(registry.loop, registry.pool, registry.config.discovery, *this, registry.log,
+             registry.resource_counters),
+      random_(registry.config.terms.seed) {}
+
+void EndpointListClient::open_if_notified() {
+    if (!registry_.config.terms.must_poll) open();
+}
+
+void EndpointListClient::open_if_owner() {
+    if (owns_node_()) open();
+}
+
+bool EndpointListClient::follow_config() {
+    const bool moved = watch_.move_to(registry_.config.discovery);
+    // Another service counts revisions by itself.
+    if (moved) registry_.endpoints.forget_revision();
+    return moved;
+}
+
+// Until the new watch brings a list the last one stands.
+void EndpointListClient::reopen() {
+    if (watch_.is_open()) return;
+    backoff_.answered();
+    notify_balancer(EndpointListKind::moved);
+    open_if_notified();
+}
+
+void EndpointListClient::notify_balancer(EndpointListKind kind) {
+    Balancer& balancer = registry_.balancer_now();
+    balancer.begin_endpoint_list(kind);
+    balancer.end_endpoint_list();
+}
+
+bool EndpointListClient::list_heard(const json::Value& list) {
+    const bool taken = registry_.endpoints.take(list, registry_.balancer_now(), false, registry_.loop.now());
+    if (taken) backoff_.answered();
+    return taken;
+}
+
+void EndpointListClient::nothing_new() {
+    notify_balancer(EndpointListKind::changes);
+    backoff_.answered();
+}
+
+// Where discovery must be polled the balancer asks for the next call; else the watch is opened again after a
+// pause with jitter, so that not all nodes call discovery at once when it is back.
+void EndpointListClient::watch_lost() {
+    notify_balancer(EndpointListKind::failed);
+    if (registry_.config.terms.must_poll) return;
+    const double drawn = static_cast<double>(random_() - std::minstd_rand::min());
+    const double chance = drawn / static_cast<double>(std::minstd_rand::max());
+    registry_.loop.schedule(registry_.loop.now() + backoff_.failed(chance), *this, 0);
+}
+
+}  // namespace lemonstair::node
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -27,15 +27,15 @@
     return *level;
 }
 
-// Guards against a start that ends since the file could not be read in just that moment.
-lemonstair::config::NodeConfig read_patiently(lemonstair::config::ConfigSource& source) {
-    constexpr int most_tries = 20;
-    constexpr auto between_tries = std::chrono::milliseconds(100);
-    for (int tries = 1; tries < most_tries; ++tries) {
+// The file may be replaced in just this moment: a start must not end because of that.
+lemonstair::config::NodeConfig read_with_retry(lemonstair::config::ConfigSource& source) {
+    constexpr int max_attempts = 20;
+    constexpr auto retry_interval = std::chrono::milliseconds(100);
+    for (int attempt = 1; attempt < max_attempts; ++attempt) {
         try {
             return source.read();
         } catch (const lemonstair::config::Unreadable&) {
-            std::this_thread::sleep_for(between_tries);
+            std::this_thread::sleep_for(retry_interval);
         }
     }
     return source.read();
@@ -56,8 +56,8 @@
                                                 {.admin_addr = std::getenv("NODE_ADMIN_ADDR"),
                                                  .inherited_fd = std::getenv("NODE_INHERITED_FD"),
                                                  .tmpdir = std::getenv("TMPDIR")});
-        auto launch = read_patiently(source);
-        lemonstair::node::Node node(kernel, std::move(launch), source.known(), log,
+        auto config = read_with_retry(source);
+        lemonstair::node::Node node(kernel, std::move(config), source.known(), log,
                                     [&] { return source.read(); });
         node.run();
         return 0;
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,87 +1,72 @@
-// The node: its parts, and its phases from start to exit.
+// The node: owns its parts, wires them together, and takes them through its phases from start to exit.
 #pragma once
 
 #include <cstdint>
-#include <functional>
-#include <memory>
-#include <random>
 #include <string_view>
 
 #include "admin/admin_server.h"
-#include "backoff/backoff.h"
 #include "balance/balance.h"
 #include "config/node_config.h"
 #include "discovery/hosts.h"
-#include "discovery/watch.h"
 #include "health_check/health_checker.h"
 #include "hot_restart/session.h"
 #include "log/log.h"
 #include "metrics/resource_counters.h"
 #include "net/loop.h"
-#include "node/deferred_actions.h"
-#include "node/drain_schedule.h"
+#include "node/balancer_runner.h"
+#include "node/config_reloader.h"
+#include "node/drain_controller.h"
+#include "node/endpoint_list_client.h"
 #include "node/peer_link.h"
+#include "node/status_log.h"
 #include "tunnel/stages.h"
 
 namespace lemonstair::node {
 
-class Node final : discovery::WatchListener,
-                   health_check::Listener,
-                   admin::AdminHandler,
-                   hot_restart::Delegate,
-                   net::EventHandler {
+// drained: operators sent the clients away, and the node serves again when they say so.
+enum class Phase : std::uint8_t { starting, serving, drained, shutting_down, stopped };
+
+// For operators and log lines.
+std::string_view name_of(Phase phase);
+
+class Node final : health_check::Listener, admin::AdminHandler, hot_restart::Delegate, net::EventHandler {
   public:
-    // Reads anew what the node is told; throws json::Malformed, which names the faulty key.
-    using Reread = std::function<config::NodeConfig()>;
-    // What makes the decisions; a tool may put another policy or a watched one in the module's place.
-    using Decider = std::function<std::unique_ptr<Balancer>(BalancerConfig, BalancerDelegate&, Ticks now)>;
-    Node(net::System& system, config::NodeConfig launch, const json::Value& known, log::Log& log,
-         Reread reread, Decider decider = Balancer::start);
-    // Until the node has left.
+    // `initial_endpoints`: the configuration's endpoint list, or no object. Throws json::Malformed, which
+    // names the faulty key, where an address cannot be listened at.
+    Node(net::System& system, config::NodeConfig config, const json::Value& initial_endpoints, log::Log& log,
+         ConfigReloader::Read read_config, BalancerRunner::Factory make_balancer = Balancer::start);
+    // Until the node has stopped.
     void run();
-    // One pass of the loop; false once the node has left.
+    // One pass of the loop; false once the node has stopped.
     bool turn();
 
-    // What it holds; nothing but timers that come again when it is empty.
+    // What the node holds now; an empty node holds nothing but its periodic timers.
     struct Holds {
         std::size_t tunnels, buffers, timers, callers, descriptors;
     };
-    const metrics::ResourceCounters& costs() const { return costs_; }
+    const metrics::ResourceCounters& costs() const { return counters_; }
     Holds holds() const {
-        return {stages_.registry.tunnel_count(), stages_.registry.pool.out(), loop_.timers(), desk_.callers(),
-                loop_.descriptors()};
+        return {stages_.registry.tunnel_count(), stages_.registry.pool.out(), loop_.timers(),
+                admin_server_.callers(), loop_.descriptors()};
     }
 
   private:
-    // Drained: operators sent its clients away, and it takes them again when they say so.
-    enum class Phase : std::uint8_t { starting, serving, drained, leaving, left };
-    void go(Phase to);
-    void think(std::string_view list);
-    void speak();
-    void open_peers();
-    void fall_silent();
-    void carry_out(const DeferredActions::Order& order);
-    void look_over();
-    void tell_costs();                      // what was added since the last line
-    void tell_list(EndpointListKind kind);  // without entries
-    void floor_empties();
-    void empty_out();
-    bool may_leave();
-    void move_all();
-    void renew();
-    void renew_later();
-    bool read_again(bool first_try);
-    void take_renewed(const std::string& kept);
-    void leave();
+    void open_listeners();
+    void transition_to(Phase to);
+    void shut_down();
+    void start_serving();
+    void stop_serving();
+    void open_peer_link();
+    // Whether this process is its node: one of two during a hot restart.
+    bool owns_node() const { return hot_restart::answers(hot_restart_.stand()); }
+    bool is_handed_over() const { return hot_restart::hands_over(hot_restart_.stand()); }
+    void carry_out(const DeferredActions::Action& action);
+    void check_health(std::uint32_t endpoint);
+    void on_config_reloaded(const std::string& unchanged_keys);
 
-    bool list_heard(const json::Value& list) override;
-    void nothing_new() override;
-    void still_current() override { hosts_.still_current(loop_.now()); }
-    void watch_lost() override;
-    void on_health_check(std::uint32_t ep, Outcome ending, Ticks took, const LoadReport& report) override;
-    bool ready() const override {
-        return phase_ == Phase::serving && hot_restart::answers(succession_.stand());
-    }
+    void on_health_check(std::uint32_t endpoint, Outcome outcome, Ticks took,
+                         const LoadReport& report) override;
+    bool ready() const override { return phase_ == Phase::serving && owns_node(); }
     std::string_view phase() const override;
     std::string figures() const override;
     bool drain() override;
@@ -93,43 +78,33 @@
     void other_clock_base(net::Ticks base) override { stages_.transfer.set_clock_shift(clock_base() - base); }
     bool next_tunnel(hot_restart::TransferredTunnel& into) override;
     void tunnel_gone(std::uint64_t number, bool taken) override;
-    bool take_tunnel(std::string_view bytes, net::Fd client, net::Fd host) override;
+    bool take_tunnel(std::string_view bytes, net::Fd client, net::Fd endpoint) override;
     bool has_tunnels() const override { return stages_.registry.tunnel_count() > 0; }
     std::size_t held() const override { return loop_.in_use() + tunnel::DescriptorBudget::outside_loop; }
-    std::size_t granted() const override { return launch_.sockets; }
+    std::size_t granted() const override { return config_.sockets; }
     void held_elsewhere(std::size_t descriptors) override {
         stages_.registry.descriptors.set_sibling_held(descriptors);
     }
     void on_ready(std::uint64_t token, short events) override;
     void on_timer(std::uint64_t token) override;
 
-    // What a new process needs to begin, and what either may take between two words about what it holds.
-    // Guards against both together holding more than is granted.
-    static constexpr std::size_t for_a_new_one = 16, for_the_other = 8;
-    config::NodeConfig launch_;
-    json::Value known_;
+    config::NodeConfig config_;
     log::Log& log_;
-    Reread reread_;
     net::EventLoop loop_;
-    metrics::ResourceCounters costs_, costs_told_;
-    discovery::EndpointDirectory hosts_;
+    metrics::ResourceCounters counters_;
+    discovery::EndpointDirectory endpoints_;
     tunnel::TunnelStages stages_;
     PeerLink peers_;
-    DeferredActions orders_;
-    discovery::Watch watch_;
-    health_check::HealthChecker prober_;
-    admin::AdminServer desk_;
-    hot_restart::Session succession_;
-    Decider decider_;
-    std::unique_ptr<Balancer> balancer_;
-    std::minstd_rand rng_;
+    BalancerRunner balancer_;
+    EndpointListClient endpoint_list_;
+    health_check::HealthChecker health_checker_;
+    StatusLog status_log_;
+    admin::AdminServer admin_server_;
+    hot_restart::Session hot_restart_;
+    DrainController drain_;
+    ConfigReloader config_reloader_;
     net::Socket signals_;
     Phase phase_ = Phase::starting;
-    DrainSchedule departure_ = DrainSchedule::on_drain();
-    Ticks emptying_since_ = 0, empty_at_ = 0;  // drained or leaving; when it is looked after next
-    backoff::Backoff backoff_;                 // of the watch, where it comes back by itself
-    bool renew_at_begin_ = false;
-    Ticks renew_at_ = 0, renew_until_ = 0;  // the next try of a new configuration, and the last
 };
 
 }  // namespace lemonstair::node
--- a/src/node/peer_link.cpp
+++ b/src/node/peer_link.cpp
@@ -10,47 +10,49 @@
 
 namespace {
 
-constexpr std::size_t longest = 256;
-constexpr int reads_a_pass = 64;
+constexpr std::size_t max_datagram_bytes = 256;
+constexpr int max_reads_per_pass = 64;
 
 }  // namespace
 
-PeerLink::PeerLink(net::EventLoop& loop, const config::NodeConfig& launch, metrics::ResourceCounters& costs,
-                   Heard heard)
-    : loop_(loop), launch_(launch), costs_(costs), heard_(std::move(heard)) {}
+PeerLink::PeerLink(net::EventLoop& loop, const config::NodeConfig& config,
+                   metrics::ResourceCounters& counters, OnDatagram on_datagram)
+    : loop_(loop), config_(config), counters_(counters), on_datagram_(std::move(on_datagram)) {}
 
 void PeerLink::open() {
-    if (launch_.terms.limits.gossip_enabled && launch_.peer_listen)
-        socket_ = net::Socket(loop_, loop_.system().bind_datagrams(*launch_.peer_listen), POLLIN, *this, 0);
+    if (config_.terms.limits.gossip_enabled && config_.peer_listen)
+        socket_ = net::Socket(loop_, loop_.system().bind_datagrams(*config_.peer_listen), POLLIN, *this, 0);
 }
 
-// One that cannot go now is lost: the module counts on no datagram.
-void PeerLink::send(const net::Address& to, std::span<const std::uint8_t> bytes, std::size_t hearers) {
-    if (!socket_.open() || bytes.size() > longest) return;
-    costs_.told(bytes, hearers);
-    static_cast<void>(loop_.system().send_to(socket_.fd(), to, bytes));
+// A datagram that cannot be sent now is lost: the balancer relies on none.
+void PeerLink::send(const net::Address& address, std::span<const std::uint8_t> bytes, std::size_t receivers) {
+    if (!socket_.open() || bytes.size() > max_datagram_bytes) return;
+    counters_.told(bytes, receivers);
+    static_cast<void>(loop_.system().send_to(socket_.fd(), address, bytes));
 }
 
-void PeerLink::tell(std::uint32_t node, std::span<const std::uint8_t> bytes) {
-    if (node < launch_.peers.size() && node != launch_.terms.own_node) send(launch_.peers[node], bytes, 1);
+void PeerLink::send_to(std::uint32_t node, std::span<const std::uint8_t> bytes) {
+    if (node < config_.peers.size() && node != config_.terms.own_node) send(config_.peers[node], bytes, 1);
 }
 
-void PeerLink::tell_all(std::span<const std::uint8_t> bytes) {
-    if (launch_.peers_all) return send(*launch_.peers_all, bytes, launch_.peers.size() - 1);
-    for (std::uint32_t n = 0; n < launch_.peers.size(); ++n) tell(n, bytes);
+void PeerLink::broadcast(std::span<const std::uint8_t> bytes) {
+    if (config_.peers_all) return send(*config_.peers_all, bytes, config_.peers.size() - 1);
+    for (std::uint32_t node = 0; node < config_.peers.size(); ++node) send_to(node, bytes);
 }
 
 void PeerLink::on_ready(std::uint64_t, short) {
-    std::array<std::uint8_t, longest + 1> bytes{};
-    for (int i = 0; i < reads_a_pass; ++i) {
-        net::Address from;
-        const auto n = loop_.system().receive(socket_.fd(), from, bytes);
-        if (n < 0) return;
-        if (static_cast<std::size_t>(n) > longest) continue;
-        // Only the listed addresses are peers: what comes from others is nobody's word.
-        for (std::uint32_t node = 0; node < launch_.peers.size(); ++node)
-            if (node != launch_.terms.own_node && launch_.peers[node] == from)
-                heard_(node, {bytes.data(), static_cast<std::size_t>(n)});
+    // One byte more than allowed, to tell a datagram that is too long.
+    std::array<std::uint8_t, max_datagram_bytes + 1> bytes{};
+    for (int i = 0; i < max_reads_per_pass; ++i) {
+        net::Address sender;
+        const auto received = loop_.system().receive(socket_.fd(), sender, bytes);
+        if (received < 0) return;
+        const auto size = static_cast<std::size_t>(received);
+        if (size > max_datagram_bytes) continue;
+        // Only the configured addresses are peers: what others send is ignored.
+        for (std::uint32_t node = 0; node < config_.peers.size(); ++node)
+            if (node != config_.terms.own_node && config_.peers[node] == sender)
+                on_datagram_(node, {bytes.data(), size});
     }
 }
 
--- a/src/tunnel/request_line.cpp
+++ b/src/tunnel/request_line.cpp
@@ -88,7 +88,8 @@
     Parameters parameters{traffic_classes, parsed};
     if (!parameters.read_list(line) || !parameters.has_traffic_class || parameters.wait_ms < 0)
         return std::nullopt;
-    parsed.request.deadline = now + static_cast<Ticks>(std::floor(parameters.wait_ms * 10));
+    parsed.request.deadline =
+        now + static_cast<Ticks>(std::floor(parameters.wait_ms * static_cast<double>(ticks_per_ms)));
     return parsed;
 }
 
