--- a/src/hot_restart/packet_channel.cpp
+++ b/src/hot_restart/packet_channel.cpp
@@ -11,84 +11,84 @@
 
 namespace {
 
-constexpr std::uint64_t listener_token = ~std::uint64_t{0};
-constexpr int reads_a_pass = 32;
-constexpr net::Ticks rest_for = 200;
+constexpr std::uint64_t accept_token = ~std::uint64_t{0};
+constexpr int reads_per_pass = 32;
+constexpr net::Ticks accept_pause = 200;  // tenths of a ms
 
 }  // namespace
 
-bool PacketChannel::call() {
-    net::Fd fd = loop_.system().connect_local(name_);
+bool PacketChannel::connect() {
+    net::Fd fd = loop_.system().connect_local(path_);
     if (!fd.open()) return false;
-    socket_ = net::Socket(loop_, std::move(fd), POLLIN, *this, ++lines_, net::EventPriority::first);
+    socket_ = net::Socket(loop_, std::move(fd), POLLIN, *this, ++connections_, net::EventPriority::first);
     return true;
 }
 
 bool PacketChannel::listen() {
-    net::Fd fd = loop_.system().listen_local(name_);
+    net::Fd fd = loop_.system().listen_local(path_);
     if (fd.open())
-        listener_ =
-            net::Socket(loop_, std::move(fd), POLLIN, *this, listener_token, net::EventPriority::first);
-    return listens();
+        accept_socket_ =
+            net::Socket(loop_, std::move(fd), POLLIN, *this, accept_token, net::EventPriority::first);
+    return is_listening();
 }
 
-void PacketChannel::hang_up() {
+void PacketChannel::disconnect() {
     socket_.close();
-    waiting_.clear();
+    queue_.clear();
 }
 
 void PacketChannel::send(std::string packet, std::vector<int> descriptors) {
-    if (!stands()) return;
-    waiting_.push_back({std::move(packet), std::move(descriptors)});
+    if (!is_connected()) return;
+    queue_.push_back({std::move(packet), std::move(descriptors)});
     write();
 }
 
 void PacketChannel::on_ready(std::uint64_t token, short events) {
-    if (token == listener_token) return answer_call();
-    if (!stands()) return;
+    if (token == accept_token) return accept();
+    if (!is_connected()) return;
     if ((events & POLLOUT) != 0) write();
     if ((events & (POLLIN | POLLHUP | POLLERR)) != 0) read();
 }
 
-void PacketChannel::answer_call() {
-    net::Fd fd = loop_.system().accept_local(listener_.fd());
+void PacketChannel::accept() {
+    net::Fd fd = loop_.system().accept_local(accept_socket_.fd());
     if (!fd.open()) {
         if (!net::is_resource_exhausted(errno)) return;
-        // Guards against spinning on a call for which there is no descriptor.
-        listener_.set_events(0);
-        return loop_.schedule(loop_.now() + rest_for, *this, 0);
+        // The connection stays pending: polling it without a free descriptor would spin.
+        accept_socket_.set_events(0);
+        return loop_.schedule(loop_.now() + accept_pause, *this, 0);
     }
-    if (!hearer_.takes_call()) {
-        loop_.system().send_packet(fd.get(), refusal_, {});
+    if (!listener_.accepts_connection()) {
+        loop_.system().send_packet(fd.get(), rejection_, {});
         return;
     }
-    socket_ = net::Socket(loop_, std::move(fd), POLLIN, *this, ++lines_, net::EventPriority::first);
+    socket_ = net::Socket(loop_, std::move(fd), POLLIN, *this, ++connections_, net::EventPriority::first);
 }
 
-// A break is heard when the line is read: who sends is in the middle of something.
+// A failure is reported by the next read: the caller of send() may be in the middle of a state change.
 void PacketChannel::write() {
-    while (!waiting_.empty()) {
+    while (!queue_.empty()) {
         const auto sent =
-            loop_.system().send_packet(socket_.fd(), waiting_.front().bytes, waiting_.front().descriptors);
-        if (sent.error != 0) waiting_.clear();
+            loop_.system().send_packet(socket_.fd(), queue_.front().bytes, queue_.front().descriptors);
+        if (sent.error != 0) queue_.clear();
         if (sent.bytes == 0) break;
-        waiting_.pop_front();
+        queue_.pop_front();
     }
-    socket_.set_events(static_cast<short>(POLLIN | (waiting_.empty() ? 0 : POLLOUT)));
+    socket_.set_events(static_cast<short>(POLLIN | (queue_.empty() ? 0 : POLLOUT)));
 }
 
 void PacketChannel::read() {
-    room_.resize(longest_packet);
-    const std::uint64_t line = lines_;
-    for (int i = 0; i < reads_a_pass && stands() && line == lines_; ++i) {
+    read_buffer_.resize(max_packet_bytes);
+    const std::uint64_t connection = connections_;
+    for (int i = 0; i < reads_per_pass && is_connected() && connection == connections_; ++i) {
         std::vector<net::Fd> descriptors;
-        const auto got = loop_.system().receive_packet(socket_.fd(), room_, descriptors);
-        if (got.ended || got.error != 0) {
-            hang_up();
-            return hearer_.broken();
+        const auto received = loop_.system().receive_packet(socket_.fd(), read_buffer_, descriptors);
+        if (received.ended || received.error != 0) {
+            disconnect();
+            return listener_.on_disconnect();
         }
-        if (got.bytes == 0) return;
-        hearer_.heard({room_.data(), got.bytes}, descriptors);
+        if (received.bytes == 0) return;
+        listener_.on_packet({read_buffer_.data(), received.bytes}, descriptors);
     }
 }
 
--- a/src/hot_restart/packet_channel.h
+++ b/src/hot_restart/packet_channel.h
@@ -1,5 +1,5 @@
-// The line between the old process and the new one: packets with descriptors, in order, none lost while both
-// live. It says nothing by itself.
+// The connection between the old and the new process of a node: packets with descriptors over a local socket,
+// in order, none lost while both processes live. It interprets no packet.
 #pragma once
 
 #include <deque>
@@ -13,48 +13,54 @@
 
 class PacketChannel final : public net::EventHandler {
   public:
-    class Hearer {
+    class Listener {
       public:
-        Hearer() = default;
-        Hearer(const Hearer&) = delete;
-        Hearer& operator=(const Hearer&) = delete;
-        virtual ~Hearer() = default;
-        virtual void heard(std::string_view packet, std::vector<net::Fd>& descriptors) = 0;
-        virtual void broken() = 0;
-        // Another process calls; whether the line is to be its.
-        virtual bool takes_call() = 0;
+        Listener() = default;
+        Listener(const Listener&) = delete;
+        Listener& operator=(const Listener&) = delete;
+        virtual ~Listener() = default;
+        // The listener may move descriptors out; those left are closed.
+        virtual void on_packet(std::string_view packet, std::vector<net::Fd>& descriptors) = 0;
+        // The peer closed the connection or it failed; not called for an own disconnect().
+        virtual void on_disconnect() = 0;
+        // Another process connects: whether its connection becomes the channel's. If not, it gets the
+        // rejection packet.
+        virtual bool accepts_connection() = 0;
     };
-    PacketChannel(net::EventLoop& loop, Hearer& hearer, std::string name, std::string refusal)
-        : loop_(loop), hearer_(hearer), name_(std::move(name)), refusal_(std::move(refusal)) {}
-    // Whether somebody listens there and the line stands.
-    bool call();
-    // Others may call from now on; false where the name cannot be had.
+    // `path` names the local socket; `rejection` is the encoded packet for connections not accepted.
+    PacketChannel(net::EventLoop& loop, Listener& listener, std::string path, std::string rejection)
+        : loop_(loop), listener_(listener), path_(std::move(path)), rejection_(std::move(rejection)) {}
+    // False where no process listens on the path.
+    bool connect();
+    // Accepts connections from now on; false where the path cannot be bound.
     bool listen();
-    void stop_listening() { listener_.close(); }
-    bool listens() const { return listener_.open(); }
-    bool stands() const { return socket_.open(); }
+    void stop_listening() { accept_socket_.close(); }
+    bool is_listening() const { return accept_socket_.open(); }
+    bool is_connected() const { return socket_.open(); }
+    // Queues the packet; dropped where there is no connection. The descriptors must stay open until it is
+    // written.
     void send(std::string packet, std::vector<int> descriptors = {});
-    void hang_up();
-    std::size_t waiting() const { return waiting_.size(); }
+    void disconnect();
+    std::size_t queued_packets() const { return queue_.size(); }
 
     void on_ready(std::uint64_t token, short events) override;
-    void on_timer(std::uint64_t) override { listener_.set_events(POLLIN); }
+    void on_timer(std::uint64_t) override { accept_socket_.set_events(POLLIN); }
 
   private:
-    struct Word {
+    struct QueuedPacket {
         std::string bytes;
         std::vector<int> descriptors;
     };
-    void answer_call();
+    void accept();
     void write();
     void read();
     net::EventLoop& loop_;
-    Hearer& hearer_;
-    std::string name_, refusal_;
-    net::Socket listener_, socket_;
-    std::deque<Word> waiting_;
-    std::vector<char> room_;
-    std::uint64_t lines_ = 0;  // that stood so far: the token of the one that does
+    Listener& listener_;
+    std::string path_, rejection_;
+    net::Socket accept_socket_, socket_;
+    std::deque<QueuedPacket> queue_;
+    std::vector<char> read_buffer_;
+    std::uint64_t connections_ = 0;  // opened so far; also the event token of the current one
 };
 
 }  // namespace lemonstair::hot_restart
--- a/src/hot_restart/packets.cpp
+++ b/src/hot_restart/packets.cpp
@@ -6,34 +6,35 @@
 
 namespace {
 
-constexpr std::string_view mark = "lmst";
+constexpr std::string_view magic = "lmst";
 
 }  // namespace
 
-std::string encode(const Packet& p) {
-    std::string out(mark);
-    serialization::Writer to(out);
-    to.value(version);
-    to.value(p.kind);
-    to.value(p.yes);
-    to.value(p.held);
-    to.value(p.number);
-    to.text(p.text);
-    return out;
+std::string encode(const Packet& packet) {
+    std::string bytes(magic);
+    serialization::Writer writer(bytes);
+    writer.value(protocol_version);
+    writer.value(packet.kind);
+    writer.value(packet.flag);
+    writer.value(packet.descriptors_held);
+    writer.value(packet.number);
+    writer.text(packet.payload);
+    return bytes;
 }
 
-Read decode(std::string_view bytes, Packet& into) {
-    if (bytes.size() > longest_packet || bytes.substr(0, mark.size()) != mark) return Read::torn;
-    serialization::Reader from(bytes.substr(mark.size()));
-    const auto theirs = from.next<std::uint8_t>();
-    if (from.good() && theirs != version) return Read::other_version;
-    from.value(into.kind);
-    from.value(into.yes);
-    from.value(into.held);
-    from.value(into.number);
-    into.text = from.text();
-    const bool known = into.kind >= Kind::greet && into.kind < Kind::kinds_end;
-    return from.good() && from.at_end() && known ? Read::good : Read::torn;
+DecodeResult decode(std::string_view bytes, Packet& packet) {
+    if (bytes.size() > max_packet_bytes || bytes.substr(0, magic.size()) != magic)
+        return DecodeResult::malformed;
+    serialization::Reader reader(bytes.substr(magic.size()));
+    const auto peer_version = reader.next<std::uint8_t>();
+    if (reader.good() && peer_version != protocol_version) return DecodeResult::version_mismatch;
+    reader.value(packet.kind);
+    reader.value(packet.flag);
+    reader.value(packet.descriptors_held);
+    reader.value(packet.number);
+    packet.payload = reader.text();
+    const bool known = packet.kind >= PacketKind::request_state && packet.kind < PacketKind::kinds_end;
+    return reader.good() && reader.at_end() && known ? DecodeResult::ok : DecodeResult::malformed;
 }
 
 }  // namespace lemonstair::hot_restart
--- a/src/hot_restart/packets.h
+++ b/src/hot_restart/packets.h
@@ -1,5 +1,5 @@
-// What the old process and the new one of a node say to each other: one packet, one word. The first bytes are
-// the same in every version, so that each can tell that the other is of another.
+// The hot restart protocol between the old and the new process of a node: one packet, one message. The first
+// bytes are the same in every version, so that each side can detect a peer of another version.
 #pragma once
 
 #include <cstddef>
@@ -9,35 +9,38 @@
 
 namespace lemonstair::hot_restart {
 
-constexpr std::uint8_t version = 1;
-constexpr std::size_t longest_packet = 32768, longest_part = 16384;
-// Of all parts of a state together: more is no state.
-constexpr std::size_t longest_state = 64U << 20;
-
-enum class Kind : std::uint8_t {
-    greet = 1,  // the new one: who it is (text: the node's name), what it holds
-    refuse,     // the old one: not now (yes: later perhaps), or the new one: I go on without you
-    list_part,  // the old one: its list of hosts (text); number: what its clock is ahead of the monotonic one
-    memory_part,  // and what its module remembers (text)
-    told,         // all of it was told; number: its bytes
-    ready,        // the new one answers for the node from now on
-    tunnel,       // the old one: an open tunnel (number, text), with the descriptors of client and host
-    has,          // the new one: it has the tunnel (yes), or cannot take it
-    holds,        // either: descriptors that it holds
+constexpr std::uint8_t protocol_version = 1;
+// Bytes of a whole packet, and of the part of the state that one packet carries.
+constexpr std::size_t max_packet_bytes = 32768, max_part_bytes = 16384;
+// Bytes of all parts of the state together; more is treated as a protocol violation.
+constexpr std::size_t max_state_bytes = 64U << 20;
+
+// The values travel.
+enum class PacketKind : std::uint8_t {
+    request_state = 1,  // new process: payload is the node's name
+    reject,  // old process: not now (flag: retry later); new process: continues without the old one
+    endpoint_list_part,   // old process: a part of the endpoint list; number: its clock base
+    balancer_state_part,  // old process: a part of the balancer's serialized state
+    state_complete,       // old process: number is the size of all parts together, in bytes
+    ready,                // new process: it is the node from now on
+    tunnel,               // old process: an open tunnel, with the descriptors of client and endpoint
+    tunnel_result,        // new process: whether it took the tunnel (flag)
+    descriptors_held,     // either: only reports `descriptors_held`
     kinds_end
 };
 
 struct Packet {
-    Kind kind = Kind::greet;
-    bool yes = false;
-    std::uint32_t held = 0;
-    std::uint64_t number = 0;
-    std::string_view text{};
+    PacketKind kind = PacketKind::request_state;
+    bool flag = false;                   // see PacketKind
+    std::uint32_t descriptors_held = 0;  // by the sender
+    std::uint64_t number = 0;            // a tunnel's id, a size or a clock base; see PacketKind
+    std::string_view payload{};          // after decode: into the decoded bytes
 };
 
 std::string encode(const Packet& packet);
 
-enum class Read : std::uint8_t { good, other_version, torn };
-Read decode(std::string_view bytes, Packet& into);
+enum class DecodeResult : std::uint8_t { ok, version_mismatch, malformed };
+// Fills `packet` completely only where the result is `ok`.
+DecodeResult decode(std::string_view bytes, Packet& packet);
 
 }  // namespace lemonstair::hot_restart
--- a/src/hot_restart/session.cpp
+++ b/src/hot_restart/session.cpp
@@ -9,248 +9,300 @@
 
 using net::Ticks;
 
-// The platform gives a new process six seconds. It asks an old one for two; one that has no time for it,
-// being taken over itself, is asked again until four have passed.
-constexpr Ticks longest_asking = 20000, longest_waiting = 40000, longest_offering = 50000;
-constexpr Ticks look_every = 2500, again_after = 2000;
-constexpr std::size_t most_out = 16, descriptors_a_tunnel = 2, descriptors_spared = 8;
-enum Timer : std::uint64_t { look_timer, again_timer };
+// Tenths of a ms. The platform gives a new process six seconds: one request may take two of them, and
+// requests that the old process rejects for now, being in a restart itself, are repeated until four have
+// passed.
+constexpr Ticks request_timeout = 20000, start_timeout = 40000, offer_timeout = 50000;
+constexpr Ticks progress_interval = 2500, retry_pause = 2000;
+constexpr std::size_t max_tunnels_in_transfer = 16, descriptors_per_tunnel = 2, spare_descriptors = 8;
+enum Timer : std::uint64_t { progress_timer, retry_timer };
 
 }  // namespace
 
-Session::Session(net::EventLoop& loop, Delegate& party, log::Log& log, std::string node, std::string nearby)
+Session::Session(net::EventLoop& loop, Delegate& delegate, log::Log& log, std::string node_name,
+                 std::string path)
     : loop_(loop),
-      party_(party),
+      delegate_(delegate),
       log_(log),
-      node_(std::move(node)),
-      on_(!nearby.empty()),
-      line_(loop, *this, std::move(nearby), encode({.kind = Kind::refuse, .yes = true})) {}
+      node_name_(std::move(node_name)),
+      enabled_(!path.empty()),
+      channel_(loop, *this, std::move(path), encode({.kind = PacketKind::reject, .flag = true})) {}
 
 void Session::start() {
-    started_ = since_ = loop_.now();
-    if (on_ && line_.call()) {
-        go(Event::found_other);
-        return ask();
+    started_at_ = role_since_ = loop_.now();
+    if (enabled_ && channel_.connect()) {
+        transition(Event::peer_found);
+        return request_state();
     }
-    if (on_ && !line_.listen())
-        log_.error() << "no new version can take over: its meeting place cannot be had";
-    party_.begin({}, {});
+    if (enabled_ && !channel_.listen())
+        log_.error() << "hot restart: the local socket cannot be bound, no new process can take over";
+    delegate_.begin({}, {});
 }
 
-void Session::ask() {
-    send({.kind = Kind::greet, .held = static_cast<std::uint32_t>(party_.held()), .text = node_});
-    // Asked late, it has no more than what is left of the whole wait.
-    watch_over(std::min(longest_asking, started_ + longest_waiting - loop_.now()));
+void Session::request_state() {
+    send({.kind = PacketKind::request_state,
+          .descriptors_held = static_cast<std::uint32_t>(delegate_.descriptors_held()),
+          .payload = node_name_});
+    // A repeated request has only what is left of the whole wait.
+    set_give_up_time(std::min(request_timeout, started_at_ + start_timeout - loop_.now()));
 }
 
-void Session::watch_over(Ticks longest) {
-    give_up_at_ = loop_.now() + longest;
-    if (!std::exchange(looking_, true)) loop_.schedule(loop_.now() + look_every, *this, look_timer);
+void Session::set_give_up_time(Ticks timeout) {
+    give_up_at_ = loop_.now() + timeout;
+    if (!std::exchange(progress_timer_set_, true))
+        loop_.schedule(loop_.now() + progress_interval, *this, progress_timer);
 }
 
-// One function for all changes; false where the event cannot come here.
-bool Session::go(Event event) {
-    const auto to = next(stand_, event);
+bool Session::transition(Event event) {
+    const auto to = next(role_, event);
     if (!to) return false;
-    if (*to == stand_) return true;
-    const Role from = std::exchange(stand_, *to);
-    log_.info() << "hand-over: " << name_of(from) << " -> " << name_of(*to) << " after "
-                << (loop_.now() - std::exchange(since_, loop_.now())) / 10 << " ms, tunnels gone " << went_
-                << ", come " << came_ << ", descriptors held here " << party_.held() << ", there "
-                << held_there_;
-    if (answers(*to) && !line_.listens()) line_.listen();
-    if (!answers(*to)) line_.stop_listening();
-    if (*to == Role::alone) {
-        party_.held_elsewhere(held_there_ = 0);
-        for (const auto number : std::exchange(out_, {})) party_.tunnel_gone(number, false);
+    if (*to == role_) return true;
+    const Role from = std::exchange(role_, *to);
+    log_.info() << "hot restart: " << name_of(from) << " -> " << name_of(*to) << " after "
+                << (loop_.now() - std::exchange(role_since_, loop_.now())) / 10 << " ms, tunnels sent "
+                << tunnels_sent_ << ", received " << tunnels_received_ << ", descriptors held "
+                << delegate_.descriptors_held() << ", by the other process " << peer_descriptors_;
+    if (is_active(*to) && !channel_.is_listening()) channel_.listen();
+    if (!is_active(*to)) channel_.stop_listening();
+    if (*to == Role::standalone) {
+        set_peer_descriptors(0);
+        for (const auto number : std::exchange(in_transfer_, {})) delegate_.on_transfer_result(number, false);
     }
-    // Who asked begins with what it has heard, before anything else is told of it.
-    if (from != Role::asking) party_.stand_changed(from, *to);
+    // A new process calls `begin` next, before its delegate may learn of anything else.
+    if (from != Role::requesting_state) delegate_.on_role_changed(from, *to);
     return true;
 }
 
-void Session::part(std::string_view why) {
-    if (stand_ == Role::alone && !line_.stands()) return;
-    log_.error() << "hand-over: the line to the other process is given up, " << why;
-    line_.hang_up();
-    if (stand_ == Role::asking) return begin_alone();
-    go(Event::parted);
+void Session::abandon(std::string_view reason) {
+    if (role_ == Role::standalone && !channel_.is_connected()) return;
+    log_.error() << "hot restart: connection to the other process abandoned, " << reason;
+    channel_.disconnect();
+    if (role_ == Role::requesting_state) return begin_without_state();
+    transition(Event::disconnected);
 }
 
-// The old process told nothing that could be used.
-void Session::begin_alone() {
-    go(Event::parted);
-    party_.begin({}, {});
+void Session::begin_without_state() {
+    transition(Event::disconnected);
+    delegate_.begin({}, {});
 }
 
-void Session::broken() {
-    if (stand_ == Role::taking && !party_.has_tunnels()) log_.info() << "hand-over: the old process is gone";
-    if (stand_ == Role::asking) return ask_later();
-    go(Event::parted);
+void Session::on_disconnect() {
+    if (role_ == Role::receiving && !delegate_.has_tunnels())
+        log_.info() << "hot restart: the old process has exited";
+    if (role_ == Role::requesting_state) return retry_later();
+    transition(Event::disconnected);
 }
 
-// An old process that has no time now, or whose refusal was lost with its line, may have some soon; one that
-// died is not found again.
-void Session::ask_later() {
-    line_.hang_up();
-    list_.clear();
-    memory_.clear();
-    if (loop_.now() - started_ < longest_waiting)
-        return loop_.schedule(loop_.now() + again_after, *this, again_timer);
-    begin_alone();
+// An old process that is busy now, or whose rejection was lost with the connection, may accept soon. One that
+// died is not found by the retry.
+void Session::retry_later() {
+    channel_.disconnect();
+    endpoint_list_.clear();
+    balancer_state_.clear();
+    if (loop_.now() - started_at_ < start_timeout)
+        return loop_.schedule(loop_.now() + retry_pause, *this, retry_timer);
+    begin_without_state();
 }
 
-// A third process, while a second takes the first one's place, has to wait.
-bool Session::takes_call() {
-    if (stand_ != Role::alone || line_.stands()) return false;
-    watch_over(longest_offering);
+// A third process has to wait while a second one takes over.
+bool Session::accepts_connection() {
+    if (role_ != Role::standalone || channel_.is_connected()) return false;
+    set_give_up_time(offer_timeout);
     return true;
 }
 
-void Session::heard(std::string_view bytes, std::vector<net::Fd>& descriptors) {
+void Session::on_packet(std::string_view bytes, std::vector<net::Fd>& descriptors) {
     Packet packet;
     switch (decode(bytes, packet)) {
-        case Read::good:
-            return take(packet, descriptors);
-        case Read::other_version:
-            if (stand_ == Role::alone) displaced_ = true;
-            send({.kind = Kind::refuse});
-            return part("it is of another version");
-        case Read::torn:
-            return part("it says what cannot be read");
+        case DecodeResult::ok:
+            if (!handle(packet, descriptors)) abandon("it sent a packet that is invalid in this role");
+            return;
+        case DecodeResult::version_mismatch:
+            if (role_ == Role::standalone) displaced_ = true;
+            send({.kind = PacketKind::reject});
+            return abandon("it has another protocol version");
+        case DecodeResult::malformed:
+            return abandon("it sent a malformed packet");
     }
 }
 
-void Session::take(const Packet& p, std::vector<net::Fd>& descriptors) {
-    const Role stand = stand_;
-    switch (p.kind) {
-        case Kind::greet:
-            if (stand != Role::alone) break;
-            if (p.text != node_) return part("it is another node");
-            go(Event::was_greeted);
-            party_.held_elsewhere(held_there_ = p.held);
-            return tell_state();
-        case Kind::refuse:
-            if (stand == Role::asking && p.yes) return ask_later();
-            if (stand == Role::offering) displaced_ = true;
-            return part("it refuses");
-        case Kind::list_part:
-        case Kind::memory_part: {
-            if (stand != Role::asking) break;
-            std::string& part_of = p.kind == Kind::list_part ? list_ : memory_;
-            if (list_.size() + memory_.size() + p.text.size() > longest_state) break;
-            part_of.append(p.text);
-            // Older versions tell none.
-            if (p.kind == Kind::list_part && p.number != 0)
-                party_.other_clock_base(static_cast<Ticks>(p.number));
-            return;
-        }
-        case Kind::told:
-            if (stand != Role::asking) break;
-            held_there_ = p.held;
-            return take_state(p.number);
-        case Kind::ready:
-            if (!go(Event::other_ready)) break;
-            return hand_over();
-        case Kind::tunnel: {
-            if (stand != Role::taking) break;
-            const bool whole = descriptors.size() == 2;
-            const bool taken =
-                whole && party_.take_tunnel(p.text, std::move(descriptors[0]), std::move(descriptors[1]));
-            came_ += taken ? 1 : 0;
-            return send({.kind = Kind::has,
-                         .yes = taken,
-                         .held = static_cast<std::uint32_t>(party_.held()),
-                         .number = p.number});
-        }
-        case Kind::has:
-            if (!hands_over(stand) || out_.erase(p.number) == 0) break;
-            went_ += p.yes ? 1 : 0;
-            party_.held_elsewhere(held_there_ = p.held);
-            party_.tunnel_gone(p.number, p.yes);
-            return hand_over();
-        case Kind::holds:
-            return party_.held_elsewhere(held_there_ = p.held);
-        case Kind::kinds_end:
+bool Session::handle(const Packet& packet, std::vector<net::Fd>& descriptors) {
+    switch (packet.kind) {
+        case PacketKind::request_state:
+            return handle_request(packet);
+        case PacketKind::reject:
+            handle_reject(packet);
+            return true;
+        case PacketKind::endpoint_list_part:
+        case PacketKind::balancer_state_part:
+            return handle_state_part(packet);
+        case PacketKind::state_complete:
+            return handle_state_complete(packet);
+        case PacketKind::ready:
+            if (!transition(Event::peer_ready)) return false;
+            transfer_tunnels();
+            return true;
+        case PacketKind::tunnel:
+            return handle_tunnel(packet, descriptors);
+        case PacketKind::tunnel_result:
+            return handle_tunnel_result(packet);
+        case PacketKind::descriptors_held:
+            set_peer_descriptors(packet.descriptors_held);
+            return true;
+        case PacketKind::kinds_end:
             break;
     }
-    part("it says what has no place here");
+    return false;
+}
+
+bool Session::handle_request(const Packet& packet) {
+    if (role_ != Role::standalone) return false;
+    if (packet.payload != node_name_) {
+        abandon("it belongs to another node");
+        return true;
+    }
+    transition(Event::request_received);
+    set_peer_descriptors(packet.descriptors_held);
+    send_state();
+    return true;
+}
+
+void Session::handle_reject(const Packet& packet) {
+    const bool retry_allowed = packet.flag;
+    if (role_ == Role::requesting_state && retry_allowed) return retry_later();
+    if (role_ == Role::offering_state) displaced_ = true;
+    abandon("it rejected the restart");
+}
+
+bool Session::handle_state_part(const Packet& packet) {
+    if (role_ != Role::requesting_state) return false;
+    const bool is_list = packet.kind == PacketKind::endpoint_list_part;
+    const std::size_t total = endpoint_list_.size() + balancer_state_.size() + packet.payload.size();
+    if (total > max_state_bytes) return false;
+    (is_list ? endpoint_list_ : balancer_state_).append(packet.payload);
+    // Older versions send no clock base.
+    if (is_list && packet.number != 0) delegate_.on_peer_clock_base(static_cast<Ticks>(packet.number));
+    return true;
+}
+
+// The old process stops accepting clients when it receives `ready`, and this one begins before it sends it:
+// at no moment are clients without a process that accepts them.
+bool Session::handle_state_complete(const Packet& packet) {
+    if (role_ != Role::requesting_state) return false;
+    peer_descriptors_ = packet.descriptors_held;
+    if (packet.number != endpoint_list_.size() + balancer_state_.size()) {
+        abandon("its state is incomplete");
+        return true;
+    }
+    delegate_.on_peer_descriptors(peer_descriptors_);
+    transition(Event::state_received);
+    delegate_.begin(std::exchange(endpoint_list_, {}), std::exchange(balancer_state_, {}));
+    send({.kind = PacketKind::ready});
+    send_descriptors_held();
+    return true;
 }
 
-void Session::tell_state() {
-    std::string list, memory;
-    party_.tell_state(list, memory);
-    tell_parts(Kind::list_part, list);
-    tell_parts(Kind::memory_part, memory);
-    send({.kind = Kind::told,
-          .held = static_cast<std::uint32_t>(party_.held()),
-          .number = list.size() + memory.size()});
+bool Session::handle_tunnel(const Packet& packet, std::vector<net::Fd>& descriptors) {
+    if (role_ != Role::receiving) return false;
+    const bool complete = descriptors.size() == descriptors_per_tunnel;
+    const bool accepted = complete && delegate_.receive_tunnel(packet.payload, std::move(descriptors[0]),
+                                                               std::move(descriptors[1]));
+    tunnels_received_ += accepted ? 1 : 0;
+    send({.kind = PacketKind::tunnel_result,
+          .flag = accepted,
+          .descriptors_held = static_cast<std::uint32_t>(delegate_.descriptors_held()),
+          .number = packet.number});
+    return true;
 }
 
-void Session::tell_parts(Kind kind, std::string_view bytes) {
-    for (; !bytes.empty(); bytes.remove_prefix(std::min(bytes.size(), longest_part)))
+bool Session::handle_tunnel_result(const Packet& packet) {
+    if (!is_replaced(role_) || in_transfer_.erase(packet.number) == 0) return false;
+    const bool accepted = packet.flag;
+    tunnels_sent_ += accepted ? 1 : 0;
+    set_peer_descriptors(packet.descriptors_held);
+    delegate_.on_transfer_result(packet.number, accepted);
+    transfer_tunnels();
+    return true;
+}
+
+void Session::set_peer_descriptors(std::size_t descriptors) {
+    peer_descriptors_ = descriptors;
+    delegate_.on_peer_descriptors(descriptors);
+}
+
+void Session::send_state() {
+    std::string endpoint_list, balancer_state;
+    delegate_.export_state(endpoint_list, balancer_state);
+    send_parts(PacketKind::endpoint_list_part, endpoint_list);
+    send_parts(PacketKind::balancer_state_part, balancer_state);
+    send({.kind = PacketKind::state_complete,
+          .descriptors_held = static_cast<std::uint32_t>(delegate_.descriptors_held()),
+          .number = endpoint_list.size() + balancer_state.size()});
+}
+
+void Session::send_parts(PacketKind kind, std::string_view bytes) {
+    const bool is_list = kind == PacketKind::endpoint_list_part;
+    for (; !bytes.empty(); bytes.remove_prefix(std::min(bytes.size(), max_part_bytes)))
         send({.kind = kind,
-              .number = kind == Kind::list_part ? static_cast<std::uint64_t>(party_.clock_base()) : 0,
-              .text = bytes.substr(0, longest_part)});
+              .number = is_list ? static_cast<std::uint64_t>(delegate_.clock_base()) : 0,
+              .payload = bytes.substr(0, max_part_bytes)});
 }
 
-// The old process ceases to take clients when it hears that this one is ready, and this one begins before it
-// says so: there is no moment without either.
-void Session::take_state(std::uint64_t size) {
-    if (size != list_.size() + memory_.size()) return part("what it told is not whole");
-    party_.held_elsewhere(held_there_);
-    go(Event::state_taken);
-    party_.begin(std::exchange(list_, {}), std::exchange(memory_, {}));
-    send({.kind = Kind::ready});
-    tell_held();
+// Both processes hold the descriptors of a tunnel in transfer, so each one needs twice as many. One is always
+// allowed: without progress no descriptor would ever be freed.
+std::size_t Session::max_in_transfer() const {
+    const std::size_t held = delegate_.descriptors_held() + peer_descriptors_ + spare_descriptors;
+    const std::size_t limit = delegate_.descriptor_limit();
+    const std::size_t left = limit > held ? limit - held : 0;
+    return std::clamp<std::size_t>(left / (2 * descriptors_per_tunnel), 1, max_tunnels_in_transfer);
 }
 
-// For a tunnel on its way both hold two descriptors: at most so many are as half of what is left to both
-// allows.
-void Session::hand_over() {
-    if (!hands_over(stand_) || std::exchange(handing_now_, true)) return;
-    const std::size_t held = party_.held() + held_there_ + descriptors_spared;
-    const std::size_t left = party_.granted() > held ? party_.granted() - held : 0;
-    const std::size_t most = std::clamp<std::size_t>(left / (2 * descriptors_a_tunnel), 1, most_out);
-    while (out_.size() < most && line_.stands() && line_.waiting() == 0) {
+void Session::transfer_tunnels() {
+    // The callbacks below may lead back here.
+    if (!is_replaced(role_) || std::exchange(transferring_now_, true)) return;
+    const std::size_t max_count = max_in_transfer();
+    while (in_transfer_.size() < max_count && channel_.is_connected() && channel_.queued_packets() == 0) {
         TransferredTunnel tunnel;
-        if (!party_.next_tunnel(tunnel)) break;
-        out_.insert(tunnel.number);
-        go(Event::tunnel_left);
-        send({.kind = Kind::tunnel, .number = tunnel.number, .text = tunnel.bytes},
-             {tunnel.client, tunnel.host});
+        if (!delegate_.next_tunnel(tunnel)) break;
+        in_transfer_.insert(tunnel.number);
+        transition(Event::tunnel_pending);
+        send({.kind = PacketKind::tunnel, .number = tunnel.number, .payload = tunnel.bytes},
+             {tunnel.client, tunnel.endpoint});
     }
-    handing_now_ = false;
-    if (stand_ == Role::handing && !party_.has_tunnels()) go(Event::nothing_left);
+    transferring_now_ = false;
+    if (role_ == Role::transferring && !delegate_.has_tunnels()) transition(Event::all_transferred);
 }
 
 void Session::send(const Packet& packet, std::vector<int> descriptors) {
-    line_.send(encode(packet), std::move(descriptors));
+    channel_.send(encode(packet), std::move(descriptors));
 }
 
-void Session::tell_held() {
-    const std::size_t held = party_.held();
-    if (held == std::exchange(held_told_, held)) return;
-    send({.kind = Kind::holds, .held = static_cast<std::uint32_t>(held)});
+void Session::send_descriptors_held() {
+    const std::size_t held = delegate_.descriptors_held();
+    if (held == std::exchange(reported_descriptors_, held)) return;
+    send({.kind = PacketKind::descriptors_held, .descriptors_held = static_cast<std::uint32_t>(held)});
 }
 
 void Session::on_timer(std::uint64_t token) {
-    if (token == again_timer) {
-        if (stand_ != Role::asking || line_.stands()) return;
-        if (line_.call()) return ask();
-        return begin_alone();
-    }
-    looking_ = stand_ != Role::alone || line_.stands();
-    if (!looking_) return;
-    loop_.schedule(loop_.now() + look_every, *this, look_timer);
-    // Guards against a process that is stuck, or greets and says no more.
-    const bool waits = stand_ == Role::asking || stand_ == Role::offering || stand_ == Role::alone;
-    if (waits && line_.stands() && loop_.now() >= give_up_at_) {
-        if (stand_ == Role::asking) send({.kind = Kind::refuse});
-        return part("it answers nothing");
+    if (token == progress_timer) return check_progress();
+    if (role_ != Role::requesting_state || channel_.is_connected()) return;
+    if (channel_.connect()) return request_state();
+    begin_without_state();
+}
+
+void Session::check_progress() {
+    progress_timer_set_ = role_ != Role::standalone || channel_.is_connected();
+    if (!progress_timer_set_) return;
+    loop_.schedule(loop_.now() + progress_interval, *this, progress_timer);
+    // A peer that is stuck, or connects and sends nothing more, must not block this process.
+    const bool waiting =
+        role_ == Role::requesting_state || role_ == Role::offering_state || role_ == Role::standalone;
+    if (waiting && channel_.is_connected() && loop_.now() >= give_up_at_) {
+        if (role_ == Role::requesting_state) send({.kind = PacketKind::reject});
+        return abandon("it does not answer");
     }
-    if (stand_ == Role::taking || hands_over(stand_)) tell_held();
-    hand_over();
+    if (role_ == Role::receiving || is_replaced(role_)) send_descriptors_held();
+    transfer_tunnels();
 }
 
 }  // namespace lemonstair::hot_restart
--- a/src/hot_restart/session.h
+++ b/src/hot_restart/session.h
@@ -1,5 +1,6 @@
-// Succession: what the old process and the new one tell each other, in which order, and who gives up when.
-// The node is its Party; sockets are the Line's.
+// Hot restart: a new process of a node takes over from the old one without losing an open tunnel. The session
+// runs the protocol of packets.h in the order that state_machine.h allows and ends it where the peer stalls,
+// fails or breaks it. What the node itself does in each step is the Delegate's part.
 #pragma once
 
 #include <cstdint>
@@ -16,81 +17,102 @@
 
 namespace lemonstair::hot_restart {
 
+// An open tunnel on its way to the other process. The descriptors remain the sender's.
 struct TransferredTunnel {
-    std::uint64_t number = 0;
-    std::string bytes;
-    int client = -1, host = -1;
+    std::uint64_t number = 0;  // the tunnel's id in the sender
+    std::string bytes;         // its serialized state
+    int client = -1, endpoint = -1;
 };
 
-// The process itself.
+// The process that restarts or is replaced.
 class Delegate {
   public:
     Delegate() = default;
     Delegate(const Delegate&) = delete;
     Delegate& operator=(const Delegate&) = delete;
     virtual ~Delegate() = default;
-    virtual void tell_state(std::string& list, std::string& memory) = 0;
-    // What this process's clock is ahead of the monotonic one; and what the other one's is, before `begin`.
+    // Old process: writes the endpoint list and the balancer's state.
+    virtual void export_state(std::string& endpoint_list, std::string& balancer_state) = 0;
+    // How far this process's clock is ahead of the monotonic one.
     virtual net::Ticks clock_base() = 0;
-    virtual void other_clock_base(net::Ticks base) = 0;
-    // The node's place is this process's; with what the other one told, or without (both empty).
-    virtual void begin(std::string_view list, std::string_view memory) = 0;
-    // This process begins or ceases to be the node.
-    virtual void stand_changed(Role from, Role to) = 0;
-    // An open tunnel that can go over; it stays as it is until it has gone or comes back.
-    virtual bool next_tunnel(TransferredTunnel& into) = 0;
-    virtual void tunnel_gone(std::uint64_t number, bool taken) = 0;
-    // False where it cannot be taken; then the other process keeps it.
-    virtual bool take_tunnel(std::string_view bytes, net::Fd client, net::Fd host) = 0;
+    // The same of the old process; called before `begin`.
+    virtual void on_peer_clock_base(net::Ticks base) = 0;
+    // This process becomes the node, with the old one's state or without one (both empty).
+    virtual void begin(std::string_view endpoint_list, std::string_view balancer_state) = 0;
+    // Called after each change of role, except for those that `begin` follows.
+    virtual void on_role_changed(Role from, Role to) = 0;
+    // Old process: the next open tunnel that can be transferred; false where there is none. It is left as it
+    // is until its result is known.
+    virtual bool next_tunnel(TransferredTunnel& tunnel) = 0;
+    // Old process: the new one has the tunnel, or it remains here.
+    virtual void on_transfer_result(std::uint64_t number, bool accepted) = 0;
+    // New process: false where the tunnel cannot be taken; the old process then keeps it.
+    virtual bool receive_tunnel(std::string_view bytes, net::Fd client, net::Fd endpoint) = 0;
     virtual bool has_tunnels() const = 0;
-    virtual std::size_t held() const = 0;
-    virtual std::size_t granted() const = 0;  // descriptors, to both together
-    virtual void held_elsewhere(std::size_t descriptors) = 0;
+    // Descriptors that this process holds, and those that both processes may hold together.
+    virtual std::size_t descriptors_held() const = 0;
+    virtual std::size_t descriptor_limit() const = 0;
+    // The other process's count has changed; 0: there is none.
+    virtual void on_peer_descriptors(std::size_t descriptors) = 0;
 };
 
-class Session final : public net::EventHandler, PacketChannel::Hearer {
+class Session final : public net::EventHandler, PacketChannel::Listener {
   public:
-    // `nearby` empty: there is no place where another process could be found.
-    Session(net::EventLoop& loop, Delegate& party, log::Log& log, std::string node, std::string nearby);
-    // Looks for an old process, once, at the start.
+    // `path` is where processes of this node meet; empty: hot restart is off.
+    Session(net::EventLoop& loop, Delegate& delegate, log::Log& log, std::string node_name, std::string path);
+    // Connects to an old process if there is one; otherwise the node begins at once. To be called once.
     void start();
-    Role stand() const { return stand_; }
-    // A new process serves beside this one that could not take its place.
+    Role role() const { return role_; }
+    // Another process of this node serves beside this one, because it could not take over.
     bool displaced() const { return displaced_; }
-    // Tunnels that have opened since may go over.
-    void hand_over();
+    // Continues the transfer; called when more tunnels can be transferred.
+    void transfer_tunnels();
 
     void on_ready(std::uint64_t, short) override {}
     void on_timer(std::uint64_t token) override;
 
   private:
-    bool go(Event event);
-    void ask();
-    void ask_later();
-    void begin_alone();
-    void part(std::string_view why);
-    void take(const Packet& packet, std::vector<net::Fd>& descriptors);
-    void tell_state();
-    void tell_parts(Kind kind, std::string_view bytes);
-    void take_state(std::uint64_t size);
+    // The only place where the role changes; false where the event is invalid in this role.
+    bool transition(Event event);
+    void request_state();
+    void retry_later();
+    void begin_without_state();
+    void abandon(std::string_view reason);
+    void set_give_up_time(net::Ticks timeout);
+    void check_progress();
+
+    // Each returns false where the packet is invalid in this role.
+    bool handle(const Packet& packet, std::vector<net::Fd>& descriptors);
+    bool handle_request(const Packet& packet);
+    void handle_reject(const Packet& packet);
+    bool handle_state_part(const Packet& packet);
+    bool handle_state_complete(const Packet& packet);
+    bool handle_tunnel(const Packet& packet, std::vector<net::Fd>& descriptors);
+    bool handle_tunnel_result(const Packet& packet);
+
+    void send_state();
+    void send_parts(PacketKind kind, std::string_view bytes);
+    void send_descriptors_held();
     void send(const Packet& packet, std::vector<int> descriptors = {});
-    void tell_held();
-    void watch_over(net::Ticks longest);
-    void heard(std::string_view packet, std::vector<net::Fd>& descriptors) override;
-    void broken() override;
-    bool takes_call() override;
+    void set_peer_descriptors(std::size_t descriptors);
+    std::size_t max_in_transfer() const;
+
+    void on_packet(std::string_view bytes, std::vector<net::Fd>& descriptors) override;
+    void on_disconnect() override;
+    bool accepts_connection() override;
 
     net::EventLoop& loop_;
-    Delegate& party_;
+    Delegate& delegate_;
     log::Log& log_;
-    std::string node_;
-    bool on_ = false, displaced_ = false, looking_ = false, handing_now_ = false;
-    PacketChannel line_;
-    Role stand_ = Role::alone;
-    net::Ticks give_up_at_ = 0, started_ = 0, since_ = 0;
-    std::string list_, memory_;
-    std::set<std::uint64_t> out_;  // tunnels sent that the other has not said to have
-    std::size_t went_ = 0, came_ = 0, held_there_ = 0, held_told_ = 0;
+    std::string node_name_;
+    bool enabled_ = false, displaced_ = false, progress_timer_set_ = false, transferring_now_ = false;
+    PacketChannel channel_;
+    Role role_ = Role::standalone;
+    net::Ticks give_up_at_ = 0, started_at_ = 0, role_since_ = 0;
+    std::string endpoint_list_, balancer_state_;  // received so far
+    std::set<std::uint64_t> in_transfer_;         // tunnels sent whose result is not known yet
+    std::size_t tunnels_sent_ = 0, tunnels_received_ = 0;
+    std::size_t peer_descriptors_ = 0, reported_descriptors_ = 0;
 };
 
 }  // namespace lemonstair::hot_restart
--- a/src/hot_restart/state_machine.cpp
+++ b/src/hot_restart/state_machine.cpp
@@ -6,35 +6,36 @@
 
 namespace {
 
-struct Row {
+struct Transition {
     Role from;
     Event event;
     Role to;
 };
-constexpr std::array<Row, 12> rows{{{Role::alone, Event::found_other, Role::asking},
-                                    {Role::alone, Event::was_greeted, Role::offering},
-                                    {Role::asking, Event::state_taken, Role::taking},
-                                    {Role::asking, Event::parted, Role::alone},
-                                    {Role::offering, Event::other_ready, Role::handing},
-                                    {Role::offering, Event::parted, Role::alone},
-                                    {Role::handing, Event::nothing_left, Role::done},
-                                    {Role::handing, Event::parted, Role::alone},
-                                    {Role::done, Event::tunnel_left, Role::handing},
-                                    {Role::done, Event::parted, Role::alone},
-                                    {Role::taking, Event::parted, Role::alone},
-                                    {Role::alone, Event::parted, Role::alone}}};
+constexpr std::array<Transition, 12> transitions{
+    {{Role::standalone, Event::peer_found, Role::requesting_state},
+     {Role::standalone, Event::request_received, Role::offering_state},
+     {Role::requesting_state, Event::state_received, Role::receiving},
+     {Role::requesting_state, Event::disconnected, Role::standalone},
+     {Role::offering_state, Event::peer_ready, Role::transferring},
+     {Role::offering_state, Event::disconnected, Role::standalone},
+     {Role::transferring, Event::all_transferred, Role::transferred},
+     {Role::transferring, Event::disconnected, Role::standalone},
+     {Role::transferred, Event::tunnel_pending, Role::transferring},
+     {Role::transferred, Event::disconnected, Role::standalone},
+     {Role::receiving, Event::disconnected, Role::standalone},
+     {Role::standalone, Event::disconnected, Role::standalone}}};
 
 }  // namespace
 
-std::string_view name_of(Role stand) {
-    constexpr std::array<std::string_view, 6> names{"alone",   "asking", "offering",
-                                                    "handing", "done",   "taking"};
-    return names[static_cast<std::size_t>(stand)];
+std::string_view name_of(Role role) {
+    constexpr std::array<std::string_view, 6> names{"standalone",   "requesting_state", "offering_state",
+                                                    "transferring", "transferred",      "receiving"};
+    return names[static_cast<std::size_t>(role)];
 }
 
 std::optional<Role> next(Role from, Event event) {
-    for (const Row& row : rows)
-        if (row.from == from && row.event == event) return row.to;
+    for (const Transition& transition : transitions)
+        if (transition.from == from && transition.event == event) return transition.to;
     return std::nullopt;
 }
 
--- a/src/hot_restart/state_machine.h
+++ b/src/hot_restart/state_machine.h
@@ -1,5 +1,5 @@
-// Where a process stands while a new version takes a node over. A table without sockets; one function for all
-// changes.
+// The states of a hot restart: which role a process has while a new version takes over its node, and which
+// events change it. A pure transition table without sockets or timers; session.h drives it.
 #pragma once
 
 #include <cstdint>
@@ -8,31 +8,42 @@
 
 namespace lemonstair::hot_restart {
 
-// No other process is there; the new one, that asks for the state; the old one, that tells it; the old one,
-// whose place is taken, until its tunnels have gone over; the same with nothing left; the new one, that has
-// the place, while tunnels come.
-enum class Role : std::uint8_t { alone, asking, offering, handing, done, taking };
+// Sequence of the new process: standalone, requesting_state, receiving, standalone. Sequence of the old one:
+// standalone, offering_state, transferring, transferred, and its exit.
+enum class Role : std::uint8_t {
+    standalone,        // no other process takes part
+    requesting_state,  // new process: waits for the state of the old one
+    offering_state,    // old process: sends its state and is still the node
+    transferring,      // old process: replaced, still has tunnels to transfer
+    transferred,       // old process: replaced, no tunnels left
+    receiving          // new process: is the node, tunnels are still arriving
+};
 
 enum class Event : std::uint8_t {
-    found_other,   // an old process is there, and was greeted
-    was_greeted,   // by a new process
-    state_taken,   // and the other one was told that this one is ready
-    other_ready,   // the new process answers for the node
-    nothing_left,  // of tunnels
-    tunnel_left,   // one opened late
-    parted         // the line is gone, or one of the two gave up
+    peer_found,        // new process: an old process is connected, the request is about to be sent
+    request_received,  // old process: a new process asked for the state
+    state_received,    // new process: the state is complete
+    peer_ready,        // old process: the new one has become the node
+    all_transferred,   // old process: no tunnel is left
+    tunnel_pending,    // old process: a tunnel that opened late can be transferred
+    disconnected       // the connection is lost, or one side abandoned the restart
 };
 
-std::string_view name_of(Role stand);
+// The role's name in log lines.
+std::string_view name_of(Role role);
 
-// Nothing where an event cannot come in a stand: who sends it is not to be believed.
+// The role after `event`; nothing where the event is invalid in role `from`, so the peer is not to be
+// trusted.
 std::optional<Role> next(Role from, Event event);
 
-// Whether the process in this stand is the node: takes clients, answers PING, speaks to peers, discovery and
-// hosts' probes.
-constexpr bool answers(Role stand) {
-    return stand == Role::alone || stand == Role::offering || stand == Role::taking;
+// Whether the process in this role is the node: accepts clients, answers PING, and talks to peers, discovery
+// and health checks. During a restart exactly one of the two processes is, but for the overlap between the
+// new one's start and the old one's receipt of `ready`.
+constexpr bool is_active(Role role) {
+    return role == Role::standalone || role == Role::offering_state || role == Role::receiving;
 }
-constexpr bool hands_over(Role stand) { return stand == Role::handing || stand == Role::done; }
+
+// Whether the process has been replaced and hands its tunnels to its successor.
+constexpr bool is_replaced(Role role) { return role == Role::transferring || role == Role::transferred; }
 
 }  // namespace lemonstair::hot_restart
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -105,10 +105,11 @@
 void Node::begin(std::string_view list, std::string_view memory) {
     think(list);
     if (!memory.empty() && !stages_.floor.mind().restore_state(memory, stages_.carry.clock_shift())) {
-        log_.error() << "hand-over: what the old process remembers cannot be read, the node begins anew";
+        log_.error()
+            << "hot restart: the state of the old process cannot be read, the node begins without it";
         think(list);
     }
-    const bool alone = succession_.stand() == hot_restart::Role::alone;
+    const bool alone = succession_.role() == hot_restart::Role::standalone;
     if (!launch_.nearby.empty()) stages_.floor.for_other = alone ? for_a_new_one : for_the_other;
     speak();
     // What the old process was told last may be some time ago: the list is asked for at once.
@@ -144,18 +145,18 @@
     prober_.stop();
 }
 
-void Node::stand_changed(hot_restart::Role from, hot_restart::Role to) {
+void Node::on_role_changed(hot_restart::Role from, hot_restart::Role to) {
     stages_.floor.ready = ready();
-    stages_.floor.for_other = to == hot_restart::Role::alone ? for_a_new_one : for_the_other;
-    if (hot_restart::answers(from) == hot_restart::answers(to)) return;
-    if (!hot_restart::answers(to)) return fall_silent();
+    stages_.floor.for_other = to == hot_restart::Role::standalone ? for_a_new_one : for_the_other;
+    if (hot_restart::is_active(from) == hot_restart::is_active(to)) return;
+    if (!hot_restart::is_active(to)) return fall_silent();
     // Guards against a new version that dies just after its yes: this one is the node again.
     stages_.floor.mind().resume_ownership();
     speak();
     tell_list(EndpointListKind::moved);
 }
 
-void Node::tell_state(std::string& list, std::string& memory) {
+void Node::export_state(std::string& list, std::string& memory) {
     list = hosts_.list();
     stages_.floor.mind().serialize_state(memory);
 }
@@ -164,16 +165,16 @@
     if (!stages_.carry.next(into.number, into.bytes)) return false;
     const tunnel::Tunnel& t = *stages_.floor.find(into.number);
     into.client = t.client.fd();
-    into.host = t.host.fd();
+    into.endpoint = t.host.fd();
     return true;
 }
 
-void Node::tunnel_gone(std::uint64_t number, bool taken) {
+void Node::on_transfer_result(std::uint64_t number, bool taken) {
     if (taken) return stages_.carry.gone(number);
-    stages_.carry.comes_back(number, !hot_restart::hands_over(succession_.stand()));
+    stages_.carry.comes_back(number, !hot_restart::is_replaced(succession_.role()));
 }
 
-bool Node::take_tunnel(std::string_view bytes, net::Fd client, net::Fd host) {
+bool Node::receive_tunnel(std::string_view bytes, net::Fd client, net::Fd host) {
     return stages_.carry.take(bytes, std::move(client), std::move(host));
 }
 
@@ -181,7 +182,7 @@
     auto& floor = stages_.floor;
     const std::size_t owed = floor.admitted + floor.departing;
     if (to == Phase::left && phase_ != Phase::starting && owed > 0 &&
-        !hot_restart::hands_over(succession_.stand()))
+        !hot_restart::is_replaced(succession_.role()))
         floor.violated(metrics::Invariant::exited_with_debts, 0, std::to_string(owed) + " tunnels in hand");
     log_.info() << launch_.name << ": " << name_of(static_cast<int>(phase_)) << " -> "
                 << name_of(static_cast<int>(to)) << ", " << hosts_.size() << " hosts known, " << floor.in_hand
@@ -207,7 +208,7 @@
 }
 
 std::string_view Node::phase() const {
-    if (hot_restart::hands_over(succession_.stand())) return "handed over";
+    if (hot_restart::is_replaced(succession_.role())) return "handed over";
     return name_of(static_cast<int>(phase_));
 }
 
@@ -253,10 +254,10 @@
         case DeferredActions::Kind::move:
             return stages_.route.move(order.tun);
         case DeferredActions::Kind::probe:
-            if (hot_restart::answers(succession_.stand())) return prober_.probe(order.ep);
+            if (hot_restart::is_active(succession_.role())) return prober_.probe(order.ep);
             return stages_.floor.mind().on_health_check(order.ep, Outcome::not_sent, 0, {});
         case DeferredActions::Kind::watch:
-            if (hot_restart::answers(succession_.stand())) watch_.open(hosts_.revision());
+            if (hot_restart::is_active(succession_.role())) watch_.open(hosts_.revision());
             return;
     }
 }
@@ -360,7 +361,7 @@
     if (token == costs_timer) return tell_costs();
     if (token == empty_timer) return empty_out();
     if (token == peers_timer) {
-        if (!peers_.is_open() && hot_restart::answers(succession_.stand())) open_peers();
+        if (!peers_.is_open() && hot_restart::is_active(succession_.role())) open_peers();
         return;
     }
     if (token == renew_timer) {
@@ -370,7 +371,7 @@
         return;
     }
     if (token == list_timer) {
-        if (hot_restart::answers(succession_.stand())) watch_.open(hosts_.revision());
+        if (hot_restart::is_active(succession_.role())) watch_.open(hosts_.revision());
         return;
     }
     loop_.schedule(loop_.now() + tally_every, *this, tally_timer);
@@ -404,7 +405,7 @@
     if ((phase_ != Phase::drained && phase_ != Phase::leaving) || loop_.now() < empty_at_) return;
     empty_at_ = loop_.now() + DrainSchedule::look_every;
     loop_.schedule(empty_at_, *this, empty_timer);
-    const bool handed = hot_restart::hands_over(succession_.stand());
+    const bool handed = hot_restart::is_replaced(succession_.role());
     const auto& floor = stages_.floor;
     if (phase_ == Phase::leaving && (handed ? floor.in_hand : floor.admitted + floor.departing) == 0 &&
         may_leave())
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -80,24 +80,26 @@
     void watch_lost() override;
     void on_health_check(std::uint32_t ep, Outcome ending, Ticks took, const LoadReport& report) override;
     bool ready() const override {
-        return phase_ == Phase::serving && hot_restart::answers(succession_.stand());
+        return phase_ == Phase::serving && hot_restart::is_active(succession_.role());
     }
     std::string_view phase() const override;
     std::string figures() const override;
     bool drain() override;
     bool take_again() override;
-    void tell_state(std::string& list, std::string& memory) override;
+    void export_state(std::string& list, std::string& memory) override;
     void begin(std::string_view list, std::string_view memory) override;
-    void stand_changed(hot_restart::Role from, hot_restart::Role to) override;
+    void on_role_changed(hot_restart::Role from, hot_restart::Role to) override;
     net::Ticks clock_base() override { return loop_.system().clock_base(); }
-    void other_clock_base(net::Ticks base) override { stages_.carry.set_clock_shift(clock_base() - base); }
+    void on_peer_clock_base(net::Ticks base) override { stages_.carry.set_clock_shift(clock_base() - base); }
     bool next_tunnel(hot_restart::TransferredTunnel& into) override;
-    void tunnel_gone(std::uint64_t number, bool taken) override;
-    bool take_tunnel(std::string_view bytes, net::Fd client, net::Fd host) override;
+    void on_transfer_result(std::uint64_t number, bool taken) override;
+    bool receive_tunnel(std::string_view bytes, net::Fd client, net::Fd host) override;
     bool has_tunnels() const override { return stages_.floor.in_hand > 0; }
-    std::size_t held() const override { return loop_.in_use() + tunnel::TunnelRegistry::outside_loop; }
-    std::size_t granted() const override { return launch_.sockets; }
-    void held_elsewhere(std::size_t descriptors) override { stages_.floor.elsewhere = descriptors; }
+    std::size_t descriptors_held() const override {
+        return loop_.in_use() + tunnel::TunnelRegistry::outside_loop;
+    }
+    std::size_t descriptor_limit() const override { return launch_.sockets; }
+    void on_peer_descriptors(std::size_t descriptors) override { stages_.floor.elsewhere = descriptors; }
     void on_ready(std::uint64_t token, short events) override;
     void on_timer(std::uint64_t token) override;
 
--- a/tests/handover.cpp
+++ b/tests/handover.cpp
@@ -40,10 +40,10 @@
     void say(std::string_view bytes) { kernel.send_packet(fd.get(), bytes, {}); }
     void say(const hot_restart::Packet& packet) { say(hot_restart::encode(packet)); }
     // The kinds of all that came, and whether the line is over.
-    std::vector<hot_restart::Kind> heard;
+    std::vector<hot_restart::PacketKind> heard;
     bool over = false;
     bool hear(Town& town, const std::function<bool()>& enough, int ms = 3000) {
-        std::vector<char> room(hot_restart::longest_packet);
+        std::vector<char> room(hot_restart::max_packet_bytes);
         return town.until(
             [&] {
                 for (;;) {
@@ -52,14 +52,15 @@
                     over = over || got.ended || got.error != 0;
                     if (got.bytes == 0) break;
                     hot_restart::Packet packet;
-                    if (hot_restart::decode({room.data(), got.bytes}, packet) == hot_restart::Read::good)
+                    if (hot_restart::decode({room.data(), got.bytes}, packet) ==
+                        hot_restart::DecodeResult::ok)
                         heard.push_back(packet.kind);
                 }
                 return enough();
             },
             ms);
     }
-    bool has(hot_restart::Kind kind) const {
+    bool has(hot_restart::PacketKind kind) const {
         return std::find(heard.begin(), heard.end(), kind) != heard.end();
     }
 };
@@ -67,34 +68,40 @@
 }  // namespace
 
 TEST_CASE("one process is the node in every stand that two can be in together") {
-    const std::pair<Role, Role> together[] = {
-        {Role::offering, Role::asking}, {Role::handing, Role::taking}, {Role::done, Role::taking}};
-    for (const auto& [old, fresh] : together) CHECK(hot_restart::answers(old) != hot_restart::answers(fresh));
-    CHECK(next(Role::alone, Event::was_greeted) == Role::offering);
-    CHECK(next(Role::offering, Event::other_ready) == Role::handing);
-    CHECK(!next(Role::alone, Event::other_ready));
-    CHECK(!next(Role::taking, Event::other_ready));
-    for (const Role s : {Role::asking, Role::offering, Role::handing, Role::done, Role::taking})
-        CHECK(next(s, Event::parted) == Role::alone);
+    const std::pair<Role, Role> together[] = {{Role::offering_state, Role::requesting_state},
+                                              {Role::transferring, Role::receiving},
+                                              {Role::transferred, Role::receiving}};
+    for (const auto& [old, fresh] : together)
+        CHECK(hot_restart::is_active(old) != hot_restart::is_active(fresh));
+    CHECK(next(Role::standalone, Event::request_received) == Role::offering_state);
+    CHECK(next(Role::offering_state, Event::peer_ready) == Role::transferring);
+    CHECK(!next(Role::standalone, Event::peer_ready));
+    CHECK(!next(Role::receiving, Event::peer_ready));
+    for (const Role s : {Role::requesting_state, Role::offering_state, Role::transferring, Role::transferred,
+                         Role::receiving})
+        CHECK(next(s, Event::disconnected) == Role::standalone);
 }
 
 TEST_CASE("a packet cut at any byte, or with one more, is torn; one of another version is told from it") {
-    const hot_restart::Packet said{
-        .kind = hot_restart::Kind::tunnel, .yes = true, .held = 7, .number = 1ULL << 40, .text = "abc"};
+    const hot_restart::Packet said{.kind = hot_restart::PacketKind::tunnel,
+                                   .flag = true,
+                                   .descriptors_held = 7,
+                                   .number = 1ULL << 40,
+                                   .payload = "abc"};
     const std::string whole = hot_restart::encode(said);
     hot_restart::Packet read;
-    REQUIRE(hot_restart::decode(whole, read) == hot_restart::Read::good);
-    CHECK((read.kind == said.kind && read.yes && read.held == 7 && read.number == said.number &&
-           read.text == "abc"));
+    REQUIRE(hot_restart::decode(whole, read) == hot_restart::DecodeResult::ok);
+    CHECK((read.kind == said.kind && read.flag && read.descriptors_held == 7 && read.number == said.number &&
+           read.payload == "abc"));
     for (std::size_t n = 0; n < whole.size(); ++n)
-        CHECK(hot_restart::decode(whole.substr(0, n), read) == hot_restart::Read::torn);
-    CHECK(hot_restart::decode(whole + "x", read) == hot_restart::Read::torn);
+        CHECK(hot_restart::decode(whole.substr(0, n), read) == hot_restart::DecodeResult::malformed);
+    CHECK(hot_restart::decode(whole + "x", read) == hot_restart::DecodeResult::malformed);
     std::string other = whole;
     other[4] = 99;
-    CHECK(hot_restart::decode(other, read) == hot_restart::Read::other_version);
+    CHECK(hot_restart::decode(other, read) == hot_restart::DecodeResult::version_mismatch);
     other = whole;
     other[5] = 0;
-    CHECK(hot_restart::decode(other, read) == hot_restart::Read::torn);
+    CHECK(hot_restart::decode(other, read) == hot_restart::DecodeResult::malformed);
 }
 
 TEST_CASE("open tunnels go over with what is half read of them, and neither side notices") {
@@ -245,17 +252,17 @@
     Town town(upgraded());
     auto [c, h] = town.opened();
     Stranger stranger(town);
-    const std::string hello =
-        hot_restart::encode({.kind = hot_restart::Kind::greet, .held = 10, .text = "n0"});
+    const std::string hello = hot_restart::encode(
+        {.kind = hot_restart::PacketKind::request_state, .descriptors_held = 10, .payload = "n0"});
     std::vector<std::string> words{
         "",
         "GET / HTTP/1.1\r\n\r\n",
         std::string(40000, 'x'),
         hello.substr(0, 9),
-        hot_restart::encode({.kind = hot_restart::Kind::greet, .text = "another node"}),
-        hot_restart::encode({.kind = hot_restart::Kind::ready}),
-        hot_restart::encode({.kind = hot_restart::Kind::has, .number = 3}),
-        hot_restart::encode({.kind = hot_restart::Kind::tunnel, .text = "x"})};
+        hot_restart::encode({.kind = hot_restart::PacketKind::request_state, .payload = "another node"}),
+        hot_restart::encode({.kind = hot_restart::PacketKind::ready}),
+        hot_restart::encode({.kind = hot_restart::PacketKind::tunnel_result, .number = 3}),
+        hot_restart::encode({.kind = hot_restart::PacketKind::tunnel, .payload = "x"})};
     words[0] = hello;
     words[0][4] = 99;
     for (const std::string& word : words) {
@@ -277,20 +284,20 @@
     auto [c, h] = town.opened();
     Stranger stranger(town), third(town);
     REQUIRE(stranger.call());
-    stranger.say({.kind = hot_restart::Kind::greet, .held = 10, .text = "n0"});
-    CHECK(stranger.hear(town, [&] { return stranger.has(hot_restart::Kind::told); }));
-    CHECK(stranger.has(hot_restart::Kind::memory_part));
+    stranger.say({.kind = hot_restart::PacketKind::request_state, .descriptors_held = 10, .payload = "n0"});
+    CHECK(stranger.hear(town, [&] { return stranger.has(hot_restart::PacketKind::state_complete); }));
+    CHECK(stranger.has(hot_restart::PacketKind::balancer_state_part));
     CHECK(state_of(town) == "serving");
     // A third one meanwhile is told to wait.
     REQUIRE(third.call());
-    CHECK(third.hear(town, [&] { return third.has(hot_restart::Kind::refuse); }));
+    CHECK(third.hear(town, [&] { return third.has(hot_restart::PacketKind::reject); }));
     stranger.fd.close();
     town.pass(5);
     REQUIRE(third.call());
-    third.say({.kind = hot_restart::Kind::greet, .held = 10, .text = "n0"});
-    CHECK(third.hear(town, [&] { return third.has(hot_restart::Kind::told); }));
-    third.say({.kind = hot_restart::Kind::ready});
-    CHECK(third.hear(town, [&] { return third.has(hot_restart::Kind::tunnel); }));
+    third.say({.kind = hot_restart::PacketKind::request_state, .descriptors_held = 10, .payload = "n0"});
+    CHECK(third.hear(town, [&] { return third.has(hot_restart::PacketKind::state_complete); }));
+    third.say({.kind = hot_restart::PacketKind::ready});
+    CHECK(third.hear(town, [&] { return third.has(hot_restart::PacketKind::tunnel); }));
     third.fd.close();  // before it has said that it has the tunnel
     CHECK(town.until([&] { return state_of(town) == "serving"; }));
     h.say("on\r\n");
--- a/tests/spoilt.h
+++ b/tests/spoilt.h
@@ -129,7 +129,7 @@
     net::IoResult send_packet(int fd, std::string_view bytes, std::span<const int> descriptors) override {
         constexpr std::size_t kind_at = 5;  // behind the mark and the version
         const bool ready =
-            bytes.size() > kind_at && bytes[kind_at] == static_cast<char>(hot_restart::Kind::ready);
+            bytes.size() > kind_at && bytes[kind_at] == static_cast<char>(hot_restart::PacketKind::ready);
         const bool lost =
             (fault_ == Fault::handed_tunnel_lost && !descriptors.empty() && ++count_ % 3 == 0) ||
             (fault_ == Fault::readiness_unsaid && ready);
