--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -13,161 +13,174 @@
 
 using net::Ticks;
 
-// Who has not said its call, taken its answer or ended by then goes; looked after in such steps.
-constexpr Ticks longest_call = 20000, longest_answer = 20000, longest_leaving = 5000, look_every = 2500;
-constexpr Ticks moment_to_log = 100000, rest_for = 200, moment_to_speak = 200, moment_to_go_on = 50;
-// Of who came before there was a crowd: the network may be slow for it.
-constexpr Ticks moment_before_crowd = 600;
-enum Timer : std::uint64_t { look_timer, rest_timer };
-constexpr int accepts_a_pass = 64, reads_a_pass = 4;
+// Tenths of a ms. A connection that stays longer than this in a state is closed, give or take an interval.
+constexpr Ticks reading_timeout = 20000, writing_timeout = 20000, closing_timeout = 5000;
+constexpr Ticks expiry_interval = 2500;
+constexpr Ticks eviction_log_interval = 100000, accept_pause = 200;
+// How long a connection may not be evicted, since the rest of its request may be on its way: nothing of it
+// has come; a part has come; nothing has come on a connection from before the crowd, whose network may be
+// slow.
+constexpr Ticks grace_before_request = 200, grace_within_request = 50, grace_before_crowd = 600;
+enum Timer : std::uint64_t { expiry_timer, accept_timer };
+constexpr int accepts_per_pass = 64, reads_per_pass = 4;
 constexpr std::uint64_t listener_token = ~std::uint64_t{0};
 
 }  // namespace
 
-void AdminServer::open(const net::Address& at, std::size_t callers) {
-    callers_.resize(callers);
-    net::Fd listener = loop_.system().listen_on(at);
+void AdminServer::open(const net::Address& address, std::size_t max_connections) {
+    connections_.resize(max_connections);
+    net::Fd listener = loop_.system().listen_on(address);
     loop_.system().defer_accept(listener.get());
     listener_ =
         net::Socket(loop_, std::move(listener), POLLIN, *this, listener_token, net::EventPriority::first);
-    loop_.set_aside(callers);
+    loop_.set_aside(max_connections);
 }
 
 void AdminServer::on_ready(std::uint64_t token, short) {
     if (token == listener_token) return accept();
-    Connection& caller = callers_[static_cast<std::uint32_t>(token)];
-    switch (caller.state) {
-        case State::away:
+    Connection& connection = connections_[static_cast<std::uint32_t>(token)];
+    switch (connection.state) {
+        case State::unused:
             return;
-        case State::calling:
-            return hear(caller);
-        case State::told:
-            return write(caller);
-        case State::leaving:
-            return discard(caller);
+        case State::reading:
+            return read(connection);
+        case State::writing:
+            return write(connection);
+        case State::closing:
+            return discard(connection);
     }
 }
 
-// One function for all changes of a caller's state.
-void AdminServer::go(Connection& caller, State to) {
-    const bool was_here = caller.state != State::away, is_here = to != State::away;
-    if (is_here != was_here) {
-        here_ += is_here ? 1 : std::size_t{0} - 1;
-        // What a caller holds is no longer held back for it.
-        loop_.set_aside(callers_.size() - here_);
+// The only place where a connection's state changes.
+void AdminServer::transition_to(Connection& connection, State state) {
+    const bool was_open = connection.state != State::unused, is_open = state != State::unused;
+    if (is_open != was_open) {
+        open_connections_ += is_open ? 1 : std::size_t{0} - 1;
+        // The descriptor that an open connection holds needs no reservation.
+        loop_.set_aside(connections_.size() - open_connections_);
     }
-    caller.state = to;
-    caller.since = loop_.now();
-    if (is_here) return;
-    caller.socket.close();
-    caller.request = {};
-    caller.answer.clear();
+    connection.state = state;
+    connection.state_since = loop_.now();
+    if (is_open) return;
+    connection.socket.close();
+    connection.request = {};
+    connection.response.clear();
 }
 
 void AdminServer::accept() {
-    for (int i = 0; i < accepts_a_pass; ++i) {
-        if (here_ == callers_.size() && !make_room()) return;
+    for (int i = 0; i < accepts_per_pass; ++i) {
+        if (open_connections_ == connections_.size() && !evict_one()) return;
         net::Fd fd = listener_.accept();
-        if (!fd.open()) return net::is_resource_exhausted(errno) ? rest(rest_for) : void();
-        const auto place = std::find_if(callers_.begin(), callers_.end(),
-                                        [](const Connection& c) { return c.state == State::away; });
-        place->socket =
+        if (!fd.open()) return net::is_resource_exhausted(errno) ? pause_accepting(accept_pause) : void();
+        const auto slot = std::find_if(connections_.begin(), connections_.end(),
+                                       [](const Connection& c) { return c.state == State::unused; });
+        slot->socket =
             net::Socket(loop_, std::move(fd), POLLIN, *this,
-                        static_cast<std::uint64_t>(place - callers_.begin()), net::EventPriority::first);
-        place->before_crowd = 2 * here_ < callers_.size();
-        go(*place, State::calling);
-        if (!std::exchange(watched_, true)) loop_.schedule(loop_.now() + look_every, *this, look_timer);
-        hear(*place);  // mostly its call is here already
+                        static_cast<std::uint64_t>(slot - connections_.begin()), net::EventPriority::first);
+        slot->before_crowd = 2 * open_connections_ < connections_.size();
+        transition_to(*slot, State::reading);
+        if (!std::exchange(expiry_timer_set_, true))
+            loop_.schedule(loop_.now() + expiry_interval, *this, expiry_timer);
+        read(*slot);  // mostly the request is here already
     }
 }
 
-// Guards against spinning on a caller for whom the system has no descriptor.
-void AdminServer::rest(Ticks span) {
+// Polling a pending connection that cannot be accepted yet would spin.
+void AdminServer::pause_accepting(Ticks duration) {
     listener_.set_events(0);
-    loop_.schedule(loop_.now() + span, *this, rest_timer);
+    loop_.schedule(loop_.now() + duration, *this, accept_timer);
 }
 
-// Guards against callers that come by thousands and say nothing, or half a call: who has been here longest
-// goes; first who has had its answer, then who has said half a call, then who has said nothing, each after a
-// moment in which the rest may be on its way: until then the next ones wait. Who takes its answer goes last.
-bool AdminServer::make_room() {
+// Thousands of connections without a complete request must not lock operators out. When all slots are taken,
+// the longest open one is closed: first those whose response is written, then those with a part of a request,
+// then those without one, each after its grace period, and last those still receiving a response. False where
+// none can be closed yet; accepting then pauses until one can.
+bool AdminServer::evict_one() {
     const auto rank = [](const Connection& c) {
-        return c.state == State::leaving ? 0 : c.state == State::told ? 3 : c.request.untouched() ? 2 : 1;
+        if (c.state == State::closing) return 0;
+        if (c.state == State::writing) return 3;
+        return c.request.is_empty() ? 2 : 1;
     };
-    const auto moment_of = [&](const Connection& c) -> Ticks {
-        if (rank(c) >= 2) return c.before_crowd ? moment_before_crowd : moment_to_speak;
-        return rank(c) == 1 ? moment_to_go_on : 0;
+    const auto grace_period = [&](const Connection& c) -> Ticks {
+        if (rank(c) >= 2) return c.before_crowd ? grace_before_crowd : grace_before_request;
+        return rank(c) == 1 ? grace_within_request : 0;
     };
-    const auto gives_way = [&](const Connection& a, const Connection& b) {
-        return rank(a) != rank(b) ? rank(a) < rank(b) : a.since + moment_of(a) < b.since + moment_of(b);
+    const auto is_evicted_before = [&](const Connection& a, const Connection& b) {
+        if (rank(a) != rank(b)) return rank(a) < rank(b);
+        return a.state_since + grace_period(a) < b.state_since + grace_period(b);
     };
-    Connection& oldest = *std::min_element(callers_.begin(), callers_.end(), gives_way);
-    const Ticks age = loop_.now() - oldest.since;
-    const Ticks moment = moment_of(oldest);
-    if (age < moment) return rest(moment - age), false;
-    ++turned_away_;
-    if (loop_.now() - logged_at_ > moment_to_log) {
-        logged_at_ = loop_.now();
-        log_.info() << "operators' desk is full, " << here_ << " callers: the one here longest gives way, "
-                    << turned_away_ << " so far";
+    Connection& candidate = *std::min_element(connections_.begin(), connections_.end(), is_evicted_before);
+    const Ticks age = loop_.now() - candidate.state_since;
+    const Ticks grace = grace_period(candidate);
+    if (age < grace) {
+        pause_accepting(grace - age);
+        return false;
     }
-    go(oldest, State::away);
+    ++evicted_;
+    if (loop_.now() - eviction_logged_at_ > eviction_log_interval) {
+        eviction_logged_at_ = loop_.now();
+        log_.info() << "admin server: all " << open_connections_
+                    << " connections in use, oldest one evicted, " << evicted_ << " evicted so far";
+    }
+    transition_to(candidate, State::unused);
     return true;
 }
 
-void AdminServer::hear(Connection& caller) {
+void AdminServer::read(Connection& connection) {
     std::array<char, 4096> bytes;
-    for (int i = 0; i < reads_a_pass; ++i) {
-        const auto got = caller.socket.read(bytes);
-        if (got.error != 0) return go(caller, State::away);
-        caller.request.feed({bytes.data(), got.bytes});
-        if (caller.request.whole() || caller.request.fault() != http::Fault::none)
-            return tell(caller, answer(caller.request, node_));
-        if (got.ended) return go(caller, State::away);
-        if (got.bytes == 0) return;
+    for (int i = 0; i < reads_per_pass; ++i) {
+        const auto result = connection.socket.read(bytes);
+        if (result.error != 0) return transition_to(connection, State::unused);
+        connection.request.feed({bytes.data(), result.bytes});
+        if (connection.request.is_complete() || connection.request.error() != http::RequestError::none)
+            return send_response(connection, respond(connection.request, handler_));
+        if (result.ended) return transition_to(connection, State::unused);
+        if (result.bytes == 0) return;
     }
 }
 
-void AdminServer::tell(Connection& caller, std::string&& text) {
-    caller.answer = std::move(text);
-    go(caller, State::told);
-    write(caller);
+void AdminServer::send_response(Connection& connection, std::string&& response) {
+    connection.response = std::move(response);
+    transition_to(connection, State::writing);
+    write(connection);
 }
 
-void AdminServer::write(Connection& caller) {
-    const auto sent = caller.socket.write(caller.answer);
-    if (sent.error != 0) return go(caller, State::away);
-    caller.answer.erase(0, sent.bytes);
-    if (!caller.answer.empty()) return caller.socket.set_events(POLLOUT);
-    // Closing over unread input would make a reset, and that can overtake the answer.
-    caller.socket.shutdown_write();
-    caller.socket.set_events(POLLIN);
-    go(caller, State::leaving);
+void AdminServer::write(Connection& connection) {
+    const auto result = connection.socket.write(connection.response);
+    if (result.error != 0) return transition_to(connection, State::unused);
+    connection.response.erase(0, result.bytes);
+    if (!connection.response.empty()) return connection.socket.set_events(POLLOUT);
+    // Closing with unread input causes a reset, which can overtake the response.
+    connection.socket.shutdown_write();
+    connection.socket.set_events(POLLIN);
+    transition_to(connection, State::closing);
 }
 
-void AdminServer::discard(Connection& caller) {
-    const auto got = caller.socket.discard();
-    if (got.ended || got.error != 0) go(caller, State::away);
+void AdminServer::discard(Connection& connection) {
+    const auto result = connection.socket.discard();
+    if (result.ended || result.error != 0) transition_to(connection, State::unused);
 }
 
 void AdminServer::on_timer(std::uint64_t token) {
-    if (token == rest_timer) {
-        return listener_.set_events(POLLIN);
-    }
-    for (Connection& caller : callers_) {
-        const Ticks age = loop_.now() - caller.since;
-        if (caller.state == State::calling && age >= longest_call) {
-            if (caller.request.untouched())
-                go(caller, State::away);
+    if (token == accept_timer) return listener_.set_events(POLLIN);
+    close_expired();
+    expiry_timer_set_ = open_connections_ > 0;
+    if (expiry_timer_set_) loop_.schedule(loop_.now() + expiry_interval, *this, expiry_timer);
+}
+
+void AdminServer::close_expired() {
+    for (Connection& connection : connections_) {
+        const Ticks age = loop_.now() - connection.state_since;
+        if (connection.state == State::reading && age >= reading_timeout) {
+            if (connection.request.is_empty())
+                transition_to(connection, State::unused);
             else
-                tell(caller, answer_to_half());
-        } else if ((caller.state == State::told && age >= longest_answer) ||
-                   (caller.state == State::leaving && age >= longest_leaving)) {
-            go(caller, State::away);
+                send_response(connection, request_timeout_response());
+        } else if ((connection.state == State::writing && age >= writing_timeout) ||
+                   (connection.state == State::closing && age >= closing_timeout)) {
+            transition_to(connection, State::unused);
         }
     }
-    watched_ = here_ > 0;
-    if (watched_) loop_.schedule(loop_.now() + look_every, *this, look_timer);
 }
 
 }  // namespace lemonstair::admin
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -1,5 +1,6 @@
-// The desk: where operators call. Few callers at a time, on descriptors set aside for them, each heard and
-// answered before clients are in a pass of the loop.
+// The admin server: a small HTTP server for operators. Connections are few, use descriptors reserved for
+// them, and are served before clients in a pass of the event loop, so that a node full of clients still
+// answers.
 #pragma once
 
 #include <cstdint>
@@ -15,44 +16,46 @@
 
 class AdminServer final : public net::EventHandler {
   public:
-    AdminServer(net::EventLoop& loop, AdminHandler& node, log::Log& log)
-        : loop_(loop), node_(node), log_(log) {}
-    // At most so many callers at a time. Throws std::system_error where the address cannot be had.
-    void open(const net::Address& at, std::size_t callers);
-    std::size_t callers() const { return here_; }
+    AdminServer(net::EventLoop& loop, AdminHandler& handler, log::Log& log)
+        : loop_(loop), handler_(handler), log_(log) {}
+    // Throws std::system_error where the address cannot be bound.
+    void open(const net::Address& address, std::size_t max_connections);
+    std::size_t open_connections() const { return open_connections_; }
 
     void on_ready(std::uint64_t token, short events) override;
     void on_timer(std::uint64_t token) override;
 
   private:
-    // Away; its call is awaited; its answer goes out; what it still says is thrown away until it ends.
-    enum class State : std::uint8_t { away, calling, told, leaving };
+    // unused: a free slot. closing: the response is written, further input is discarded until the client
+    // closes.
+    enum class State : std::uint8_t { unused, reading, writing, closing };
     struct Connection {
         net::Socket socket;
         http::Request request;
-        std::string answer;
-        net::Ticks since = 0;
-        bool before_crowd = false;  // it came while most places were free
-        State state = State::away;
+        std::string response;
+        net::Ticks state_since = 0;
+        bool before_crowd = false;  // accepted while most slots were free
+        State state = State::unused;
     };
     void accept();
-    void rest(net::Ticks span);
-    bool make_room();
-    void go(Connection& caller, State to);
-    void hear(Connection& caller);
-    void tell(Connection& caller, std::string&& text);
-    void write(Connection& caller);
-    void discard(Connection& caller);
+    void pause_accepting(net::Ticks duration);
+    bool evict_one();
+    void transition_to(Connection& connection, State state);
+    void read(Connection& connection);
+    void send_response(Connection& connection, std::string&& response);
+    void write(Connection& connection);
+    void discard(Connection& connection);
+    void close_expired();
 
     net::EventLoop& loop_;
-    AdminHandler& node_;
+    AdminHandler& handler_;
     log::Log& log_;
     net::Socket listener_;
-    std::vector<Connection> callers_;  // places, as many as there may be
-    std::size_t here_ = 0;
-    bool watched_ = false;  // the timer that looks after slow callers runs
-    std::uint64_t turned_away_ = 0;
-    net::Ticks logged_at_ = 0;
+    std::vector<Connection> connections_;  // slots, as many as there may be connections
+    std::size_t open_connections_ = 0;
+    bool expiry_timer_set_ = false;
+    std::uint64_t evicted_ = 0;
+    net::Ticks eviction_logged_at_ = 0;
 };
 
 }  // namespace lemonstair::admin
--- a/src/admin/metrics_page.cpp
+++ b/src/admin/metrics_page.cpp
@@ -6,27 +6,28 @@
 
 namespace lemonstair::admin {
 
-std::string write_figures(const MetricsSnapshot& f) {
-    std::string out = R"({"operations":{)";
-    const auto figure = [&](std::string_view name, std::uint64_t n, std::string_view behind) {
-        out.append("\"").append(name).append("\":").append(std::to_string(n)).append(behind);
+std::string write_metrics_page(const MetricsSnapshot& snapshot) {
+    std::string page = R"({"operations":{)";
+    const auto write = [&](std::string_view name, std::uint64_t value, std::string_view separator) {
+        page.append("\"").append(name).append("\":").append(std::to_string(value)).append(separator);
     };
-    for (std::size_t i = 0; i < f.profiles.size(); ++i) {
-        const auto& row = f.outcomes.of[i];
-        out.append(i > 0 ? "," : "").append(json::quoted(f.profiles[i])).append(":{");
-        figure("fulfilled", row.opened, ",");
-        figure("throttled", row.declined, ",");
-        figure("faulted", row.closed_with_error, ",");
-        figure("relayed", row.setups_written, "}");
+    for (std::size_t i = 0; i < snapshot.traffic_class_names.size(); ++i) {
+        const auto& counters = snapshot.tunnels.by_traffic_class[i];
+        const std::string name = json::quoted(snapshot.traffic_class_names[i]);
+        page.append(i > 0 ? "," : "").append(name).append(":{");
+        write("fulfilled", counters.opened, ",");
+        write("throttled", counters.declined, ",");
+        write("faulted", counters.closed_with_error, ",");
+        write("relayed", counters.setups_written, "}");
     }
-    std::uint64_t written = 0;
-    for (const auto& row : f.outcomes.of) written += row.setups_written;
-    out += "},";
-    figure("relayed", written, ",");
-    figure("open_requests", f.open, ",");
-    figure("registry_entries", f.listed, ",");
-    figure("out_of_rotation", f.excluded, "}");
-    return out;
+    std::uint64_t setups_written = 0;
+    for (const auto& counters : snapshot.tunnels.by_traffic_class) setups_written += counters.setups_written;
+    page += "},";
+    write("relayed", setups_written, ",");
+    write("open_requests", snapshot.open_tunnels, ",");
+    write("registry_entries", snapshot.endpoints_listed, ",");
+    write("out_of_rotation", snapshot.endpoints_excluded, "}");
+    return page;
 }
 
 }  // namespace lemonstair::admin
--- a/src/admin/metrics_page.h
+++ b/src/admin/metrics_page.h
@@ -1,4 +1,4 @@
-// The figures that operators fetch, written in their words.
+// The metrics page: counters and levels of a node as JSON, under the operators' names for them.
 #pragma once
 
 #include <cstddef>
@@ -11,12 +11,12 @@
 namespace lemonstair::admin {
 
 struct MetricsSnapshot {
-    const std::vector<std::string>& profiles;
-    const metrics::TunnelCounters& outcomes;
-    std::size_t open = 0;                    // tunnels taken and not ended
-    std::uint32_t listed = 0, excluded = 0;  // hosts
+    const std::vector<std::string>& traffic_class_names;
+    const metrics::TunnelCounters& tunnels;  // of the same traffic classes, in the same order
+    std::size_t open_tunnels = 0;            // admitted and not ended
+    std::uint32_t endpoints_listed = 0, endpoints_excluded = 0;
 };
 
-std::string write_figures(const MetricsSnapshot& figures);
+std::string write_metrics_page(const MetricsSnapshot& snapshot);
 
 }  // namespace lemonstair::admin
--- a/src/admin/routes.cpp
+++ b/src/admin/routes.cpp
@@ -9,16 +9,16 @@
 
 namespace {
 
-struct Row {
+struct RouteEntry {
     std::string_view method, path;
-    Route call;
+    Route route;
 };
-constexpr std::array<Row, 4> calls{{{"GET", "/healthcheck", Route::health},
-                                    {"GET", "/stats", Route::figures},
-                                    {"POST", "/healthcheck/fail", Route::drain},
-                                    {"POST", "/healthcheck/ok", Route::take_again}}};
+constexpr std::array<RouteEntry, 4> routes{{{"GET", "/healthcheck", Route::health},
+                                            {"GET", "/stats", Route::metrics},
+                                            {"POST", "/healthcheck/fail", Route::drain},
+                                            {"POST", "/healthcheck/ok", Route::resume}}};
 
-std::string_view reason(int status) {
+std::string_view reason_phrase(int status) {
     constexpr std::array<std::pair<int, std::string_view>, 10> reasons{
         {{200, "OK"},
          {400, "Bad Request"},
@@ -35,45 +35,47 @@
     return "";
 }
 
-std::string written(int status, std::string_view body, std::string_view allow = {}) {
+// `allow`: the method of the Allow header; empty: no such header.
+std::string response(int status, std::string_view body, std::string_view allow = {}) {
     std::string out = "HTTP/1.1 " + std::to_string(status) + " ";
-    out.append(reason(status)).append("\r\nContent-Type: application/json\r\n");
+    out.append(reason_phrase(status)).append("\r\nContent-Type: application/json\r\n");
     if (!allow.empty()) out.append("Allow: ").append(allow).append("\r\n");
     out.append("Content-Length: ").append(std::to_string(body.size()));
     return out.append("\r\nConnection: close\r\n\r\n").append(body);
 }
 
-std::string state(bool yes, const AdminHandler& node) {
-    return written(yes ? 200 : 503, R"({"state":)" + json::quoted(node.phase()) + "}");
+// 200 where the node is as asked for, 503 where it is not.
+std::string state_response(bool as_requested, const AdminHandler& handler) {
+    return response(as_requested ? 200 : 503, R"({"state":)" + json::quoted(handler.phase()) + "}");
 }
 
 }  // namespace
 
-std::string answer(const http::Request& request, AdminHandler& node) {
-    if (request.fault() != http::Fault::none) {
-        const int status = static_cast<int>(request.fault());
-        return written(status, R"({"error":)" + json::quoted(reason(status)) + "}");
+std::string respond(const http::Request& request, AdminHandler& handler) {
+    if (request.error() != http::RequestError::none) {
+        const int status = static_cast<int>(request.error());
+        return response(status, R"({"error":)" + json::quoted(reason_phrase(status)) + "}");
     }
-    std::string_view allow;
-    for (const Row& row : calls) {
-        if (row.path != request.path()) continue;
-        allow = row.method;
-        if (row.method != request.method()) continue;
-        switch (row.call) {
+    std::string_view allow;  // set once the path is known
+    for (const RouteEntry& entry : routes) {
+        if (entry.path != request.path()) continue;
+        allow = entry.method;
+        if (entry.method != request.method()) continue;
+        switch (entry.route) {
             case Route::health:
-                return state(node.ready(), node);
-            case Route::figures:
-                return written(200, node.figures());
+                return state_response(handler.ready(), handler);
+            case Route::metrics:
+                return response(200, handler.metrics_page());
             case Route::drain:
-                return state(node.drain(), node);
-            case Route::take_again:
-                return state(node.take_again(), node);
+                return state_response(handler.drain(), handler);
+            case Route::resume:
+                return state_response(handler.resume(), handler);
         }
     }
-    if (allow.empty()) return written(404, R"({"error":"no such call"})");
-    return written(405, R"({"error":"not called so"})", allow);
+    if (allow.empty()) return response(404, R"({"error":"no such call"})");
+    return response(405, R"({"error":"not called so"})", allow);
 }
 
-std::string answer_to_half() { return written(408, R"({"error":"the call was not said whole"})"); }
+std::string request_timeout_response() { return response(408, R"({"error":"the call was not said whole"})"); }
 
 }  // namespace lemonstair::admin
--- a/src/admin/routes.h
+++ b/src/admin/routes.h
@@ -1,4 +1,4 @@
-// The table of calls that operators make, and what is said of a request that is none of them.
+// The requests that operators make: the table of methods and paths, and the HTTP response to each.
 #pragma once
 
 #include <cstdint>
@@ -9,26 +9,29 @@
 
 namespace lemonstair::admin {
 
-enum class Route : std::uint8_t { health, figures, drain, take_again };
+enum class Route : std::uint8_t { health, metrics, drain, resume };
 
-// What the node does when it is called. The desk knows nothing of it but this.
+// The node behind the admin server, which knows nothing else of it.
 class AdminHandler {
   public:
     AdminHandler() = default;
     AdminHandler(const AdminHandler&) = delete;
     AdminHandler& operator=(const AdminHandler&) = delete;
     virtual ~AdminHandler() = default;
+    // Whether clients may be sent to this node.
     virtual bool ready() const = 0;
+    // The name of the node's phase, as operators see it.
     virtual std::string_view phase() const = 0;
-    virtual std::string figures() const = 0;
-    // Whether it is so now; to ask again for what is so already is harmless.
+    // The metrics as JSON; see metrics_page.h.
+    virtual std::string metrics_page() const = 0;
+    // Both are idempotent and return whether the node is in the requested state now.
     virtual bool drain() = 0;
-    virtual bool take_again() = 0;
+    virtual bool resume() = 0;
 };
 
-// The whole answer, as it goes out. The request is whole or has a fault.
-std::string answer(const http::Request& request, AdminHandler& node);
-// To a caller who has said a part of a call only.
-std::string answer_to_half();
+// The complete HTTP response. The request must be complete or have an error.
+std::string respond(const http::Request& request, AdminHandler& handler);
+// The response to a client whose request did not become complete in time.
+std::string request_timeout_response();
 
 }  // namespace lemonstair::admin
--- a/src/discovery/http_lines.cpp
+++ b/src/discovery/http_lines.cpp
@@ -7,8 +7,8 @@
 
 namespace lemonstair::discovery {
 
-using http::same_word;
-using http::trimmed;
+using http::equals_ignoring_case;
+using http::trim;
 
 void HttpLines::head(std::string_view& bytes) {
     const auto end = bytes.find('\n');
@@ -35,8 +35,8 @@
             const auto colon = line.find(':');
             if (++heads_ > 100 || colon == std::string_view::npos) {
                 part_ = Part::bad;
-            } else if (same_word(line.substr(0, colon), "transfer-encoding")) {
-                chunked_ = same_word(trimmed(line.substr(colon + 1)), "chunked");
+            } else if (equals_ignoring_case(line.substr(0, colon), "transfer-encoding")) {
+                chunked_ = equals_ignoring_case(trim(line.substr(colon + 1)), "chunked");
             }
             return;
         }
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -18,7 +18,7 @@
 void Watch::open(std::uint64_t after_revision) {
     if (is_open()) return;
     ++call_;
-    ++costs_.calls;
+    ++costs_.discovery_requests;
     called_at_ = loop_.now();
     lines_.begin();
     question_ = "GET /api/targets?stream=1&index=" + std::to_string(after_revision) +
@@ -43,7 +43,7 @@
 
 void Watch::go(Phase to, net::Ticks patience) {
     if (to == Phase::standing)
-        costs_.call_waited_ms += static_cast<std::uint64_t>((loop_.now() - called_at_) / 10);
+        costs_.discovery_wait_ms += static_cast<std::uint64_t>((loop_.now() - called_at_) / 10);
     phase_ = to;
     dead_at_ = loop_.now() + patience;
     loop_.schedule(dead_at_, *this, call_);
@@ -102,7 +102,7 @@
 
 void Watch::lose(std::string_view why) {
     log_.info() << "watch on discovery: " << why;
-    if (phase_ != Phase::standing) ++costs_.calls_failed;
+    if (phase_ != Phase::standing) ++costs_.discovery_failures;
     hang_up();
     hearer_.watch_lost();
 }
--- a/src/health_check/health_checker.cpp
+++ b/src/health_check/health_checker.cpp
@@ -109,7 +109,7 @@
     }
     l.socket = net::Socket(loop_, std::move(fd), POLLOUT, *this, token_of(place));
     ++open_;
-    ++costs_.probe_lines;
+    ++costs_.health_check_connections;
     l.state = State::connecting;
     set_due(place, loop_.now() + launch_.connect_timeout);
 }
@@ -117,7 +117,7 @@
 void HealthChecker::ask(std::uint32_t place) {
     Line& l = lines_[place];
     const std::string_view question = launch_.reports ? "STATS\r\n" : "PING\r\n";
-    ++costs_.probes;
+    ++costs_.health_checks;
     l.state = State::asking;
     l.said = 0;
     l.question = question;
--- a/src/http/headers.cpp
+++ b/src/http/headers.cpp
@@ -5,13 +5,13 @@
 
 namespace lemonstair::http {
 
-bool same_word(std::string_view a, std::string_view b) {
+bool equals_ignoring_case(std::string_view a, std::string_view b) {
     const auto lower = [](char c) { return std::tolower(static_cast<unsigned char>(c)); };
     return std::equal(a.begin(), a.end(), b.begin(), b.end(),
                       [&](char x, char y) { return lower(x) == lower(y); });
 }
 
-std::string_view trimmed(std::string_view text) {
+std::string_view trim(std::string_view text) {
     const auto from = text.find_first_not_of(" \t");
     if (from == std::string_view::npos) return {};
     return text.substr(from, text.find_last_not_of(" \t") - from + 1);
--- a/src/http/request.h
+++ b/src/http/request.h
@@ -1,5 +1,5 @@
-// One HTTP/1.1 request, read as its bytes come in, whatever they are cut into. It holds no socket; all that a
-// caller's bytes can make it keep is bounded.
+// Incremental parser of one HTTP/1.1 request. It holds no socket, accepts the bytes in pieces of any size,
+// and bounds all that a client can make it keep.
 #pragma once
 
 #include <cstddef>
@@ -9,43 +9,44 @@
 
 namespace lemonstair::http {
 
-// Statuses that a reader gives by itself; 0 while all is well.
-enum class Fault : std::uint16_t {
+// Why a request cannot be parsed; the values are the HTTP statuses to respond with.
+enum class RequestError : std::uint16_t {
     none = 0,
-    unreadable = 400,
-    length_wanted = 411,
-    body_too_long = 413,
-    head_too_long = 431,
-    version = 505
+    bad_request = 400,
+    length_required = 411,
+    content_too_large = 413,
+    header_too_large = 431,
+    version_not_supported = 505
 };
 
 class Request {
   public:
-    static constexpr std::size_t longest_head = 8192, longest_body = 4096, most_fields = 64;
-    // Takes what it can use of the bytes; what follows the request is not read.
+    static constexpr std::size_t max_head_bytes = 8192, max_body_bytes = 4096, max_fields = 64;
+    // Consumes the next bytes; those behind the request, or behind an error, are ignored.
     void feed(std::string_view bytes);
-    bool whole() const { return part_ == Part::whole; }
-    Fault fault() const { return fault_; }
-    // Nothing of it has come yet.
-    bool untouched() const { return read_ == 0; }
+    // Head and body have been received; never together with an error.
+    bool is_complete() const { return part_ == Part::complete; }
+    RequestError error() const { return error_; }
+    // No byte has been received yet.
+    bool is_empty() const { return head_bytes_ == 0; }
     std::string_view method() const { return std::string_view(method_); }
-    // Without the question behind it.
+    // Without the query.
     std::string_view path() const { return std::string_view(path_); }
 
   private:
-    enum class Part : std::uint8_t { request_line, fields, body, whole };
-    void line(std::string_view text);
-    void request_line(std::string_view text);
-    void field(std::string_view text);
-    void end_of_head();
-    void fail(Fault fault) {
-        if (fault_ == Fault::none) fault_ = fault;
+    enum class Part : std::uint8_t { request_line, fields, body, complete };
+    void parse_line(std::string_view text);
+    void parse_request_line(std::string_view text);
+    void parse_field(std::string_view text);
+    void finish_head();
+    void fail(RequestError error) {
+        if (error_ == RequestError::none) error_ = error;
     }
     Part part_ = Part::request_line;
-    Fault fault_ = Fault::none;
-    bool length_told_ = false, coded_ = false;
-    std::size_t read_ = 0, fields_ = 0;
-    std::uint64_t body_left_ = 0;
+    RequestError error_ = RequestError::none;
+    bool has_length_ = false, has_transfer_encoding_ = false;
+    std::size_t head_bytes_ = 0, field_count_ = 0;
+    std::uint64_t body_bytes_left_ = 0;
     std::string line_, method_, path_;
 };
 
--- a/src/metrics/resource_counters.h
+++ b/src/metrics/resource_counters.h
@@ -1,5 +1,5 @@
-// What a node does that others pay for, counted since its start: datagrams by what they say, probes, calls to
-// discovery, setups by their ending. Once a second the node writes what was added in one line.
+// What a node's work costs others, counted since its start: gossip, health checks, requests to discovery and
+// setup attempts. Once a second the node logs what was added; tools/fleet_costs.py adds these lines up.
 #pragma once
 
 #include <array>
@@ -14,28 +14,29 @@
 namespace lemonstair::metrics {
 
 struct ResourceCounters {
-    std::uint64_t datagrams = 0;                // to one node each
-    peer::Sizes peer_bytes{};                   // by kind, once for each node that is to hear them
-    std::uint64_t probes = 0, probe_lines = 0;  // asked; connections opened for them
-    std::uint64_t calls = 0, calls_failed = 0;  // to discovery
-    std::uint64_t call_waited_ms = 0;           // for its answers
-    std::uint64_t setups = 0;
-    std::array<std::uint64_t, outcome_count> ended{};  // setups; opened is one of them
-    std::array<std::uint64_t, reasons>
-        because{};  // final answers that open nothing, and attempts not written
+    std::uint64_t gossip_datagrams = 0;  // one for each receiver
+    peer::Sizes gossip_bytes{};          // by kind of item, counted for each receiver
+    std::uint64_t health_checks = 0, health_check_connections = 0;  // sent; connections opened for them
+    std::uint64_t discovery_requests = 0, discovery_failures = 0;
+    std::uint64_t discovery_wait_ms = 0;                  // from request to answer
+    std::uint64_t setups = 0;                             // attempts begun
+    std::array<std::uint64_t, outcome_count> attempts{};  // ended, by Outcome
+    // By Reason: final answers that open nothing, and attempts withdrawn before they were written.
+    std::array<std::uint64_t, reasons> by_reason{};
     Violations violations{};
     std::uint64_t processor_us = 0;
 
-    void told(std::span<const std::uint8_t> bytes, std::size_t hearers) {
-        datagrams += hearers;
-        peer::add_sizes(bytes, hearers, peer_bytes);
+    void count_gossip(std::span<const std::uint8_t> message, std::size_t receivers) {
+        gossip_datagrams += receivers;
+        peer::add_sizes(message, receivers, gossip_bytes);
     }
-    void explained(Reason reason) { ++because[static_cast<std::size_t>(reason)]; }
-    void setup_ended(Outcome ending) { ++ended[static_cast<std::size_t>(ending)]; }
+    void count_reason(Reason reason) { ++by_reason[static_cast<std::size_t>(reason)]; }
+    void count_attempt(Outcome outcome) { ++attempts[static_cast<std::size_t>(outcome)]; }
+    void count_violation(Invariant invariant) { ++violations[static_cast<std::size_t>(invariant)]; }
     bool operator==(const ResourceCounters&) const = default;
 };
 
-// The figures of `now` that are above those of `before`, as "name=more" with a blank before each.
-void write_added(std::ostream& to, const ResourceCounters& now, const ResourceCounters& before);
+// Writes " name=difference" for each counter that differs between `now` and the earlier `before`.
+void write_added(std::ostream& out, const ResourceCounters& now, const ResourceCounters& before);
 
 }  // namespace lemonstair::metrics
--- a/src/metrics/tunnel_counters.h
+++ b/src/metrics/tunnel_counters.h
@@ -1,4 +1,4 @@
-// What became of the tunnels that a node took since its start, for each profile. A tunnel counts once.
+// Final answers of tunnels since the node's start, by traffic class. A tunnel is counted once.
 #pragma once
 
 #include <cstdint>
@@ -6,21 +6,22 @@
 
 namespace lemonstair::metrics {
 
+// What the client of a tunnel was told last; none: nothing yet, or it left before.
 enum class FinalAnswer : std::uint8_t { none, opened, declined, closed_with_error };
 
 struct TunnelCounters {
-    struct Row {
+    struct Counters {
         std::uint64_t opened = 0, declined = 0, closed_with_error = 0;
-        std::uint64_t setups_written = 0;  // lines written whole to hosts
+        std::uint64_t setups_written = 0;  // setup lines written completely to endpoints
     };
-    explicit TunnelCounters(std::size_t profiles) : of(profiles) {}
-    void count(std::uint32_t profile, FinalAnswer outcome) {
-        Row& row = of[profile];
-        if (outcome == FinalAnswer::opened) ++row.opened;
-        if (outcome == FinalAnswer::declined) ++row.declined;
-        if (outcome == FinalAnswer::closed_with_error) ++row.closed_with_error;
+    explicit TunnelCounters(std::size_t traffic_classes) : by_traffic_class(traffic_classes) {}
+    void count(std::uint32_t traffic_class, FinalAnswer answer) {
+        Counters& counters = by_traffic_class[traffic_class];
+        if (answer == FinalAnswer::opened) ++counters.opened;
+        if (answer == FinalAnswer::declined) ++counters.declined;
+        if (answer == FinalAnswer::closed_with_error) ++counters.closed_with_error;
     }
-    std::vector<Row> of;  // by profile
+    std::vector<Counters> by_traffic_class;
 };
 
 }  // namespace lemonstair::metrics
--- a/src/metrics/violations.h
+++ b/src/metrics/violations.h
@@ -1,5 +1,5 @@
-// Violations: effects that no path should have had, checked in the instant of the effect and independently of
-// the path that led there. Each one is counted, and told in the log as an error with the tunnel that it met.
+// Invariants: effects that no path of the program may have. Each is checked at the moment of the effect,
+// independently of the path that led there; a violation is counted and logged as an error with its tunnel.
 #pragma once
 
 #include <array>
@@ -10,25 +10,25 @@
 namespace lemonstair::metrics {
 
 enum class Invariant : std::uint8_t {
-    written_without_leave,   // an attempt's first byte, though the attempt policy forbids it by then
-    repeated_without_leave,  // two attempts of one tunnel at a time
-    closed_unanswered,       // a connection whose client had been read, or had spoken, had no answer
-    answered_twice,          // a second final answer
-    exited_with_debts,       // the process left something unanswered
+    attempt_forbidden,            // an attempt's first byte was written against the attempt policy
+    concurrent_attempts,          // a second attempt of a tunnel began during the first
+    closed_without_answer,        // a client that had been read, or had sent something, got no answer
+    answered_twice,               // a client got a second final answer
+    exited_with_pending_answers,  // the process ended while clients waited for an answer
     count
 };
 
 constexpr std::size_t invariant_count = static_cast<std::size_t>(Invariant::count);
 
-constexpr std::string_view name_of(Invariant rule) {
-    constexpr std::array<std::string_view, invariant_count> names{
-        "written_without_leave", "repeated_without_leave", "closed_unanswered", "answered_twice",
-        "exited_with_debts"};
-    return rule < Invariant::count ? names[static_cast<std::size_t>(rule)] : "unknown";
+constexpr std::string_view name_of(Invariant invariant) {
+    constexpr std::array<std::string_view, invariant_count> names{"attempt_forbidden", "concurrent_attempts",
+                                                                  "closed_without_answer", "answered_twice",
+                                                                  "exited_with_pending_answers"};
+    return invariant < Invariant::count ? names[static_cast<std::size_t>(invariant)] : "unknown";
 }
 
-// The words that every such line begins with: tests and the soak look for them.
-constexpr std::string_view violation_mark = "rule violated: ";
+// How each such log line begins; tests, the simulation and the soak search for it.
+constexpr std::string_view violation_prefix = "invariant violated: ";
 
 using Violations = std::array<std::uint64_t, invariant_count>;
 
--- a/src/node/deferred_actions.h
+++ b/src/node/deferred_actions.h
@@ -49,7 +49,7 @@
     }
     void fail(std::uint64_t tun) override { waiting_.push_back({Kind::close_with_error, 0, tun}); }
     void report_reason(std::uint64_t tun, Reason why) override {
-        costs_.explained(why);
+        costs_.count_reason(why);
         log_.debug() << "tunnel " << static_cast<std::uint32_t>(tun) << " is given up: " << name_of(why);
     }
     void migrate(std::uint64_t tun) override { waiting_.push_back({Kind::move, 0, tun}); }
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -183,7 +183,8 @@
     const std::size_t owed = floor.admitted + floor.departing;
     if (to == Phase::left && phase_ != Phase::starting && owed > 0 &&
         !hot_restart::is_replaced(succession_.role()))
-        floor.violated(metrics::Invariant::exited_with_debts, 0, std::to_string(owed) + " tunnels in hand");
+        floor.violated(metrics::Invariant::exited_with_pending_answers, 0,
+                       std::to_string(owed) + " tunnels in hand");
     log_.info() << launch_.name << ": " << name_of(static_cast<int>(phase_)) << " -> "
                 << name_of(static_cast<int>(to)) << ", " << hosts_.size() << " hosts known, " << floor.in_hand
                 << " tunnels, room for " << stages_.admit.room();
@@ -212,13 +213,13 @@
     return name_of(static_cast<int>(phase_));
 }
 
-std::string Node::figures() const {
+std::string Node::metrics_page() const {
     const EndpointCounts hosts = balancer_ ? balancer_->endpoint_counts() : EndpointCounts{};
-    return admin::write_figures({.profiles = launch_.profiles,
-                                 .outcomes = stages_.floor.outcomes,
-                                 .open = stages_.floor.admitted,
-                                 .listed = hosts.listed,
-                                 .excluded = hosts.excluded});
+    return admin::write_metrics_page({.traffic_class_names = launch_.profiles,
+                                      .tunnels = stages_.floor.outcomes,
+                                      .open_tunnels = stages_.floor.admitted,
+                                      .endpoints_listed = hosts.listed,
+                                      .endpoints_excluded = hosts.excluded});
 }
 
 // A node that leaves says no already.
@@ -227,7 +228,7 @@
     return true;
 }
 
-bool Node::take_again() {
+bool Node::resume() {
     if (phase_ == Phase::drained) go(Phase::serving);
     return ready();
 }
@@ -391,7 +392,7 @@
     std::ostringstream added;
     metrics::write_added(added, costs_, costs_told_);
     log_.info() << "second:" << added.str() << " tunnels_held=" << stages_.floor.admitted
-                << " probe_lines_held=" << prober_.lines();
+                << " health_check_connections_held=" << prober_.lines();
     costs_told_ = costs_;
 }
 
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -48,7 +48,7 @@
     };
     const metrics::ResourceCounters& costs() const { return costs_; }
     Holds holds() const {
-        return {stages_.floor.in_hand, stages_.floor.pool.out(), loop_.timers(), desk_.callers(),
+        return {stages_.floor.in_hand, stages_.floor.pool.out(), loop_.timers(), desk_.open_connections(),
                 loop_.descriptors()};
     }
 
@@ -83,9 +83,9 @@
         return phase_ == Phase::serving && hot_restart::is_active(succession_.role());
     }
     std::string_view phase() const override;
-    std::string figures() const override;
+    std::string metrics_page() const override;
     bool drain() override;
-    bool take_again() override;
+    bool resume() override;
     void export_state(std::string& list, std::string& memory) override;
     void begin(std::string_view list, std::string_view memory) override;
     void on_role_changed(hot_restart::Role from, hot_restart::Role to) override;
--- a/src/node/peer_link.cpp
+++ b/src/node/peer_link.cpp
@@ -27,7 +27,7 @@
 // One that cannot go now is lost: the module counts on no datagram.
 void PeerLink::send(const net::Address& to, std::span<const std::uint8_t> bytes, std::size_t hearers) {
     if (!socket_.open() || bytes.size() > longest) return;
-    costs_.told(bytes, hearers);
+    costs_.count_gossip(bytes, hearers);
     static_cast<void>(loop_.system().send_to(socket_.fd(), to, bytes));
 }
 
--- a/src/simulation/simulation.cpp
+++ b/src/simulation/simulation.cpp
@@ -63,7 +63,7 @@
         : town_(town), rules_(rules), node_(node) {}
     std::size_t take(std::string_view text) override {
         town_.note("log", node_, 0, text.substr(0, text.size() - (text.empty() ? 0 : 1)));
-        if (const auto at = text.find(metrics::violation_mark); at != std::string_view::npos)
+        if (const auto at = text.find(metrics::violation_prefix); at != std::string_view::npos)
             rules_.broke("self_check",
                          "node " + std::to_string(node_) + ": " + std::string(text.substr(at, 100)));
         return text.size();
--- a/src/soak/main.cpp
+++ b/src/soak/main.cpp
@@ -54,7 +54,7 @@
         for (const auto& entry : std::filesystem::directory_iterator(path_)) {
             std::ifstream log(entry.path());
             for (std::string line; std::getline(log, line);)
-                if (line.find(lemonstair::metrics::violation_mark) != std::string::npos)
+                if (line.find(lemonstair::metrics::violation_prefix) != std::string::npos)
                     found.push_back(entry.path().stem().string() + " " + line);
         }
         return found;
--- a/src/tunnel/admission.cpp
+++ b/src/tunnel/admission.cpp
@@ -25,7 +25,7 @@
     t.client.set_events(POLLIN | POLLRDHUP);  // its next bytes wait, unless they are another command
     if (full) {
         ++floor_.tally.busy;
-        floor_.costs.explained(Reason::node_full);
+        floor_.costs.count_reason(Reason::node_full);
         return book_.decline(id, 0);
     }
     if (!holder.empty()) return route_.resume_standing(id);
--- a/src/tunnel/attempt.cpp
+++ b/src/tunnel/attempt.cpp
@@ -28,7 +28,7 @@
 
 void AttemptRunner::start(TunnelId id, std::uint32_t place, Ticks longest_wait) {
     Tunnel& t = *floor_.find(id);
-    if (t.host.open()) floor_.violated(metrics::Invariant::repeated_without_leave, id, name_of(t.state));
+    if (t.host.open()) floor_.violated(metrics::Invariant::concurrent_attempts, id, name_of(t.state));
     t.place = place;
     ++t.setups;
     t.setup_from = floor_.loop.now();
@@ -103,7 +103,7 @@
     floor_.balancer->set_time(floor_.loop.refresh());
     const Reason reason = floor_.balancer->may_write(id, attempt_policy::longest_hold_up);
     if (reason == Reason::allowed) return true;
-    floor_.costs.explained(reason);
+    floor_.costs.count_reason(reason);
     floor_.log.debug() << "tunnel " << static_cast<std::uint32_t>(id) << " setup " << t.setups
                        << " is withdrawn: " << name_of(reason);
     failed(id, Outcome::withdrawn);
@@ -120,7 +120,7 @@
     if (!t.up.waiting.empty()) return;
     t.up.waiting.give_back();
     t.host.set_events(POLLIN);
-    ++floor_.outcomes.of[t.profile].setups_written;
+    ++floor_.outcomes.by_traffic_class[t.profile].setups_written;
     floor_.go(id, TunnelState::awaiting_answer);
     floor_.set_due(id, t, t.setup_until);
 }
@@ -132,7 +132,7 @@
     floor_.balancer->set_time(floor_.loop.refresh());
     const Reason reason = floor_.balancer->may_write(id, 0);
     if (reason != Reason::allowed && reason != Reason::no_time_left)
-        floor_.violated(metrics::Invariant::written_without_leave, id, name_of(reason));
+        floor_.violated(metrics::Invariant::attempt_forbidden, id, name_of(reason));
 }
 
 void AttemptRunner::read_answer(TunnelId id) {
@@ -167,7 +167,7 @@
     Tunnel& t = *floor_.find(id);
     const std::uint32_t ep = floor_.hosts[t.place].ep;
     ++floor_.tally.opened;
-    floor_.costs.setup_ended(Outcome::ok);
+    floor_.costs.count_attempt(Outcome::ok);
     if (begins(net::first_line(t.down.waiting.view()), "BYE"))
         t.ending = Outcome::ok;  // served to its end already
     if (t.standing) {
@@ -188,7 +188,7 @@
 // The setup's connection is closed at once: nothing more of it may reach the client.
 void AttemptRunner::failed(TunnelId id, Outcome ending) {
     Tunnel& t = *floor_.find(id);
-    floor_.costs.setup_ended(ending);
+    floor_.costs.count_attempt(ending);
     floor_.log.debug() << "tunnel " << static_cast<std::uint32_t>(id) << " setup " << t.setups
                        << " failed, ending " << static_cast<int>(ending);
     t.host.close();
--- a/src/tunnel/completion.cpp
+++ b/src/tunnel/completion.cpp
@@ -88,7 +88,7 @@
 
 void Completion::turn_away(TunnelId id) {
     ++floor_.tally.bad;
-    floor_.costs.explained(Reason::bad_client);
+    floor_.costs.count_reason(Reason::bad_client);
     tell_left(id);
     close_with_error(id);
 }
--- a/src/tunnel/tunnel_registry.cpp
+++ b/src/tunnel/tunnel_registry.cpp
@@ -54,8 +54,8 @@
 }
 
 void TunnelRegistry::violated(metrics::Invariant rule, TunnelId id, std::string_view detail) {
-    ++costs.violations[static_cast<std::size_t>(rule)];
-    log.error() << metrics::violation_mark << name_of(rule) << ", tunnel " << static_cast<std::uint32_t>(id)
+    costs.count_violation(rule);
+    log.error() << metrics::violation_prefix << name_of(rule) << ", tunnel " << static_cast<std::uint32_t>(id)
                 << ": " << detail;
 }
 
@@ -68,14 +68,15 @@
     if (to != TunnelState::free || !t.client.open()) return;
     const bool waits = t.state == TunnelState::deciding || t.state == TunnelState::connecting ||
                        t.state == TunnelState::sending_line || t.state == TunnelState::awaiting_answer;
-    if (waits && !client_is_gone(t)) violated(metrics::Invariant::closed_unanswered, id, name_of(t.state));
+    if (waits && !client_is_gone(t))
+        violated(metrics::Invariant::closed_without_answer, id, name_of(t.state));
     if (t.state != TunnelState::taking_in) return;
     std::array<char, 1> next{};
     const bool whole_line = t.opening.held() && t.opening.view().find('\n') != std::string_view::npos;
     const attempt_policy::PendingInput input{t.client.peek(next).bytes, whole_line};
     const Reason reason = attempt_policy::may_close_unanswered(input);
     if (reason != Reason::allowed && !client_is_gone(t))
-        violated(metrics::Invariant::closed_unanswered, id, name_of(reason));
+        violated(metrics::Invariant::closed_without_answer, id, name_of(reason));
 }
 
 void TunnelRegistry::go(TunnelId id, TunnelState to) {
--- a/tests/codec.cpp
+++ b/tests/codec.cpp
@@ -89,10 +89,10 @@
     m.hello();
     m.lost(3);
     lemonstair::metrics::ResourceCounters before, costs;
-    costs.told(m.bytes(), 9);
-    costs.setup_ended(lemonstair::Outcome::overloaded);
-    CHECK(costs.datagrams == 9);
+    costs.count_gossip(m.bytes(), 9);
+    costs.count_attempt(lemonstair::Outcome::overloaded);
+    CHECK(costs.gossip_datagrams == 9);
     std::ostringstream line;
     lemonstair::metrics::write_added(line, costs, before);
-    CHECK(line.str() == " full=1 datagrams=9 sign=9 hello=9 lost=45");
+    CHECK(line.str() == " overloaded=1 datagrams=9 sign=9 hello=9 lost=45");
 }
--- a/tests/operators.cpp
+++ b/tests/operators.cpp
@@ -17,16 +17,18 @@
     bool is_ready = true;
     bool ready() const override { return is_ready; }
     std::string_view phase() const override { return is_ready ? "serving" : "drained"; }
-    std::string figures() const override { return "{}"; }
+    std::string metrics_page() const override { return "{}"; }
     bool drain() override { return is_ready = false, true; }
-    bool take_again() override { return is_ready = true; }
+    bool resume() override { return is_ready = true; }
 };
 
 std::string answer_to(std::string_view bytes) {
     http::Request request;
     request.feed(bytes);
     Answers node;
-    return request.whole() || request.fault() != http::Fault::none ? admin::answer(request, node) : "";
+    return request.is_complete() || request.error() != http::RequestError::none
+               ? admin::respond(request, node)
+               : "";
 }
 
 int status_of(std::string_view answer) {
@@ -57,10 +59,10 @@
         for (std::size_t at = 0; at <= call.size(); ++at) {
             http::Request request;
             request.feed(std::string_view(call).substr(0, at));
-            CHECK(request.whole() == (at == call.size()));
+            CHECK(request.is_complete() == (at == call.size()));
             request.feed(std::string_view(call).substr(at));
-            REQUIRE(request.whole());
-            CHECK(request.fault() == http::Fault::none);
+            REQUIRE(request.is_complete());
+            CHECK(request.error() == http::RequestError::none);
             CHECK(status_of(answer_to(call)) == 200);
         }
     }
@@ -105,8 +107,8 @@
     http::Request request;
     request.feed("GET /stats HTTP/1.1\r\n");
     for (int i = 0; i < 10000; ++i) request.feed("xxxxxxxxxxxxxxxx");
-    CHECK(request.fault() == http::Fault::head_too_long);
-    CHECK(!request.whole());
+    CHECK(request.error() == http::RequestError::header_too_large);
+    CHECK(!request.is_complete());
 }
 
 TEST_CASE("a drained node says no at once and yes again; to say it twice is harmless") {
--- a/tools/fleet_costs.py
+++ b/tools/fleet_costs.py
@@ -3,7 +3,7 @@
 
     tools/fleet_costs.py LOGS [--by-second]
 
-LOGS is a folder with one log a node. Figures are those of the nodes' "second:" lines (src/account/costs.h);
+LOGS is a folder with one log a node. Figures are those of the nodes' "second:" lines (src/metrics/resource_counters.h);
 those that end in _held are levels, the others amounts. With --by-second a row for each second.
 """
 import argparse
@@ -37,13 +37,13 @@
     given = parser.parse_args()
     sums, of_nodes = read(given.logs)
     names = sorted({name for _, name in sums})
-    print(f"{'figure':16} {'total':>9} {'most a second':>14} {'at':>4} {'most of a node':>15}")
+    print(f"{'figure':28} {'total':>9} {'most a second':>14} {'at':>4} {'most of a node':>15}")
     for name in names:
         seconds = {s: v for (s, n), v in sums.items() if n == name}
         at = max(seconds, key=seconds.get)
         node, most = max(((node, v) for (node, n), v in of_nodes.items() if n == name), key=lambda p: p[1])
         total = "-" if name.endswith("_held") else sum(seconds.values())
-        print(f"{name:16} {total:>9} {seconds[at]:>14} {at:>4} {most:>10} {node}")
+        print(f"{name:28} {total:>9} {seconds[at]:>14} {at:>4} {most:>10} {node}")
     if given.by_second:
         print("\nsecond " + " ".join(f"{n[-9:]:>9}" for n in names))
         for second in sorted({s for s, _ in sums}):
