--- a/src/discovery/hosts.cpp
+++ b/src/discovery/endpoint_directory.cpp
@@ -1,4 +1,4 @@
-#include "discovery/hosts.h"
+#include "discovery/endpoint_directory.h"
 
 #include <algorithm>
 #include <iomanip>
--- a/src/health_check/health_checker.h
+++ b/src/health_check/health_checker.h
@@ -9,7 +9,7 @@
 
 #include "balance/balance.h"
 #include "config/node_config.h"
-#include "discovery/hosts.h"
+#include "discovery/endpoint_directory.h"
 #include "metrics/resource_counters.h"
 #include "net/buffer_pool.h"
 #include "net/loop.h"
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -11,7 +11,7 @@
 #include "backoff/backoff.h"
 #include "balance/balance.h"
 #include "config/node_config.h"
-#include "discovery/hosts.h"
+#include "discovery/endpoint_directory.h"
 #include "discovery/watch.h"
 #include "health_check/health_checker.h"
 #include "hot_restart/session.h"
--- a/src/tunnel/tunnel_registry.h
+++ b/src/tunnel/tunnel_registry.h
@@ -10,7 +10,7 @@
 #include "balance/id_index.h"
 #include "balance/slab.h"
 #include "config/node_config.h"
-#include "discovery/hosts.h"
+#include "discovery/endpoint_directory.h"
 #include "log/log.h"
 #include "metrics/resource_counters.h"
 #include "metrics/tunnel_counters.h"
--- a/tests/parsers.cpp
+++ b/tests/parsers.cpp
@@ -2,7 +2,7 @@
 #include <doctest/doctest.h>
 
 #include "config/node_config.h"
-#include "discovery/hosts.h"
+#include "discovery/endpoint_directory.h"
 #include "discovery/http_lines.h"
 #include "fake.h"
 #include "health_check/health_checker.h"
