--- a/src/config/node_config.cpp
+++ b/src/config/node_config.cpp
@@ -76,7 +76,8 @@
 NodeConfig parse_node_config(const json::Value& file, const Environment& around) {
     if (file.type() != json::Type::object) throw json::Malformed("the configuration is not an object");
     NodeConfig l;
-    const json::Value settings = file.inner("settings").told_as("settings"), limits = file.inner("limits");
+    const json::Value settings = file.inner("settings").with_context("settings"),
+                      limits = file.inner("limits");
     if (!file.has("settings")) file.fail("settings", "is missing");
     l.terms = parse_settings(settings, read_seed(file));
     check(settings, l.terms);
--- a/src/config/source.cpp
+++ b/src/config/source.cpp
@@ -24,7 +24,7 @@
         fail(wrong);
     }
     if (!file_.parse(text_)) fail("is not JSON");
-    const json::Value file = file_.root().told_as("configuration");
+    const json::Value file = file_.root().with_context("configuration");
     NodeConfig launch = parse_node_config(file, around_);
     // The system may allow fewer descriptors than the file grants.
     launch.sockets = system_.descriptor_limit(launch.sockets);
--- a/src/discovery/endpoint_directory.cpp
+++ b/src/discovery/endpoint_directory.cpp
@@ -10,145 +10,179 @@
 
 namespace lemonstair::discovery {
 
-std::uint32_t EndpointDirectory::place_of(std::string_view id) const {
-    const auto it = by_id_.find(std::string(id));
-    return it == by_id_.end() ? none : it->second;
+namespace {
+
+// Discovery's word for each state. A phase that this build does not know is not active: the endpoint gets
+// nothing new.
+EndpointState decode_phase(std::string_view phase) {
+    if (phase == "in_service") return EndpointState::active;
+    if (phase == "terminated") return EndpointState::removed;
+    return EndpointState::draining;
+}
+
+std::string_view encode_phase(EndpointState state) {
+    if (state == EndpointState::active) return "in_service";
+    if (state == EndpointState::removed) return "terminated";
+    return "terminating";
+}
+
+bool all_entries_readable(const json::Value& list) {
+    bool readable = true;
+    list.each("members", [&](const json::Value& entry) {
+        readable = readable && entry.type() == json::Type::object && entry.has("id") && entry.has("phase");
+    });
+    return readable;
+}
+
+}  // namespace
+
+std::uint32_t EndpointDirectory::index_of(std::string_view id) const {
+    const auto it = index_by_id_.find(std::string(id));
+    return it == index_by_id_.end() ? none : it->second;
 }
 
-bool EndpointDirectory::take(const json::Value& list, Balancer& balancer, bool remembered, Ticks now) {
+bool EndpointDirectory::apply(const json::Value& list, Balancer& balancer, ListSource source, Ticks now) {
+    const bool cached = source == ListSource::cache;
     std::uint64_t revision = 0;
-    bool whole = false, old = false;
+    bool complete = false, outdated = false;
     try {
         revision = list.whole("revision");
-        whole = list.flag("complete");
+        complete = list.flag("complete");
         if (!list.has("members")) list.fail("members", "is missing");
-        if (!remembered && revision_ && revision == *revision_) {  // heard before
+        const bool repeated = !cached && revision_ && revision == *revision_;
+        if (repeated) {
             current_at_ = now;
             balancer.begin_endpoint_list(EndpointListKind::changes);
             balancer.end_endpoint_list();
             return true;
         }
-        old = !remembered && revision_ && revision < highest_;
-        // With one unreadable entry a whole list is taken as changes only: none is gone for not being read.
-        bool readable = true;
-        list.each("members", [&](const json::Value& m) {
-            readable = readable && m.type() == json::Type::object && m.has("id") && m.has("phase");
-        });
-        if (!readable) log_.error() << "list " << revision << " holds entries that cannot be read";
-        balancer.begin_endpoint_list(remembered                  ? EndpointListKind::cached
-                                     : whole && readable && !old ? EndpointListKind::complete
-                                                                 : EndpointListKind::changes);
+        outdated = !cached && revision_ && revision < highest_revision_;
+        // A complete list with an unreadable entry is applied as changes: an endpoint must not count as
+        // removed because its entry could not be read.
+        const bool readable = all_entries_readable(list);
+        if (!readable) log_.error() << "list " << revision << " has unreadable entries";
+        balancer.begin_endpoint_list(cached                              ? EndpointListKind::cached
+                                     : complete && readable && !outdated ? EndpointListKind::complete
+                                                                         : EndpointListKind::changes);
     } catch (const json::Malformed& e) {
-        log_.error() << "list not taken: " << e.what();
+        log_.error() << "list rejected: " << e.what();
         return false;
     }
-    const Ticks offset_before = starts_.offset();
-    list.each("members", [&](const json::Value& m) {
+    const Ticks offset_before = start_times_.offset();
+    list.each("members", [&](const json::Value& entry) {
         try {
-            take_member(m, balancer, old, now);
+            apply_entry(entry, balancer, outdated, now);
         } catch (const json::Malformed& e) {
-            log_.error() << "entry of list " << revision << " passed over: " << e.what();
+            log_.error() << "entry of list " << revision << " skipped: " << e.what();
         }
     });
-    correct_starts(balancer, offset_before);
+    correct_start_times(balancer, offset_before);
     balancer.end_endpoint_list();
-    if (!remembered) current_at_ = now;
-    // What a node remembers may lack entries: then the watch begins with the whole list.
-    if (!remembered || whole) {
+    if (!cached) current_at_ = now;
+    // A cached list may lack entries: without a revision the watch asks for a complete one.
+    if (!cached || complete) {
         revision_ = revision;
-        highest_ = std::max(highest_, revision);
+        highest_revision_ = std::max(highest_revision_, revision);
     }
     return true;
 }
 
-std::string EndpointDirectory::list() const {
+bool EndpointDirectory::apply_inherited(const json::Value& list, Balancer& balancer, Ticks clock_shift,
+                                        Ticks now) {
+    const auto offset = static_cast<Ticks>(list.number("starts_offset", 0));
+    start_times_.adopt(offset + clock_shift);
+    return apply(list, balancer, ListSource::cache, now);
+}
+
+std::string EndpointDirectory::to_json() const {
     std::ostringstream out;
-    out << R"({"revision":)" << revision() << R"(,"starts_offset":)" << starts_.offset()
+    out << R"({"revision":)" << revision() << R"(,"starts_offset":)" << start_times_.offset()
         << R"(,"complete":true,"members":[)";
-    const char* between = "";
-    for (const DiscoveredEndpoint& h : hosts_) {
-        const char* phase = h.life == EndpointState::active    ? "in_service"
-                            : h.life == EndpointState::removed ? "terminated"
-                                                               : "terminating";
-        out << std::exchange(between, ",") << R"({"id":)" << json::quoted(h.id) << R"(,"host_port":")"
-            << net::address_text(h.at) << R"(","locality":)" << json::quoted(h.zone) << R"(,"cell":)"
-            << h.cell << R"(,"phase":")" << phase << R"(","size":)" << std::setprecision(17) << h.size
-            << R"(,"up_since_ms":)" << h.started_ms << '}';
+    const char* separator = "";
+    for (const DiscoveredEndpoint& endpoint : endpoints_) {
+        out << std::exchange(separator, ",") << R"({"id":)" << json::quoted(endpoint.id)
+            << R"(,"host_port":")" << net::address_text(endpoint.address) << R"(","locality":)"
+            << json::quoted(endpoint.zone) << R"(,"cell":)" << endpoint.cell << R"(,"phase":")"
+            << encode_phase(endpoint.state) << R"(","size":)" << std::setprecision(17) << endpoint.size
+            << R"(,"up_since_ms":)" << endpoint.started_unix_ms << '}';
     }
     out << "]}";
     return out.str();
 }
 
-// An old list holds nothing new: taking it whole would bring back what is over. But a service that has
-// restarted may count its lists anew, and what it says of a drain must not be missed: until it has passed the
-// highest number heard, of its lists those entries count by which a host is further on than it was known to
-// be.
-void EndpointDirectory::take_member(const json::Value& m, Balancer& balancer, bool old, Ticks now) {
-    const std::string id(m.text("id"));
-    const auto phase = m.text("phase");
-    // A phase that this build does not know is not one of service: nothing new goes there.
-    const EndpointState life = phase == "in_service"   ? EndpointState::active
-                               : phase == "terminated" ? EndpointState::removed
-                                                       : EndpointState::draining;
-    const auto cell = m.small("cell", 0);
-    const auto size = m.number("size", 1);
-    const auto started = std::max<std::int64_t>(static_cast<std::int64_t>(m.number("up_since_ms", 0)), 0);
-    std::uint32_t place = place_of(id);
-    if (old && place != none && !hosts_[place].is_ahead(life, started)) return;
-    const auto at = net::parse_address(m.text("host_port", ""));
-    if (place == none) {
-        if (!at) m.fail("host_port", "is not an address and a port");
-        const auto ep = static_cast<std::uint32_t>(hash_text(id) & 0x7fffffff);
-        if (by_ep_.find(ep) != none) m.fail("id", "has the same number as another's");
-        place = static_cast<std::uint32_t>(hosts_.size());
-        hosts_.emplace_back();
-        hosts_.back().ep = ep;
-        hosts_.back().at = *at;
-        hosts_.back().id = id;
-        by_id_.emplace(id, place);
-        by_ep_.put(ep, place);
-        log_.info() << "host " << id << " at " << m.text("host_port") << " is ep " << ep;
-    }
-    if (at) hosts_[place].at = *at;
-    if (hosts_[place].life != life || hosts_[place].started_ms != started)
-        log_.debug() << "host " << id << ", ep " << hosts_[place].ep << ", told " << phase << ", up since "
-                     << started;
-    if (hosts_[place].started_ms != started)
-        hosts_[place].started_at = start_of(hosts_[place], net::tenths_of_unix_ms(started), now);
-    hosts_[place].life = life;
-    hosts_[place].started_ms = started;
-    hosts_[place].zone = m.text("locality", "");
-    hosts_[place].cell = cell;
-    hosts_[place].size = size;
-    tell(hosts_[place], balancer);
+// An outdated list holds nothing new: applying it completely would restore what is over. But a discovery
+// service that has restarted may number its lists anew, and a drain in them must not be missed: until its
+// numbers exceed the highest one seen, those entries apply that supersede what is known of their endpoint.
+void EndpointDirectory::apply_entry(const json::Value& entry, Balancer& balancer, bool outdated, Ticks now) {
+    const std::string id(entry.text("id"));
+    const auto phase = entry.text("phase");
+    const EndpointState state = decode_phase(phase);
+    const auto cell = entry.small("cell", 0);
+    const auto size = entry.number("size", 1);
+    const auto started = std::max<std::int64_t>(static_cast<std::int64_t>(entry.number("up_since_ms", 0)), 0);
+    std::uint32_t index = index_of(id);
+    if (outdated && index != none && !endpoints_[index].is_superseded_by(state, started)) return;
+    const auto address = net::parse_address(entry.text("host_port", ""));
+    if (index == none) index = add(entry, id, address);
+    DiscoveredEndpoint& endpoint = endpoints_[index];
+    if (address) endpoint.address = *address;
+    if (endpoint.state != state || endpoint.started_unix_ms != started)
+        log_.debug() << "endpoint " << id << ", ep " << endpoint.ep << ", listed as " << phase
+                     << ", up since " << started;
+    if (endpoint.started_unix_ms != started)
+        endpoint.started_at = start_of(endpoint, net::tenths_of_unix_ms(started), now);
+    endpoint.state = state;
+    endpoint.started_unix_ms = started;
+    endpoint.zone = entry.text("locality", "");
+    endpoint.cell = cell;
+    endpoint.size = size;
+    publish(endpoint, balancer);
+}
+
+std::uint32_t EndpointDirectory::add(const json::Value& entry, const std::string& id,
+                                     const std::optional<net::Address>& address) {
+    if (!address) entry.fail("host_port", "is not an address and a port");
+    const auto ep = static_cast<std::uint32_t>(hash_text(id) & 0x7fffffff);
+    if (index_by_ep_.find(ep) != none) entry.fail("id", "has the same number as another's");
+    const auto index = static_cast<std::uint32_t>(endpoints_.size());
+    DiscoveredEndpoint& endpoint = endpoints_.emplace_back();
+    endpoint.ep = ep;
+    endpoint.address = *address;
+    endpoint.id = id;
+    index_by_id_.emplace(id, index);
+    index_by_ep_.put(ep, index);
+    log_.info() << "endpoint " << id << " at " << entry.text("host_port") << " is ep " << ep;
+    return index;
 }
 
-// Of an entry that the list did not hold like this before.
-Ticks EndpointDirectory::start_of(const DiscoveredEndpoint& host, Ticks listed, Ticks now) {
+// The start of an endpoint whose entry has changed.
+Ticks EndpointDirectory::start_of(const DiscoveredEndpoint& endpoint, Ticks listed, Ticks now) {
     if (!current_at_) {
-        starts_.bound(listed, now);
-        return starts_.of_known(listed);
+        start_times_.bound(listed, now);
+        return start_times_.of_known(listed);
     }
-    // A later start is later here too, whatever was done to the clock that tells it.
-    return std::max(starts_.of_news(listed, now, *current_at_), listed > 0 ? host.started_at + 1 : 0);
+    // A start that is listed as later is later here too, however the listing clock was stepped meanwhile.
+    return std::max(start_times_.of_news(listed, now, *current_at_),
+                    listed > 0 ? endpoint.started_at + 1 : 0);
 }
 
-void EndpointDirectory::tell(const DiscoveredEndpoint& host, Balancer& balancer) const {
-    const auto zone = std::find(zones_.begin(), zones_.end(), host.zone);
-    balancer.add_endpoint(host.ep, static_cast<std::uint32_t>(zone - zones_.begin()), host.cell, host.life,
-                          host.size, host.started_at);
+void EndpointDirectory::publish(const DiscoveredEndpoint& endpoint, Balancer& balancer) const {
+    const auto zone = std::find(zone_names_.begin(), zone_names_.end(), endpoint.zone);
+    balancer.add_endpoint(endpoint.ep, static_cast<std::uint32_t>(zone - zone_names_.begin()), endpoint.cell,
+                          endpoint.state, endpoint.size, endpoint.started_at);
 }
 
-// Guards against endpoints that were listed when this process began, and were taken for old by a clock that
-// has turned out to be ahead.
-void EndpointDirectory::correct_starts(Balancer& balancer, Ticks offset_before) {
-    if (starts_.offset() - offset_before <= StartTimes::longest_notice) return;
-    log_.info() << "the clock of the list is " << starts_.offset() / 10 << " ms behind: starts are told anew";
-    for (DiscoveredEndpoint& host : hosts_) {
-        const Ticks start = starts_.of_known(net::tenths_of_unix_ms(host.started_ms));
-        if (host.life == EndpointState::removed || start <= host.started_at) continue;
-        host.started_at = start;
-        tell(host, balancer);
+// Endpoints that were listed when this process began may have been taken for old by a clock that has turned
+// out to be ahead.
+void EndpointDirectory::correct_start_times(Balancer& balancer, Ticks offset_before) {
+    if (start_times_.offset() - offset_before <= StartTimes::max_notice_delay) return;
+    log_.info() << "the clock of the list is " << start_times_.offset() / 10
+                << " ms behind: start times are corrected";
+    for (DiscoveredEndpoint& endpoint : endpoints_) {
+        const Ticks start = start_times_.of_known(net::tenths_of_unix_ms(endpoint.started_unix_ms));
+        if (endpoint.state == EndpointState::removed || start <= endpoint.started_at) continue;
+        endpoint.started_at = start;
+        publish(endpoint, balancer);
     }
 }
 
--- a/src/discovery/endpoint_directory.h
+++ b/src/discovery/endpoint_directory.h
@@ -1,5 +1,5 @@
-// The door for hosts: the ids and addresses that discovery gives become small places; the module and the
-// other nodes know a host by a number made of its id, which is the same at every node.
+// The endpoint directory: the endpoints that discovery lists, and the decoder of these lists. It numbers each
+// endpoint by a hash of its id, so that all nodes use the same number, and tells the balancer what it knows.
 #pragma once
 
 #include <cstdint>
@@ -18,63 +18,70 @@
 
 namespace lemonstair::discovery {
 
+// Where a list comes from: discovery itself, or what a process remembers of an earlier list.
+enum class ListSource : std::uint8_t { discovery, cache };
+
 class EndpointDirectory {
   public:
     static constexpr std::uint32_t none = IdIndex::none;
     struct DiscoveredEndpoint {
-        std::uint32_t ep = 0;
-        net::Address at;
-        EndpointState life = EndpointState::active;
-        std::int64_t started_ms = 0;  // as told
-        Ticks started_at = 0;         // on this process's clock; 0: long ago
+        std::uint32_t ep = 0;  // its number in the balancer, at other nodes and in log lines
+        net::Address address;
+        EndpointState state = EndpointState::active;
+        std::int64_t started_unix_ms = 0;  // as listed
+        Ticks started_at = 0;              // on this process's clock; 0: long ago
         std::string id, zone;
         std::uint32_t cell = 0;
         double size = 1;
-        // Within one life of its process a host goes on from service to draining to gone, never back.
-        bool is_ahead(EndpointState other, std::int64_t started) const {
-            return started != started_ms ? started > started_ms : other > life;
+        // Within one incarnation an endpoint goes from active to draining to removed, never back.
+        bool is_superseded_by(EndpointState new_state, std::int64_t new_started_unix_ms) const {
+            if (new_started_unix_ms != started_unix_ms) return new_started_unix_ms > started_unix_ms;
+            return new_state > state;
         }
     };
-    EndpointDirectory(const std::vector<std::string>& zones, log::Log& log) : zones_(zones), log_(log) {}
+    EndpointDirectory(const std::vector<std::string>& zone_names, log::Log& log)
+        : zone_names_(zone_names), log_(log) {}
 
-    // Takes one list or one change of it, and tells the Balancer what it holds. False where it is no list.
-    bool take(const json::Value& list, Balancer& balancer, bool remembered, Ticks now);
-    // The list that another process of this node had; its clock may be another.
-    bool take_over(const json::Value& list, Balancer& balancer, Ticks clock_shift, Ticks now) {
-        const auto offset = static_cast<Ticks>(list.number("starts_offset", 0));
-        starts_.adopt(offset + clock_shift);
-        return take(list, balancer, true, now);
-    }
-    // Discovery said that nothing has changed.
-    void still_current(Ticks now) {
+    // Applies a complete list or a list of changes and passes it to the balancer. False, and an error in the
+    // log, where it is no list; unreadable entries of a list are logged and skipped.
+    bool apply(const json::Value& list, Balancer& balancer, ListSource source, Ticks now);
+    // Applies the list that another process of this node wrote with to_json(); `clock_shift` is how far this
+    // process's clock is ahead of the other's.
+    bool apply_inherited(const json::Value& list, Balancer& balancer, Ticks clock_shift, Ticks now);
+    // Discovery reported that nothing has changed.
+    void confirm_current(Ticks now) {
         if (current_at_) current_at_ = now;
     }
-    // All that is known, gone hosts among it, as a list that another process of this node can take.
-    std::string list() const;
+    // All known endpoints, removed ones included.
+    std::string to_json() const;
+    // Of the last list; 0: none is known.
     std::uint64_t revision() const { return revision_.value_or(0); }
-    // Another service counts its lists by itself: what it says first is new whatever its number.
-    void forget_revision() {
+    // Another discovery service numbers its lists independently: its first list is new whatever its number.
+    void reset_revision() {
         revision_.reset();
-        highest_ = 0;
+        highest_revision_ = 0;
     }
-    std::uint32_t place_of(std::uint32_t ep) const { return by_ep_.find(ep); }
-    std::uint32_t place_of(std::string_view id) const;
-    const DiscoveredEndpoint& operator[](std::uint32_t place) const { return hosts_[place]; }
-    std::size_t size() const { return hosts_.size(); }
+    // An index stays valid while the directory lives; `none` for an endpoint that is not known.
+    std::uint32_t index_of(std::uint32_t ep) const { return index_by_ep_.find(ep); }
+    std::uint32_t index_of(std::string_view id) const;
+    const DiscoveredEndpoint& operator[](std::uint32_t index) const { return endpoints_[index]; }
+    std::size_t size() const { return endpoints_.size(); }
 
   private:
-    void take_member(const json::Value& member, Balancer& balancer, bool old, Ticks now);
-    Ticks start_of(const DiscoveredEndpoint& host, Ticks listed, Ticks now);
-    void tell(const DiscoveredEndpoint& host, Balancer& balancer) const;
-    void correct_starts(Balancer& balancer, Ticks offset_before);
-    const std::vector<std::string>& zones_;
+    void apply_entry(const json::Value& entry, Balancer& balancer, bool outdated, Ticks now);
+    std::uint32_t add(const json::Value& entry, const std::string& id,
+                      const std::optional<net::Address>& address);
+    Ticks start_of(const DiscoveredEndpoint& endpoint, Ticks listed, Ticks now);
+    void publish(const DiscoveredEndpoint& endpoint, Balancer& balancer) const;
+    void correct_start_times(Balancer& balancer, Ticks offset_before);
+    const std::vector<std::string>& zone_names_;
     log::Log& log_;
-    std::vector<DiscoveredEndpoint> hosts_;
-    std::unordered_map<std::string, std::uint32_t> by_id_;
-    IdIndex by_ep_;
-    std::optional<std::uint64_t> revision_;  // of the last list heard
-    std::uint64_t highest_ = 0;
-    StartTimes starts_;
+    std::vector<DiscoveredEndpoint> endpoints_;
+    std::unordered_map<std::string, std::uint32_t> index_by_id_;
+    IdIndex index_by_ep_;
+    std::optional<std::uint64_t> revision_;  // of the last list
+    std::uint64_t highest_revision_ = 0;
+    StartTimes start_times_;
     std::optional<Ticks> current_at_;  // when the list was last known to be up to date
 };
 
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -11,100 +11,103 @@
 namespace {
 
 using backoff::patience_asking, backoff::patience_connecting, backoff::patience_standing;
-constexpr int reads_a_pass = 64;
+constexpr int reads_per_pass = 64;
 
 }  // namespace
 
 void Watch::open(std::uint64_t after_revision) {
     if (is_open()) return;
-    ++call_;
-    ++costs_.discovery_requests;
-    called_at_ = loop_.now();
-    lines_.begin();
-    question_ = "GET /api/targets?stream=1&index=" + std::to_string(after_revision) +
-                " HTTP/1.1\r\nHost: discovery\r\nAccept: application/json\r\n\r\n";
+    ++attempt_;
+    ++counters_.discovery_requests;
+    opened_at_ = loop_.now();
+    response_.reset();
+    request_ = "GET /api/targets?stream=1&index=" + std::to_string(after_revision) +
+               " HTTP/1.1\r\nHost: discovery\r\nAccept: application/json\r\n\r\n";
     net::Fd fd = loop_.system().connect_to(discovery_);
-    if (fd.open()) socket_ = net::Socket(loop_, std::move(fd), POLLOUT, *this, call_);
-    go(Phase::connecting, socket_.open() ? patience_connecting : 0);
+    if (fd.open()) socket_ = net::Socket(loop_, std::move(fd), POLLOUT, *this, attempt_);
+    // Without a socket the timer reports the loss, so that the caller is not called back from here.
+    transition_to(Phase::connecting, socket_.open() ? patience_connecting : 0);
 }
 
-bool Watch::move_to(const net::Address& discovery) {
+bool Watch::redirect(const net::Address& discovery) {
     if (discovery == discovery_) return false;
     discovery_ = discovery;
-    hang_up();
+    close();
     return true;
 }
 
-void Watch::hang_up() {
+void Watch::close() {
     socket_.close();
     phase_ = Phase::closed;
-    ++call_;
+    ++attempt_;
 }
 
-void Watch::go(Phase to, net::Ticks patience) {
-    if (to == Phase::standing)
-        costs_.discovery_wait_ms += static_cast<std::uint64_t>((loop_.now() - called_at_) / 10);
-    phase_ = to;
-    dead_at_ = loop_.now() + patience;
-    loop_.schedule(dead_at_, *this, call_);
+void Watch::transition_to(Phase phase, net::Ticks timeout) {
+    if (phase == Phase::streaming)
+        counters_.discovery_wait_ms += static_cast<std::uint64_t>((loop_.now() - opened_at_) / 10);
+    phase_ = phase;
+    deadline_ = loop_.now() + timeout;
+    loop_.schedule(deadline_, *this, attempt_);
 }
 
 void Watch::on_ready(std::uint64_t, short) {
     if (phase_ == Phase::connecting) {
-        if (socket_.connected() != 0) return lose("not reached");
-        go(Phase::asking, patience_asking);
+        if (socket_.connected() != 0) return lose("unreachable");
+        transition_to(Phase::requesting, patience_asking);
     }
-    if (!question_.empty()) return ask();
+    if (!request_.empty()) return send_request();
     read();
 }
 
-void Watch::ask() {
-    const auto sent = socket_.write(question_);
-    if (sent.error != 0) return lose("broken");
-    question_.erase(0, sent.bytes);
-    socket_.set_events(question_.empty() ? POLLIN : POLLOUT);
+void Watch::send_request() {
+    const auto sent = socket_.write(request_);
+    if (sent.error != 0) return lose("connection lost");
+    request_.erase(0, sent.bytes);
+    socket_.set_events(request_.empty() ? POLLIN : POLLOUT);
 }
 
 void Watch::read() {
     net::Buffer buffer = pool_.take();
-    const auto [at, room] = buffer.room();
-    for (int i = 0; i < reads_a_pass; ++i) {
-        const auto got = socket_.read({at, room});
-        if (got.error != 0) return lose("broken");
-        if (got.ended) return lose("ended by discovery");
-        if (got.bytes == 0) return;
-        if (phase_ == Phase::standing) dead_at_ = loop_.now() + patience_standing;
-        bool good = true;
-        const bool framed = lines_.feed({at, got.bytes}, [&](std::string_view l) { good = good && take(l); });
-        if (!framed || !good) return lose(framed ? "not a list" : "not a good answer");
-        if (lines_.over()) return lose("ended by discovery");
+    const auto [data, capacity] = buffer.room();
+    for (int i = 0; i < reads_per_pass; ++i) {
+        const auto received = socket_.read({data, capacity});
+        if (received.error != 0) return lose("connection lost");
+        if (received.ended) return lose("ended by discovery");
+        if (received.bytes == 0) return;
+        if (phase_ == Phase::streaming) deadline_ = loop_.now() + patience_standing;
+        bool lines_valid = true;
+        const bool response_valid = response_.feed({data, received.bytes}, [&](std::string_view line) {
+            lines_valid = lines_valid && handle_line(line);
+        });
+        if (!response_valid) return lose("invalid response");
+        if (!lines_valid) return lose("not a list");
+        if (response_.at_end()) return lose("ended by discovery");
     }
 }
 
-bool Watch::take(std::string_view line) {
-    if (line.empty()) {  // nothing has changed after the revision asked for
-        if (phase_ == Phase::asking) hearer_.nothing_new();
-        hearer_.still_current();
-        if (phase_ == Phase::asking) go(Phase::standing, patience_standing);
-        return true;
+bool Watch::handle_line(std::string_view line) {
+    if (line.empty()) {
+        if (phase_ == Phase::requesting) listener_.on_unchanged();
+        listener_.on_still_current();
+    } else if (!document_.parse(line) || !listener_.on_list(document_.root().with_context("list"))) {
+        return false;
     }
-    if (!line_.parse(line) || !hearer_.list_heard(line_.root().told_as("list"))) return false;
-    if (phase_ == Phase::asking) go(Phase::standing, patience_standing);
+    if (phase_ == Phase::requesting) transition_to(Phase::streaming, patience_standing);
     return true;
 }
 
-// Guards against a watch that stands silent on a cut-off line: nothing else would tell that it is over.
+// A connection that was cut silently reports no error: only the deadline ends it.
 void Watch::on_timer(std::uint64_t token) {
-    if (token != call_ || !is_open()) return;
-    if (loop_.now() >= dead_at_) return lose("silent");
-    loop_.schedule(dead_at_, *this, call_);
+    if (token != attempt_ || !is_open()) return;
+    if (loop_.now() >= deadline_) return lose("silent");
+    loop_.schedule(deadline_, *this, attempt_);
 }
 
-void Watch::lose(std::string_view why) {
-    log_.info() << "watch on discovery: " << why;
-    if (phase_ != Phase::standing) ++costs_.discovery_failures;
-    hang_up();
-    hearer_.watch_lost();
+void Watch::lose(std::string_view reason) {
+    log_.info() << "watch on discovery lost: " << reason;
+    if (phase_ != Phase::streaming) ++counters_.discovery_failures;
+    close();
+    listener_.on_watch_lost();
 }
 
 }  // namespace lemonstair::discovery
--- a/src/discovery/watch.h
+++ b/src/discovery/watch.h
@@ -1,4 +1,5 @@
-// The watch on discovery: one call whose answer stays open and brings the changes of the list, a line each.
+// The watch on discovery: one HTTP request whose response stays open and streams changes of the endpoint
+// list, one JSON list a line; an empty line means that nothing has changed.
 #pragma once
 
 #include <cstdint>
@@ -21,52 +22,59 @@
     WatchListener(const WatchListener&) = delete;
     WatchListener& operator=(const WatchListener&) = delete;
     virtual ~WatchListener() = default;
-    // False where the line holds no list: the watch is then given up.
-    virtual bool list_heard(const json::Value& list) = 0;
-    virtual void nothing_new() = 0;
-    // A sign that the watch stands: what was heard last is all there is.
-    virtual void still_current() = 0;
-    virtual void watch_lost() = 0;
+    // False where the value is no list: the watch is then lost.
+    virtual bool on_list(const json::Value& list) = 0;
+    // The response began with an empty line: the list has not changed since the revision asked for.
+    virtual void on_unchanged() = 0;
+    // At each empty line: the list received last is current.
+    virtual void on_still_current() = 0;
+    // The watch is over and has to be opened again; not called after stop() or redirect().
+    virtual void on_watch_lost() = 0;
 };
 
 class Watch final : public net::EventHandler {
   public:
-    Watch(net::EventLoop& loop, net::BufferPool& pool, const net::Address& discovery, WatchListener& hearer,
-          log::Log& log, metrics::ResourceCounters& costs)
-        : loop_(loop), pool_(pool), discovery_(discovery), hearer_(hearer), log_(log), costs_(costs) {}
-    // Nothing happens where a call is under way or stands.
+    Watch(net::EventLoop& loop, net::BufferPool& pool, const net::Address& discovery, WatchListener& listener,
+          log::Log& log, metrics::ResourceCounters& counters)
+        : loop_(loop),
+          pool_(pool),
+          discovery_(discovery),
+          listener_(listener),
+          log_(log),
+          counters_(counters) {}
+    // Asks for the changes after a revision, 0 for a complete list. Does nothing where the watch is open.
     void open(std::uint64_t after_revision);
-    // Over, and nobody hears that it is.
-    void stop() { hang_up(); }
+    void stop() { close(); }
     bool is_open() const { return phase_ != Phase::closed; }
-    // The list is kept elsewhere from now on: a call to the old place is over. False where it is no other.
-    bool move_to(const net::Address& discovery);
+    // Discovery has another address: ends the watch on the old one. False where the address is the same.
+    bool redirect(const net::Address& discovery);
 
     void on_ready(std::uint64_t token, short events) override;
     void on_timer(std::uint64_t token) override;
 
   private:
-    enum class Phase : std::uint8_t { closed, connecting, asking, standing };
-    void ask();
+    // requesting: until the first line of the response.
+    enum class Phase : std::uint8_t { closed, connecting, requesting, streaming };
+    void send_request();
     void read();
-    bool take(std::string_view line);
-    void lose(std::string_view why);
-    void hang_up();
-    void go(Phase to, net::Ticks patience);
+    bool handle_line(std::string_view line);
+    void lose(std::string_view reason);
+    void close();
+    void transition_to(Phase phase, net::Ticks timeout);
 
     net::EventLoop& loop_;
     net::BufferPool& pool_;
     net::Address discovery_;
-    WatchListener& hearer_;
+    WatchListener& listener_;
     log::Log& log_;
-    metrics::ResourceCounters& costs_;
+    metrics::ResourceCounters& counters_;
     net::Socket socket_;
-    std::string question_;
-    HttpLines lines_;
-    json::Document line_;
+    std::string request_;  // what is left to send
+    HttpLines response_;
+    json::Document document_;
     Phase phase_ = Phase::closed;
-    net::Ticks dead_at_ = 0, called_at_ = 0;
-    std::uint64_t call_ = 0;
+    net::Ticks deadline_ = 0, opened_at_ = 0;
+    std::uint64_t attempt_ = 0;  // token of the current connection's events and timers
 };
 
 }  // namespace lemonstair::discovery
--- a/src/health_check/health_checker.cpp
+++ b/src/health_check/health_checker.cpp
@@ -15,12 +15,21 @@
 
 namespace {
 
-constexpr Ticks idle_for = 200000;  // a host holds only so many connections: an unused one is closed
-constexpr int answer_timeouts = 2;  // in times of the time that a connection may take to come up
+// Tenths of a ms. An endpoint holds only so many connections, so unused ones are closed.
+constexpr Ticks idle_timeout = 200000;
+constexpr int response_timeout_factor = 2;  // times the connect timeout
+
+// The request lines; an endpoint answers either with PONG.
+constexpr std::string_view ping_request = "PING\r\n", load_report_request = "STATS\r\n";
+
+// Whether the error tells of the endpoint or only of this machine.
+Outcome outcome_of_connect(int error) {
+    return net::is_local_failure(error) ? Outcome::not_sent : Outcome::unreachable;
+}
 
 }  // namespace
 
-bool read_pong(std::string_view line, LoadReport& report) {
+bool decode_pong(std::string_view line, LoadReport& report) {
     constexpr std::string_view word = "PONG";
     if (line.substr(0, word.size()) != word) return false;
     line.remove_prefix(word.size());
@@ -33,180 +42,190 @@
         line.remove_prefix(std::min(end + 1, line.size()));
         const auto equals = pair.find('=');
         if (equals == std::string_view::npos) continue;
-        double* at = config::figure(report, pair.substr(0, equals));
+        double* field = config::figure(report, pair.substr(0, equals));
         const char* stop = pair.data() + pair.size();
         double value = 0;
         const auto read = std::from_chars(pair.data() + equals + 1, stop, value);
-        if (at != nullptr && read.ec == std::errc{} && read.ptr == stop && std::isfinite(value)) *at = value;
+        const bool valid = read.ec == std::errc{} && read.ptr == stop && std::isfinite(value);
+        if (field != nullptr && valid) *field = value;
     }
     return true;
 }
 
-void HealthChecker::probe(std::uint32_t ep) {
-    const std::uint32_t place = hosts_.place_of(ep);
-    if (place == discovery::EndpointDirectory::none) return;
-    if (lines_.size() <= place) lines_.resize(hosts_.size());
-    Line& l = lines_[place];
-    if (l.state != State::closed && l.state != State::idle) return;
-    l.asked_at = loop_.now();
-    l.used_before = l.state == State::idle;
-    if (l.state == State::idle) return ask(place);
-    if (line_left()) return connect(place);
-    l.state = State::waiting;
-    waiting_.push_back(place);
-}
-
-// Guards against more hosts than the node has descriptors for: the line that was used longest ago gives way.
-bool HealthChecker::line_left() {
-    if (open_ < most_lines(lines_.size(), launch_.sockets)) return true;
+void HealthChecker::check(std::uint32_t ep) {
+    const std::uint32_t index = endpoints_.index_of(ep);
+    if (index == discovery::EndpointDirectory::none) return;
+    if (connections_.size() <= index) connections_.resize(endpoints_.size());
+    Connection& connection = connections_[index];
+    if (connection.state != State::closed && connection.state != State::idle) return;
+    connection.started_at = loop_.now();
+    connection.reused = connection.state == State::idle;
+    if (connection.reused) return send_request(index);
+    if (reserve_connection()) return connect(index);
+    connection.state = State::waiting;
+    waiting_.push_back(index);
+}
+
+// Where there are more endpoints than descriptors, the connection that has been idle longest is closed. False
+// where none is idle.
+bool HealthChecker::reserve_connection() {
+    if (open_connections_ < max_connections(connections_.size(), config_.sockets)) return true;
     std::uint32_t oldest = discovery::EndpointDirectory::none;
-    for (std::uint32_t at = 0; at < lines_.size(); ++at)
-        if (lines_[at].state == State::idle &&
-            (oldest == discovery::EndpointDirectory::none || lines_[at].due < lines_[oldest].due))
-            oldest = at;
+    for (std::uint32_t index = 0; index < connections_.size(); ++index) {
+        if (connections_[index].state != State::idle) continue;
+        if (oldest == discovery::EndpointDirectory::none ||
+            connections_[index].deadline < connections_[oldest].deadline)
+            oldest = index;
+    }
     if (oldest == discovery::EndpointDirectory::none) return false;
     close(oldest);
     return true;
 }
 
-void HealthChecker::next_waiting() {
-    while (!waiting_.empty() && line_left()) {
-        const std::uint32_t place = waiting_.front();
+void HealthChecker::start_waiting() {
+    while (!waiting_.empty() && reserve_connection()) {
+        const std::uint32_t index = waiting_.front();
         waiting_.pop_front();
-        lines_[place].asked_at = loop_.now();
-        connect(place);
+        connections_[index].started_at = loop_.now();
+        connect(index);
     }
 }
 
 void HealthChecker::stop() {
-    for (std::uint32_t place = 0; place < lines_.size(); ++place)
-        if (lines_[place].state == State::idle) close(place);
-    for (const std::uint32_t place : std::exchange(waiting_, {})) {
-        lines_[place].state = State::closed;
-        found(place, Outcome::not_sent, {});
+    for (std::uint32_t index = 0; index < connections_.size(); ++index)
+        if (connections_[index].state == State::idle) close(index);
+    for (const std::uint32_t index : std::exchange(waiting_, {})) {
+        connections_[index].state = State::closed;
+        report(index, Outcome::not_sent, {});
     }
 }
 
-void HealthChecker::set_due(std::uint32_t place, Ticks when) {
-    lines_[place].due = when;
-    if (!std::exchange(lines_[place].timed, true)) look_by(place);
+void HealthChecker::set_deadline(std::uint32_t index, Ticks deadline) {
+    connections_[index].deadline = deadline;
+    if (!std::exchange(connections_[index].timer_set, true)) schedule_timer(index);
 }
 
-// One timer a connection, that looks again by the time in which the shortest wait may be over: one for each
-// probe would lie in the loop until the line would be closed for want of use.
-void HealthChecker::look_by(std::uint32_t place) {
-    const Ticks longest = launch_.connect_timeout;
-    loop_.schedule(std::min(lines_[place].due, loop_.now() + longest), *this, token_of(place));
+// Timers cannot be cancelled, so there is one a connection. It fires again after the shortest wait that may
+// come: a timer for each check would pile up in the loop until the idle timeout.
+void HealthChecker::schedule_timer(std::uint32_t index) {
+    const Ticks interval = config_.connect_timeout;
+    loop_.schedule(std::min(connections_[index].deadline, loop_.now() + interval), *this, token_of(index));
 }
 
-void HealthChecker::connect(std::uint32_t place) {
-    Line& l = lines_[place];
-    net::Fd fd = loop_.system().connect_to(hosts_[place].at);
+void HealthChecker::connect(std::uint32_t index) {
+    Connection& connection = connections_[index];
+    net::Fd fd = loop_.system().connect_to(endpoints_[index].address);
     if (!fd.open()) {
-        l.state = State::closed;
         const int error = errno;
-        return found(place, net::is_local_failure(error) ? Outcome::not_sent : Outcome::unreachable, {});
+        connection.state = State::closed;
+        return report(index, outcome_of_connect(error), {});
+    }
+    connection.socket = net::Socket(loop_, std::move(fd), POLLOUT, *this, token_of(index));
+    ++open_connections_;
+    ++counters_.health_check_connections;
+    connection.state = State::connecting;
+    set_deadline(index, loop_.now() + config_.connect_timeout);
+}
+
+void HealthChecker::send_request(std::uint32_t index) {
+    Connection& connection = connections_[index];
+    ++counters_.health_checks;
+    connection.state = State::requesting;
+    connection.sent_bytes = 0;
+    connection.request = config_.reports ? load_report_request : ping_request;
+    if (!send_rest(index)) return;
+    set_deadline(index, loop_.now() + response_timeout_factor * config_.connect_timeout);
+}
+
+// False where the connection failed. What the system does not take at once is sent later.
+bool HealthChecker::send_rest(std::uint32_t index) {
+    Connection& connection = connections_[index];
+    const auto sent = connection.socket.write(connection.request.substr(connection.sent_bytes));
+    if (sent.error != 0) {
+        fail(index, Outcome::unreachable);
+        return false;
     }
-    l.socket = net::Socket(loop_, std::move(fd), POLLOUT, *this, token_of(place));
-    ++open_;
-    ++costs_.health_check_connections;
-    l.state = State::connecting;
-    set_due(place, loop_.now() + launch_.connect_timeout);
-}
-
-void HealthChecker::ask(std::uint32_t place) {
-    Line& l = lines_[place];
-    const std::string_view question = launch_.reports ? "STATS\r\n" : "PING\r\n";
-    ++costs_.health_checks;
-    l.state = State::asking;
-    l.said = 0;
-    l.question = question;
-    if (!say(place)) return;
-    set_due(place, loop_.now() + answer_timeouts * launch_.connect_timeout);
-}
-
-// False where the line is lost. What the system does not take at once goes out later.
-bool HealthChecker::say(std::uint32_t place) {
-    Line& l = lines_[place];
-    const auto sent = l.socket.write(l.question.substr(l.said));
-    if (sent.error != 0) return lost(place, Outcome::unreachable), false;
-    l.said += sent.bytes;
-    l.socket.set_events(l.said < l.question.size() ? POLLOUT : POLLIN);
+    connection.sent_bytes += sent.bytes;
+    connection.socket.set_events(connection.sent_bytes < connection.request.size() ? POLLOUT : POLLIN);
     return true;
 }
 
-void HealthChecker::close(std::uint32_t place) {
-    Line& l = lines_[place];
-    if (l.socket.open()) --open_;
-    l.socket.close();
-    l.answer.give_back();
-    ++l.serial;
-    l.timed = false;
-    l.state = State::closed;
+void HealthChecker::close(std::uint32_t index) {
+    Connection& connection = connections_[index];
+    if (connection.socket.open()) --open_connections_;
+    connection.socket.close();
+    connection.response.give_back();
+    ++connection.generation;
+    connection.timer_set = false;
+    connection.state = State::closed;
 }
 
 void HealthChecker::on_ready(std::uint64_t token, short) {
-    const auto place = static_cast<std::uint32_t>(token);
-    if (place >= lines_.size() || token_of(place) != token) return;
-    Line& l = lines_[place];
-    if (l.state == State::connecting) {
-        if (const int error = l.socket.connected(); error != 0)
-            return lost(place, net::is_local_failure(error) ? Outcome::not_sent : Outcome::unreachable);
-        return ask(place);
+    const auto index = static_cast<std::uint32_t>(token);
+    if (index >= connections_.size() || token_of(index) != token) return;
+    Connection& connection = connections_[index];
+    if (connection.state == State::connecting) {
+        if (const int error = connection.socket.connected(); error != 0)
+            return fail(index, outcome_of_connect(error));
+        return send_request(index);
     }
-    if (l.state == State::idle) return close(place);  // its host ends it, or says what nobody asked
-    if (l.said < l.question.size()) {
-        say(place);
+    // The endpoint closes the connection, or sends something unasked.
+    if (connection.state == State::idle) return close(index);
+    if (connection.sent_bytes < connection.request.size()) {
+        send_rest(index);
         return;
     }
-    read(place);
+    read(index);
 }
 
-void HealthChecker::read(std::uint32_t place) {
-    Line& l = lines_[place];
-    if (!l.answer.held()) l.answer = pool_.take();
-    const auto [at, room] = l.answer.room();
-    const auto got = l.socket.read({at, room});
-    if (got.error != 0 || got.ended) return lost(place, Outcome::connection_lost);
-    l.answer.added(got.bytes);
-    const auto text = l.answer.view();
+void HealthChecker::read(std::uint32_t index) {
+    Connection& connection = connections_[index];
+    if (!connection.response.held()) connection.response = pool_.take();
+    const auto [data, capacity] = connection.response.room();
+    const auto received = connection.socket.read({data, capacity});
+    if (received.error != 0 || received.ended) return fail(index, Outcome::connection_lost);
+    connection.response.added(received.bytes);
+    const auto text = connection.response.view();
     if (text.find('\n') == std::string_view::npos) {
-        if (got.bytes == room) lost(place, Outcome::error);
+        if (received.bytes == capacity) fail(index, Outcome::error);
         return;
     }
-    LoadReport report;
-    const bool good = read_pong(net::first_line(text), report);
-    l.answer.give_back();
-    l.state = State::idle;
-    set_due(place, loop_.now() + idle_for);
-    found(place, good ? Outcome::ok : Outcome::error, report);
-}
-
-void HealthChecker::lost(std::uint32_t place, Outcome ending) {
-    const bool stale = lines_[place].used_before && ending != Outcome::timed_out && ending != Outcome::error;
-    close(place);
-    // A kept connection may have died unseen since its last use; only a new one tells of the host.
-    if (stale) {
-        lines_[place].used_before = false;
-        return connect(place);
+    LoadReport load;
+    const bool valid = decode_pong(net::first_line(text), load);
+    connection.response.give_back();
+    connection.state = State::idle;
+    set_deadline(index, loop_.now() + idle_timeout);
+    report(index, valid ? Outcome::ok : Outcome::error, load);
+}
+
+void HealthChecker::fail(std::uint32_t index, Outcome outcome) {
+    const bool may_be_stale =
+        connections_[index].reused && outcome != Outcome::timed_out && outcome != Outcome::error;
+    close(index);
+    // An idle connection may have died since its last use, which tells nothing of the endpoint: a new one is
+    // tried.
+    if (may_be_stale) {
+        connections_[index].reused = false;
+        return connect(index);
     }
-    found(place, ending, {});
+    report(index, outcome, {});
 }
 
 void HealthChecker::on_timer(std::uint64_t token) {
-    const auto place = static_cast<std::uint32_t>(token);
-    if (place >= lines_.size() || token_of(place) != token) return;
-    if (loop_.now() < lines_[place].due) return look_by(place);
-    const State state = lines_[place].state;
-    if (state == State::idle) return close(place);
-    // A late answer would be taken for that of the next probe: the connection goes.
-    lines_[place].used_before = false;
-    lost(place, state == State::asking ? Outcome::timed_out : Outcome::unreachable);
-}
-
-void HealthChecker::found(std::uint32_t place, Outcome ending, const LoadReport& report) {
-    hearer_.on_health_check(hosts_[place].ep, ending, loop_.now() - lines_[place].asked_at, report);
-    next_waiting();
+    const auto index = static_cast<std::uint32_t>(token);
+    if (index >= connections_.size() || token_of(index) != token) return;
+    if (loop_.now() < connections_[index].deadline) return schedule_timer(index);
+    const State state = connections_[index].state;
+    if (state == State::idle) return close(index);
+    // The connection must not be reused: a late response would be taken for that of the next check.
+    connections_[index].reused = false;
+    fail(index, state == State::requesting ? Outcome::timed_out : Outcome::unreachable);
+}
+
+void HealthChecker::report(std::uint32_t index, Outcome outcome, const LoadReport& load) {
+    const Ticks duration = loop_.now() - connections_[index].started_at;
+    listener_.on_health_check(endpoints_[index].ep, outcome, duration, load);
+    start_waiting();
 }
 
 }  // namespace lemonstair::health_check
--- a/src/health_check/health_checker.h
+++ b/src/health_check/health_checker.h
@@ -1,4 +1,5 @@
-// Probes of hosts: one connection a host, kept while probes follow one another, asked for its load.
+// Health checks: asks endpoints whether they answer, and for their load. One connection an endpoint, reused
+// while checks follow one another; all of them share a limited number of descriptors.
 #pragma once
 
 #include <algorithm>
@@ -16,73 +17,83 @@
 
 namespace lemonstair::health_check {
 
-// Who hears what a probe found.
 class Listener {
   public:
     Listener() = default;
     Listener(const Listener&) = delete;
     Listener& operator=(const Listener&) = delete;
     virtual ~Listener() = default;
-    virtual void on_health_check(std::uint32_t ep, Outcome ending, Ticks took, const LoadReport& report) = 0;
+    // Called once for each check. `report` holds what the endpoint reported; NaN: it did not.
+    virtual void on_health_check(std::uint32_t ep, Outcome outcome, Ticks duration,
+                                 const LoadReport& report) = 0;
 };
 
 class HealthChecker final : public net::EventHandler {
   public:
-    HealthChecker(net::EventLoop& loop, net::BufferPool& pool, const discovery::EndpointDirectory& hosts,
-                  Listener& hearer, const config::NodeConfig& launch, metrics::ResourceCounters& costs)
-        : loop_(loop), pool_(pool), hosts_(hosts), hearer_(hearer), launch_(launch), costs_(costs) {}
-    std::size_t lines() const { return open_; }
-    void probe(std::uint32_t ep);
-    // Another process of this node probes from now on: no line is kept for later.
+    HealthChecker(net::EventLoop& loop, net::BufferPool& pool, const discovery::EndpointDirectory& endpoints,
+                  Listener& listener, const config::NodeConfig& config, metrics::ResourceCounters& counters)
+        : loop_(loop),
+          pool_(pool),
+          endpoints_(endpoints),
+          listener_(listener),
+          config_(config),
+          counters_(counters) {}
+    std::size_t open_connections() const { return open_connections_; }
+    // Starts a check. Does nothing where the endpoint is unknown or a check of it is under way.
+    void check(std::uint32_t ep);
+    // Another process of this node checks from now on: closes idle connections and ends the checks that have
+    // not begun with Outcome::not_sent.
     void stop();
     void on_ready(std::uint64_t token, short events) override;
     void on_timer(std::uint64_t token) override;
 
   private:
-    enum class State : std::uint8_t { closed, waiting, idle, connecting, asking };
-    struct Line {
+    // waiting: for a free descriptor. idle: connected, no check under way.
+    enum class State : std::uint8_t { closed, waiting, idle, connecting, requesting };
+    struct Connection {
         net::Socket socket;
-        net::Buffer answer;
-        std::string_view question;
-        std::size_t said = 0;  // bytes of the question
-        Ticks asked_at = 0, due = 0;
-        bool timed = false;  // a timer of this connection is out
-        std::uint32_t serial = 0;
+        net::Buffer response;
+        std::string_view request;
+        std::size_t sent_bytes = 0;  // of the request
+        Ticks started_at = 0, deadline = 0;
+        bool timer_set = false;
+        std::uint32_t generation = 0;  // of the slot, so that late events of closed connections are ignored
         State state = State::closed;
-        bool used_before = false;
+        bool reused = false;  // for a second or later check
     };
-    std::uint64_t token_of(std::uint32_t place) const {
-        return std::uint64_t{lines_[place].serial} << 32 | place;
+    std::uint64_t token_of(std::uint32_t index) const {
+        return std::uint64_t{connections_[index].generation} << 32 | index;
     }
-    void connect(std::uint32_t place);
-    void ask(std::uint32_t place);
-    bool say(std::uint32_t place);
-    void close(std::uint32_t place);
-    void read(std::uint32_t place);
-    void lost(std::uint32_t place, Outcome ending);
-    void found(std::uint32_t place, Outcome ending, const LoadReport& report);
-    void set_due(std::uint32_t place, Ticks when);
-    void look_by(std::uint32_t place);
-    bool line_left();
-    void next_waiting();
+    void connect(std::uint32_t index);
+    void send_request(std::uint32_t index);
+    bool send_rest(std::uint32_t index);
+    void close(std::uint32_t index);
+    void read(std::uint32_t index);
+    void fail(std::uint32_t index, Outcome outcome);
+    void report(std::uint32_t index, Outcome outcome, const LoadReport& load);
+    void set_deadline(std::uint32_t index, Ticks deadline);
+    void schedule_timer(std::uint32_t index);
+    bool reserve_connection();
+    void start_waiting();
 
     net::EventLoop& loop_;
     net::BufferPool& pool_;
-    const discovery::EndpointDirectory& hosts_;
-    Listener& hearer_;
-    const config::NodeConfig& launch_;
-    metrics::ResourceCounters& costs_;
-    std::vector<Line> lines_;  // by place of the host
-    std::size_t open_ = 0;
-    std::deque<std::uint32_t> waiting_;  // places, for want of a descriptor
+    const discovery::EndpointDirectory& endpoints_;
+    Listener& listener_;
+    const config::NodeConfig& config_;
+    metrics::ResourceCounters& counters_;
+    std::vector<Connection> connections_;  // by index of the endpoint in the directory
+    std::size_t open_connections_ = 0;
+    std::deque<std::uint32_t> waiting_;  // indices
 };
 
-// Of the descriptors granted, those that probes may hold at once: with many hosts the lines take turns.
-constexpr std::size_t most_lines(std::size_t hosts, std::size_t sockets) {
-    return std::min(hosts, std::max<std::size_t>(4, sockets / 8));
+// How many of the node's descriptors health checks may hold at once.
+constexpr std::size_t max_connections(std::size_t endpoints, std::size_t descriptors) {
+    return std::min(endpoints, std::max<std::size_t>(4, descriptors / 8));
 }
 
-// "PONG inflight=7,queue=2": what the names mean goes into the report. False where it is no good answer.
-bool read_pong(std::string_view line, LoadReport& report);
+// Decodes an endpoint's answer, "PONG inflight=7,queue=2": known names go into the report, others and invalid
+// values are ignored. False where it is no such answer.
+bool decode_pong(std::string_view line, LoadReport& report);
 
 }  // namespace lemonstair::health_check
--- a/src/json/json.h
+++ b/src/json/json.h
@@ -42,7 +42,7 @@
     Value() = default;
     explicit Value(const char* where) : where_(where) {}
     Value(const Document& of, std::uint32_t at, const char* where = "") : of_(&of), at_(at), where_(where) {}
-    Value told_as(const char* where) const {
+    Value with_context(const char* where) const {
         Value v = *this;
         v.where_ = where;
         return v;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -58,7 +58,7 @@
 Node::Node(net::System& system, config::NodeConfig launch, const json::Value& known, log::Log& log,
            Reread reread, Decider decider)
     : launch_(std::move(launch)),
-      known_(known.told_as("known")),
+      known_(known.with_context("known")),
       log_(log),
       reread_(std::move(reread)),
       loop_(system),
@@ -94,11 +94,12 @@
     balancer_ = decider_(launch_.terms, orders_, loop_.now());
     orders_.decide_by(*balancer_);
     stages_.floor.balancer = balancer_.get();
-    if (known_.type() == json::Type::object) hosts_.take(known_, stages_.floor.mind(), true, loop_.now());
+    if (known_.type() == json::Type::object)
+        hosts_.apply(known_, stages_.floor.mind(), discovery::ListSource::cache, loop_.now());
     json::Document told;
     if (!list.empty() && told.parse(list))
-        hosts_.take_over(told.root().told_as("list handed over"), stages_.floor.mind(),
-                         stages_.carry.clock_shift(), loop_.now());
+        hosts_.apply_inherited(told.root().with_context("inherited list"), stages_.floor.mind(),
+                               stages_.carry.clock_shift(), loop_.now());
 }
 
 // The node's place is this process's, alone or after an old one.
@@ -157,7 +158,7 @@
 }
 
 void Node::export_state(std::string& list, std::string& memory) {
-    list = hosts_.list();
+    list = hosts_.to_json();
     stages_.floor.mind().serialize_state(memory);
 }
 
@@ -255,7 +256,7 @@
         case DeferredActions::Kind::move:
             return stages_.route.move(order.tun);
         case DeferredActions::Kind::probe:
-            if (hot_restart::is_active(succession_.role())) return prober_.probe(order.ep);
+            if (hot_restart::is_active(succession_.role())) return prober_.check(order.ep);
             return stages_.floor.mind().on_health_check(order.ep, Outcome::not_sent, 0, {});
         case DeferredActions::Kind::watch:
             if (hot_restart::is_active(succession_.role())) watch_.open(hosts_.revision());
@@ -263,8 +264,9 @@
     }
 }
 
-bool Node::list_heard(const json::Value& list) {
-    const bool taken = hosts_.take(list, stages_.floor.mind(), false, loop_.now());
+bool Node::on_list(const json::Value& list) {
+    const bool taken =
+        hosts_.apply(list, stages_.floor.mind(), discovery::ListSource::discovery, loop_.now());
     if (taken) backoff_.answered();
     return taken;
 }
@@ -275,14 +277,14 @@
     mind.end_endpoint_list();
 }
 
-void Node::nothing_new() {
+void Node::on_unchanged() {
     tell_list(EndpointListKind::changes);
     backoff_.answered();
 }
 
 // Where the node must ask, the module says when to ask again; else the watch comes back by itself, later
 // after each failure and by chance, so that not all nodes call discovery at once when it is back.
-void Node::watch_lost() {
+void Node::on_watch_lost() {
     tell_list(EndpointListKind::failed);
     if (launch_.terms.must_poll) return;
     const double drawn = static_cast<double>(rng_() - std::minstd_rand::min());
@@ -347,10 +349,10 @@
 void Node::take_renewed(const std::string& kept) {
     if (!kept.empty()) log_.error() << "not changed before the next start: " << kept;
     stages_.floor.mind().update_config(launch_.terms);
-    const bool moved = watch_.move_to(launch_.discovery);
+    const bool moved = watch_.redirect(launch_.discovery);
     log_.info() << "configuration read again" << (moved ? ", discovery has moved" : "") << ", room for "
                 << stages_.admit.room();
-    if (moved) hosts_.forget_revision();
+    if (moved) hosts_.reset_revision();
     if (watch_.is_open()) return;
     backoff_.answered();
     tell_list(EndpointListKind::moved);
@@ -392,7 +394,7 @@
     std::ostringstream added;
     metrics::write_added(added, costs_, costs_told_);
     log_.info() << "second:" << added.str() << " tunnels_held=" << stages_.floor.admitted
-                << " health_check_connections_held=" << prober_.lines();
+                << " health_check_connections_held=" << prober_.open_connections();
     costs_told_ = costs_;
 }
 
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -74,10 +74,10 @@
     void take_renewed(const std::string& kept);
     void leave();
 
-    bool list_heard(const json::Value& list) override;
-    void nothing_new() override;
-    void still_current() override { hosts_.still_current(loop_.now()); }
-    void watch_lost() override;
+    bool on_list(const json::Value& list) override;
+    void on_unchanged() override;
+    void on_still_current() override { hosts_.confirm_current(loop_.now()); }
+    void on_watch_lost() override;
     void on_health_check(std::uint32_t ep, Outcome ending, Ticks took, const LoadReport& report) override;
     bool ready() const override {
         return phase_ == Phase::serving && hot_restart::is_active(succession_.role());
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -154,7 +154,7 @@
         if (keys != 1) throw Malformed("a message is an object with one key");
         if (body.type() != lemonstair::json::Type::object)
             throw Malformed("a message's fields are an object");
-        event(name_, body.told_as(name_.c_str()));
+        event(name_, body.with_context(name_.c_str()));
     }
     bool in_batch() const { return in_batch_; }
 
--- a/src/tunnel/admission.cpp
+++ b/src/tunnel/admission.cpp
@@ -11,7 +11,7 @@
 std::size_t Admission::room() const {
     const std::size_t sockets = floor_.granted();
     const std::size_t kept = TunnelRegistry::fewest_left + floor_.launch.callers + floor_.for_other +
-                             health_check::most_lines(floor_.hosts.size(), sockets) + sockets / 16;
+                             health_check::max_connections(floor_.hosts.size(), sockets) + sockets / 16;
     return sockets > kept ? (sockets - kept) / 2 : 1;
 }
 
--- a/src/tunnel/attempt.cpp
+++ b/src/tunnel/attempt.cpp
@@ -44,7 +44,7 @@
     read_opening(net::first_line(t.opening.view()), floor_.launch.profiles, floor_.loop.now(), arrival,
                  holder);
     t.standing = true;
-    t.place = floor_.hosts.place_of(holder);
+    t.place = floor_.hosts.index_of(holder);
     // What this node remembers may be older than the tunnel: discovery will name the host.
     if (t.place == discovery::EndpointDirectory::none)
         return floor_.set_due(id, t, floor_.loop.now() + standing_pause);
@@ -61,7 +61,7 @@
                        << floor_.hosts[t.place].ep;
     floor_.go(id, TunnelState::connecting);
     if (floor_.down_to(descriptors_left) && !book_.make_room()) return failed(id, Outcome::not_sent);
-    net::Fd fd = floor_.loop.system().connect_to(floor_.hosts[t.place].at);
+    net::Fd fd = floor_.loop.system().connect_to(floor_.hosts[t.place].address);
     const int error = errno;
     if (!fd.open()) {
         // Without a descriptor or a port of its own the node has nothing to hold against the host.
--- a/src/tunnel/dispatcher.cpp
+++ b/src/tunnel/dispatcher.cpp
@@ -4,7 +4,7 @@
 
 void Dispatcher::set_up(TunnelId id, std::uint32_t ep, Ticks longest_wait) {
     if (!waits(id)) return;
-    const std::uint32_t place = floor_.hosts.place_of(ep);
+    const std::uint32_t place = floor_.hosts.index_of(ep);
     if (place != discovery::EndpointDirectory::none) send_.start(id, place, longest_wait);
 }
 
--- a/src/tunnel/transfer.cpp
+++ b/src/tunnel/transfer.cpp
@@ -74,7 +74,7 @@
 
 bool Transfer::take(std::string_view told, net::Fd client, net::Fd host) {
     serialization::Reader in(told);
-    const std::uint32_t place = floor_.hosts.place_of(in.text());
+    const std::uint32_t place = floor_.hosts.index_of(in.text());
     Tunnel read;
     figures(in, read);
     for (Ticks* time : {&read.setup_from, &read.heard_at, &read.waiting_since})
--- a/tests/parsers.cpp
+++ b/tests/parsers.cpp
@@ -37,7 +37,7 @@
 TEST_CASE("a field that is missing or mistyped is told by its name") {
     json::Document d;
     REQUIRE(d.parse(R"({"n":"x","big":99999999999})"));
-    const auto root = d.root().told_as("here");
+    const auto root = d.root().with_context("here");
     CHECK_THROWS_WITH(root.whole("m"), "here: field 'm' is missing");
     CHECK_THROWS_WITH(root.number("n"), "here: field 'n' is not a number");
     CHECK_THROWS_WITH(root.small("big"), "here: field 'big' is too large");
@@ -74,10 +74,10 @@
         std::vector<std::string> got;
         const auto take = [&](std::string_view l) { got.emplace_back(l); };
         REQUIRE(lines.feed(std::string_view(text).substr(0, cut), take));
-        CHECK(lines.over() == (cut == text.size()));
+        CHECK(lines.at_end() == (cut == text.size()));
         REQUIRE(lines.feed(std::string_view(text).substr(cut), take));
         CHECK(got == wanted);
-        CHECK(lines.over());
+        CHECK(lines.at_end());
     }
     const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     for (const std::string& bad :
@@ -117,16 +117,16 @@
 
 TEST_CASE("a probe's answer gives the figures that it names") {
     LoadReport r;
-    CHECK(health_check::read_pong("PONG queue=2,x0=0.75,what=1,util=", r));
+    CHECK(health_check::decode_pong("PONG queue=2,x0=0.75,what=1,util=", r));
     CHECK(r.queue == 2);
     CHECK(r.load == 0.75);
     CHECK(std::isnan(r.utilization));
-    CHECK(health_check::read_pong("PONG", r));
-    CHECK(!health_check::read_pong("ERR", r));
-    CHECK(!health_check::read_pong("PONGx", r));
+    CHECK(health_check::decode_pong("PONG", r));
+    CHECK(!health_check::decode_pong("ERR", r));
+    CHECK(!health_check::decode_pong("PONGx", r));
     const std::string line = "PONG inflight=7,queue=2,util=0.61";
     for (std::size_t n = 0; n < line.size(); ++n)
-        health_check::read_pong(std::string_view(line).substr(0, n), r);
+        health_check::decode_pong(std::string_view(line).substr(0, n), r);
 }
 
 TEST_CASE(
@@ -142,11 +142,12 @@
         const std::string text = R"({"revision":)" + std::to_string(revision) + R"(,"complete":)" +
                                  (whole ? "true" : "false") + R"(,"members":[)" + members + "]}";
         REQUIRE(d.parse(text));
-        return hosts.take(d.root(), *n.b, known, n.now);
+        return hosts.apply(d.root(), *n.b,
+                           known ? discovery::ListSource::cache : discovery::ListSource::discovery, n.now);
     };
     const auto goes_to = [&](std::uint64_t tun) {
         n.on_request(tun);
-        return n.sent.empty() || n.last().tun != tun ? "" : hosts.place_of(n.last().ep) == 0 ? "a" : "b";
+        return n.sent.empty() || n.last().tun != tun ? "" : hosts.index_of(n.last().ep) == 0 ? "a" : "b";
     };
     CHECK(hear(4, true, Town::member("a", a) + "," + Town::member("b", b), true));
     CHECK(hear(5, false, Town::member("a", a, "terminating")));
@@ -158,7 +159,7 @@
     json::Document d;
     for (const char* broken : {"[]", "{}", R"({"revision":9})", R"({"revision":"x","members":[]})"}) {
         REQUIRE(d.parse(broken));
-        CHECK(!hosts.take(d.root(), *n.b, false, n.now));
+        CHECK(!hosts.apply(d.root(), *n.b, discovery::ListSource::discovery, n.now));
     }
     CHECK(hosts.revision() == 6);
 }
--- a/tests/tunnel_ledger.py
+++ b/tests/tunnel_ledger.py
@@ -5,14 +5,14 @@
 import tempfile
 
 TOOL = pathlib.Path(__file__).resolve().parent.parent / "tools" / "tunnel_ledger.py"
-FIRST = """0.100 host h1 at 127.0.0.1:1 is ep 11
+FIRST = """0.100 endpoint h1 at 127.0.0.1:1 is ep 11
 0.500 debug tunnel 0: free -> taking in
 0.500 debug tunnel 0 taken: OPEN id1 key1 c=x,d=100,g=g1
 0.510 debug tunnel 0 setup 1 at ep 11
 0.520 debug tunnel 0 setup 1 failed, ending 2
 0.530 debug tunnel 0 setup 2 at ep 12
 0.540 debug tunnel 0: awaiting answer -> relaying
-1.000 debug host h2, ep 12, told terminating, up since 0
+1.000 debug endpoint h2, ep 12, listed as terminating, up since 0
 1.900 debug tunnel 0 at ep 12 over, ending 5, lines owed 0
 1.910 debug tunnel 0: relaying -> free
 """
--- a/tools/tunnel_ledger.py
+++ b/tools/tunnel_ledger.py
@@ -19,7 +19,7 @@
 FAILED = re.compile(r"tunnel (\d+) setup (\d+) failed, ending (\d)")
 STATE = re.compile(r"tunnel (\d+): (.+) -> (.+)")
 OVER = re.compile(r"tunnel (\d+) at ep (\d+) over, ending (\d)")
-HOST = re.compile(r"host (\S+), ep (\d+), told (\w+), up since (\d+)")
+HOST = re.compile(r"endpoint (\S+), ep (\d+), listed as (\w+), up since (\d+)")
 ENDINGS = ["served", "error", "full", "timed out", "unreachable", "broken", "called off", "not sent"]
 AGES = {"in_service": "young", "terminating": "draining", "terminated": "gone"}
 
