--- a/src/config/node_config.cpp
+++ b/src/config/node_config.cpp
@@ -9,33 +9,38 @@
 
 namespace {
 
-constexpr std::uint64_t usual_sockets = 4096;
-constexpr double usual_connect_timeout_s = 0.25;
-constexpr std::size_t fewest_callers = 2, most_callers = 24;
-
-net::Address read_address(const json::Value& file, std::string_view key) {
-    const auto at = net::parse_address(file.text(key));
-    if (!at) file.fail(key, "is not an address and a port");
-    return *at;
+constexpr std::uint64_t default_max_descriptors = 4096;
+constexpr double default_connect_timeout_s = 0.25;
+// The admin server gets one descriptor in so many, within limits.
+constexpr std::size_t descriptors_per_admin_connection = 16;
+constexpr std::size_t min_admin_connections = 2, max_admin_connections = 24;
+constexpr std::size_t max_traffic_classes = 1000;
+constexpr std::uint32_t max_nodes = 100000;
+
+bool is_set(const char* variable) { return variable != nullptr && *variable != '\0'; }
+
+net::Address parse_address(const json::Value& file, std::string_view key) {
+    const auto address = net::parse_address(file.text(key));
+    if (!address) file.fail(key, "is not an address and a port");
+    return *address;
 }
 
-std::optional<net::Address> read_address_if_any(const json::Value& file, std::string_view key) {
+std::optional<net::Address> parse_optional_address(const json::Value& file, std::string_view key) {
     if (!file.has(key)) return std::nullopt;
-    return read_address(file, key);
+    return parse_address(file, key);
 }
 
-// The environment is of this process alone, the file may be written once for many: the former goes first.
-std::optional<net::Address> read_admin(const json::Value& file, const Environment& around) {
-    if (around.admin_addr == nullptr || *around.admin_addr == '\0')
-        return read_address_if_any(file, "admin_addr");
-    const auto at = net::parse_address(around.admin_addr);
-    if (!at) throw json::Malformed("NODE_ADMIN_ADDR is not an address and a port");
-    return at;
+// One file may serve many processes, so the environment of this one takes precedence.
+std::optional<net::Address> parse_admin_address(const json::Value& file, const Environment& environment) {
+    if (!is_set(environment.admin_addr)) return parse_optional_address(file, "admin_addr");
+    const auto address = net::parse_address(environment.admin_addr);
+    if (!address) throw json::Malformed("NODE_ADMIN_ADDR is not an address and a port");
+    return address;
 }
 
-std::optional<int> read_inherited(const Environment& around) {
-    if (around.inherited_fd == nullptr || *around.inherited_fd == '\0') return std::nullopt;
-    const std::string_view digits = around.inherited_fd;
+std::optional<int> parse_inherited_listener(const Environment& environment) {
+    if (!is_set(environment.inherited_fd)) return std::nullopt;
+    const std::string_view digits = environment.inherited_fd;
     int fd = -1;
     const auto [stop, error] = std::from_chars(digits.data(), digits.data() + digits.size(), fd);
     if (error != std::errc{} || stop != digits.data() + digits.size() || fd < 0)
@@ -43,15 +48,15 @@
     return fd;
 }
 
-// A folder may be shared by the nodes of a machine: the name tells whose it is.
-std::string nearby_name(const json::Value& file, const Environment& around) {
-    if (around.tmpdir == nullptr || *around.tmpdir == '\0') return {};
+// The nodes of a machine may share a directory: the listen address tells their sockets apart.
+std::string hot_restart_path(const json::Value& file, const Environment& environment) {
+    if (!is_set(environment.tmpdir)) return {};
     std::string name(file.text("listen"));
     std::replace(name.begin(), name.end(), ':', '-');
-    return std::string(around.tmpdir).append("/lemonstair-").append(name);
+    return std::string(environment.tmpdir).append("/lemonstair-").append(name);
 }
 
-std::uint64_t read_seed(const json::Value& file) {
+std::uint64_t parse_seed(const json::Value& file) {
     const auto digits = file.text("seed");
     std::uint64_t seed = 0;
     const char* end = digits.data() + digits.size();
@@ -62,86 +67,105 @@
 
 void check(const json::Value& settings, const BalancerConfig& config) {
     if (config.traffic_classes.empty()) settings.fail("profiles", "names no profile");
-    if (config.traffic_classes.size() > 1000) settings.fail("profiles", "holds too many");
-    if (config.node_count == 0 || config.node_count > 100000) settings.fail("balancers", "is out of range");
+    if (config.traffic_classes.size() > max_traffic_classes) settings.fail("profiles", "holds too many");
+    if (config.node_count == 0 || config.node_count > max_nodes)
+        settings.fail("balancers", "is out of range");
     if (config.own_node >= config.node_count) settings.fail("me", "is not below 'balancers'");
     if (config.limits.max_attempts < 1) settings.fail("max_setups", "is not 1 or more");
-    for (const auto& p : config.traffic_classes)
-        if (p.client_timeout <= 0 || p.latency_objective <= 0)
+    for (const auto& traffic_class : config.traffic_classes)
+        if (traffic_class.client_timeout <= 0 || traffic_class.latency_objective <= 0)
             settings.fail("client_timeout", "or 'setup_goal' is not above 0");
 }
 
+void parse_peers(const json::Value& file, NodeConfig& config) {
+    config.peer_listen = parse_optional_address(file, "peer_listen");
+    config.all_peers = parse_optional_address(file, "peers_all");
+    file.each("peers", [&](const json::Value& entry) {
+        const auto address = net::parse_address(entry.type() == json::Type::text ? entry.raw() : "");
+        if (!address) file.fail("peers", "holds what is not an address and a port");
+        config.peer_addresses.push_back(*address);
+    });
+    const bool has_peers = config.balancer.limits.gossip_enabled && config.balancer.node_count > 1;
+    if (has_peers && (config.peer_addresses.size() != config.balancer.node_count || !config.peer_listen))
+        file.fail("peers", "does not name one address a node, or 'peer_listen' is missing");
+}
+
+void parse_names(const json::Value& settings, NodeConfig& config) {
+    settings.each("profiles", [&](const json::Value& profile) {
+        config.traffic_class_names.emplace_back(profile.text("name"));
+    });
+    settings.each("zones", [&](const json::Value& zone) {
+        if (zone.type() != json::Type::text) settings.fail("zones", "holds what is not a name");
+        config.zone_names.emplace_back(zone.raw());
+    });
+}
+
 }  // namespace
 
-NodeConfig parse_node_config(const json::Value& file, const Environment& around) {
+NodeConfig parse_node_config(const json::Value& file, const Environment& environment) {
     if (file.type() != json::Type::object) throw json::Malformed("the configuration is not an object");
-    NodeConfig l;
-    const json::Value settings = file.inner("settings").with_context("settings"),
-                      limits = file.inner("limits");
+    NodeConfig config;
+    const json::Value settings = file.inner("settings").with_context("settings");
+    const json::Value limits = file.inner("limits");
     if (!file.has("settings")) file.fail("settings", "is missing");
-    l.terms = parse_settings(settings, read_seed(file));
-    check(settings, l.terms);
-    l.name = file.text("name", "node");
-    l.listen = read_address(file, "listen");
-    l.discovery = read_address(file, "discovery");
-    l.admin = read_admin(file, around);
-    l.inherited = read_inherited(around);
-    if (l.inherited) l.nearby = nearby_name(file, around);
-    l.peer_listen = read_address_if_any(file, "peer_listen");
-    l.peers_all = read_address_if_any(file, "peers_all");
-    file.each("peers", [&](const json::Value& one) {
-        const auto at = net::parse_address(one.type() == json::Type::text ? one.raw() : "");
-        if (!at) file.fail("peers", "holds what is not an address and a port");
-        l.peers.push_back(*at);
-    });
-    if (l.terms.limits.gossip_enabled && l.terms.node_count > 1 &&
-        (l.peers.size() != l.terms.node_count || !l.peer_listen))
-        file.fail("peers", "does not name one address a node, or 'peer_listen' is missing");
-    settings.each("profiles", [&](const json::Value& one) { l.profiles.emplace_back(one.text("name")); });
-    settings.each("zones", [&](const json::Value& one) {
-        if (one.type() != json::Type::text) settings.fail("zones", "holds what is not a name");
-        l.zones.emplace_back(one.raw());
-    });
-    const json::Value allowed = settings.inner("limits");
-    l.connect_timeout = down(allowed.number("connect_timeout", usual_connect_timeout_s));
-    if (l.connect_timeout <= 0) allowed.fail("connect_timeout", "is not above 0");
-    l.sockets = limits.whole("sockets", usual_sockets);
-    if (l.sockets < fewest_sockets) limits.fail("sockets", "is under 32: too few to serve");
-    if (l.admin) l.callers = std::clamp<std::size_t>(l.sockets / 16, fewest_callers, most_callers);
-    // A line is answered at once whatever waits at its host: how long messages take there shows in no answer.
-    l.terms.reports_message_delay = false;
-    l.reports = settings.inner("report").text("via", "none") != "none";
-    return l;
+    config.balancer = parse_settings(settings, parse_seed(file));
+    check(settings, config.balancer);
+    config.name = file.text("name", "node");
+    config.listen = parse_address(file, "listen");
+    config.discovery = parse_address(file, "discovery");
+    config.admin = parse_admin_address(file, environment);
+    config.inherited_listener = parse_inherited_listener(environment);
+    if (config.inherited_listener) config.hot_restart_path = hot_restart_path(file, environment);
+    parse_peers(file, config);
+    parse_names(settings, config);
+    const json::Value setting_limits = settings.inner("limits");
+    config.connect_timeout =
+        round_down_to_ticks(setting_limits.number("connect_timeout", default_connect_timeout_s));
+    if (config.connect_timeout <= 0) setting_limits.fail("connect_timeout", "is not above 0");
+    config.max_descriptors = limits.whole("sockets", default_max_descriptors);
+    if (config.max_descriptors < min_descriptors) limits.fail("sockets", "is under 32: too few to serve");
+    if (config.admin)
+        config.max_admin_connections =
+            std::clamp<std::size_t>(config.max_descriptors / descriptors_per_admin_connection,
+                                    min_admin_connections, max_admin_connections);
+    // A health check is answered at once whatever waits at its endpoint, so its answer tells nothing of how
+    // long messages take there.
+    config.balancer.reports_message_delay = false;
+    config.load_reports_enabled = settings.inner("report").text("via", "none") != "none";
+    return config;
 }
 
-std::string renew(NodeConfig& now, NodeConfig&& next) {
-    std::string kept;
-    const auto keep = [&](const char* key, bool same) {
-        if (!same) kept.append(kept.empty() ? "" : ", ").append(key);
+std::string apply_reload(NodeConfig& current, NodeConfig&& reloaded) {
+    std::string unchanged_keys;
+    const auto check_same = [&](const char* key, bool same) {
+        if (!same) unchanged_keys.append(unchanged_keys.empty() ? "" : ", ").append(key);
         return same;
     };
-    keep("listen", now.listen == next.listen);
-    keep("peer_listen", now.peer_listen == next.peer_listen);
-    keep("admin_addr", now.admin == next.admin);
-    // Tunnels, records and other nodes go by these numbers.
-    const bool alike = keep("balancers", now.terms.node_count == next.terms.node_count) &
-                       keep("me", now.terms.own_node == next.terms.own_node) &
-                       keep("zone", now.terms.zone == next.terms.zone && now.zones == next.zones) &
-                       keep("profiles", now.profiles == next.profiles) &
-                       keep("membership_mode", now.terms.must_poll == next.terms.must_poll) &
-                       keep("mode", now.terms.packet_passthrough == next.terms.packet_passthrough) &
-                       keep("peers", now.terms.limits.gossip_enabled == next.terms.limits.gossip_enabled);
-    if (alike) {
-        next.terms.seed = now.terms.seed;
-        now.terms = next.terms;
-        now.peers = std::move(next.peers);
-        now.peers_all = next.peers_all;
-        now.reports = next.reports;
-        now.connect_timeout = next.connect_timeout;
+    check_same("listen", current.listen == reloaded.listen);
+    check_same("peer_listen", current.peer_listen == reloaded.peer_listen);
+    check_same("admin_addr", current.admin == reloaded.admin);
+    // Tunnels, records and other nodes refer to nodes, zones and traffic classes by number. Each key is
+    // checked, so that all that differ are named.
+    const BalancerConfig &now = current.balancer, &next = reloaded.balancer;
+    const bool compatible =
+        check_same("balancers", now.node_count == next.node_count) &
+        check_same("me", now.own_node == next.own_node) &
+        check_same("zone", now.zone == next.zone && current.zone_names == reloaded.zone_names) &
+        check_same("profiles", current.traffic_class_names == reloaded.traffic_class_names) &
+        check_same("membership_mode", now.must_poll == next.must_poll) &
+        check_same("mode", now.packet_passthrough == next.packet_passthrough) &
+        check_same("peers", now.limits.gossip_enabled == next.limits.gossip_enabled);
+    if (compatible) {
+        reloaded.balancer.seed = current.balancer.seed;
+        current.balancer = reloaded.balancer;
+        current.peer_addresses = std::move(reloaded.peer_addresses);
+        current.all_peers = reloaded.all_peers;
+        current.load_reports_enabled = reloaded.load_reports_enabled;
+        current.connect_timeout = reloaded.connect_timeout;
     }
-    now.discovery = next.discovery;
-    now.sockets = next.sockets;
-    return kept;
+    current.discovery = reloaded.discovery;
+    current.max_descriptors = reloaded.max_descriptors;
+    return unchanged_keys;
 }
 
 }  // namespace lemonstair::config
--- a/src/config/node_config.h
+++ b/src/config/node_config.h
@@ -1,4 +1,6 @@
-// What a node is told at its start: read, checked and given defaults here and nowhere else.
+// The configuration of a node: read from its file and its environment, checked and completed with defaults
+// here and nowhere else. The keys of the file and the settings appear only in this package; behind it, the
+// fields below are used.
 #pragma once
 
 #include <cstdint>
@@ -15,36 +17,37 @@
 namespace lemonstair::config {
 
 // With fewer descriptors a node cannot serve.
-constexpr std::size_t fewest_sockets = 32;
+constexpr std::size_t min_descriptors = 32;
 
 struct NodeConfig {
-    BalancerConfig terms;
+    BalancerConfig balancer;
     std::string name;
-    std::vector<std::string> profiles, zones;  // names, in the settings' order
+    std::vector<std::string> traffic_class_names, zone_names;  // in the order of the settings
     net::Address listen, discovery;
-    std::optional<net::Address> peer_listen, peers_all;
-    std::optional<net::Address> admin;  // where operators call
-    std::size_t callers = 0;            // that may call at a time; descriptors are set aside for them
-    std::optional<int> inherited;       // the clients' listening socket, where the platform holds it
-    std::string nearby;                 // where the process that this one replaces is found; empty: nowhere
-    std::vector<net::Address> peers;    // in the order of the nodes' numbers, this one's own among them
-    Ticks connect_timeout = 0;
-    std::size_t sockets = 0;  // descriptors that the node may hold
-    bool reports = false;     // hosts tell their load when probed
+    std::optional<net::Address> peer_listen;   // of gossip datagrams
+    std::optional<net::Address> all_peers;     // reaches all peers with one datagram
+    std::vector<net::Address> peer_addresses;  // by node number, this node's own included
+    std::optional<net::Address> admin;         // of the admin server
+    std::size_t max_admin_connections = 0;     // descriptors are reserved for them
+    std::optional<int> inherited_listener;     // the clients' listening socket, where the platform holds it
+    std::string hot_restart_path;              // of the local socket; empty: no hot restart
+    Ticks connect_timeout = 0;                 // to endpoints
+    std::size_t max_descriptors = 0;           // that the node may hold
+    bool load_reports_enabled = false;         // endpoints report their load to health checks
 };
 
-// What the environment tells beside the file; what it names goes before the file's keys.
+// Environment variables; those that are set take precedence over the file.
 struct Environment {
     const char* admin_addr = nullptr;    // $NODE_ADMIN_ADDR
     const char* inherited_fd = nullptr;  // $NODE_INHERITED_FD
     const char* tmpdir = nullptr;        // $TMPDIR
 };
 
-// Throws json::Malformed, which names the faulty key.
-NodeConfig parse_node_config(const json::Value& file, const Environment& around = {});
+// Throws json::Malformed, which names the faulty key or variable.
+NodeConfig parse_node_config(const json::Value& file, const Environment& environment = {});
 
-// Takes over what may change while the node serves. What it was started with and cannot change keeps its old
-// value; the names of those keys that the new one has otherwise are given back.
-std::string renew(NodeConfig& now, NodeConfig&& next);
+// Takes over from `reloaded` all that can change while the node serves. Returns the keys, separated by
+// commas, that differ but cannot change before a restart; these keep their current values.
+std::string apply_reload(NodeConfig& current, NodeConfig&& reloaded);
 
 }  // namespace lemonstair::config
--- a/src/config/source.cpp
+++ b/src/config/source.cpp
@@ -8,29 +8,30 @@
 
 namespace {
 
-constexpr std::size_t longest_file = 8 << 20;
+constexpr std::size_t max_file_bytes = 8 << 20;
 
 }  // namespace
 
 NodeConfig ConfigSource::read() {
-    const auto fail = [&](const char* what) {
-        throw json::Malformed(std::string("configuration: '").append(path_).append("' ").append(what));
+    const auto fail = [&](const char* reason) {
+        throw json::Malformed(std::string("configuration: '").append(path_).append("' ").append(reason));
     };
     errno = 0;
-    if (const char* wrong = system_.read_file(path_, longest_file, text_)) {
+    if (const char* problem = system_.read_file(path_, max_file_bytes, text_)) {
         const int error = errno;
         if (net::is_local_failure(error) || error == EIO)
-            throw Unreadable(std::string("configuration: '").append(path_).append("' ").append(wrong));
-        fail(wrong);
+            throw TransientReadError(
+                std::string("configuration: '").append(path_).append("' ").append(problem));
+        fail(problem);
     }
     if (!file_.parse(text_)) fail("is not JSON");
     const json::Value file = file_.root().with_context("configuration");
-    NodeConfig launch = parse_node_config(file, around_);
+    NodeConfig config = parse_node_config(file, environment_);
     // The system may allow fewer descriptors than the file grants.
-    launch.sockets = system_.descriptor_limit(launch.sockets);
-    if (launch.sockets < fewest_sockets)
+    config.max_descriptors = system_.descriptor_limit(config.max_descriptors);
+    if (config.max_descriptors < min_descriptors)
         throw json::Malformed("configuration: the system allows fewer than 32 of the 'sockets' granted");
-    return launch;
+    return config;
 }
 
 }  // namespace lemonstair::config
--- a/src/config/source.h
+++ b/src/config/source.h
@@ -1,4 +1,4 @@
-// The file that holds what a node is told: read at the start, and again when the operators say so.
+// The configuration file: read at the start, and again at each reload.
 #pragma once
 
 #include <string>
@@ -9,25 +9,24 @@
 
 namespace lemonstair::config {
 
-// The file could not be read just now; it may be in a moment.
-struct Unreadable : json::Malformed {
+// The file could not be read for want of resources or an I/O error; a retry may succeed.
+struct TransientReadError : json::Malformed {
     using json::Malformed::Malformed;
 };
 
 class ConfigSource {
   public:
-    ConfigSource(net::System& system, std::string path, const Environment& around = {})
-        : system_(system), path_(std::move(path)), around_(around) {}
-    // Throws json::Malformed, which names the file or the faulty key, and Unreadable where the system was at
-    // fault.
+    ConfigSource(net::System& system, std::string path, const Environment& environment = {})
+        : system_(system), path_(std::move(path)), environment_(environment) {}
+    // Throws json::Malformed, which names the file or the faulty key, or TransientReadError.
     NodeConfig read();
-    // The list of hosts in the file as last read.
-    json::Value known() const { return file_.root().inner("known"); }
+    // The endpoint list in the file as last read, valid until the next read(); null where it has none.
+    json::Value known_endpoints() const { return file_.root().inner("known"); }
 
   private:
     net::System& system_;
     std::string path_, text_;
-    Environment around_;
+    Environment environment_;
     json::Document file_;
 };
 
--- a/src/health_check/health_checker.cpp
+++ b/src/health_check/health_checker.cpp
@@ -42,7 +42,7 @@
         line.remove_prefix(std::min(end + 1, line.size()));
         const auto equals = pair.find('=');
         if (equals == std::string_view::npos) continue;
-        double* field = config::figure(report, pair.substr(0, equals));
+        double* field = config::load_report_field(report, pair.substr(0, equals));
         const char* stop = pair.data() + pair.size();
         double value = 0;
         const auto read = std::from_chars(pair.data() + equals + 1, stop, value);
@@ -69,7 +69,7 @@
 // Where there are more endpoints than descriptors, the connection that has been idle longest is closed. False
 // where none is idle.
 bool HealthChecker::reserve_connection() {
-    if (open_connections_ < max_connections(connections_.size(), config_.sockets)) return true;
+    if (open_connections_ < max_connections(connections_.size(), config_.max_descriptors)) return true;
     std::uint32_t oldest = discovery::EndpointDirectory::none;
     for (std::uint32_t index = 0; index < connections_.size(); ++index) {
         if (connections_[index].state != State::idle) continue;
@@ -132,7 +132,7 @@
     ++counters_.health_checks;
     connection.state = State::requesting;
     connection.sent_bytes = 0;
-    connection.request = config_.reports ? load_report_request : ping_request;
+    connection.request = config_.load_reports_enabled ? load_report_request : ping_request;
     if (!send_rest(index)) return;
     set_deadline(index, loop_.now() + response_timeout_factor * config_.connect_timeout);
 }
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -34,7 +34,7 @@
     for (int tries = 1; tries < most_tries; ++tries) {
         try {
             return source.read();
-        } catch (const lemonstair::config::Unreadable&) {
+        } catch (const lemonstair::config::TransientReadError&) {
             std::this_thread::sleep_for(between_tries);
         }
     }
@@ -57,7 +57,7 @@
                                                  .inherited_fd = std::getenv("NODE_INHERITED_FD"),
                                                  .tmpdir = std::getenv("TMPDIR")});
         auto launch = read_patiently(source);
-        lemonstair::node::Node node(kernel, std::move(launch), source.known(), log,
+        lemonstair::node::Node node(kernel, std::move(launch), source.known_endpoints(), log,
                                     [&] { return source.read(); });
         node.run();
         return 0;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -62,7 +62,7 @@
       log_(log),
       reread_(std::move(reread)),
       loop_(system),
-      hosts_(launch_.zones, log_),
+      hosts_(launch_.zone_names, log_),
       stages_(loop_, launch_, hosts_, log_, costs_),
       peers_(loop_, launch_, costs_,
              [this](std::uint32_t node, std::span<const std::uint8_t> bytes) {
@@ -72,15 +72,16 @@
       watch_(loop_, stages_.floor.pool, launch_.discovery, *this, log_, costs_),
       prober_(loop_, stages_.floor.pool, hosts_, *this, launch_, costs_),
       desk_(loop_, *this, log_),
-      succession_(loop_, *this, log_, launch_.name, launch_.nearby),
+      succession_(loop_, *this, log_, launch_.name, launch_.hot_restart_path),
       decider_(std::move(decider)),
-      rng_(launch_.terms.seed),
+      rng_(launch_.balancer.seed),
       signals_(loop_, system.signals(), POLLIN, *this, 0) {
-    if (launch_.inherited)
-        open_at(system, "NODE_INHERITED_FD", [&] { stages_.take_in.listen_on(*launch_.inherited); });
+    if (launch_.inherited_listener)
+        open_at(system, "NODE_INHERITED_FD", [&] { stages_.take_in.listen_on(*launch_.inherited_listener); });
     else
         open_at(system, "listen", [&] { stages_.take_in.listen_on(launch_.listen); });
-    if (launch_.admin) open_at(system, "admin_addr", [&] { desk_.open(*launch_.admin, launch_.callers); });
+    if (launch_.admin)
+        open_at(system, "admin_addr", [&] { desk_.open(*launch_.admin, launch_.max_admin_connections); });
     for (const auto& [timer, every] : {std::pair{look_over_timer, look_over_every},
                                        {tally_timer, tally_every},
                                        {costs_timer, costs_every}})
@@ -91,7 +92,7 @@
 // A mind that remembers nothing, but for the hosts that it was told at the start, or by an old process.
 void Node::think(std::string_view list) {
     orders_.expect_another();
-    balancer_ = decider_(launch_.terms, orders_, loop_.now());
+    balancer_ = decider_(launch_.balancer, orders_, loop_.now());
     orders_.decide_by(*balancer_);
     stages_.floor.balancer = balancer_.get();
     if (known_.type() == json::Type::object)
@@ -111,7 +112,7 @@
         think(list);
     }
     const bool alone = succession_.role() == hot_restart::Role::standalone;
-    if (!launch_.nearby.empty()) stages_.floor.for_other = alone ? for_a_new_one : for_the_other;
+    if (!launch_.hot_restart_path.empty()) stages_.floor.for_other = alone ? for_a_new_one : for_the_other;
     speak();
     // What the old process was told last may be some time ago: the list is asked for at once.
     if (!list.empty() && !watch_.is_open()) watch_.open(hosts_.revision());
@@ -121,7 +122,7 @@
 
 void Node::speak() {
     open_peers();
-    if (!launch_.terms.must_poll) watch_.open(hosts_.revision());
+    if (!launch_.balancer.must_poll) watch_.open(hosts_.revision());
     stages_.take_in.open(true);
 }
 
@@ -199,7 +200,8 @@
     auto& floor = stages_.floor;
     floor.answer_by = floor.over_by = tunnel::TunnelRegistry::no_end;
     if (phase_ != Phase::drained && phase_ != Phase::leaving) return;
-    departure_ = phase_ == Phase::leaving ? DrainSchedule::on_term(launch_.terms) : DrainSchedule::on_drain();
+    departure_ =
+        phase_ == Phase::leaving ? DrainSchedule::on_term(launch_.balancer) : DrainSchedule::on_drain();
     emptying_since_ = loop_.now();
     empty_at_ = emptying_since_ + DrainSchedule::move_from;
     loop_.schedule(empty_at_, *this, empty_timer);
@@ -216,7 +218,7 @@
 
 std::string Node::metrics_page() const {
     const EndpointCounts hosts = balancer_ ? balancer_->endpoint_counts() : EndpointCounts{};
-    return admin::write_metrics_page({.traffic_class_names = launch_.profiles,
+    return admin::write_metrics_page({.traffic_class_names = launch_.traffic_class_names,
                                       .tunnels = stages_.floor.outcomes,
                                       .open_tunnels = stages_.floor.admitted,
                                       .endpoints_listed = hosts.listed,
@@ -286,7 +288,7 @@
 // after each failure and by chance, so that not all nodes call discovery at once when it is back.
 void Node::on_watch_lost() {
     tell_list(EndpointListKind::failed);
-    if (launch_.terms.must_poll) return;
+    if (launch_.balancer.must_poll) return;
     const double drawn = static_cast<double>(rng_() - std::minstd_rand::min());
     const double chance = drawn / static_cast<double>(std::minstd_rand::max());
     loop_.schedule(loop_.now() + backoff_.failed(chance), *this, list_timer);
@@ -334,7 +336,7 @@
 bool Node::read_again(bool first_try) {
     std::string kept;
     try {
-        kept = config::renew(launch_, reread_());
+        kept = config::apply_reload(launch_, reread_());
     } catch (const json::Malformed& e) {
         if (first_try) log_.error() << "new configuration not taken: " << e.what();
         log_.debug() << "the configuration is read again in a moment: " << e.what();
@@ -348,7 +350,7 @@
 // new; until then the last list stands.
 void Node::take_renewed(const std::string& kept) {
     if (!kept.empty()) log_.error() << "not changed before the next start: " << kept;
-    stages_.floor.mind().update_config(launch_.terms);
+    stages_.floor.mind().update_config(launch_.balancer);
     const bool moved = watch_.redirect(launch_.discovery);
     log_.info() << "configuration read again" << (moved ? ", discovery has moved" : "") << ", room for "
                 << stages_.admit.room();
@@ -356,7 +358,7 @@
     if (watch_.is_open()) return;
     backoff_.answered();
     tell_list(EndpointListKind::moved);
-    if (!launch_.terms.must_poll) watch_.open(hosts_.revision());
+    if (!launch_.balancer.must_poll) watch_.open(hosts_.revision());
 }
 
 void Node::on_timer(std::uint64_t token) {
@@ -416,7 +418,7 @@
     // Its clients go over to the new version, and notice nothing.
     if (handed) return;
     // Packets that pass go on through another node: there a move would only break what goes on unbroken.
-    if (!launch_.terms.packet_passthrough) move_all();
+    if (!launch_.balancer.packet_passthrough) move_all();
 }
 
 // Who could not be accepted in its last moments would keep the node for ever.
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -98,7 +98,7 @@
     std::size_t descriptors_held() const override {
         return loop_.in_use() + tunnel::TunnelRegistry::outside_loop;
     }
-    std::size_t descriptor_limit() const override { return launch_.sockets; }
+    std::size_t descriptor_limit() const override { return launch_.max_descriptors; }
     void on_peer_descriptors(std::size_t descriptors) override { stages_.floor.elsewhere = descriptors; }
     void on_ready(std::uint64_t token, short events) override;
     void on_timer(std::uint64_t token) override;
--- a/src/node/peer_link.cpp
+++ b/src/node/peer_link.cpp
@@ -20,7 +20,7 @@
     : loop_(loop), launch_(launch), costs_(costs), heard_(std::move(heard)) {}
 
 void PeerLink::open() {
-    if (launch_.terms.limits.gossip_enabled && launch_.peer_listen)
+    if (launch_.balancer.limits.gossip_enabled && launch_.peer_listen)
         socket_ = net::Socket(loop_, loop_.system().bind_datagrams(*launch_.peer_listen), POLLIN, *this, 0);
 }
 
@@ -32,12 +32,13 @@
 }
 
 void PeerLink::tell(std::uint32_t node, std::span<const std::uint8_t> bytes) {
-    if (node < launch_.peers.size() && node != launch_.terms.own_node) send(launch_.peers[node], bytes, 1);
+    if (node < launch_.peer_addresses.size() && node != launch_.balancer.own_node)
+        send(launch_.peer_addresses[node], bytes, 1);
 }
 
 void PeerLink::tell_all(std::span<const std::uint8_t> bytes) {
-    if (launch_.peers_all) return send(*launch_.peers_all, bytes, launch_.peers.size() - 1);
-    for (std::uint32_t n = 0; n < launch_.peers.size(); ++n) tell(n, bytes);
+    if (launch_.all_peers) return send(*launch_.all_peers, bytes, launch_.peer_addresses.size() - 1);
+    for (std::uint32_t n = 0; n < launch_.peer_addresses.size(); ++n) tell(n, bytes);
 }
 
 void PeerLink::on_ready(std::uint64_t, short) {
@@ -48,8 +49,8 @@
         if (n < 0) return;
         if (static_cast<std::size_t>(n) > longest) continue;
         // Only the listed addresses are peers: what comes from others is nobody's word.
-        for (std::uint32_t node = 0; node < launch_.peers.size(); ++node)
-            if (node != launch_.terms.own_node && launch_.peers[node] == from)
+        for (std::uint32_t node = 0; node < launch_.peer_addresses.size(); ++node)
+            if (node != launch_.balancer.own_node && launch_.peer_addresses[node] == from)
                 heard_(node, {bytes.data(), static_cast<std::size_t>(n)});
     }
 }
--- a/src/node/peer_link.h
+++ b/src/node/peer_link.h
@@ -22,7 +22,7 @@
     void close() { socket_.close(); }
     // True also where the settings have no words between nodes.
     bool is_open() const {
-        return socket_.open() || !launch_.terms.limits.gossip_enabled || !launch_.peer_listen;
+        return socket_.open() || !launch_.balancer.limits.gossip_enabled || !launch_.peer_listen;
     }
     void tell(std::uint32_t node, std::span<const std::uint8_t> bytes);
     void tell_all(std::span<const std::uint8_t> bytes);
--- a/src/simulation/simulation.cpp
+++ b/src/simulation/simulation.cpp
@@ -231,8 +231,8 @@
             return other != nullptr ? std::move(other) : Balancer::start(std::move(terms), host, now);
         };
         r.node = std::make_unique<node::Node>(
-            *system, std::move(launch), r.source->known(), *r.log, [source] { return source->read(); },
-            decides);
+            *system, std::move(launch), r.source->known_endpoints(), *r.log,
+            [source] { return source->read(); }, decides);
     } catch (const std::exception& e) {
         rules_.broke("crash", "node " + std::to_string(node) + " does not start: " + e.what());
         return false;
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,5 +1,6 @@
-// The adapter between the bench's wire and the Balancer: JSON lines in, JSON lines out, one Balancer for each
-// instance. It decides nothing. Times are rounded to the safe side: the clock and spans up, deadlines down.
+// The adapter between a simulator's protocol and the Balancer: JSON lines in, JSON lines out, one Balancer an
+// instance. It is the only place that knows the protocol's words, and decides nothing. Times are rounded to
+// the safe side: the clock and durations up, deadlines down.
 #include <unistd.h>
 
 #include <array>
@@ -22,13 +23,14 @@
 using lemonstair::Balancer;
 using lemonstair::Outcome;
 using lemonstair::Ticks;
-using lemonstair::config::figure;
-using lemonstair::config::pick;
-using lemonstair::config::up;
+using lemonstair::config::decode_word;
+using lemonstair::config::load_report_field;
+using lemonstair::config::round_down_to_ticks;
+using lemonstair::config::round_up_to_ticks;
 using lemonstair::json::Malformed;
 using lemonstair::json::Value;
 
-// The one reply buffer, reused from batch to batch.
+// Writes the reply to a batch; its buffer is reused from batch to batch.
 class Reply {
   public:
     Reply& raw(std::string_view s) {
@@ -78,71 +80,75 @@
     std::string text_;
 };
 
-// The Host of one instance: every action becomes a line of the reply.
+// One balancer and its delegate, which writes every action as a line of the reply.
 class Instance final : public lemonstair::BalancerDelegate {
   public:
     Instance(std::uint64_t who, Reply& out) : who_(who), out_(out) {}
     void start_attempt(std::uint64_t tun, std::uint32_t ep, Ticks max_wait) override {
-        open("CallOut").raw(",\"ticket\":").whole(tun).raw(",\"host\":").whole(ep);
+        begin_action("CallOut").raw(",\"ticket\":").whole(tun).raw(",\"host\":").whole(ep);
         out_.raw(",\"max_wait\":").seconds(max_wait).raw("}}\n");
     }
     void reject(std::uint64_t tun, Ticks come_back_after) override {
-        open("SayNo").raw(",\"ticket\":").whole(tun);
+        begin_action("SayNo").raw(",\"ticket\":").whole(tun);
         if (come_back_after > 0) out_.raw(",\"not_before_for\":").seconds(come_back_after);
         out_.raw("}}\n");
     }
-    void fail(std::uint64_t tun) override { one("Surrender", "ticket", tun); }
-    void migrate(std::uint64_t tun) override { one("Reassign", "ticket", tun); }
-    void check_health(std::uint32_t ep) override { one("Touch", "host", ep); }
-    void request_endpoint_list() override { open("StreamChanges").raw(",\"active\":true}}\n"); }
+    void fail(std::uint64_t tun) override { write_action("Surrender", "ticket", tun); }
+    void migrate(std::uint64_t tun) override { write_action("Reassign", "ticket", tun); }
+    void check_health(std::uint32_t ep) override { write_action("Touch", "host", ep); }
+    void request_endpoint_list() override { begin_action("StreamChanges").raw(",\"active\":true}}\n"); }
     void set_timer(Ticks at, std::uint64_t label) override {
-        open("WakeMe").raw(",\"at\":").seconds(at).raw(",\"label\":\"").whole(label).raw("\"}}\n");
+        begin_action("WakeMe").raw(",\"at\":").seconds(at).raw(",\"label\":\"").whole(label).raw("\"}}\n");
     }
     void send_gossip(std::uint32_t node, std::span<const std::uint8_t> bytes) override {
-        open("Notify").raw(",\"to\":").whole(node).raw(",\"raw\":").hex(bytes).raw("}}\n");
+        begin_action("Notify").raw(",\"to\":").whole(node).raw(",\"raw\":").hex(bytes).raw("}}\n");
     }
     void broadcast_gossip(std::span<const std::uint8_t> bytes) override {
-        open("Notify").raw(",\"to\":\"all\",\"raw\":").hex(bytes).raw("}}\n");
+        begin_action("Notify").raw(",\"to\":\"all\",\"raw\":").hex(bytes).raw("}}\n");
+    }
+    void log(std::string_view line) override {
+        begin_action("SayLog").raw(",\"what\":").quoted(line).raw("}}\n");
     }
-    void log(std::string_view line) override { open("SayLog").raw(",\"what\":").quoted(line).raw("}}\n"); }
 
     std::unique_ptr<Balancer> balancer;
-    std::size_t profiles = 0;
+    std::size_t traffic_classes = 0;
 
   private:
-    Reply& open(std::string_view name) { return out_.raw("{\"").raw(name).raw("\":{\"who\":").whole(who_); }
-    void one(std::string_view name, std::string_view field, std::uint64_t value) {
-        open(name).raw(",\"").raw(field).raw("\":").whole(value).raw("}}\n");
+    Reply& begin_action(std::string_view name) {
+        return out_.raw("{\"").raw(name).raw("\":{\"who\":").whole(who_);
+    }
+    void write_action(std::string_view name, std::string_view field, std::uint64_t value) {
+        begin_action(name).raw(",\"").raw(field).raw("\":").whole(value).raw("}}\n");
     }
     std::uint64_t who_;
     Reply& out_;
 };
 
-lemonstair::LoadReport read_report(const Value& f) {
+lemonstair::LoadReport decode_load_report(const Value& f) {
     lemonstair::LoadReport report;
     f.inner("health_info").fields([&](std::string_view name, const Value& value) {
-        if (double* at = figure(report, name)) *at = value.as_number();
+        if (double* field = load_report_field(report, name)) *field = value.as_number();
     });
     return report;
 }
 
-Outcome read_ending(const Value& f) {
-    return pick<Outcome>(f.text("state_code"),
-                         {{"OK", Outcome::ok},
-                          {"INTERNAL", Outcome::error},
-                          {"RESOURCE_EXHAUSTED", Outcome::overloaded},
-                          {"DEADLINE_EXCEEDED", Outcome::timed_out},
-                          {"UNAVAILABLE", Outcome::unreachable},
-                          {"ABORTED", Outcome::connection_lost},
-                          {"CANCELLED", Outcome::cancelled},
-                          {"TOO_LATE", Outcome::not_sent}},
-                         "state_code");
+Outcome decode_outcome(const Value& f) {
+    return decode_word<Outcome>(f.text("state_code"),
+                                {{"OK", Outcome::ok},
+                                 {"INTERNAL", Outcome::error},
+                                 {"RESOURCE_EXHAUSTED", Outcome::overloaded},
+                                 {"DEADLINE_EXCEEDED", Outcome::timed_out},
+                                 {"UNAVAILABLE", Outcome::unreachable},
+                                 {"ABORTED", Outcome::connection_lost},
+                                 {"CANCELLED", Outcome::cancelled},
+                                 {"TOO_LATE", Outcome::not_sent}},
+                                "state_code");
 }
 
 class Adapter {
   public:
-    // Takes one line of input; true once a batch has been answered.
-    void line(const char* text, std::size_t length) {
+    // Handles one line of input; throws json::Malformed.
+    void handle_line(const char* text, std::size_t length) {
         if (!message_.parse({text, length})) throw Malformed("not JSON");
         int keys = 0;
         Value body;
@@ -154,16 +160,16 @@
         if (keys != 1) throw Malformed("a message is an object with one key");
         if (body.type() != lemonstair::json::Type::object)
             throw Malformed("a message's fields are an object");
-        event(name_, body.with_context(name_.c_str()));
+        handle(name_, body.with_context(name_.c_str()));
     }
     bool in_batch() const { return in_batch_; }
 
   private:
-    void event(const std::string& name, const Value& f) {
+    void handle(const std::string& name, const Value& f) {
         if (name == "Batch") {
             if (in_batch_) throw Malformed("Batch within a batch");
             in_batch_ = true;
-            now_ = up(f.number("ts"));
+            now_ = round_up_to_ticks(f.number("ts"));
             return;
         }
         if (!in_batch_) throw Malformed(name + " outside a batch");
@@ -180,27 +186,28 @@
         Balancer& b = *instances_[who]->balancer;
         b.set_time(now_);
         if (name == "Interim")
-            interim(b, f);
+            on_interim(b, f);
         else if (name == "Reply")
-            b.on_ended(f.whole("ticket"), static_cast<int>(f.small("hop")), f.small("host"), read_ending(f),
-                       up(f.number("duration", 0)), f.flag("settled"));
+            b.on_ended(f.whole("ticket"), static_cast<int>(f.small("hop")), f.small("host"),
+                       decode_outcome(f), round_up_to_ticks(f.number("duration", 0)), f.flag("settled"));
         else if (name == "CheckResult")
-            b.on_health_check(f.small("host"), read_ending(f), up(f.number("duration", 0)), read_report(f));
+            b.on_health_check(f.small("host"), decode_outcome(f), round_up_to_ticks(f.number("duration", 0)),
+                              decode_load_report(f));
         else if (name == "TimeoutFired")
             on_timer(b, f.text("label"));
         else if (name == "Peer")
             on_gossip(b, f);
         else if (name == "Incoming")
-            b.on_request(f.whole("ticket"), arrival(who, f));
+            b.on_request(f.whole("ticket"), decode_request(who, f));
         else if (name == "Flowing")
             b.on_opened(f.whole("ticket"), static_cast<int>(f.small("hop")), f.small("host"),
-                        up(f.number("duration", 0)));
+                        round_up_to_ticks(f.number("duration", 0)));
         else if (name == "Fleet")
-            fleet(b, f);
+            apply_endpoint_list(b, f);
         else if (name == "ClientLeft")
             b.on_client_disconnected(f.whole("ticket"));
         else if (name == "Open")
-            b.adopt_open_tunnel(f.whole("ticket"), arrival(who, f), f.small("host"));
+            b.adopt_open_tunnel(f.whole("ticket"), decode_request(who, f), f.small("host"));
         else
             throw Malformed("event '" + name + "' is unknown");
     }
@@ -209,15 +216,17 @@
         if (who >= instances_.size()) instances_.resize(who + 1);
         auto instance = std::make_unique<Instance>(who, out_);
         if (!f.has("setup")) throw Malformed("Enlist: field 'setup' is missing");
-        auto terms = lemonstair::config::parse_settings(f.inner("setup"), f.whole("salt"));
-        instance->profiles = terms.traffic_classes.size();
-        instance->balancer = Balancer::start(std::move(terms), *instance, now_);
+        auto config = lemonstair::config::parse_settings(f.inner("setup"), f.whole("salt"));
+        instance->traffic_classes = config.traffic_classes.size();
+        instance->balancer = Balancer::start(std::move(config), *instance, now_);
         instances_[who] = std::move(instance);
     }
-    static void interim(Balancer& b, const Value& f) {
+    static void on_interim(Balancer& b, const Value& f) {
         const auto what = f.whole("what");
         if (what == 1) b.on_load_changed(f.whole("ticket"), f.number("amount") / 1e6);
-        if (what == 2) b.on_slow_messages(f.whole("ticket"), f.small("host"), up(f.number("amount") / 1e3));
+        if (what == 2)
+            b.on_slow_messages(f.whole("ticket"), f.small("host"),
+                               round_up_to_ticks(f.number("amount") / 1e3));
     }
     static void on_timer(Balancer& b, std::string_view label) {
         std::uint64_t number = 0;
@@ -238,33 +247,34 @@
         }
         b.on_gossip(f.small("src"), {bytes.data(), n});
     }
-    lemonstair::TunnelRequest arrival(std::uint64_t who, const Value& f) {
-        if (f.whole("qos") >= instances_[who]->profiles) throw Malformed("field 'qos' names no profile");
+    lemonstair::TunnelRequest decode_request(std::uint64_t who, const Value& f) {
+        if (f.whole("qos") >= instances_[who]->traffic_classes)
+            throw Malformed("field 'qos' names no profile");
         const auto bits = f.whole("bitmap", 0);
         return {.key = f.text("path_key", ""),
                 .group = f.text("room", ""),
-                .deadline = lemonstair::config::down(f.number("valid_until")),
+                .deadline = round_down_to_ticks(f.number("valid_until")),
                 .expected_load = (bits & 1) != 0 ? f.number("expected", 0) : 0,
                 .traffic_class = f.small("qos"),
                 .mid_flow = (bits & 8) != 0,
                 .reconnect = (bits & 16) != 0};
     }
-    static void fleet(Balancer& b, const Value& f) {
+    static void apply_endpoint_list(Balancer& b, const Value& f) {
         using lemonstair::EndpointState, lemonstair::EndpointListKind;
-        b.begin_endpoint_list(pick<EndpointListKind>(f.text("kind"),
-                                                     {{"D", EndpointListKind::changes},
-                                                      {"F", EndpointListKind::complete},
-                                                      {"C", EndpointListKind::cached},
-                                                      {"X", EndpointListKind::failed}},
-                                                     "kind"));
+        b.begin_endpoint_list(decode_word<EndpointListKind>(f.text("kind"),
+                                                            {{"D", EndpointListKind::changes},
+                                                             {"F", EndpointListKind::complete},
+                                                             {"C", EndpointListKind::cached},
+                                                             {"X", EndpointListKind::failed}},
+                                                            "kind"));
         f.each("members_list", [&](const Value& m) {
             b.add_endpoint(m.small("host"), m.small("site", 0), m.small("cohort", 0),
-                           pick<EndpointState>(m.text("lifecycle"),
-                                               {{"in_service", EndpointState::active},
-                                                {"terminating", EndpointState::draining},
-                                                {"terminated", EndpointState::removed}},
-                                               "lifecycle"),
-                           m.number("nominal", 1), up(m.number("online_since", 0)));
+                           decode_word<EndpointState>(m.text("lifecycle"),
+                                                      {{"in_service", EndpointState::active},
+                                                       {"terminating", EndpointState::draining},
+                                                       {"terminated", EndpointState::removed}},
+                                                      "lifecycle"),
+                           m.number("nominal", 1), round_up_to_ticks(m.number("online_since", 0)));
         });
         b.end_endpoint_list();
     }
@@ -288,7 +298,7 @@
             const auto* stop = static_cast<const char*>(std::memchr(start, '\n', end - begin));
             if (stop != nullptr) {
                 ++number;
-                if (stop != start) adapter.line(start, static_cast<std::size_t>(stop - start));
+                if (stop != start) adapter.handle_line(start, static_cast<std::size_t>(stop - start));
                 begin = static_cast<std::size_t>(stop + 1 - buffer.data());
                 continue;
             }
--- a/src/tunnel/acceptor.cpp
+++ b/src/tunnel/acceptor.cpp
@@ -44,7 +44,7 @@
 bool Acceptor::accept_waiting() {
     for (int i = 0; i < accepts_a_pass && open_; ++i) {
         // Each pass of the loop costs as much as there are connections: the silent have a part of them.
-        const bool crowded = floor_.taking_in() > floor_.launch.sockets / 4;
+        const bool crowded = floor_.taking_in() > floor_.launch.max_descriptors / 4;
         bool at_door = false;
         if ((crowded || floor_.down_to(TunnelRegistry::fewest_left)) && !book_.make_room() &&
             floor_.down_to(TunnelRegistry::fewest_left))
@@ -155,8 +155,8 @@
     }
     TunnelRequest arrival;
     std::string_view holder;
-    const bool good = text.size() <= longest_line &&
-                      read_opening(text, floor_.launch.profiles, floor_.loop.now(), arrival, holder);
+    const bool good = text.size() <= longest_line && read_opening(text, floor_.launch.traffic_class_names,
+                                                                  floor_.loop.now(), arrival, holder);
     if (!good || begins_command(t.opening.view().substr(t.opening.view().find('\n') + 1)) ||
         !take_name(t, opening_id(text), arrival.mid_flow)) {
         floor_.log.debug() << "a client's first line cannot be taken";
--- a/src/tunnel/admission.cpp
+++ b/src/tunnel/admission.cpp
@@ -10,8 +10,9 @@
 
 std::size_t Admission::room() const {
     const std::size_t sockets = floor_.granted();
-    const std::size_t kept = TunnelRegistry::fewest_left + floor_.launch.callers + floor_.for_other +
-                             health_check::max_connections(floor_.hosts.size(), sockets) + sockets / 16;
+    const std::size_t kept = TunnelRegistry::fewest_left + floor_.launch.max_admin_connections +
+                             floor_.for_other + health_check::max_connections(floor_.hosts.size(), sockets) +
+                             sockets / 16;
     return sockets > kept ? (sockets - kept) / 2 : 1;
 }
 
--- a/src/tunnel/attempt.cpp
+++ b/src/tunnel/attempt.cpp
@@ -41,8 +41,8 @@
     Tunnel& t = *floor_.find(id);
     TunnelRequest arrival;
     std::string_view holder;
-    read_opening(net::first_line(t.opening.view()), floor_.launch.profiles, floor_.loop.now(), arrival,
-                 holder);
+    read_opening(net::first_line(t.opening.view()), floor_.launch.traffic_class_names, floor_.loop.now(),
+                 arrival, holder);
     t.standing = true;
     t.place = floor_.hosts.index_of(holder);
     // What this node remembers may be older than the tunnel: discovery will name the host.
@@ -173,8 +173,8 @@
     if (t.standing) {
         TunnelRequest arrival;
         std::string_view holder;
-        read_opening(net::first_line(t.opening.view()), floor_.launch.profiles, floor_.loop.now(), arrival,
-                     holder);
+        read_opening(net::first_line(t.opening.view()), floor_.launch.traffic_class_names, floor_.loop.now(),
+                     arrival, holder);
         t.known = true;
         floor_.mind().adopt_open_tunnel(id, arrival, ep);
     } else {
@@ -228,9 +228,9 @@
     }
     if (t.state == TunnelState::awaiting_answer) return failed(id, Outcome::timed_out);
     // Guards against blame for an endpoint that had no time to answer, since its client had next to none.
-    const Ticks fair =
-        std::min(floor_.launch.connect_timeout,
-                 attempt_policy::fair_wait(floor_.launch.terms.traffic_classes[t.profile].latency_objective));
+    const Ticks fair = std::min(
+        floor_.launch.connect_timeout,
+        attempt_policy::fair_wait(floor_.launch.balancer.traffic_classes[t.profile].latency_objective));
     const bool had_time = floor_.loop.now() - t.setup_from >= fair;
     failed(id, had_time ? Outcome::unreachable : Outcome::withdrawn);
 }
--- a/src/tunnel/relay.cpp
+++ b/src/tunnel/relay.cpp
@@ -38,7 +38,7 @@
 }  // namespace
 
 Relay::Relay(TunnelRegistry& floor, Completion& book) : floor_(floor), book_(book) {
-    for (const auto& p : floor.launch.terms.traffic_classes)
+    for (const auto& p : floor.launch.balancer.traffic_classes)
         if (p.message_latency_objective > 0)
             slow_from_ = std::min(slow_from_, p.message_latency_objective / 3);
 }
--- a/src/tunnel/transfer.cpp
+++ b/src/tunnel/transfer.cpp
@@ -82,7 +82,7 @@
     const auto head = in.text(), up = in.text(), down = in.text(), mind = in.text();
     if (!in.good() || !in.at_end() || place == discovery::EndpointDirectory::none ||
         head.size() > read.head.size() || up.size() > net::buffer_bytes || down.size() > net::buffer_bytes ||
-        read.profile >= floor_.launch.profiles.size() || read.setups < 1)
+        read.profile >= floor_.launch.traffic_class_names.size() || read.setups < 1)
         return false;
     const TunnelId id = floor_.open(std::move(client), false);
     Tunnel& t = *floor_.find(id);
--- a/src/tunnel/tunnel_registry.h
+++ b/src/tunnel/tunnel_registry.h
@@ -39,7 +39,7 @@
           hosts(of),
           log(to),
           costs(counts),
-          outcomes(by.profiles.size()) {}
+          outcomes(by.traffic_class_names.size()) {}
 
     TunnelId id_of(std::uint32_t at) const { return TunnelId{tunnels.serial(at) & 0x7fffffffU} << 32 | at; }
     // Nothing where the tunnel is no more.
@@ -75,7 +75,9 @@
     // Whether only so many of the descriptors granted are left, those outside the loop among them.
     bool down_to(std::size_t left) const { return loop.descriptors() + for_other + left >= granted(); }
     // Another process of this node may hold a part of what both are granted together.
-    std::size_t granted() const { return launch.sockets > elsewhere ? launch.sockets - elsewhere : 0; }
+    std::size_t granted() const {
+        return launch.max_descriptors > elsewhere ? launch.max_descriptors - elsewhere : 0;
+    }
     std::size_t taking_in() const { return in_hand - admitted - departing; }
     void go(TunnelId id, TunnelState to);
     // Counts and tells an effect that should not have been.
--- a/tests/handover.cpp
+++ b/tests/handover.cpp
@@ -32,7 +32,7 @@
     net::Kernel kernel;
     net::Fd fd;
     std::string name;
-    explicit Stranger(Town& town) : name(town.launch().nearby) {}
+    explicit Stranger(Town& town) : name(town.launch().hot_restart_path) {}
     bool call() {
         fd = kernel.connect_local(name);
         return fd.open();
@@ -240,7 +240,7 @@
 
 TEST_CASE("what a dead process left in the meeting place is no process") {
     Town town(upgraded());
-    const std::string name = town.launch().nearby;
+    const std::string name = town.launch().hot_restart_path;
     town.runs = false;
     town.node.reset();
     REQUIRE(std::filesystem::exists(name));
@@ -342,7 +342,7 @@
 
 TEST_CASE("with no listener handed down there is no meeting place, and nothing is held for one") {
     Town with(upgraded()), without(Town::BalancerConfig{.operators = true});
-    CHECK(without.launch().nearby.empty());
+    CHECK(without.launch().hot_restart_path.empty());
     CHECK(without.node->holds().descriptors + 1 == with.node->holds().descriptors);
 }
 
