--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -33,7 +33,7 @@
     loop_.system().defer_accept(listener.get());
     listener_ =
         net::Socket(loop_, std::move(listener), POLLIN, *this, listener_token, net::EventPriority::first);
-    loop_.set_aside(max_connections);
+    loop_.reserve_descriptors(max_connections);
 }
 
 void AdminServer::on_ready(std::uint64_t token, short) {
@@ -57,7 +57,7 @@
     if (is_open != was_open) {
         open_connections_ += is_open ? 1 : std::size_t{0} - 1;
         // The descriptor that an open connection holds needs no reservation.
-        loop_.set_aside(connections_.size() - open_connections_);
+        loop_.reserve_descriptors(connections_.size() - open_connections_);
     }
     connection.state = state;
     connection.state_since = loop_.now();
--- a/src/json/json.cpp
+++ b/src/json/json.cpp
@@ -5,71 +5,71 @@
 
 namespace lemonstair::json {
 
-// Reads one text into a document's row. Depth is bounded: an endless row of brackets ends as an error.
+// Parses a text into a document's items. The nesting depth is bounded, so that the recursion is.
 class Reader {
   public:
-    Reader(Document& into, std::string_view text)
-        : to_(into), at_(text.data()), end_(text.data() + text.size()) {}
+    Reader(Document& document, std::string_view text)
+        : document_(document), at_(text.data()), end_(text.data() + text.size()) {}
     bool read() {
         if (!value(0)) return false;
-        blank();
+        skip_blanks();
         return at_ == end_;
     }
 
   private:
-    static constexpr int deepest = 64;
-    void blank() {
+    static constexpr int max_depth = 64;
+    void skip_blanks() {
         while (at_ != end_ && (*at_ == ' ' || *at_ == '\t' || *at_ == '\n' || *at_ == '\r')) ++at_;
     }
-    bool comes(char c) {
-        blank();
+    bool consume(char c) {
+        skip_blanks();
         if (at_ == end_ || *at_ != c) return false;
         ++at_;
         return true;
     }
-    std::size_t place(Type type) {
-        to_.items_.push_back({{}, static_cast<std::uint32_t>(to_.items_.size() + 1), type});
-        return to_.items_.size() - 1;
+    std::size_t add_item(Type type) {
+        document_.items_.push_back({{}, static_cast<std::uint32_t>(document_.items_.size() + 1), type});
+        return document_.items_.size() - 1;
     }
     bool value(int depth) {
-        blank();
-        if (at_ == end_ || depth > deepest) return false;
+        skip_blanks();
+        if (at_ == end_ || depth > max_depth) return false;
         switch (*at_) {
             case '{':
-                return many(Type::object, '}', depth);
+                return container(Type::object, '}', depth);
             case '[':
-                return many(Type::list, ']', depth);
+                return container(Type::list, ']', depth);
             case '"':
                 return text();
             case 't':
-                return word("true", Type::truth);
+                return literal("true", Type::boolean);
             case 'f':
-                return word("false", Type::truth);
+                return literal("false", Type::boolean);
             case 'n':
-                return word("null", Type::null);
+                return literal("null", Type::null);
             default:
                 return number();
         }
     }
-    bool many(Type type, char close, int depth) {
-        const std::size_t self = place(type);
+    bool container(Type type, char close, int depth) {
+        const std::size_t self = add_item(type);
         ++at_;
-        if (!comes(close)) {
+        if (!consume(close)) {
             do {
                 if (type == Type::object) {
-                    blank();
-                    if (at_ == end_ || *at_ != '"' || !text() || !comes(':')) return false;
+                    skip_blanks();
+                    if (at_ == end_ || *at_ != '"' || !text() || !consume(':')) return false;
                 }
                 if (!value(depth + 1)) return false;
-            } while (comes(','));
-            if (!comes(close)) return false;
+            } while (consume(','));
+            if (!consume(close)) return false;
         }
-        to_.items_[self].next = static_cast<std::uint32_t>(to_.items_.size());
+        document_.items_[self].next = static_cast<std::uint32_t>(document_.items_.size());
         return true;
     }
-    bool word(std::string_view letters, Type type) {
+    bool literal(std::string_view letters, Type type) {
         if (std::string_view(at_, end_).substr(0, letters.size()) != letters) return false;
-        to_.items_[place(type)].raw = {at_, letters.size()};
+        document_.items_[add_item(type)].raw = {at_, letters.size()};
         at_ += letters.size();
         return true;
     }
@@ -92,7 +92,7 @@
             if (at_ != end_ && (*at_ == '+' || *at_ == '-')) ++at_;
             if (!digits()) return false;
         }
-        to_.items_[place(Type::number)].raw = {from, static_cast<std::size_t>(at_ - from)};
+        document_.items_[add_item(Type::number)].raw = {from, static_cast<std::size_t>(at_ - from)};
         return true;
     }
     bool text() {
@@ -107,17 +107,17 @@
         if (at_ == end_) return false;
         const std::string_view raw(from, static_cast<std::size_t>(at_ - from));
         ++at_;
-        const std::size_t self = place(Type::text);
+        const std::size_t self = add_item(Type::text);
         if (plain) {
-            to_.items_[self].raw = raw;
+            document_.items_[self].raw = raw;
             return true;
         }
-        std::string& out = to_.unescaped_.emplace_back();
+        std::string& out = document_.unescaped_.emplace_back();
         if (!unescape(raw, out)) return false;
-        to_.items_[self].raw = out;
+        document_.items_[self].raw = out;
         return true;
     }
-    static bool four(std::string_view raw, std::size_t at, std::uint32_t& code) {
+    static bool hex4(std::string_view raw, std::size_t at, std::uint32_t& code) {
         if (raw.size() - at < 4) return false;
         const char* stop = raw.data() + at + 4;
         return std::from_chars(raw.data() + at, stop, code, 16).ptr == stop;
@@ -135,20 +135,20 @@
                 continue;
             }
             std::uint32_t code = 0, low = 0;
-            if (c != 'u' || !four(raw, i + 1, code)) return false;
+            if (c != 'u' || !hex4(raw, i + 1, code)) return false;
             i += 4;
             if (code >= 0xdc00 && code < 0xe000) return false;
             if (code >= 0xd800 && code < 0xdc00) {
-                if (raw.substr(i + 1, 2) != "\\u" || !four(raw, i + 3, low) || low < 0xdc00 || low > 0xdfff)
+                if (raw.substr(i + 1, 2) != "\\u" || !hex4(raw, i + 3, low) || low < 0xdc00 || low > 0xdfff)
                     return false;
                 i += 6;
                 code = 0x10000 + ((code - 0xd800) << 10) + (low - 0xdc00);
             }
-            utf8(code, out);
+            append_utf8(code, out);
         }
         return true;
     }
-    static void utf8(std::uint32_t code, std::string& out) {
+    static void append_utf8(std::uint32_t code, std::string& out) {
         if (code < 0x80) return out.push_back(static_cast<char>(code));
         int tail = code < 0x800 ? 1 : code < 0x10000 ? 2 : 3;
         const std::uint32_t lead = tail == 1 ? 0xc0 : tail == 2 ? 0xe0 : 0xf0;
@@ -156,7 +156,7 @@
         while (tail-- > 0) out.push_back(static_cast<char>(0x80 | (code >> (6 * tail) & 0x3f)));
     }
 
-    Document& to_;
+    Document& document_;
     const char* at_;
     const char* end_;
 };
@@ -172,7 +172,7 @@
 Value Document::root() const { return items_.empty() ? Value() : Value(*this, 0); }
 
 void Value::fail(std::string_view name, std::string_view what) const {
-    throw Malformed(std::string(where_).append(": field '").append(name).append("' ").append(what));
+    throw Malformed(std::string(context_).append(": field '").append(name).append("' ").append(what));
 }
 
 Value Value::need(std::string_view name, Type type, const char* what) const {
@@ -209,7 +209,7 @@
 }
 
 bool Value::flag(std::string_view name) const {
-    return has(name) && need(name, Type::truth, "true or false").raw() == "true";
+    return has(name) && need(name, Type::boolean, "true or false").raw() == "true";
 }
 
 }  // namespace lemonstair::json
--- a/src/json/json.h
+++ b/src/json/json.h
@@ -1,5 +1,6 @@
-// A JSON text as a flat row of values over the text itself, which must outlive it. The row is used again from
-// text to text. Fields are looked up by name; a missing or mistyped one is told by its name.
+// JSON parser. A document is a flat array of items that refer to the text, which must outlive it; the array
+// is reused from text to text. Fields are looked up by name, and errors name the field that is missing or
+// mistyped.
 #pragma once
 
 #include <cstdint>
@@ -11,8 +12,10 @@
 
 namespace lemonstair::json {
 
-enum class Type : std::uint8_t { null, truth, number, text, list, object };
+enum class Type : std::uint8_t { null, boolean, number, text, list, object };
 
+// Input that is not as required. The message names the context and the field; it is what is logged where a
+// configuration, a list or an entry of a list is refused.
 struct Malformed : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
@@ -29,77 +32,88 @@
     friend class Value;
     friend class Reader;
     struct Item {
-        std::string_view raw;    // a text's characters, a number's or a truth's letters
-        std::uint32_t next = 0;  // the place after this value and all within it
+        std::string_view raw;    // the characters of a text, number or boolean
+        std::uint32_t next = 0;  // index of the item behind this value and all within it
         Type type = Type::null;
     };
-    std::vector<Item> items_;  // a field is its name's text, then its value
+    std::vector<Item> items_;  // a field is a text item with its name, then its value
     std::deque<std::string> unescaped_;
 };
 
+// A value of a document, valid until it parses another text. Accessors that take a name look up a field of
+// this object; they throw Malformed where the field is missing and there is no fallback, or has another type.
+// A null field counts as missing.
 class Value {
   public:
     Value() = default;
-    explicit Value(const char* where) : where_(where) {}
-    Value(const Document& of, std::uint32_t at, const char* where = "") : of_(&of), at_(at), where_(where) {}
-    Value with_context(const char* where) const {
+    explicit Value(const char* context) : context_(context) {}
+    Value(const Document& document, std::uint32_t index, const char* context = "")
+        : document_(&document), index_(index), context_(context) {}
+    // `context` begins the messages of errors; it must outlive the value.
+    Value with_context(const char* context) const {
         Value v = *this;
-        v.where_ = where;
+        v.context_ = context;
         return v;
     }
-    Type type() const { return of_ == nullptr ? Type::null : item().type; }
+    Type type() const { return document_ == nullptr ? Type::null : item().type; }
     std::string_view raw() const { return item().raw; }
 
     bool has(std::string_view name) const { return find(name).type() != Type::null; }
+    // Non-negative integers, of 64 and 32 bits.
     std::uint64_t whole(std::string_view name) const;
-    std::uint64_t whole(std::string_view name, std::uint64_t or_else) const {
-        return has(name) ? whole(name) : or_else;
+    std::uint64_t whole(std::string_view name, std::uint64_t fallback) const {
+        return has(name) ? whole(name) : fallback;
     }
     std::uint32_t small(std::string_view name) const;
-    std::uint32_t small(std::string_view name, std::uint32_t or_else) const {
-        return has(name) ? small(name) : or_else;
+    std::uint32_t small(std::string_view name, std::uint32_t fallback) const {
+        return has(name) ? small(name) : fallback;
     }
     double number(std::string_view name) const;
-    double number(std::string_view name, double or_else) const { return has(name) ? number(name) : or_else; }
+    double number(std::string_view name, double fallback) const {
+        return has(name) ? number(name) : fallback;
+    }
     std::string_view text(std::string_view name) const { return need(name, Type::text, "a text").raw(); }
-    std::string_view text(std::string_view name, std::string_view or_else) const {
-        return has(name) ? text(name) : or_else;
+    std::string_view text(std::string_view name, std::string_view fallback) const {
+        return has(name) ? text(name) : fallback;
     }
+    // False where it is missing.
     bool flag(std::string_view name) const;
     // An object within; an empty one where it is missing.
     Value inner(std::string_view name) const {
-        return has(name) ? need(name, Type::object, "an object") : Value(where_);
+        return has(name) ? need(name, Type::object, "an object") : Value(context_);
     }
     // Each member of a list within; none where it is missing.
     template <class Each>
     void each(std::string_view name, Each&& each_one) const {
         if (!has(name)) return;
         const Value list = need(name, Type::list, "a list");
-        for (std::uint32_t i = list.at_ + 1; i < list.item().next; i = of_->items_[i].next)
-            each_one(Value(*of_, i, where_));
+        for (std::uint32_t i = list.index_ + 1; i < list.item().next; i = document_->items_[i].next)
+            each_one(Value(*document_, i, context_));
     }
     // Each field of an object: its name and its value.
     template <class Each>
     void fields(Each&& each_one) const {
         if (type() != Type::object) return;
-        for (std::uint32_t i = at_ + 1; i < item().next; i = of_->items_[i + 1].next)
-            each_one(of_->items_[i].raw, Value(*of_, i + 1, where_));
+        for (std::uint32_t i = index_ + 1; i < item().next; i = document_->items_[i + 1].next)
+            each_one(document_->items_[i].raw, Value(*document_, i + 1, context_));
     }
+    // This value as a number; NaN where it is none.
     double as_number() const;
+    // Throws Malformed about the field `name`.
     [[noreturn]] void fail(std::string_view name, std::string_view what) const;
 
   private:
-    const Document::Item& item() const { return of_->items_[at_]; }
+    const Document::Item& item() const { return document_->items_[index_]; }
     Value find(std::string_view name) const {
-        if (type() != Type::object) return Value(where_);
-        for (std::uint32_t i = at_ + 1; i < item().next; i = of_->items_[i + 1].next)
-            if (of_->items_[i].raw == name) return Value(*of_, i + 1, where_);
-        return Value(where_);
+        if (type() != Type::object) return Value(context_);
+        for (std::uint32_t i = index_ + 1; i < item().next; i = document_->items_[i + 1].next)
+            if (document_->items_[i].raw == name) return Value(*document_, i + 1, context_);
+        return Value(context_);
     }
     Value need(std::string_view name, Type type, const char* what) const;
-    const Document* of_ = nullptr;
-    std::uint32_t at_ = 0;
-    const char* where_ = "";
+    const Document* document_ = nullptr;
+    std::uint32_t index_ = 0;
+    const char* context_ = "";
 };
 
 }  // namespace lemonstair::json
--- a/src/json/text.h
+++ b/src/json/text.h
@@ -1,4 +1,4 @@
-// Text as it stands in JSON.
+// Writing of JSON texts.
 #pragma once
 
 #include <string>
@@ -6,7 +6,7 @@
 
 namespace lemonstair::json {
 
-// With its quotes.
+// The text escaped and in quotes.
 std::string quoted(std::string_view text);
 
 }  // namespace lemonstair::json
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -8,7 +8,7 @@
 
 namespace lemonstair::log {
 
-std::optional<Level> level_of(std::string_view name) {
+std::optional<Level> parse_level(std::string_view name) {
     if (name == "error") return Level::error;
     if (name == "info") return Level::info;
     if (name == "debug") return Level::debug;
@@ -27,19 +27,19 @@
 
 void Lines::end_line() {
     line_.push_back('\n');
-    if (dropped_ > 0 && waiting_.size() + line_.size() < most_waiting / 2) {
-        waiting_.append("log lines dropped: ").append(std::to_string(dropped_)).append("\n");
+    if (dropped_ > 0 && buffered_.size() + line_.size() < max_buffered_bytes / 2) {
+        buffered_.append("log lines dropped: ").append(std::to_string(dropped_)).append("\n");
         dropped_ = 0;
     }
-    if (waiting_.size() + line_.size() <= most_waiting)
-        waiting_.append(line_);
+    if (buffered_.size() + line_.size() <= max_buffered_bytes)
+        buffered_.append(line_);
     else
         ++dropped_;
     line_.clear();
     write_out();
 }
 
-// A pipe that poll calls writable takes PIPE_BUF bytes without blocking, so no more are written at once.
+// A pipe that poll reports as writable takes PIPE_BUF bytes without blocking, so no more are written at once.
 std::size_t Descriptor::take(std::string_view text) {
     pollfd p{fd_, POLLOUT, 0};
     if (::poll(&p, 1, 0) <= 0 || (p.revents & POLLOUT) == 0) return 0;
@@ -49,12 +49,12 @@
 
 void Lines::write_out() {
     std::size_t sent = 0;
-    while (sent < waiting_.size()) {
-        const std::size_t n = drain_.take(std::string_view(waiting_).substr(sent));
+    while (sent < buffered_.size()) {
+        const std::size_t n = drain_.take(std::string_view(buffered_).substr(sent));
         if (n == 0) break;
         sent += n;
     }
-    waiting_.erase(0, sent);
+    buffered_.erase(0, sent);
 }
 
 }  // namespace lemonstair::log
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,6 +1,5 @@
-// The log: lines into one drain, mostly a descriptor, written with iostreams behind a level filter. It never
-// blocks: what the reader does not take waits in a bounded buffer, and what finds no place there is dropped
-// and counted.
+// The log: lines written with iostreams, filtered by level, into one sink. It never blocks: what the sink
+// does not take waits in a bounded buffer, and lines that do not fit there are dropped and counted.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +13,8 @@
 
 enum class Level : std::uint8_t { error, info, debug };
 
-std::optional<Level> level_of(std::string_view name);
+// The level of that name; nothing for an unknown name.
+std::optional<Level> parse_level(std::string_view name);
 
 // Where a log's lines go.
 class Drain {
@@ -23,11 +23,12 @@
     Drain(const Drain&) = delete;
     Drain& operator=(const Drain&) = delete;
     virtual ~Drain() = default;
-    // Takes the beginning of a text without waiting; how many bytes of it.
+    // Writes a prefix of the text without blocking; the number of bytes written.
     virtual std::size_t take(std::string_view text) = 0;
 };
 
-// A descriptor that may be shared with other processes: making it non-blocking would change it for them too.
+// A descriptor. It may be shared with other processes, so it is not made non-blocking: that would affect
+// them.
 class Descriptor final : public Drain {
   public:
     explicit Descriptor(int fd) : fd_(fd) {}
@@ -37,6 +38,7 @@
     int fd_;
 };
 
+// Collects one line at a time and queues complete lines for the drain.
 class Lines final : public std::streambuf {
   public:
     explicit Lines(Drain& drain) : drain_(drain) {}
@@ -48,45 +50,46 @@
     std::streamsize xsputn(const char* text, std::streamsize n) override;
 
   private:
-    static constexpr std::size_t most_waiting = 1 << 16;
+    static constexpr std::size_t max_buffered_bytes = 1 << 16;
     Drain& drain_;
-    std::string line_, waiting_;
+    std::string line_, buffered_;
     std::uint64_t dropped_ = 0;
 };
 
 class Log {
   public:
-    Log(Level most, Drain& drain) : most_(most), lines_(drain), out_(&lines_) {}
-    // One line: what is streamed into it until it goes out of scope.
+    Log(Level max_level, Drain& drain) : max_level_(max_level), lines_(drain), out_(&lines_) {}
+    // One line: ends when the object goes out of scope.
     class Line {
       public:
-        explicit Line(Log* to) : to_(to) {}
+        // Null: the line is filtered out.
+        explicit Line(Log* log) : log_(log) {}
         Line(const Line&) = delete;
         Line& operator=(const Line&) = delete;
         ~Line() {
-            if (to_ != nullptr) to_->lines_.end_line();
+            if (log_ != nullptr) log_->lines_.end_line();
         }
         template <class T>
         Line& operator<<(const T& value) {
-            if (to_ != nullptr) to_->out_ << value;
+            if (log_ != nullptr) log_->out_ << value;
             return *this;
         }
 
       private:
-        Log* to_;
+        Log* log_;
     };
-    Line error() { return at(Level::error, "error "); }
-    Line info() { return at(Level::info, ""); }
-    Line debug() { return at(Level::debug, "debug "); }
+    Line error() { return begin_line(Level::error, "error "); }
+    Line info() { return begin_line(Level::info, ""); }
+    Line debug() { return begin_line(Level::debug, "debug "); }
     void write_out() { lines_.write_out(); }
 
   private:
-    Line at(Level level, std::string_view mark) {
-        if (level > most_) return Line(nullptr);
-        out_ << mark;
+    Line begin_line(Level level, std::string_view prefix) {
+        if (level > max_level_) return Line(nullptr);
+        out_ << prefix;
         return Line(this);
     }
-    Level most_;
+    Level max_level_;
     Lines lines_;
     std::ostream out_;
 };
--- a/src/net/buffer_pool.h
+++ b/src/net/buffer_pool.h
@@ -1,5 +1,5 @@
-// Buffers of one size, kept in a pool and used again. A buffer is a queue of bytes: put at the end, taken
-// from the front; an empty handle holds no memory.
+// Buffers of one size, reused through a pool. A buffer is a queue of bytes, appended at the end and taken
+// from the front; a default-constructed one holds no memory.
 #pragma once
 
 #include <array>
@@ -12,7 +12,7 @@
 
 namespace lemonstair::net {
 
-// A line of 4 KiB, its end, and the digits by which a rewritten line may grow.
+// A line of 4 KiB, its line end, and the digits by which a rewritten line may grow.
 constexpr std::size_t buffer_bytes = 4096 + 64;
 
 class BufferPool;
@@ -36,7 +36,7 @@
         return held() ? std::string_view(bytes_->data() + begin_, end_ - begin_) : std::string_view{};
     }
     void take(std::size_t n) { begin_ += n; }
-    // Room at the end, after moving what is there to the front.
+    // The free space at the end, after moving the contents to the front.
     std::pair<char*, std::size_t> room() {
         if (begin_ > 0) {
             std::memmove(bytes_->data(), bytes_->data() + begin_, end_ - begin_);
@@ -72,8 +72,8 @@
 
 class BufferPool {
   public:
-    // At most `kept` unused buffers stay; after a burst the rest goes back to the system.
-    explicit BufferPool(std::size_t kept = 256) : kept_(kept) { free_.reserve(kept); }
+    // Keeps at most `max_free` unused buffers; the others are freed after a burst.
+    explicit BufferPool(std::size_t max_free = 256) : max_free_(max_free) { free_.reserve(max_free); }
     BufferPool(const BufferPool&) = delete;
     BufferPool& operator=(const BufferPool&) = delete;
     ~BufferPool() = default;
@@ -86,20 +86,21 @@
             b.bytes_ = std::move(free_.back());
             free_.pop_back();
         }
-        ++out_;
+        ++in_use_;
         return b;
     }
-    std::size_t out() const { return out_; }
+    // Buffers in use.
+    std::size_t out() const { return in_use_; }
 
   private:
     friend class Buffer;
     void put(std::unique_ptr<Buffer::Bytes> bytes) {
-        --out_;
-        if (free_.size() < kept_) free_.push_back(std::move(bytes));
+        --in_use_;
+        if (free_.size() < max_free_) free_.push_back(std::move(bytes));
     }
-    std::size_t kept_;
+    std::size_t max_free_;
     std::vector<std::unique_ptr<Buffer::Bytes>> free_;
-    std::size_t out_ = 0;
+    std::size_t in_use_ = 0;
 };
 
 inline void Buffer::give_back() {
--- a/src/net/fd.h
+++ b/src/net/fd.h
@@ -1,4 +1,4 @@
-// Fd: owns one descriptor and closes it, at the system that gave it.
+// Fd: owns one descriptor and closes it, through the system that opened it.
 #pragma once
 
 #include <utility>
@@ -10,7 +10,7 @@
 class Fd {
   public:
     Fd() = default;
-    // A descriptor of the process itself; with an owner, one that this system gave and is to close.
+    // Without an owner the descriptor is closed by the kernel, otherwise by the owner.
     explicit Fd(int fd, System* owner = nullptr) : fd_(fd), owner_(owner) {}
     Fd(Fd&& other) noexcept : fd_(std::exchange(other.fd_, -1)), owner_(other.owner_) {}
     Fd& operator=(Fd&& other) noexcept {
@@ -23,15 +23,15 @@
     }
     ~Fd() { close(); }
     void close() {
-        if (fd_ >= 0) release(std::exchange(fd_, -1));
+        if (fd_ >= 0) close_descriptor(std::exchange(fd_, -1));
     }
-    // Owns it no longer, and says which it was.
-    int let_go() { return std::exchange(fd_, -1); }
+    // Gives up ownership and returns the descriptor.
+    int release() { return std::exchange(fd_, -1); }
     int get() const { return fd_; }
     bool open() const { return fd_ >= 0; }
 
   private:
-    void release(int fd) const;
+    void close_descriptor(int fd) const;
     int fd_ = -1;
     System* owner_ = nullptr;
 };
--- a/src/net/kernel.cpp
+++ b/src/net/kernel.cpp
@@ -68,7 +68,7 @@
 
 }  // namespace
 
-void Fd::release(int fd) const {
+void Fd::close_descriptor(int fd) const {
     if (owner_ != nullptr)
         owner_->close(fd);
     else
--- a/src/net/kernel.h
+++ b/src/net/kernel.h
@@ -1,5 +1,4 @@
-// The kernel's side of the system: TCP and UDP on IPv4 and Unix packets, none of which blocks, poll(2),
-// signalfd(2).
+// System of a real process: non-blocking TCP, UDP on IPv4 and Unix packet sockets, poll(2) and signalfd(2).
 #pragma once
 
 #include "net/clock.h"
@@ -7,10 +6,10 @@
 
 namespace lemonstair::net {
 
-// Keeps the signals that a node answers from ending the process; they wait until a node reads them.
+// Blocks the signals that a node handles; they stay pending until a node reads them.
 void hold_signals();
 
-// The calls on streams by themselves, for what has no loop. The first two throw std::system_error.
+// The calls on streams for programs without a System. The first two throw std::system_error.
 Fd listen_on(const Address& at);
 Fd bind_datagrams(const Address& at);
 Fd connect_to(const Address& to);
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -8,64 +8,65 @@
 
 namespace {
 
-constexpr Ticks rest_after_failure = 10;
+// Tenths of a ms.
+constexpr Ticks longest_wait = 10000, pause_after_failure = 10;
 
 }  // namespace
 
 std::uint32_t EventLoop::add(int fd, short events, EventHandler& handler, std::uint64_t token,
-                             EventPriority turn) {
-    if (free_.empty()) {
-        free_.push_back(static_cast<std::uint32_t>(polled_.size()));
+                             EventPriority priority) {
+    if (free_slots_.empty()) {
+        free_slots_.push_back(static_cast<std::uint32_t>(polled_.size()));
         polled_.push_back({-1, 0, 0});
-        uses_.emplace_back();
+        slots_.emplace_back();
     }
-    const std::uint32_t slot = free_.back();
-    free_.pop_back();
+    const std::uint32_t slot = free_slots_.back();
+    free_slots_.pop_back();
     polled_[slot] = {fd, events, 0};
-    uses_[slot].handler = &handler;
-    uses_[slot].token = token;
-    uses_[slot].turn = turn;
+    slots_[slot].handler = &handler;
+    slots_[slot].token = token;
+    slots_[slot].priority = priority;
     return slot;
 }
 
 void EventLoop::remove(std::uint32_t slot) {
     polled_[slot] = {-1, 0, 0};  // poll passes over a negative descriptor
-    uses_[slot].handler = nullptr;
-    ++uses_[slot].serial;
-    free_.push_back(slot);
+    slots_[slot].handler = nullptr;
+    ++slots_[slot].generation;
+    free_slots_.push_back(slot);
 }
 
 void EventLoop::wait() {
-    tick();
-    Ticks span = 10000;
-    if (!timers_.empty()) span = std::clamp<Ticks>(timers_.top().at - now_, 0, span);
-    first_.clear();
-    happened_.clear();
-    const int n = system_.poll(polled_, span);
-    if (n < 0) poll_failed(errno);
-    for (std::uint32_t slot = 0, left = n > 0 ? static_cast<std::uint32_t>(n) : 0;
+    update_time();
+    Ticks timeout = longest_wait;
+    if (!timers_.empty()) timeout = std::clamp<Ticks>(timers_.top().deadline - now_, 0, timeout);
+    ready_first_.clear();
+    ready_.clear();
+    const int ready_count = system_.poll(polled_, timeout);
+    if (ready_count < 0) handle_poll_error(errno);
+    for (std::uint32_t slot = 0, left = ready_count > 0 ? static_cast<std::uint32_t>(ready_count) : 0;
          left > 0 && slot < polled_.size(); ++slot) {
         if (polled_[slot].revents == 0) continue;
-        // Who waits to hear of an end hears it before what came at the same time from elsewhere is acted on.
-        const bool end = (polled_[slot].events & POLLRDHUP) != 0 &&
-                         (polled_[slot].revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
-        (uses_[slot].turn == EventPriority::first || end ? first_ : happened_)
-            .push_back({slot, uses_[slot].serial, polled_[slot].revents});
-        // Guards against spinning: poll tells of a connection that is over both ways whatever is asked of it,
-        // and its reader may wait for room elsewhere. It is told once, and again when something is wanted of
-        // it.
+        // An end that a handler waits for is reported before other events of the same pass are acted on.
+        const bool connection_ended = (polled_[slot].events & POLLRDHUP) != 0 &&
+                                      (polled_[slot].revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+        (slots_[slot].priority == EventPriority::first || connection_ended ? ready_first_ : ready_)
+            .push_back({slot, slots_[slot].generation, polled_[slot].revents});
+        // poll reports a connection closed in both directions whatever events are asked for, and its reader
+        // may be waiting for buffer space elsewhere. It is reported once, and again when events are asked
+        // for, or the loop would spin.
         if (polled_[slot].events == 0 && polled_[slot].revents == POLLHUP)
             polled_[slot].fd = ~polled_[slot].fd;
         --left;
     }
 }
 
-// Guards against an end of the process, with tunnels open, for want of memory that is over in a moment.
-// Timers go on meanwhile, and a short rest keeps the loop from spinning.
-void EventLoop::poll_failed(int error) {
+// A short lack of memory must not end a process with open tunnels. Timers go on meanwhile, and a short pause
+// keeps the loop from spinning.
+void EventLoop::handle_poll_error(int error) {
     if (error == EINTR) return;
     if (error != ENOMEM && error != EAGAIN) throw std::system_error(error, std::generic_category(), "poll");
-    static_cast<void>(system_.poll({}, rest_after_failure));
+    static_cast<void>(system_.poll({}, pause_after_failure));
 }
 
 void Socket::reset() {
--- a/src/net/transfer.h
+++ b/src/net/transfer.h
@@ -1,4 +1,4 @@
-// What came of one read or write, and the addresses that connections go by.
+// IPv4 addresses, the result of one read or write, and the classes of errors that callers tell apart.
 #pragma once
 
 #include <netinet/in.h>
@@ -24,15 +24,16 @@
 
 struct IoResult {
     std::size_t bytes = 0;
-    bool ended = false;  // the other side ended its sending
-    int error = 0;       // an errno; never one that only says "not now"
+    bool ended = false;  // the peer has closed its sending side
+    int error = 0;       // an errno; 0 where the call would block
 };
 
-// Errors that say that the system has no descriptor or memory left, and those that, like them, keep a
-// connection from being tried at all: neither tells anything of the other side.
+// The system has no descriptor or memory left.
 bool is_resource_exhausted(int error);
-// Errors of accept that end one call and tell nothing of the next.
+// The error concerns one accept call only; the next may succeed.
 bool is_per_call_accept_error(int error);
+// The connection was not even attempted, so the error tells nothing of the peer; includes exhausted
+// resources.
 bool is_local_failure(int error);
 
 }  // namespace lemonstair::net
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -22,7 +22,7 @@
 lemonstair::log::Level log_level() {
     const char* name = std::getenv("LEMONSTAIR_LOG");
     if (name == nullptr) return lemonstair::log::Level::info;
-    const auto level = lemonstair::log::level_of(name);
+    const auto level = lemonstair::log::parse_level(name);
     if (!level) throw Malformed("LEMONSTAIR_LOG is not error, info or debug");
     return *level;
 }
--- a/src/serialization/binary.h
+++ b/src/serialization/binary.h
@@ -1,5 +1,5 @@
-// Values as bytes, least first, for what one process tells another on the same machine. A reader that runs
-// short says so and gives zeros from then on: what is torn is found at the end, by one question.
+// Binary serialization, little-endian, between processes on one machine. A reader that runs out of bytes
+// returns zeros from then on, so that good() needs to be checked only once, at the end.
 #pragma once
 
 #include <bit>
@@ -15,37 +15,38 @@
 class Writer {
   public:
     static constexpr bool reads = false;
-    explicit Writer(std::string& into) : into_(into) {}
+    // Appends to `out`.
+    explicit Writer(std::string& out) : out_(out) {}
     template <class T>
     requires std::is_arithmetic_v<T> || std::is_enum_v<T>
     void value(const T& v) {
         static_assert(std::endian::native == std::endian::little);
-        into_.append(reinterpret_cast<const char*>(&v), sizeof v);
+        out_.append(reinterpret_cast<const char*>(&v), sizeof v);
     }
     void text(std::string_view v) {
         value(static_cast<std::uint32_t>(v.size()));
-        into_.append(v);
+        out_.append(v);
     }
 
   private:
-    std::string& into_;
+    std::string& out_;
 };
 
 class Reader {
   public:
     static constexpr bool reads = true;
-    explicit Reader(std::string_view from) : from_(from) {}
+    explicit Reader(std::string_view bytes) : rest_(bytes) {}
     template <class T>
     requires std::is_arithmetic_v<T> || std::is_enum_v<T>
     void value(T& v) {
         v = T{};
-        if (from_.size() < sizeof v) return fail();
+        if (rest_.size() < sizeof v) return fail();
         if constexpr (std::is_same_v<T, bool>) {
-            v = from_[0] != 0;  // a bool of another bit pattern is none
+            v = rest_[0] != 0;  // another bit pattern is no valid bool
         } else {
-            std::memcpy(&v, from_.data(), sizeof v);
+            std::memcpy(&v, rest_.data(), sizeof v);
         }
-        from_.remove_prefix(sizeof v);
+        rest_.remove_prefix(sizeof v);
     }
     template <class T>
     T next() {
@@ -55,21 +56,21 @@
     }
     std::string_view text() {
         const auto n = next<std::uint32_t>();
-        if (n > from_.size()) return fail(), std::string_view();
-        const auto v = from_.substr(0, n);
-        from_.remove_prefix(n);
+        if (n > rest_.size()) return fail(), std::string_view();
+        const auto v = rest_.substr(0, n);
+        rest_.remove_prefix(n);
         return v;
     }
     void fail() {
         good_ = false;
-        from_ = {};
+        rest_ = {};
     }
-    // All that was asked for was there.
+    // Everything read so far was there.
     bool good() const { return good_; }
-    bool at_end() const { return from_.empty(); }
+    bool at_end() const { return rest_.empty(); }
 
   private:
-    std::string_view from_;
+    std::string_view rest_;
     bool good_ = true;
 };
 
--- a/tests/spoilt.h
+++ b/tests/spoilt.h
@@ -97,7 +97,7 @@
         if (fault_ == Fault::move_forgotten && client && text == "MOVE\r\n") return {.bytes = text.size()};
         if (fault_ == Fault::second_setup && !client && text.substr(0, 5) == "OPEN " && ++count_ % 3 == 0) {
             net::Fd twin = real_.connect_to(called_[fd]);
-            if (twin.open()) doubles_[twin.let_go()] = std::string(text);
+            if (twin.open()) doubles_[twin.release()] = std::string(text);
         }
         // Whole lines only: one waits until the next has gone.
         if (fault_ == Fault::line_overtaken && client && text.substr(0, 2) == "e " && text.back() == '\n') {
@@ -140,7 +140,7 @@
         const std::size_t before = descriptors.size();
         const auto got = real_.receive_packet(fd, into, descriptors);
         for (std::size_t i = before; i < descriptors.size(); ++i)
-            descriptors[i] = net::Fd(descriptors[i].let_go(), this);
+            descriptors[i] = net::Fd(descriptors[i].release(), this);
         return got;
     }
     net::Fd signals() override { return mine(real_.signals()); }
@@ -150,7 +150,7 @@
     }
 
   private:
-    net::Fd mine(net::Fd fd) { return fd.open() ? net::Fd(fd.let_go(), this) : net::Fd(); }
+    net::Fd mine(net::Fd fd) { return fd.open() ? net::Fd(fd.release(), this) : net::Fd(); }
     net::System& real_;
     Fault fault_;
     std::map<int, bool> clients_, said_;
