--- a/src/node/node.h
+++ b/src/node/node.h
@@ -68,12 +68,12 @@
                          const LoadReport& report) override;
     bool ready() const override { return phase_ == Phase::serving && owns_node(); }
     std::string_view phase() const override;
-    std::string figures() const override;
+    std::string metrics_page() const override;
     bool drain() override;
-    bool take_again() override;
-    void tell_state(std::string& list, std::string& memory) override;
+    bool resume() override;
+    void export_state(std::string& list, std::string& memory) override;
     void begin(std::string_view list, std::string_view memory) override;
-    void stand_changed(hot_restart::Role from, hot_restart::Role to) override;
+    void on_role_changed(hot_restart::Role from, hot_restart::Role to) override;
     net::Ticks clock_base() override { return loop_.system().clock_base(); }
     void other_clock_base(net::Ticks base) override { stages_.transfer.set_clock_shift(clock_base() - base); }
     bool next_tunnel(hot_restart::TransferredTunnel& into) override;
