--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-using backoff::patience_asking, backoff::patience_connecting, backoff::patience_standing;
+using backoff::request_timeout, backoff::connect_timeout, backoff::watch_timeout;
 constexpr int reads_per_pass = 64;
 
 }  // namespace
@@ -26,7 +26,7 @@
     net::Fd fd = loop_.system().connect_to(discovery_);
     if (fd.open()) socket_ = net::Socket(loop_, std::move(fd), POLLOUT, *this, attempt_);
     // Without a socket the timer reports the loss, so that the caller is not called back from here.
-    transition_to(Phase::connecting, socket_.open() ? patience_connecting : 0);
+    transition_to(Phase::connecting, socket_.open() ? connect_timeout : 0);
 }
 
 bool Watch::redirect(const net::Address& discovery) {
@@ -53,7 +53,7 @@
 void Watch::on_ready(std::uint64_t, short) {
     if (phase_ == Phase::connecting) {
         if (socket_.connected() != 0) return lose("unreachable");
-        transition_to(Phase::requesting, patience_asking);
+        transition_to(Phase::requesting, request_timeout);
     }
     if (!request_.empty()) return send_request();
     read();
@@ -74,7 +74,7 @@
         if (received.error != 0) return lose("connection lost");
         if (received.ended) return lose("ended by discovery");
         if (received.bytes == 0) return;
-        if (phase_ == Phase::streaming) deadline_ = loop_.now() + patience_standing;
+        if (phase_ == Phase::streaming) deadline_ = loop_.now() + watch_timeout;
         bool lines_valid = true;
         const bool response_valid = response_.feed({data, received.bytes}, [&](std::string_view line) {
             lines_valid = lines_valid && handle_line(line);
@@ -92,7 +92,7 @@
     } else if (!document_.parse(line) || !listener_.on_list(document_.root().with_context("list"))) {
         return false;
     }
-    if (phase_ == Phase::requesting) transition_to(Phase::streaming, patience_standing);
+    if (phase_ == Phase::requesting) transition_to(Phase::streaming, watch_timeout);
     return true;
 }
 
--- a/src/metrics/resource_counters.cpp
+++ b/src/metrics/resource_counters.cpp
@@ -33,7 +33,7 @@
     write("discovery_wait_ms", now.discovery_wait_ms, before.discovery_wait_ms);
     write("datagrams", now.gossip_datagrams, before.gossip_datagrams);
     for (std::size_t i = 0; i < now.gossip_bytes.size(); ++i)
-        write(peer::name_of_kind(i), now.gossip_bytes[i], before.gossip_bytes[i]);
+        write(peer::kind_name(i), now.gossip_bytes[i], before.gossip_bytes[i]);
     write("processor_us", now.processor_us, before.processor_us);
 }
 
--- a/src/metrics/resource_counters.h
+++ b/src/metrics/resource_counters.h
@@ -15,7 +15,7 @@
 
 struct ResourceCounters {
     std::uint64_t gossip_datagrams = 0;  // one for each receiver
-    peer::Sizes gossip_bytes{};          // by kind of item, counted for each receiver
+    peer::BytesByKind gossip_bytes{};          // by kind of item, counted for each receiver
     std::uint64_t health_checks = 0, health_check_connections = 0;  // sent; connections opened for them
     std::uint64_t discovery_requests = 0, discovery_failures = 0;
     std::uint64_t discovery_wait_ms = 0;                  // from request to answer
@@ -28,7 +28,7 @@
 
     void count_gossip(std::span<const std::uint8_t> message, std::size_t receivers) {
         gossip_datagrams += receivers;
-        peer::add_sizes(message, receivers, gossip_bytes);
+        peer::add_bytes_by_kind(message, receivers, gossip_bytes);
     }
     void count_reason(Reason reason) { ++by_reason[static_cast<std::size_t>(reason)]; }
     void count_attempt(Outcome outcome) { ++attempts[static_cast<std::size_t>(outcome)]; }
--- a/src/node/balancer_runner.cpp
+++ b/src/node/balancer_runner.cpp
@@ -5,7 +5,7 @@
 BalancerRunner::BalancerRunner(tunnel::TunnelStages& stages, PeerLink& peers,
                                const json::Value& initial_endpoints, Factory factory)
     : stages_(stages),
-      initial_endpoints_(initial_endpoints.told_as("known")),
+      initial_endpoints_(initial_endpoints.with_context("known")),
       factory_(std::move(factory)),
       actions_(stages.registry.loop, peers, stages.registry.log, stages.registry.resource_counters) {}
 
@@ -13,14 +13,14 @@
     tunnel::TunnelRegistry& registry = stages_.registry;
     const Ticks now = registry.loop.now();
     actions_.retire_balancer();
-    balancer_ = factory_(registry.config.terms, actions_, now);
+    balancer_ = factory_(registry.config.balancer, actions_, now);
     actions_.set_balancer(*balancer_);
     registry.balancer = balancer_.get();
     if (initial_endpoints_.type() == json::Type::object)
-        registry.endpoints.take(initial_endpoints_, registry.balancer_now(), true, now);
+        registry.endpoints.apply(initial_endpoints_, registry.balancer_now(), discovery::ListSource::cache, now);
     json::Document document;
     if (!endpoint_list.empty() && document.parse(endpoint_list))
-        registry.endpoints.take_over(document.root().told_as("list handed over"), registry.balancer_now(),
+        registry.endpoints.apply_inherited(document.root().with_context("inherited list"), registry.balancer_now(),
                                      stages_.transfer.clock_shift(), now);
 }
 
--- a/src/node/config_reloader.cpp
+++ b/src/node/config_reloader.cpp
@@ -36,7 +36,7 @@
 bool ConfigReloader::try_reload(Attempt attempt) {
     std::string unchanged_keys;
     try {
-        unchanged_keys = config::renew(config_, read_());
+        unchanged_keys = config::apply_reload(config_, read_());
     } catch (const json::Malformed& error) {
         if (attempt == Attempt::first) log_.error() << "new configuration not taken: " << error.what();
         log_.debug() << "the configuration is read again in a moment: " << error.what();
--- a/src/node/deferred_actions.h
+++ b/src/node/deferred_actions.h
@@ -59,7 +59,7 @@
     }
     void fail(std::uint64_t tunnel) override { actions_.push_back({Kind::fail, 0, tunnel}); }
     void report_reason(std::uint64_t tunnel, Reason reason) override {
-        counters_.explained(reason);
+        counters_.count_reason(reason);
         log_.debug() << "tunnel " << static_cast<std::uint32_t>(tunnel)
                      << " is given up: " << name_of(reason);
     }
--- a/src/node/drain_controller.cpp
+++ b/src/node/drain_controller.cpp
@@ -12,7 +12,7 @@
     registry.answer_deadline = registry.close_deadline = tunnel::TunnelRegistry::no_deadline;
     if (mode == DrainMode::none) return;
     const bool shutdown = mode == DrainMode::shutdown;
-    schedule_ = shutdown ? DrainSchedule::on_shutdown(registry.config.terms) : DrainSchedule::on_drain();
+    schedule_ = shutdown ? DrainSchedule::on_shutdown(registry.config.balancer) : DrainSchedule::on_drain();
     started_ = registry.loop.now();
     schedule_check(started_ + DrainSchedule::migrate_from);
     // A drained node stays and serves who comes, however long that lasts: it has no deadlines.
@@ -36,7 +36,7 @@
     // The other process takes the tunnels over, and their clients notice nothing.
     if (handed_over) return;
     // Packets that pass go on through another node: a migration would only break what goes on unbroken.
-    if (!stages_.registry.config.terms.packet_passthrough) migrate_some();
+    if (!stages_.registry.config.balancer.packet_passthrough) migrate_some();
 }
 
 // Once another process has taken this one's place each connection counts, also one without a request yet.
--- a/src/node/endpoint_list_client.cpp
+++ b/src/node/endpoint_list_client.cpp
@@ -9,10 +9,10 @@
       owns_node_(std::move(owns_node)),
       watch_(registry.loop, registry.pool, registry.config.discovery, *this, registry.log,
              registry.resource_counters),
-      random_(registry.config.terms.seed) {}
+      random_(registry.config.balancer.seed) {}
 
 void EndpointListClient::open_if_notified() {
-    if (!registry_.config.terms.must_poll) open();
+    if (!registry_.config.balancer.must_poll) open();
 }
 
 void EndpointListClient::open_if_owner() {
@@ -20,16 +20,16 @@
 }
 
 bool EndpointListClient::follow_config() {
-    const bool moved = watch_.move_to(registry_.config.discovery);
+    const bool moved = watch_.redirect(registry_.config.discovery);
     // Another service counts revisions by itself.
-    if (moved) registry_.endpoints.forget_revision();
+    if (moved) registry_.endpoints.reset_revision();
     return moved;
 }
 
 // Until the new watch brings a list the last one stands.
 void EndpointListClient::reopen() {
     if (watch_.is_open()) return;
-    backoff_.answered();
+    backoff_.on_success();
     notify_balancer(EndpointListKind::moved);
     open_if_notified();
 }
@@ -40,25 +40,25 @@
     balancer.end_endpoint_list();
 }
 
-bool EndpointListClient::list_heard(const json::Value& list) {
-    const bool taken = registry_.endpoints.take(list, registry_.balancer_now(), false, registry_.loop.now());
-    if (taken) backoff_.answered();
+bool EndpointListClient::on_list(const json::Value& list) {
+    const bool taken = registry_.endpoints.apply(list, registry_.balancer_now(), discovery::ListSource::discovery, registry_.loop.now());
+    if (taken) backoff_.on_success();
     return taken;
 }
 
-void EndpointListClient::nothing_new() {
+void EndpointListClient::on_unchanged() {
     notify_balancer(EndpointListKind::changes);
-    backoff_.answered();
+    backoff_.on_success();
 }
 
 // Where discovery must be polled the balancer asks for the next call; else the watch is opened again after a
 // pause with jitter, so that not all nodes call discovery at once when it is back.
-void EndpointListClient::watch_lost() {
+void EndpointListClient::on_watch_lost() {
     notify_balancer(EndpointListKind::failed);
-    if (registry_.config.terms.must_poll) return;
+    if (registry_.config.balancer.must_poll) return;
     const double drawn = static_cast<double>(random_() - std::minstd_rand::min());
     const double chance = drawn / static_cast<double>(std::minstd_rand::max());
-    registry_.loop.schedule(registry_.loop.now() + backoff_.failed(chance), *this, 0);
+    registry_.loop.schedule(registry_.loop.now() + backoff_.on_failure(chance), *this, 0);
 }
 
 }  // namespace lemonstair::node
--- a/src/node/endpoint_list_client.h
+++ b/src/node/endpoint_list_client.h
@@ -7,7 +7,7 @@
 
 #include "backoff/backoff.h"
 #include "balance/balance.h"
-#include "discovery/hosts.h"
+#include "discovery/endpoint_directory.h"
 #include "discovery/watch.h"
 #include "net/loop.h"
 #include "tunnel/tunnel_registry.h"
@@ -36,10 +36,10 @@
     void on_timer(std::uint64_t) override { open_if_owner(); }
 
   private:
-    bool list_heard(const json::Value& list) override;
-    void nothing_new() override;
-    void still_current() override { registry_.endpoints.still_current(registry_.loop.now()); }
-    void watch_lost() override;
+    bool on_list(const json::Value& list) override;
+    void on_unchanged() override;
+    void on_still_current() override { registry_.endpoints.confirm_current(registry_.loop.now()); }
+    void on_watch_lost() override;
 
     tunnel::TunnelRegistry& registry_;
     std::function<bool()> owns_node_;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -56,7 +56,7 @@
     : config_(std::move(config)),
       log_(log),
       loop_(system),
-      endpoints_(config_.zones, log_),
+      endpoints_(config_.zone_names, log_),
       stages_(loop_, config_, endpoints_, log_, counters_),
       peers_(loop_, config_, counters_,
              [this](std::uint32_t node, std::span<const std::uint8_t> bytes) {
@@ -67,7 +67,7 @@
       health_checker_(loop_, stages_.registry.pool, endpoints_, *this, config_, counters_),
       status_log_(stages_.registry, health_checker_),
       admin_server_(loop_, *this, log_),
-      hot_restart_(loop_, *this, log_, config_.name, config_.nearby),
+      hot_restart_(loop_, *this, log_, config_.name, config_.hot_restart_path),
       drain_(
           stages_, [this] { return is_handed_over(); }, [this] { transition_to(Phase::stopped); }),
       config_reloader_(loop_, config_, log_, std::move(read_config),
@@ -81,12 +81,12 @@
 
 void Node::open_listeners() {
     net::System& system = loop_.system();
-    if (config_.inherited)
-        open_with_retry(system, "NODE_INHERITED_FD", [&] { stages_.acceptor.listen_on(*config_.inherited); });
+    if (config_.inherited_listener)
+        open_with_retry(system, "NODE_INHERITED_FD", [&] { stages_.acceptor.listen_on(*config_.inherited_listener); });
     else
         open_with_retry(system, "listen", [&] { stages_.acceptor.listen_on(config_.listen); });
     if (config_.admin)
-        open_with_retry(system, "admin_addr", [&] { admin_server_.open(*config_.admin, config_.callers); });
+        open_with_retry(system, "admin_addr", [&] { admin_server_.open(*config_.admin, config_.max_admin_connections); });
 }
 
 void Node::run() {
@@ -105,7 +105,7 @@
     tunnel::TunnelRegistry& registry = stages_.registry;
     const std::size_t unfinished = registry.admitted_count() + registry.closing_count();
     if (to == Phase::stopped && phase_ != Phase::starting && unfinished > 0 && !is_handed_over())
-        registry.report_violation(metrics::Invariant::exited_with_debts, 0,
+        registry.report_violation(metrics::Invariant::exited_with_pending_answers, 0,
                                   std::to_string(unfinished) + " tunnels unfinished");
     log_.info() << config_.name << ": " << name_of(phase_) << " -> " << name_of(to) << ", "
                 << endpoints_.size() << " endpoints known, " << registry.tunnel_count()
@@ -161,7 +161,7 @@
 }
 
 void Node::check_health(std::uint32_t endpoint) {
-    if (owns_node()) return health_checker_.probe(endpoint);
+    if (owns_node()) return health_checker_.check(endpoint);
     stages_.registry.balancer_now().on_health_check(endpoint, Outcome::not_sent, 0, {});
 }
 
@@ -173,7 +173,7 @@
 // moved or no watch is open.
 void Node::on_config_reloaded(const std::string& unchanged_keys) {
     if (!unchanged_keys.empty()) log_.error() << "not changed before the next start: " << unchanged_keys;
-    stages_.registry.balancer_now().update_config(config_.terms);
+    stages_.registry.balancer_now().update_config(config_.balancer);
     const bool moved = endpoint_list_.follow_config();
     log_.info() << "configuration read again" << (moved ? ", discovery has moved" : "") << ", capacity "
                 << stages_.admission.capacity();
@@ -184,8 +184,8 @@
 // given.
 void Node::begin(std::string_view list, std::string_view memory) {
     balancer_.start(list, memory);
-    const bool alone = hot_restart_.stand() == hot_restart::Role::alone;
-    if (!config_.nearby.empty())
+    const bool alone = hot_restart_.role() == hot_restart::Role::standalone;
+    if (!config_.hot_restart_path.empty())
         stages_.registry.descriptors.set_sibling_reserve(alone ? reserve_for_new_process
                                                                : reserve_for_sibling);
     start_serving();
@@ -195,12 +195,12 @@
     config_reloader_.reload_deferred();
 }
 
-void Node::stand_changed(hot_restart::Role from, hot_restart::Role to) {
-    const bool alone = to == hot_restart::Role::alone;
+void Node::on_role_changed(hot_restart::Role from, hot_restart::Role to) {
+    const bool alone = to == hot_restart::Role::standalone;
     stages_.registry.ready = ready();
     stages_.registry.descriptors.set_sibling_reserve(alone ? reserve_for_new_process : reserve_for_sibling);
-    if (hot_restart::answers(from) == hot_restart::answers(to)) return;
-    if (!hot_restart::answers(to)) return stop_serving();
+    if (hot_restart::is_active(from) == hot_restart::is_active(to)) return;
+    if (!hot_restart::is_active(to)) return stop_serving();
     // The new process died just after it had taken over: this one is the node again.
     stages_.registry.balancer_now().resume_ownership();
     start_serving();
@@ -235,8 +235,8 @@
     }
 }
 
-void Node::tell_state(std::string& list, std::string& memory) {
-    list = endpoints_.list();
+void Node::export_state(std::string& list, std::string& memory) {
+    list = endpoints_.to_json();
     stages_.registry.balancer_now().serialize_state(memory);
 }
 
@@ -244,28 +244,28 @@
     if (!stages_.transfer.next_transferable(into.number, into.bytes)) return false;
     const tunnel::Tunnel& tunnel = *stages_.registry.find(into.number);
     into.client = tunnel.client.fd();
-    into.host = tunnel.endpoint.fd();
+    into.endpoint = tunnel.endpoint.fd();
     return true;
 }
 
-void Node::tunnel_gone(std::uint64_t number, bool taken) {
+void Node::on_transfer_result(std::uint64_t number, bool taken) {
     if (taken) return stages_.transfer.complete(number);
     stages_.transfer.cancel(number, !is_handed_over());
 }
 
-bool Node::take_tunnel(std::string_view bytes, net::Fd client, net::Fd endpoint) {
+bool Node::receive_tunnel(std::string_view bytes, net::Fd client, net::Fd endpoint) {
     return stages_.transfer.adopt(bytes, std::move(client), std::move(endpoint));
 }
 
 std::string_view Node::phase() const { return is_handed_over() ? "handed over" : name_of(phase_); }
 
-std::string Node::figures() const {
+std::string Node::metrics_page() const {
     const EndpointCounts endpoints = balancer_.endpoint_counts();
-    return admin::write_figures({.profiles = config_.profiles,
-                                 .outcomes = stages_.registry.tunnel_counters,
-                                 .open = stages_.registry.admitted_count(),
-                                 .listed = endpoints.listed,
-                                 .excluded = endpoints.excluded});
+    return admin::write_metrics_page({.traffic_class_names = config_.traffic_class_names,
+                                 .tunnels = stages_.registry.tunnel_counters,
+                                 .open_tunnels = stages_.registry.admitted_count(),
+                                 .endpoints_listed = endpoints.listed,
+                                 .endpoints_excluded = endpoints.excluded});
 }
 
 // True also for a node that shuts down: it sends its clients away already.
@@ -274,7 +274,7 @@
     return true;
 }
 
-bool Node::take_again() {
+bool Node::resume() {
     if (phase_ == Phase::drained) transition_to(Phase::serving);
     return ready();
 }
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -7,7 +7,7 @@
 #include "admin/admin_server.h"
 #include "balance/balance.h"
 #include "config/node_config.h"
-#include "discovery/hosts.h"
+#include "discovery/endpoint_directory.h"
 #include "health_check/health_checker.h"
 #include "hot_restart/session.h"
 #include "log/log.h"
@@ -47,7 +47,7 @@
     const metrics::ResourceCounters& costs() const { return counters_; }
     Holds holds() const {
         return {stages_.registry.tunnel_count(), stages_.registry.pool.out(), loop_.timers(),
-                admin_server_.callers(), loop_.descriptors()};
+                admin_server_.open_connections(), loop_.descriptors()};
     }
 
   private:
@@ -58,8 +58,8 @@
     void stop_serving();
     void open_peer_link();
     // Whether this process is its node: one of two during a hot restart.
-    bool owns_node() const { return hot_restart::answers(hot_restart_.stand()); }
-    bool is_handed_over() const { return hot_restart::hands_over(hot_restart_.stand()); }
+    bool owns_node() const { return hot_restart::is_active(hot_restart_.role()); }
+    bool is_handed_over() const { return hot_restart::is_replaced(hot_restart_.role()); }
     void carry_out(const DeferredActions::Action& action);
     void check_health(std::uint32_t endpoint);
     void on_config_reloaded(const std::string& unchanged_keys);
@@ -75,14 +75,14 @@
     void begin(std::string_view list, std::string_view memory) override;
     void on_role_changed(hot_restart::Role from, hot_restart::Role to) override;
     net::Ticks clock_base() override { return loop_.system().clock_base(); }
-    void other_clock_base(net::Ticks base) override { stages_.transfer.set_clock_shift(clock_base() - base); }
+    void on_peer_clock_base(net::Ticks base) override { stages_.transfer.set_clock_shift(clock_base() - base); }
     bool next_tunnel(hot_restart::TransferredTunnel& into) override;
-    void tunnel_gone(std::uint64_t number, bool taken) override;
-    bool take_tunnel(std::string_view bytes, net::Fd client, net::Fd endpoint) override;
+    void on_transfer_result(std::uint64_t number, bool taken) override;
+    bool receive_tunnel(std::string_view bytes, net::Fd client, net::Fd endpoint) override;
     bool has_tunnels() const override { return stages_.registry.tunnel_count() > 0; }
-    std::size_t held() const override { return loop_.in_use() + tunnel::DescriptorBudget::outside_loop; }
-    std::size_t granted() const override { return config_.sockets; }
-    void held_elsewhere(std::size_t descriptors) override {
+    std::size_t descriptors_held() const override { return loop_.in_use() + tunnel::DescriptorBudget::outside_loop; }
+    std::size_t descriptor_limit() const override { return config_.max_descriptors; }
+    void on_peer_descriptors(std::size_t descriptors) override {
         stages_.registry.descriptors.set_sibling_held(descriptors);
     }
     void on_ready(std::uint64_t token, short events) override;
--- a/src/node/peer_link.cpp
+++ b/src/node/peer_link.cpp
@@ -20,24 +20,24 @@
     : loop_(loop), config_(config), counters_(counters), on_datagram_(std::move(on_datagram)) {}
 
 void PeerLink::open() {
-    if (config_.terms.limits.gossip_enabled && config_.peer_listen)
+    if (config_.balancer.limits.gossip_enabled && config_.peer_listen)
         socket_ = net::Socket(loop_, loop_.system().bind_datagrams(*config_.peer_listen), POLLIN, *this, 0);
 }
 
 // A datagram that cannot be sent now is lost: the balancer relies on none.
 void PeerLink::send(const net::Address& address, std::span<const std::uint8_t> bytes, std::size_t receivers) {
     if (!socket_.open() || bytes.size() > max_datagram_bytes) return;
-    counters_.told(bytes, receivers);
+    counters_.count_gossip(bytes, receivers);
     static_cast<void>(loop_.system().send_to(socket_.fd(), address, bytes));
 }
 
 void PeerLink::send_to(std::uint32_t node, std::span<const std::uint8_t> bytes) {
-    if (node < config_.peers.size() && node != config_.terms.own_node) send(config_.peers[node], bytes, 1);
+    if (node < config_.peer_addresses.size() && node != config_.balancer.own_node) send(config_.peer_addresses[node], bytes, 1);
 }
 
 void PeerLink::broadcast(std::span<const std::uint8_t> bytes) {
-    if (config_.peers_all) return send(*config_.peers_all, bytes, config_.peers.size() - 1);
-    for (std::uint32_t node = 0; node < config_.peers.size(); ++node) send_to(node, bytes);
+    if (config_.all_peers) return send(*config_.all_peers, bytes, config_.peer_addresses.size() - 1);
+    for (std::uint32_t node = 0; node < config_.peer_addresses.size(); ++node) send_to(node, bytes);
 }
 
 void PeerLink::on_ready(std::uint64_t, short) {
@@ -50,8 +50,8 @@
         const auto size = static_cast<std::size_t>(received);
         if (size > max_datagram_bytes) continue;
         // Only the configured addresses are peers: what others send is ignored.
-        for (std::uint32_t node = 0; node < config_.peers.size(); ++node)
-            if (node != config_.terms.own_node && config_.peers[node] == sender)
+        for (std::uint32_t node = 0; node < config_.peer_addresses.size(); ++node)
+            if (node != config_.balancer.own_node && config_.peer_addresses[node] == sender)
                 on_datagram_(node, {bytes.data(), size});
     }
 }
--- a/src/node/peer_link.h
+++ b/src/node/peer_link.h
@@ -24,7 +24,7 @@
     void close() { socket_.close(); }
     // True also where the settings know no gossip.
     bool is_open() const {
-        return socket_.open() || !config_.terms.limits.gossip_enabled || !config_.peer_listen;
+        return socket_.open() || !config_.balancer.limits.gossip_enabled || !config_.peer_listen;
     }
     void send_to(std::uint32_t node, std::span<const std::uint8_t> bytes);
     // To all other nodes; one datagram where the network can multicast.
--- a/src/node/status_log.cpp
+++ b/src/node/status_log.cpp
@@ -42,7 +42,7 @@
     std::ostringstream added;
     metrics::write_added(added, counters, logged_);
     registry_.log.info() << "second:" << added.str() << " tunnels_held=" << registry_.admitted_count()
-                         << " probe_lines_held=" << health_checker_.lines();
+                         << " probe_lines_held=" << health_checker_.open_connections();
     logged_ = counters;
 }
 
--- a/src/tunnel/acceptor.cpp
+++ b/src/tunnel/acceptor.cpp
@@ -57,7 +57,7 @@
     const DescriptorBudget& descriptors = registry_.descriptors;
     for (int i = 0; i < max_accepts_per_pass && accepting_; ++i) {
         // Each pass of the loop costs as much as there are connections: idle ones may be a part of them only.
-        const bool crowded = registry_.reading_request_count() > registry_.config.sockets / 4;
+        const bool crowded = registry_.reading_request_count() > registry_.config.max_descriptors / 4;
         const bool short_of_descriptors = (crowded || descriptors.is_low(DescriptorBudget::reserved)) &&
                                           !completion_.evict_idle_connection() &&
                                           descriptors.is_low(DescriptorBudget::reserved);
@@ -101,7 +101,7 @@
     attempt_policy::Obligations work;
     work.listener_empty = accept_pending();
     work.tunnels = registry_.admitted_count() + registry_.closing_count();
-    work.speaking_clients = any_request_begun();
+    work.clients_mid_line = any_request_begun();
     return work;
 }
 
@@ -192,7 +192,7 @@
 Acceptor::LineResult Acceptor::handle_request(TunnelId id, std::string_view line) {
     Tunnel& tunnel = *registry_.find(id);
     const auto parsed = line.size() <= wire::longest_line
-                            ? parse_request_line(line, registry_.config.profiles, registry_.loop.now())
+                            ? parse_request_line(line, registry_.config.traffic_class_names, registry_.loop.now())
                             : std::nullopt;
     const auto input = tunnel.request_buffer.view();
     if (!parsed || begins_command(input.substr(input.find('\n') + 1)) ||
--- a/src/tunnel/admission.cpp
+++ b/src/tunnel/admission.cpp
@@ -11,9 +11,9 @@
 std::size_t Admission::capacity() const {
     const std::size_t granted = registry_.descriptors.granted();
     // A sixteenth for connections that have yet to send their request.
-    const std::size_t reserved = DescriptorBudget::reserved + registry_.config.callers +
+    const std::size_t reserved = DescriptorBudget::reserved + registry_.config.max_admin_connections +
                                  registry_.descriptors.sibling_reserve() +
-                                 health_check::most_lines(registry_.endpoints.size(), granted) + granted / 16;
+                                 health_check::max_connections(registry_.endpoints.size(), granted) + granted / 16;
     return granted > reserved ? (granted - reserved) / 2 : 1;
 }
 
@@ -28,7 +28,7 @@
     tunnel.client.set_events(POLLIN | POLLRDHUP);  // to see a second command, which no client may send here
     if (full) {
         ++registry_.totals.over_capacity;
-        registry_.resource_counters.explained(Reason::node_full);
+        registry_.resource_counters.count_reason(Reason::node_full);
         return completion_.reject(id, 0);
     }
     if (!current_endpoint.empty()) return dispatcher_.resume(id);
--- a/src/tunnel/attempt.cpp
+++ b/src/tunnel/attempt.cpp
@@ -32,7 +32,7 @@
 void AttemptRunner::start(TunnelId id, std::uint32_t endpoint_index, Ticks max_wait) {
     Tunnel& tunnel = *registry_.find(id);
     if (tunnel.endpoint.open())
-        registry_.report_violation(metrics::Invariant::repeated_without_leave, id, name_of(tunnel.state));
+        registry_.report_violation(metrics::Invariant::concurrent_attempts, id, name_of(tunnel.state));
     tunnel.endpoint_index = endpoint_index;
     ++tunnel.attempts;
     tunnel.attempt_started = registry_.loop.now();
@@ -44,7 +44,7 @@
 
 RequestLine AttemptRunner::request_of(const Tunnel& tunnel) const {
     // It was parsed when it was accepted, so it cannot fail here.
-    return parse_request_line(net::first_line(tunnel.request_buffer.view()), registry_.config.profiles,
+    return parse_request_line(net::first_line(tunnel.request_buffer.view()), registry_.config.traffic_class_names,
                               registry_.loop.now())
         .value_or(RequestLine{});
 }
@@ -52,7 +52,7 @@
 void AttemptRunner::resume(TunnelId id) {
     Tunnel& tunnel = *registry_.find(id);
     tunnel.resuming = true;
-    tunnel.endpoint_index = registry_.endpoints.place_of(request_of(tunnel).current_endpoint);
+    tunnel.endpoint_index = registry_.endpoints.index_of(request_of(tunnel).current_endpoint);
     // The list that this node started with may be older than the tunnel: discovery will name the endpoint.
     if (tunnel.endpoint_index == discovery::EndpointDirectory::none)
         return registry_.set_state_deadline(id, tunnel, registry_.loop.now() + resume_pause);
@@ -71,7 +71,7 @@
     registry_.transition_to(id, TunnelState::connecting);
     if (registry_.descriptors.is_low(min_descriptors_left) && !completion_.evict_idle_connection())
         return on_failed(id, Outcome::not_sent);
-    net::Fd connection = registry_.loop.system().connect_to(endpoint.at);
+    net::Fd connection = registry_.loop.system().connect_to(endpoint.address);
     const int error = errno;
     if (!connection.open()) return on_failed(id, connect_outcome(error));
     tunnel.endpoint = registry_.make_socket(id, Side::endpoint, std::move(connection), POLLOUT);
@@ -125,7 +125,7 @@
     registry_.balancer->set_time(registry_.loop.refresh());
     const Reason reason = registry_.balancer->may_write(id, attempt_policy::max_write_delay);
     if (reason == Reason::allowed) return true;
-    registry_.resource_counters.explained(reason);
+    registry_.resource_counters.count_reason(reason);
     registry_.log.debug() << "tunnel " << static_cast<std::uint32_t>(id) << " attempt " << tunnel.attempts
                           << " is withdrawn: " << name_of(reason);
     on_failed(id, Outcome::withdrawn);
@@ -142,7 +142,7 @@
     if (!tunnel.upstream.buffer.empty()) return;
     tunnel.upstream.buffer.give_back();
     tunnel.endpoint.set_events(POLLIN);
-    ++registry_.tunnel_counters.of[tunnel.traffic_class].setups_written;
+    ++registry_.tunnel_counters.by_traffic_class[tunnel.traffic_class].setups_written;
     registry_.transition_to(id, TunnelState::awaiting_answer);
     registry_.set_state_deadline(id, tunnel, tunnel.attempt_deadline);
 }
@@ -154,7 +154,7 @@
     registry_.balancer->set_time(registry_.loop.refresh());
     const Reason reason = registry_.balancer->may_write(id, 0);
     if (reason != Reason::allowed && reason != Reason::no_time_left)
-        registry_.report_violation(metrics::Invariant::written_without_leave, id, name_of(reason));
+        registry_.report_violation(metrics::Invariant::attempt_forbidden, id, name_of(reason));
 }
 
 void AttemptRunner::read_answer(TunnelId id) {
@@ -201,7 +201,7 @@
     Tunnel& tunnel = *registry_.find(id);
     const std::uint32_t endpoint = registry_.endpoints[tunnel.endpoint_index].ep;
     ++registry_.totals.opened;
-    registry_.resource_counters.setup_ended(Outcome::ok);
+    registry_.resource_counters.count_attempt(Outcome::ok);
     if (wire::read_answer(net::first_line(tunnel.downstream.buffer.view())) == wire::Answer::finished)
         tunnel.outcome = Outcome::ok;
     if (tunnel.resuming) {
@@ -219,7 +219,7 @@
 // Closes the connection at once: nothing that the endpoint sent on it may reach the client.
 void AttemptRunner::on_failed(TunnelId id, Outcome outcome) {
     Tunnel& tunnel = *registry_.find(id);
-    registry_.resource_counters.setup_ended(outcome);
+    registry_.resource_counters.count_attempt(outcome);
     registry_.log.debug() << "tunnel " << static_cast<std::uint32_t>(id) << " attempt " << tunnel.attempts
                           << " failed, outcome " << static_cast<int>(outcome);
     tunnel.endpoint.close();
@@ -259,7 +259,7 @@
     }
     if (tunnel.state == TunnelState::awaiting_answer) return on_failed(id, Outcome::timed_out);
     // An endpoint that had next to no time to accept, since the client had none left, is not to blame.
-    const Ticks objective = registry_.config.terms.traffic_classes[tunnel.traffic_class].latency_objective;
+    const Ticks objective = registry_.config.balancer.traffic_classes[tunnel.traffic_class].latency_objective;
     const Ticks fair = std::min(registry_.config.connect_timeout, attempt_policy::fair_wait(objective));
     const bool had_time = now - tunnel.attempt_started >= fair;
     on_failed(id, had_time ? Outcome::unreachable : Outcome::withdrawn);
--- a/src/tunnel/completion.cpp
+++ b/src/tunnel/completion.cpp
@@ -89,7 +89,7 @@
 
 void Completion::reject_protocol_error(TunnelId id) {
     ++registry_.totals.protocol_errors;
-    registry_.resource_counters.explained(Reason::bad_client);
+    registry_.resource_counters.count_reason(Reason::bad_client);
     report_client_disconnected(id);
     fail(id);
 }
--- a/src/tunnel/descriptor_budget.h
+++ b/src/tunnel/descriptor_budget.h
@@ -20,7 +20,7 @@
     DescriptorBudget(net::EventLoop& loop, const config::NodeConfig& config) : loop_(loop), config_(config) {}
     // What this process may hold: both processes of a node share what is granted to the node.
     std::size_t granted() const {
-        return config_.sockets > sibling_held_ ? config_.sockets - sibling_held_ : 0;
+        return config_.max_descriptors > sibling_held_ ? config_.max_descriptors - sibling_held_ : 0;
     }
     // Whether no more than `margin` of them are left, those outside the loop among them.
     bool is_low(std::size_t margin) const {
--- a/src/tunnel/dispatcher.cpp
+++ b/src/tunnel/dispatcher.cpp
@@ -4,7 +4,7 @@
 
 void Dispatcher::start_attempt(TunnelId id, std::uint32_t endpoint, Ticks max_wait) {
     if (!awaits_placement(id)) return;
-    const std::uint32_t endpoint_index = registry_.endpoints.place_of(endpoint);
+    const std::uint32_t endpoint_index = registry_.endpoints.index_of(endpoint);
     if (endpoint_index == discovery::EndpointDirectory::none) return;
     attempts_.start(id, endpoint_index, max_wait);
 }
--- a/src/tunnel/endpoint_monitor.cpp
+++ b/src/tunnel/endpoint_monitor.cpp
@@ -20,7 +20,7 @@
 
 EndpointMonitor::EndpointMonitor(TunnelRegistry& registry)
     : registry_(registry), slow_threshold_(max_slow_threshold) {
-    for (const TrafficClass& traffic_class : registry.config.terms.traffic_classes) {
+    for (const TrafficClass& traffic_class : registry.config.balancer.traffic_classes) {
         const Ticks objective = traffic_class.message_latency_objective;
         if (objective > 0) slow_threshold_ = std::min(slow_threshold_, objective / slow_fraction);
     }
--- a/src/tunnel/transfer.cpp
+++ b/src/tunnel/transfer.cpp
@@ -95,9 +95,9 @@
 
 bool Transfer::adopt(std::string_view bytes, net::Fd client, net::Fd endpoint) {
     serialization::Reader in(bytes);
-    const std::uint32_t endpoint_index = registry_.endpoints.place_of(in.text());
+    const std::uint32_t endpoint_index = registry_.endpoints.index_of(in.text());
     Received received;
-    if (!read(in, registry_.config.profiles.size(), clock_shift_, received) ||
+    if (!read(in, registry_.config.traffic_class_names.size(), clock_shift_, received) ||
         endpoint_index == discovery::EndpointDirectory::none)
         return false;
     const TunnelId id = registry_.add(std::move(client), false);
--- a/src/tunnel/tunnel_registry.cpp
+++ b/src/tunnel/tunnel_registry.cpp
@@ -76,7 +76,7 @@
 
 void TunnelRegistry::report_violation(metrics::Invariant rule, TunnelId id, std::string_view detail) {
     ++resource_counters.violations[static_cast<std::size_t>(rule)];
-    log.error() << metrics::violation_mark << name_of(rule) << ", tunnel " << static_cast<std::uint32_t>(id)
+    log.error() << metrics::violation_prefix << name_of(rule) << ", tunnel " << static_cast<std::uint32_t>(id)
                 << ": " << detail;
 }
 
@@ -88,7 +88,7 @@
 void TunnelRegistry::check_close(TunnelId id, const Tunnel& tunnel, TunnelState to) {
     if (to != TunnelState::free || !tunnel.client.open()) return;
     if (awaits_answer(tunnel.state) && !client_disconnected(tunnel))
-        report_violation(metrics::Invariant::closed_unanswered, id, name_of(tunnel.state));
+        report_violation(metrics::Invariant::closed_without_answer, id, name_of(tunnel.state));
     if (tunnel.state != TunnelState::reading_request) return;
     std::array<char, 1> next{};
     const bool whole_line =
@@ -96,7 +96,7 @@
     const attempt_policy::PendingInput input{tunnel.client.peek(next).bytes, whole_line};
     const Reason reason = attempt_policy::may_close_unanswered(input);
     if (reason != Reason::allowed && !client_disconnected(tunnel))
-        report_violation(metrics::Invariant::closed_unanswered, id, name_of(reason));
+        report_violation(metrics::Invariant::closed_without_answer, id, name_of(reason));
 }
 
 void TunnelRegistry::transition_to(TunnelId id, TunnelState to) {
--- a/src/tunnel/tunnel_registry.h
+++ b/src/tunnel/tunnel_registry.h
@@ -56,7 +56,7 @@
           log(node_log),
           resource_counters(counters),
           descriptors(event_loop, node_config),
-          tunnel_counters(node_config.profiles.size()) {}
+          tunnel_counters(node_config.traffic_class_names.size()) {}
 
     TunnelId id_of(std::uint32_t index) const {
         return TunnelId{tunnels.serial(index) & 0x7fffffffU} << 32 | index;
