--- a/src/tunnel/acceptor.cpp
+++ b/src/tunnel/acceptor.cpp
@@ -54,45 +54,64 @@
 // True where the system said that no client waits; false where some may, whatever kept them from being
 // accepted.
 bool Acceptor::accept_pending() {
-    const DescriptorBudget& descriptors = registry_.descriptors;
     for (int i = 0; i < max_accepts_per_pass && accepting_; ++i) {
-        // Each pass of the loop costs as much as there are connections: idle ones may be a part of them only.
-        const bool crowded = registry_.reading_request_count() > registry_.config.sockets / 4;
-        const bool short_of_descriptors = (crowded || descriptors.is_low(DescriptorBudget::reserved)) &&
-                                          !completion_.evict_idle_connection() &&
-                                          descriptors.is_low(DescriptorBudget::reserved);
-        if (short_of_descriptors && registry_.reject_only_count() >= max_reject_only)
-            return pause_accepting(), false;
-        // The system does not know what two processes of a node are granted together.
-        if (descriptors.sibling_held() > 0 && descriptors.is_low(DescriptorBudget::outside_loop))
-            return pause_accepting(), false;
-        net::Fd client = listener_.accept();
-        if (client.open()) {
-            add_client(std::move(client), short_of_descriptors);
-            continue;
-        }
-        const int error = errno;
-        if (error == EAGAIN || error == EWOULDBLOCK) return true;
-        if (net::is_per_call_accept_error(error)) continue;
-        if (!net::is_resource_exhausted(error)) return pause_accepting(), false;
-        if (completion_.evict_idle_connection()) continue;
-        if (!registry_.descriptors.release_spare()) return pause_accepting(), false;
-        client = listener_.accept();
-        if (!client.open()) {
-            registry_.descriptors.refill_spares();
-            return pause_accepting(), false;
+        switch (accept_one()) {
+            case AcceptResult::more:
+                break;
+            case AcceptResult::queue_empty:
+                return true;
+            case AcceptResult::blocked:
+                pause_accepting();
+                return false;
         }
-        add_client(std::move(client), true);
     }
     return !accepting_;
 }
 
-void Acceptor::add_client(net::Fd client, bool reject_only) {
-    const TunnelId id = registry_.add(std::move(client), reject_only);
+Acceptor::AcceptResult Acceptor::accept_one() {
+    const DescriptorBudget& descriptors = registry_.descriptors;
+    const bool exhausted = !make_descriptors_available();
+    if (exhausted && registry_.reject_only_count() >= max_reject_only) return AcceptResult::blocked;
+    // The system does not know what two processes of a node are granted together.
+    if (descriptors.sibling_held() > 0 && descriptors.is_low(DescriptorBudget::outside_loop))
+        return AcceptResult::blocked;
+    net::Fd client = listener_.accept();
+    if (!client.open()) return on_accept_error(errno);
+    add_client(std::move(client), exhausted ? AcceptedFor::rejection : AcceptedFor::service);
+    return AcceptResult::more;
+}
+
+// False where a further client cannot be served for want of descriptors, even with one idle connection less.
+bool Acceptor::make_descriptors_available() {
+    const DescriptorBudget& descriptors = registry_.descriptors;
+    // Each pass of the loop costs as much as there are connections: idle ones may be a part of them only.
+    const bool crowded = registry_.reading_request_count() > registry_.config.sockets / 4;
+    if (!crowded && !descriptors.is_low(DescriptorBudget::reserved)) return true;
+    return completion_.evict_idle_connection() || !descriptors.is_low(DescriptorBudget::reserved);
+}
+
+Acceptor::AcceptResult Acceptor::on_accept_error(int error) {
+    if (error == EAGAIN || error == EWOULDBLOCK) return AcceptResult::queue_empty;
+    if (net::is_per_call_accept_error(error)) return AcceptResult::more;
+    if (!net::is_resource_exhausted(error)) return AcceptResult::blocked;
+    if (completion_.evict_idle_connection()) return AcceptResult::more;
+    if (!registry_.descriptors.release_spare()) return AcceptResult::blocked;
+    net::Fd client = listener_.accept();
+    if (!client.open()) {
+        registry_.descriptors.refill_spares();
+        return AcceptResult::blocked;
+    }
+    add_client(std::move(client), AcceptedFor::rejection);
+    return AcceptResult::more;
+}
+
+void Acceptor::add_client(net::Fd client, AcceptedFor purpose) {
+    const TunnelId id = registry_.add(std::move(client), purpose);
     registry_.transition_to(id, TunnelState::reading_request);
     registry_.set_state_deadline(
         id, *registry_.find(id),
-        registry_.loop.now() + (reject_only ? request_timeout_reject_only : request_timeout));
+        registry_.loop.now() +
+            (purpose == AcceptedFor::rejection ? request_timeout_reject_only : request_timeout));
     // Mostly the request has arrived with the connection: read now, it never counts as idle.
     on_tunnel_ready(id, Side::client, POLLIN);
 }
--- a/src/tunnel/acceptor.h
+++ b/src/tunnel/acceptor.h
@@ -30,11 +30,15 @@
     void on_tunnel_timer(TunnelId id);
 
   private:
+    enum class AcceptResult : std::uint8_t { more, queue_empty, blocked };
     enum class LineResult : std::uint8_t { keep_reading, left_stage };
 
     void listen_on(net::Fd listener);
     bool accept_pending();
-    void add_client(net::Fd client, bool reject_only);
+    AcceptResult accept_one();
+    AcceptResult on_accept_error(int error);
+    bool make_descriptors_available();
+    void add_client(net::Fd client, AcceptedFor purpose);
     void pause_accepting();
     void update_listener_events();
     bool any_request_begun();
--- a/src/tunnel/attempt.cpp
+++ b/src/tunnel/attempt.cpp
@@ -120,7 +120,10 @@
 // is gone.
 bool AttemptRunner::may_write(TunnelId id) {
     const Tunnel& tunnel = *registry_.find(id);
-    if (registry_.client_disconnected(tunnel)) return completion_.on_client_disconnected(id), false;
+    if (registry_.client_disconnected(tunnel)) {
+        completion_.on_client_disconnected(id);
+        return false;
+    }
     if (!tunnel.tracked) return true;
     registry_.balancer->set_time(registry_.loop.refresh());
     const Reason reason = registry_.balancer->may_write(id, attempt_policy::longest_hold_up);
--- a/src/tunnel/relay.cpp
+++ b/src/tunnel/relay.cpp
@@ -72,8 +72,10 @@
     if ((events & POLLOUT) != 0 && !write(id, side)) return;
     if ((events & readable) != 0 && !direction.source_ended && !read(id, side)) return;
     // What a side that broke had sent cannot all be read while the other side takes nothing.
-    if ((events & POLLERR) != 0 && (direction.source_ended || direction.buffer.held()))
-        return on_broken(id, side);
+    if ((events & POLLERR) != 0 && (direction.source_ended || direction.buffer.held())) {
+        on_broken(id, side);
+        return;
+    }
     update(id);
 }
 
@@ -85,7 +87,7 @@
         if (!direction.buffer.held()) direction.buffer = registry_.pool.take();
         const auto [data, space] = direction.buffer.room();
         const auto got = socket_of(tunnel, from).read({data, space});
-        if (got.error != 0) return on_broken(id, from), false;
+        if (got.error != 0) return on_broken(id, from);
         if (got.ended) {
             direction.source_ended = true;
             const Ticks wait = from == Side::endpoint ? close_wait_endpoint_ended : close_wait_client_ended;
@@ -103,7 +105,7 @@
             direction.buffer.cut_end(direction.partial_line_bytes);
             direction.partial_line_bytes = 0;
         }
-        if (direction.partial_line_bytes > wire::longest_line) return on_broken(id, from), false;
+        if (direction.partial_line_bytes > wire::longest_line) return on_broken(id, from);
         if (!write(id, other(from))) return false;
         if (tunnel.state == TunnelState::migrating && direction.partial_line_bytes == 0) break;
     }
@@ -117,7 +119,7 @@
     net::Buffer& buffer = direction_to(tunnel, to).buffer;
     if (buffer.empty()) return true;
     const auto sent = socket_of(tunnel, to).write(buffer.view());
-    if (sent.error != 0) return on_broken(id, to), false;
+    if (sent.error != 0) return on_broken(id, to);
     buffer.take(sent.bytes);
     if (buffer.empty()) buffer.give_back();
     return true;
@@ -234,12 +236,14 @@
     tunnel.endpoint.set_events(events(tunnel.downstream, tunnel.upstream));
 }
 
-void Relay::on_broken(TunnelId id, Side side) {
+// False: the tunnel is gone.
+bool Relay::on_broken(TunnelId id, Side side) {
     Tunnel& tunnel = *registry_.find(id);
     if (side == Side::client) blame_client(tunnel);
     completion_.report_end(id, tunnel.outcome);
     socket_of(tunnel, other(side)).reset();
     completion_.close_now(id);
+    return false;
 }
 
 void Relay::on_tunnel_timer(TunnelId id) {
--- a/src/tunnel/relay.h
+++ b/src/tunnel/relay.h
@@ -39,7 +39,7 @@
     bool finish_migration(TunnelId id);
     static void update_events(Tunnel& tunnel);
     Ticks migration_wait() const;
-    void on_broken(TunnelId id, Side side);
+    bool on_broken(TunnelId id, Side side);
 
     TunnelRegistry& registry_;
     Completion& completion_;
--- a/src/tunnel/transfer.cpp
+++ b/src/tunnel/transfer.cpp
@@ -100,7 +100,7 @@
     if (!read(in, registry_.config.profiles.size(), clock_shift_, received) ||
         endpoint_index == discovery::EndpointDirectory::none)
         return false;
-    const TunnelId id = registry_.add(std::move(client), false);
+    const TunnelId id = registry_.add(std::move(client), AcceptedFor::service);
     Tunnel& tunnel = *registry_.find(id);
     received.tunnel.client = std::move(tunnel.client);
     tunnel = std::move(received.tunnel);
--- a/src/tunnel/tunnel_registry.cpp
+++ b/src/tunnel/tunnel_registry.cpp
@@ -41,7 +41,8 @@
     return "";
 }
 
-TunnelId TunnelRegistry::add(net::Fd client, bool reject_only) {
+TunnelId TunnelRegistry::add(net::Fd client, AcceptedFor purpose) {
+    const bool reject_only = purpose == AcceptedFor::rejection;
     const std::uint32_t index = tunnels.take();
     tunnels[index].reject_only = reject_only;
     reject_only_count_ += reject_only ? 1 : 0;
--- a/src/tunnel/tunnel_registry.h
+++ b/src/tunnel/tunnel_registry.h
@@ -27,6 +27,9 @@
 using TunnelId = std::uint64_t;
 enum class Side : std::uint8_t { client, endpoint };
 
+// A client is accepted for rejection where there are no descriptors to serve it: it is only told so.
+enum class AcceptedFor : std::uint8_t { service, rejection };
+
 // Since the start of this process.
 struct TunnelTotals {
     std::uint64_t accepted = 0;         // requests that were read
@@ -67,7 +70,7 @@
         return tunnels.used(index) && id_of(index) == id ? &tunnels[index] : nullptr;
     }
     // A tunnel for an accepted client, in no state yet: a transition must follow.
-    TunnelId add(net::Fd client, bool reject_only);
+    TunnelId add(net::Fd client, AcceptedFor purpose);
     // Calls visit(index, tunnel) for each tunnel in use, in the order of slots.
     template <class Visit>
     void for_each(Visit&& visit) {
