--- a/src/backoff/backoff.h
+++ b/src/backoff/backoff.h
@@ -41,7 +41,8 @@
     Ticks on_failure(double chance) {
         const Ticks cap = std::min(max_delay, first_ << std::min(failures_, 8));
         ++failures_;
-        return cap / 4 + static_cast<Ticks>(chance * static_cast<double>(cap - cap / 4));
+        const Ticks least = cap / 4;
+        return least + static_cast<Ticks>(chance * static_cast<double>(cap - least));
     }
     void on_success() { failures_ = 0; }
     int failures() const { return failures_; }
--- a/src/balance/constants.h
+++ b/src/balance/constants.h
@@ -15,12 +15,12 @@
 
 // Records and their lookup.
 constexpr std::size_t chain_length = 2;
-constexpr std::size_t lookup_fanout = 5;               // nodes near the tail that are asked
-constexpr Ticks lookup_timeout = second / 5;           // for each stage of a lookup
-constexpr Ticks refresh_period = 10 * second;          // of a record, while its tunnel is open
-constexpr Ticks refresh_grace = 12 * second;           // a refresh arrives within this
-constexpr Ticks record_lifetime = 4 * refresh_period;  // after three missed refreshes
-constexpr Ticks max_stamp_lead = 48 * 3600 * second;   // a stamp further ahead is discarded
+constexpr std::size_t lookup_fanout = 5;                     // nodes near the tail that are asked
+constexpr Ticks lookup_timeout = second / 5;                 // for each stage of a lookup
+constexpr Ticks refresh_period = 10 * second;                // of a record, while its tunnel is open
+constexpr Ticks refresh_grace = 12 * second;                 // a refresh arrives within this
+constexpr Ticks record_lifetime = 4 * refresh_period;        // after three missed refreshes
+constexpr Ticks max_stamp_lead = Ticks{48} * 3600 * second;  // a stamp further ahead is discarded
 
 // Peers.
 constexpr Ticks peer_timeout = 5 * second / 2;
--- a/src/balance/placement.cpp
+++ b/src/balance/placement.cpp
@@ -52,7 +52,7 @@
         total += weights_[i] = weight(endpoint, price);
     };
     for (int pass = 0; pass < 2 && total <= 0; ++pass)
-        for (const char in_group : {1, 0}) {
+        for (const char in_group : {char{1}, char{0}}) {
             // Another copy of the group would cost twice as much: no need to look at all the other eps.
             const bool dear = load_cost_model_.group_copy_cost(tunnel.group) > 2 * least;
             for (std::uint32_t i = 0; i < endpoint_table_.endpoints().size() && !(dear && total > 0); ++i)
--- a/src/balance/slow_start_quota.cpp
+++ b/src/balance/slow_start_quota.cpp
@@ -31,8 +31,9 @@
 }
 
 double SlowStartQuota::slow_start_rate(const Endpoint& endpoint) const {
-    const double window = static_cast<double>(node_.config().rules.overload_window) /
-                          (node_.config().rules.overload_window + quota_schedule_.spendable_for);
+    const double window =
+        static_cast<double>(node_.config().rules.overload_window) /
+        static_cast<double>(node_.config().rules.overload_window + quota_schedule_.spendable_for);
     return slow_start_safety * window * node_.config().rules.overload_multiple * load_.capacity(endpoint) /
            (load_.mean_load() * fill_duration());
 }
--- a/src/failure_detector/failure_likelihood.h
+++ b/src/failure_detector/failure_likelihood.h
@@ -50,7 +50,8 @@
 
   private:
     double decay_since(std::int64_t now) const {
-        return std::pow(outcome_decay, static_cast<double>((now - counted_at) / outcome_decay_period));
+        const std::int64_t periods = (now - counted_at) / outcome_decay_period;
+        return std::pow(outcome_decay, static_cast<double>(periods));
     }
 };
 
