--- a/src/balance/admission_control.h
+++ b/src/balance/admission_control.h
@@ -17,9 +17,10 @@
     void on_setup_succeeded() { ++recent_opened_; }
     void on_setup_ended() { ++recent_ended_; }
     void decay_setups();
-    /// When what is sent fails everywhere (a store past its rate, queues full), each further setup keeps the
-    /// jam up, and clients come again for each failure. Then no more is sent than twice what opens, and a
-    /// little to find out; the rest is declined at once. Guards against a storm of setups that feeds itself.
+    /// When most setups fail everywhere (a store past its rate, full queues), further setups and the
+    /// retries of failed clients keep the congestion up. Then at most twice as many attempts are admitted
+    /// as succeed, and a small allowance to notice recovery; the rest is rejected at once. Logs when
+    /// admission opens or closes.
     bool admission_open();
     bool admission_was_open() const { return admission_was_open_; }
 
--- a/src/balance/attempt_policy.h
+++ b/src/balance/attempt_policy.h
@@ -50,7 +50,7 @@
 Reason may_write(const Allowance& allowance, const History& before, const EndpointPhase& endpoint,
                  Ticks drain_grace, Ticks now, Ticks reserve = max_write_delay);
 
-// Whether a tunnel that is given up may be told that trying again is harmless.
+// Whether the client of a tunnel that is given up may be told that a retry is harmless.
 bool may_promise_no_effect(const Allowance& allowance, const History& history, Ticks now);
 
 // What a connection that awaits its first line holds when it would be closed without an answer.
--- a/src/balance/endpoint_list_poller.cpp
+++ b/src/balance/endpoint_list_poller.cpp
@@ -56,8 +56,8 @@
     gossip_budget_.set_placement_rate(static_cast<double>(endpoint_table_.endpoints().size()) / 3 * 10 /
                                       node_.placements_per_sample());
     gossip_budget_.update_gossip_intervals();
-    // Guards against nodes that all read one endpoint's report at one time, and then crowd the light
-    // ones.
+    // Health checks are spread, so that nodes do not all read one endpoint's report at the same time and
+    // then crowd the lightly loaded endpoints.
     for (auto& endpoint : endpoint_table_.endpoints())
         if (!node_.gossip_enabled())
             endpoint.health_checked_at =
--- a/src/balance/endpoint_table.h
+++ b/src/balance/endpoint_table.h
@@ -22,7 +22,7 @@
     Endpoint* find_endpoint(std::uint32_t id);
     void add_endpoint(std::uint32_t id, std::uint32_t zone, std::uint32_t cell, EndpointState state,
                       double size, Ticks started);
-    /// Hearsay may set one more aside in its zone and in its cell.
+    /// Whether gossip alone may eject one more endpoint of this one's zone and cell.
     bool gossip_may_eject(const Endpoint& one) const;
     bool is_excluded(const Endpoint& endpoint) const;
     EndpointCounts count_endpoints() const;
@@ -33,9 +33,9 @@
   private:
     friend class StateCodec;
 
-    // The grace of a drain runs from the first word of it, whatever follows.
+    // The grace of a drain runs from the first notification, whatever follows.
     void set_state(Endpoint& endpoint, EndpointState state);
-    // What of the eps in one zone or cell is set aside, and how it came to be.
+    // Ejected endpoints among those that `same` selects, by the kind of evidence.
     template <class Same>
     failure_detector::EjectionCounts ejection_counts(Same&& same) const {
         failure_detector::EjectionCounts out;
--- a/src/balance/failure_gossip.cpp
+++ b/src/balance/failure_gossip.cpp
@@ -26,15 +26,15 @@
       health_checks_(health_checks),
       outliers_(outliers) {}
 
-void FailureGossip::on_endpoint_failure(std::uint32_t endpoint_id, std::uint32_t when, std::uint32_t first,
-                                        std::uint32_t other) {
+void FailureGossip::on_endpoint_failure(std::uint32_t endpoint_id, std::uint32_t observed_at,
+                                        std::uint32_t observer, std::uint32_t second_observer) {
     Endpoint* const endpoint = endpoint_table_.find_endpoint(endpoint_id);
-    const bool both = other != failure_detector::no_observer;
-    if (endpoint == nullptr || first >= peer_table_.peers().size() ||
-        (both && other >= peer_table_.peers().size()))
+    const bool both = second_observer != failure_detector::no_observer;
+    if (endpoint == nullptr || observer >= peer_table_.peers().size() ||
+        (both && second_observer >= peer_table_.peers().size()))
         return;
     if (!endpoint->unresponsive_observations.add(
-            first, other, failure_detector::expand_time(when, node_.now()), node_.now()))
+            observer, second_observer, failure_detector::expand_time(observed_at, node_.now()), node_.now()))
         return;
     if (both) endpoint->failure_published = true, endpoint->failure_published_at = node_.now();
     if (endpoint->unresponsive_observations.is_unresponsive(node_.now())) return accept_gossip(*endpoint);
@@ -50,8 +50,7 @@
             (endpoint.owner_rank == not_report_owner ? never : failure_detector::renewal_interval))
         return;
     if (last_success_at_ <= endpoint.failed_at) return check_isolation();
-    if (endpoint.failed_at < isolated_until_ + line_timeout)
-        return;  // found while no line came from anywhere
+    if (endpoint.failed_at < isolated_until_ + line_timeout) return;  // observed while this node was isolated
     endpoint.failure_reported_at = node_.now();
     static_cast<void>(
         endpoint.unresponsive_observations.add(node_.config().own_node, endpoint.failed_at, node_.now()));
@@ -108,7 +107,8 @@
         endpoint.gossip_ejection_until = node_.now() + failure_detector::observation_lifetime;
     if (endpoint.ejected || node_.now() - endpoint.succeeded_at <= second) return;
     if (endpoint_table_.gossip_may_eject(endpoint))
-        return outliers_.eject(endpoint, "unresponsive to other nodes", failure_detector::quorum, true);
+        return outliers_.eject(endpoint, "unresponsive to second_observer nodes", failure_detector::quorum,
+                               true);
     raise_suspicion(endpoint);
 }
 
--- a/src/balance/failure_gossip.h
+++ b/src/balance/failure_gossip.h
@@ -22,15 +22,16 @@
     FailureGossip(const FailureGossip&) = delete;
     FailureGossip& operator=(const FailureGossip&) = delete;
 
-    /// One or two nodes found an endpoint dead. Who reports of it looks for itself.
-    void on_endpoint_failure(std::uint32_t endpoint_id, std::uint32_t when, std::uint32_t first,
-                             std::uint32_t other);
-    /// What it found dead itself, a node tells those who report of it, once any other endpoint has answered
-    /// it since. Guards against a node that is cut off from the eps and tells everyone that they are dead.
+    /// One or two nodes observed a failure of an endpoint. A report owner then checks it itself.
+    void on_endpoint_failure(std::uint32_t endpoint_id, std::uint32_t observed_at, std::uint32_t observer,
+                             std::uint32_t second_observer);
+    /// Reports an endpoint that this node ejected as unresponsive to its report owners, once another
+    /// endpoint has responded since: a node that is cut off from the endpoints must not report them all.
     void report_failure(Endpoint& endpoint);
     void check_isolation();
     void on_any_success();
-    /// That one is dead, once enough nodes found it so; the next in rank says it where those before do not.
+    /// Whether to publish that an endpoint has failed: a quorum observed it. Lower-ranked report owners
+    /// publish later, where those before them do not.
     bool failure_is_due(const Endpoint& endpoint) const;
     void publish_failure(Endpoint& endpoint);
     bool isolated() const { return isolated_; }
@@ -38,8 +39,8 @@
   private:
     friend class StateCodec;
 
-    // Guards against words of many that are wrong together: whoever has just had an answer does not believe
-    // them, and of most of a zone or a cell a node wants to find one dead itself.
+    // Many nodes may agree and all be wrong: a node that just had a success does not accept the gossip, and
+    // for most of a zone or cell it needs evidence of its own.
     void accept_gossip(Endpoint& endpoint);
     // From here on one failure of this node's own is enough.
     void raise_suspicion(Endpoint& endpoint);
--- a/src/balance/gossip_budget.h
+++ b/src/balance/gossip_budget.h
@@ -18,13 +18,13 @@
     void count_placement() { ++placed_since_tick_; }
     void set_placement_rate(double rate) { placement_rate_ = rate; }
     void update_placement_rate(double age_seconds);
-    /// What is told and probed again and again is paid by the tunnels placed: it is done as often as this
-    /// part of their credit pays for. The price is that of a round of all nodes, the tunnels those of all
-    /// nodes.
+    /// The interval at which something periodic is affordable: its price, that of a round of all nodes, is
+    /// paid by a share of the credit of the tunnels that all nodes place. Never below `wanted`, nor above
+    /// `longest` times it.
     Ticks affordable_interval(Ticks wanted, double price, int longest) const;
-    /// Who has started or fallen silent is told to all where that is paid, if all nodes did so, by the
-    /// tunnels of the time in which refreshes put the records right by themselves. Guards against a storm
-    /// when many nodes start or end at once.
+    /// Whether starts and failures of nodes may be broadcast: if all nodes did so, the tunnels placed in
+    /// one refresh period would pay for it. Bounds the gossip when many nodes start or end at once; without
+    /// it, refreshes repair the records.
     bool gossip_worthwhile(int times = 1) const;
     void update_gossip_intervals();
     double placement_rate() const { return placement_rate_; }
--- a/src/balance/group_affinity.cpp
+++ b/src/balance/group_affinity.cpp
@@ -33,7 +33,7 @@
 
 void GroupAffinity::mark_affinity_targets(const TrackedTunnel& tunnel) {
     holds_group_.assign(endpoint_table_.endpoints().size(), 0);
-    bool room_left = false;
+    bool headroom_left = false;
     for (const auto& p : records_.groups().of(tunnel.group)) {
         const std::uint32_t index = endpoint_table_.endpoint_by_id().find(p.endpoint_id);
         // What a node alone has of the group is known to no other that a tunnel may come to mid-flow.
@@ -41,12 +41,13 @@
             (p.members == 0 && !is_affinity_target(p)))
             continue;
         holds_group_[index] = 1;
-        room_left = room_left || (slow_start_quota_.slow_start_allows(index) &&
-                                  has_affinity_headroom(endpoint_table_.endpoints()[index]));
+        headroom_left = headroom_left || (slow_start_quota_.slow_start_allows(index) &&
+                                          has_affinity_headroom(endpoint_table_.endpoints()[index]));
     }
-    if (load_.load_totals_known() || tunnel.group == 0 || room_left) return;
-    // Where nothing tells that a home is full, a group has several from the start, the same at all nodes;
-    // and one more among the cold eps that this node has a unit for, which are seldom the same.
+    if (load_.load_totals_known() || tunnel.group == 0 || headroom_left) return;
+    // Where no load data shows whether a target is full, a group has several targets from the start, the
+    // same at all nodes, and one more among the endpoints in slow start that this node has quota for, which
+    // are seldom the same.
     for (int i = 0; i < default_affinity_targets; ++i) {
         const std::uint32_t index = rendezvous_endpoint(tunnel, false);
         if (index == none) break;
@@ -100,9 +101,10 @@
     });
 }
 
-std::uint32_t GroupAffinity::rendezvous_endpoint(const TrackedTunnel& tunnel, bool cold_one) const {
+std::uint32_t GroupAffinity::rendezvous_endpoint(const TrackedTunnel& tunnel, bool warming_up_only) const {
     return first_by_rendezvous(tunnel.group, false, [&](std::uint32_t i) {
-        if (holds_group_[i] != 0 || (cold_one && !slow_start_.is_warming_up(endpoint_table_.endpoints()[i])))
+        if (holds_group_[i] != 0 ||
+            (warming_up_only && !slow_start_.is_warming_up(endpoint_table_.endpoints()[i])))
             return false;
         const bool tried = std::find(tunnel.tried_endpoints.begin(), tunnel.tried_endpoints.end(), i) !=
                            tunnel.tried_endpoints.end();
@@ -115,15 +117,15 @@
     return p.affinity_target_at >= 0 && node_.now() - p.affinity_target_at < affinity_target_lifetime;
 }
 
-void GroupAffinity::mark_targets_full(std::uint32_t group, std::uint32_t but) {
+void GroupAffinity::mark_targets_full(std::uint32_t group, std::uint32_t except) {
     for (const auto& p : records_.groups().of(group)) {
         const std::uint32_t index = endpoint_table_.endpoint_by_id().find(p.endpoint_id);
-        if (load_.load_totals_known() || index == none || p.endpoint_id == but || !is_affinity_target(p))
+        if (load_.load_totals_known() || index == none || p.endpoint_id == except || !is_affinity_target(p))
             continue;
-        const double lack =
+        const double headroom =
             affinity_utilization_limit() * load_.capacity(endpoint_table_.endpoints()[index]) -
             load_.total_load(endpoint_table_.endpoints()[index]);
-        if (lack > 0) load_.add_pending_load(index, lack);
+        if (headroom > 0) load_.add_pending_load(index, headroom);
     }
 }
 
@@ -142,7 +144,7 @@
 
 void GroupAffinity::add_affinity_target(std::uint32_t group, std::uint32_t index) {
     if (index == none) return;
-    double paid = 0;  // the group's tunnels pay for what is told of it
+    double paid = 0;  // credit of the group's tunnels pays for the gossip about it
     for (const auto& p : records_.groups().of(group)) {
         if (p.endpoint_id == endpoint_table_.endpoints()[index].id && is_affinity_target(p)) return;
         paid += gossip_share * p.members -
--- a/src/balance/group_affinity.h
+++ b/src/balance/group_affinity.h
@@ -31,7 +31,8 @@
     void mark_affinity_targets(const TrackedTunnel& tunnel);
     void on_affinity_target(std::uint32_t group, std::uint32_t endpoint_id);
     void maintain_affinity_targets(std::uint32_t group);
-    /// Crossings of zones for a group are paid for as long as they cost less than a copy.
+    /// Tunnels that cross zones for a group are accepted for as long as they cost less than another copy of
+    /// it; then the group gets a target in that zone.
     void on_cross_zone(std::uint32_t group, std::uint32_t zone);
     std::uint32_t group_leader(std::uint32_t group) const;
     const std::vector<char>& holds_group() const { return holds_group_; }
@@ -39,39 +40,43 @@
   private:
     friend class StateCodec;
 
-    // Without sums hardly a node knows which eps hold a group: its keeper, at the group's place on the ring,
-    // hears of all its tunnels and tells all its homes, one more when those have no room left. Where no home
-    // has room, its tunnels meet on the first endpoint that has, in an order that is the group's own and
-    // the same at all nodes. Guards against a copy of each group on each endpoint.
-    template <class Fits>
-    std::uint32_t first_by_rendezvous(std::uint32_t group, bool apart, Fits&& fits) const {
+    // The first fitting endpoint in the group's own order, the same at all nodes (rendezvous hashing).
+    // Without load totals hardly a node knows which endpoints hold a group: its leader, at the group's
+    // place on the ring, receives all its records and publishes its affinity targets, one more when those
+    // have no headroom. Where no target has headroom, the group's tunnels meet on the first endpoint of
+    // this order that has. This avoids a copy of each group on each endpoint. `avoid_recent_targets`:
+    // endpoints that just became a target of another group come last.
+    template <class IsEligible>
+    std::uint32_t first_by_rendezvous(std::uint32_t group, bool avoid_recent_targets,
+                                      IsEligible&& is_eligible) const {
         std::uint32_t best = none;
         std::uint64_t least = 0;
         for (std::uint32_t i = 0; i < endpoint_table_.endpoints().size(); ++i) {
             // Rather not where another group is just coming.
             const std::uint64_t taken =
-                apart && node_.now() - endpoint_table_.endpoints()[i].affinity_target_at <
-                             placement_visible_after
+                avoid_recent_targets && node_.now() - endpoint_table_.endpoints()[i].affinity_target_at <
+                                            placement_visible_after
                     ? 1
                     : 0;
             const std::uint64_t place =
                 taken << 63 | mix(std::uint64_t{group} << 32 | endpoint_table_.endpoint_ids()[i]) >> 1;
-            if (best != none && place >= least) continue;  // most eps need no closer look
-            if (!fits(i)) continue;
+            if (best != none && place >= least) continue;  // most endpoints need not be examined
+            if (!is_eligible(i)) continue;
             best = i;
             least = place;
         }
         return best;
     }
     std::uint32_t new_affinity_target(std::uint32_t group, double limit, std::uint32_t zone = none) const;
-    std::uint32_t rendezvous_endpoint(const TrackedTunnel& tunnel, bool cold_one) const;
+    std::uint32_t rendezvous_endpoint(const TrackedTunnel& tunnel, bool warming_up_only) const;
     bool is_affinity_target(const GroupTable::Place& p) const;
-    // A group gets another home where those before it have no room left, which its keeper knows from all its
-    // tunnels and others only from reports, seconds later. Guards against nodes that go on filling them.
-    void mark_targets_full(std::uint32_t group, std::uint32_t but);
+    // A group gets a further target when its earlier ones have no headroom, which its leader knows from the
+    // records and others only from reports, seconds later. Counting the earlier ones as full keeps nodes
+    // from filling them further.
+    void mark_targets_full(std::uint32_t group, std::uint32_t except);
     // Lower while tunnels that were open before this node's start are still becoming known.
     double affinity_utilization_limit() const;
-    // A guess that holds for all eps alike leaves a group's order as it is.
+    // An assumption that holds for all endpoints alike leaves a group's order unchanged.
     bool has_affinity_headroom(const Endpoint& endpoint) const;
     void add_affinity_target(std::uint32_t group, std::uint32_t index);
 
--- a/src/balance/group_table.h
+++ b/src/balance/group_table.h
@@ -13,7 +13,7 @@
     struct Place {
         std::uint32_t endpoint_id = 0;
         int members = 0;                       // tunnels known there
-        std::int64_t affinity_target_at = -1;  // when it was last told to be a home of the group; never: -1
+        std::int64_t affinity_target_at = -1;  // when it last became an affinity target; -1: never
     };
     void add(std::uint32_t group, std::uint32_t endpoint_id, int by) {
         if (group == 0) return;
@@ -43,7 +43,7 @@
         return n == IdIndex::none ? 0 : n;
     }
 
-    // Calls each(group, endpoint_id, when it was told) for each home of a group.
+    // Calls each(group, endpoint_id, since) for each affinity target of a group.
     template <class Each>
     void each_affinity_target(Each&& each) const {
         for (std::size_t index = 0; index < groups_.size(); ++index)
--- a/src/balance/health_check_schedule.cpp
+++ b/src/balance/health_check_schedule.cpp
@@ -44,11 +44,12 @@
     const Ticks pause = health_check_interval();
     for (auto& endpoint : endpoint_table_.endpoints()) {
         if (endpoint.state != EndpointState::active || endpoint.health_check_pending) continue;
-        // Without sums an endpoint's reporter probes for all; the others only where they hear nothing
-        // of it.
-        const bool alone = load_.load_totals_known() || !node_.gossip_enabled();  // no reporter tells of it
+        // Without load totals an endpoint's report owners check it for all nodes; the others only where
+        // they receive no reports of it.
+        const bool alone =
+            load_.load_totals_known() || !node_.gossip_enabled();  // no report owner publishes its load
         const bool mine = alone || endpoint.owner_rank != not_report_owner;
-        // Is it back? Once it answers probes a trial tells, and probes no more than of others.
+        // An unresponsive endpoint is checked often until it responds; from then on probation decides.
         const bool unanswered =
             endpoint.unresponsive && endpoint.health_check_passed_at <= endpoint.failed_at;
         const Ticks wait = unanswered ? health_check_period
@@ -61,14 +62,14 @@
     }
 }
 
-void HealthCheckSchedule::on_health_check(std::uint32_t endpoint_id, Outcome ending,
+void HealthCheckSchedule::on_health_check(std::uint32_t endpoint_id, Outcome outcome,
                                           const LoadReport& report) {
     if (endpoint_table_.find_endpoint(endpoint_id) == nullptr) return;
     Endpoint& endpoint = *endpoint_table_.find_endpoint(endpoint_id);
     endpoint.health_check_pending = false;
-    if (ending == Outcome::timed_out || ending == Outcome::unreachable)
-        outliers_.record_outcome(endpoint, ending, true, node_.config().own_node);
-    if (ending != Outcome::ok) return;
+    if (outcome == Outcome::timed_out || outcome == Outcome::unreachable)
+        outliers_.record_outcome(endpoint, outcome, true, node_.config().own_node);
+    if (outcome != Outcome::ok) return;
     failure_gossip_.on_any_success();
     endpoint.health_check_passed_at = node_.now();
     outliers_.on_responsive(endpoint);
--- a/src/balance/health_check_schedule.h
+++ b/src/balance/health_check_schedule.h
@@ -22,7 +22,7 @@
     void start_health_check(Endpoint& endpoint);
     Ticks health_check_interval() const;
     void send_health_checks();
-    void on_health_check(std::uint32_t endpoint_id, Outcome ending, const LoadReport& report);
+    void on_health_check(std::uint32_t endpoint_id, Outcome outcome, const LoadReport& report);
 
   private:
     friend class StateCodec;
--- a/src/balance/load_cost.cpp
+++ b/src/balance/load_cost.cpp
@@ -16,10 +16,10 @@
                                    std::exp(-late_exponent * (1 - utilization)));
 }
 
-double LoadCost::late_cost(double utilization, double more) const {
+double LoadCost::late_cost(double utilization, double added) const {
     return late_cost_slope_[static_cast<std::size_t>(std::clamp(utilization, 0.0, max_utilization) *
                                                      late_cost_steps)] *
-           more;
+           added;
 }
 
 double LoadCost::group_copy_utilization() const {
--- a/src/balance/load_cost.h
+++ b/src/balance/load_cost.h
@@ -15,20 +15,20 @@
     LoadCost(const LoadCost&) = delete;
     LoadCost& operator=(const LoadCost&) = delete;
 
-    /// What it costs all on an endpoint, in connections served late, when its load grows from x by a load
-    /// of `more`, which is counted in mean connections: the slope of x * late(x).
-    double late_cost(double utilization, double more) const;
-    /// The load at which a copy of a group is priced at least: it stays as the eps fill up, which reports do
-    /// not show while what was open before a start comes in.
+    /// The cost of adding `more` load, in mean tunnels, at a utilization: the slope of x * late(x), in
+    /// connections served late.
+    double late_cost(double utilization, double added) const;
+    /// The utilization at which a copy of a group is priced at least: a copy stays as endpoints fill up,
+    /// which reports do not show while tunnels open before this node's start are still becoming known.
     double group_copy_utilization() const;
     double group_copy_cost(std::uint32_t group) const;
-    /// What it costs more, on average, that a load is known only to within `unsure`: harm grows the faster
-    /// the fuller an endpoint is. Guards against a small price (of crossing zones) that decides all where no
-    /// load is known. Of a cold endpoint more is known: it began empty.
+    /// The average extra cost of knowing a utilization only to within utilization_deviation: cost grows
+    /// faster the fuller an endpoint is. Without it a small price, of crossing zones, would decide
+    /// everything where no load is known. An endpoint in slow start began empty, so more is known of it.
     double uncertainty_cost() const;
     double load_cost(const Endpoint& endpoint, double load) const;
-    /// What a tunnel may cost the others, in connections served late, before it is better declined. Guards
-    /// against an overload in which nobody is served: the heavy and the little credited give way first.
+    /// The cost to others above which a tunnel is rejected. In an overload this sheds the heavy tunnels and
+    /// the classes of low priority weight first.
     double max_cost_of(std::uint32_t traffic_class) const;
     double priced_utilization(const Endpoint& endpoint) const;
 
--- a/src/balance/load_estimator.cpp
+++ b/src/balance/load_estimator.cpp
@@ -98,7 +98,8 @@
         size += endpoint.size;
     }
     fleet_utilization_ = all > 0 ? load / all : 0;
-    // Without sums, what all carry is reckoned from the records held here: each is held at three nodes.
+    // Without load totals the total load is estimated from the records held here: each is held at three
+    // nodes.
     if (load_totals_known_ && size > 0) capacity_per_size_ = sum / size;
     if (!load_totals_known_ && sum > 0.05 * size) learn_capacity(sum * listed / size);
 }
--- a/src/balance/load_estimator.h
+++ b/src/balance/load_estimator.h
@@ -33,15 +33,14 @@
     double mean_load() const;
     /// What an endpoint can do: learned, else its size as the others of known size do.
     double capacity(const Endpoint& endpoint) const;
-    /// Nothing tells what an endpoint carries: neither other nodes nor a report to this one. It is then
-    /// taken to be half full, the fuller the more of the node's tunnels are cut off soon after they opened,
-    /// wherever that was; and past what it can do if it has cut one off lately. Guards against a fleet too
-    /// small for its tunnels: each node would find each full endpoint alone, by tunnels that are cut off
-    /// and come again.
+    /// No load totals and no recent report of the endpoint. It is then assumed to be half full; the fuller
+    /// the more of this node's tunnels, on any endpoint, are cut off soon after opening; and overloaded if
+    /// it cut one off lately. In a fleet too small for its tunnels each node would otherwise find each full
+    /// endpoint alone, by tunnels that are cut off and reconnect.
     bool has_no_load_data(const Endpoint& endpoint) const;
-    /// The endpoint's report is known, and nothing of what other nodes have placed there since. Guards
-    /// against all nodes crowding the endpoint that its report shows as the lightest: it counts as half
-    /// full, as the others do that nothing tells of, and the part that is free only makes it the likelier.
+    /// The endpoint's report is known, but not what other nodes have placed since. To keep all nodes from
+    /// crowding the endpoint with the lightest report, it counts as at least half full, and free capacity
+    /// only raises its weight.
     bool misses_other_nodes(const Endpoint& endpoint) const;
     double utilization_after_loss(const Endpoint& endpoint) const;
     double total_load(const Endpoint& endpoint) const;
@@ -49,10 +48,9 @@
     double utilization(const Endpoint& endpoint) const;
     bool has_headroom(const Endpoint& endpoint, double limit) const;
     void update_fleet_estimates();
-    /// A report grows old: the other nodes have read it too, and choose by it as this one would, whose
-    /// chances `weights` are. What it favours fills meanwhile and what it shuns empties, up to what all carry
-    /// on average. Guards against a herd: all nodes at the few eps that were light when they were last
-    /// reported.
+    /// A report ages: other nodes have read it too and choose by it as this one would, by weights
+    /// `chances`. What it favours fills and what it shuns empties meanwhile, up to the fleet's average.
+    /// Estimating this avoids herding on the few endpoints whose last report was light.
     void estimate_unseen_placements(double load, const std::vector<double>& chances);
     void on_slow_message(Endpoint& endpoint, Ticks delay);
     void on_health_report(Endpoint& endpoint, const LoadReport& report);
@@ -68,10 +66,10 @@
     double assumed_utilization(const Endpoint& endpoint) const;
     // Of the tunnels that opened in the last 3 s or so, those that were cut off soon after.
     double recent_loss_ratio() const;
-    // One that has just started is empty, and may take so little that it fills over its warm-up.
+    // An endpoint that has just started is empty, and may fill over its whole slow start.
     double slow_start_fill(const Endpoint& endpoint) const;
-    // One of which no report has come yet is taken to carry what the others do. Guards against all nodes at
-    // those that were not reported first, as if they stood empty. Cold ones do, and their budget guards them.
+    // An endpoint without a report is assumed to carry the fleet's average, so that nodes do not crowd it
+    // as if it were empty. In slow start it does count as empty, and its quota protects it.
     double reported_or_fleet(const Endpoint& endpoint) const;
     bool is_unreported_warming(const Endpoint& endpoint) const;
     // Messages take long for longer than a pause: then the reports are behind what the endpoint can do
@@ -80,7 +78,7 @@
     // What a unit of size can do, of which all reported together use `used` units. The records of tunnels
     // that stood before this node started come as they are refreshed; of these it has at least that part.
     void learn_capacity(double used);
-    // Guards against work piled up where nothing tells of slow messages: what is asked beyond all it can do.
+    // Estimates queued work, where no message delays are reported, from what is asked beyond the capacity.
     void update_backlog(Endpoint& endpoint, double utilization);
 
     NodeContext& node_;
--- a/src/balance/load_reporter.cpp
+++ b/src/balance/load_reporter.cpp
@@ -111,7 +111,7 @@
 }
 
 void LoadReporter::publish_load_totals() {
-    const bool all = ++publish_count_ % 4 == 0;  // what is lost is told again in the end
+    const bool all = ++publish_count_ % 4 == 0;  // repeated, since a message may be lost
     gossip_.outbox().broadcast_items([&](auto&& put) {
         for (auto& endpoint : endpoint_table_.endpoints()) {
             const bool good = endpoint.succeeded_at >= last_published_at_;
--- a/src/balance/load_reporter.h
+++ b/src/balance/load_reporter.h
@@ -25,9 +25,9 @@
     /// Spreads the first publication of nodes that start together.
     void start_publishing();
     void publish_load_totals_when_due();
-    /// Eps of one block have the same reporter, who tells of them in one message; the next two on the ring
-    /// take its place one after the other where it says nothing. The blocks follow from the list alone: nodes
-    /// that have the same list agree on them, however they came to it.
+    /// Endpoints of one block have the same report owners, so that one message covers them; the next two on
+    /// the ring stand in, in order of rank, where the first publishes nothing. Blocks follow from the list
+    /// alone, so nodes with the same list agree on them.
     void elect_report_owners();
     void publish_reports();
     void on_load_report(std::uint32_t endpoint_id, bool healthy, double load);
@@ -36,8 +36,8 @@
   private:
     friend class StateCodec;
 
-    // The reporter's word to all: at once where an endpoint fell silent or came back, else as its price
-    // allows, and the sooner the more its load has changed.
+    // A report owner publishes at once where an endpoint failed or recovered, otherwise as its cost allows,
+    // and the sooner the more the utilization has changed.
     bool report_is_due(const Endpoint& endpoint) const;
     void publish_load_totals();
 
--- a/src/balance/outlier_detector.cpp
+++ b/src/balance/outlier_detector.cpp
@@ -23,23 +23,25 @@
       load_(load),
       failure_gossip_(failure_gossip) {}
 
-void OutlierDetector::record_outcome(Endpoint& endpoint, Outcome ending, bool by_probe, std::uint32_t by) {
-    if (ending == Outcome::cancelled || ending == Outcome::overloaded || unrelated_to_endpoint(ending))
+void OutlierDetector::record_outcome(Endpoint& endpoint, Outcome outcome, bool by_health_check,
+                                     std::uint32_t observer) {
+    if (outcome == Outcome::cancelled || outcome == Outcome::overloaded || unrelated_to_endpoint(outcome))
         return;
-    const bool own = by == node_.config().own_node;
-    // Setups may share a store that probes do without, so a setup's time-out says less of the
-    // endpoint.
-    endpoint.failure_likelihood.count(ending != Outcome::ok, ending == Outcome::timed_out && !by_probe,
-                                      recent_outcomes_, node_.now());
-    if (ending == Outcome::ok) {
+    const bool own = observer == node_.config().own_node;
+    // Setups may share a store that health checks do not need, so the time-out of a setup says less about
+    // the endpoint.
+    endpoint.failure_likelihood.count(outcome != Outcome::ok,
+                                      outcome == Outcome::timed_out && !by_health_check, recent_outcomes_,
+                                      node_.now());
+    if (outcome == Outcome::ok) {
         endpoint.unresponsive_observations.on_healthy(node_.now());
-        // Outcomes come to the first reporter alone: where some found the endpoint dead, it tells the
-        // next ones.
+        // Outcomes are sent to the first report owner only: where nodes have observed failures, it forwards
+        // successes to the other owners.
         const bool contested =
             endpoint.owner_rank == 0 && endpoint.unresponsive_observations.is_failing(node_.now());
         for (std::size_t i = 1; contested && i < endpoint.report_owners.size(); ++i)
             gossip_.post(endpoint.report_owners[i],
-                         [&](auto& m) { return m.outcome(endpoint.id, static_cast<std::uint8_t>(ending)); });
+                         [&](auto& m) { return m.outcome(endpoint.id, static_cast<std::uint8_t>(outcome)); });
         if (!own) return on_reported_healthy(endpoint, "reported healthy by a node");
         failure_gossip_.on_any_success();
         endpoint.succeeded_at = node_.now();
@@ -48,12 +50,12 @@
         if (endpoint.ejected) readmit(endpoint, "it responds");
         return;
     }
-    static_cast<void>(endpoint.failure_observations.add(by, node_.now(), node_.now()));
-    if (own && (ending == Outcome::timed_out || ending == Outcome::unreachable)) {
+    static_cast<void>(endpoint.failure_observations.add(observer, node_.now(), node_.now()));
+    if (own && (outcome == Outcome::timed_out || outcome == Outcome::unreachable)) {
         endpoint.unresponsive = true;
         endpoint.failed_at = node_.now();
-        endpoint.contact_lost = endpoint.contact_lost || ending == Outcome::unreachable ||
-                                (by_probe && ++endpoint.failed_health_checks >= 2);
+        endpoint.contact_lost = endpoint.contact_lost || outcome == Outcome::unreachable ||
+                                (by_health_check && ++endpoint.failed_health_checks >= 2);
     }
     if (endpoint.ejected) endpoint.probation_at = node_.now() + probation_interval;
     if (endpoint.failure_likelihood.log_likelihood_ratio < failure_detector::ejection_threshold) return;
@@ -64,11 +66,11 @@
               endpoint.failure_likelihood.log_likelihood_ratio, !own);
 }
 
-void OutlierDetector::record_own_outcome(Endpoint& endpoint, Outcome ending) {
-    record_outcome(endpoint, ending, false, node_.config().own_node);
-    if (load_.load_totals_known() || never_executed(ending)) return;
+void OutlierDetector::record_own_outcome(Endpoint& endpoint, Outcome outcome) {
+    record_outcome(endpoint, outcome, false, node_.config().own_node);
+    if (load_.load_totals_known() || never_executed(outcome)) return;
     gossip_.post(endpoint.report_owners[0],
-                 [&](auto& m) { return m.outcome(endpoint.id, static_cast<std::uint8_t>(ending)); });
+                 [&](auto& m) { return m.outcome(endpoint.id, static_cast<std::uint8_t>(outcome)); });
 }
 
 void OutlierDetector::on_responsive(Endpoint& endpoint) {
@@ -80,42 +82,42 @@
     endpoint.started_at = node_.now();
 }
 
-void OutlierDetector::eject(Endpoint& endpoint, const char* why, double figure, bool hearsay) {
+void OutlierDetector::eject(Endpoint& endpoint, const char* reason, double figure, bool by_gossip) {
     endpoint.ejected = true;
-    endpoint.gossip_ejection_until = hearsay ? node_.now() + failure_detector::observation_lifetime : 0;
+    endpoint.gossip_ejection_until = by_gossip ? node_.now() + failure_detector::observation_lifetime : 0;
     endpoint.failure_reported_at = -never;
     endpoint.ejected_at = node_.now();
     endpoint.probation_at = node_.now() + probation_interval;
-    node_.log_line("endpoint %u ejected: %s, %.1f", endpoint.id, why, figure);
-    // With most eps set aside the trouble is elsewhere: then all take part again rather than none.
-    int more_in = 0;
+    node_.log_line("endpoint %u ejected: %s, %.1f", endpoint.id, reason, figure);
+    // With most endpoints ejected the fault is elsewhere: all are readmitted rather than none used.
+    int active_surplus = 0;
     for (const auto& o : endpoint_table_.endpoints())
-        if (o.state == EndpointState::active) more_in += o.ejected ? -1 : 1;
-    if (more_in >= 0) return;
+        if (o.state == EndpointState::active) active_surplus += o.ejected ? -1 : 1;
+    if (active_surplus >= 0) return;
     for (auto& o : endpoint_table_.endpoints())
         if (o.ejected) readmit(o, "most are ejected");
 }
 
-void OutlierDetector::readmit(Endpoint& endpoint, const char* why) {
+void OutlierDetector::readmit(Endpoint& endpoint, const char* reason) {
     node_.log_line("endpoint %u readmitted after %lld ms: %s", endpoint.id,
-                   static_cast<long long>(node_.now() - endpoint.ejected_at) / 10, why);
+                   static_cast<long long>(node_.now() - endpoint.ejected_at) / 10, reason);
     endpoint.ejected = endpoint.unresponsive = false;
     endpoint.failure_likelihood.log_likelihood_ratio = 0;
 }
 
-void OutlierDetector::on_reported_healthy(Endpoint& endpoint, const char* who) {
-    const bool sight = endpoint.unresponsive && endpoint.gossip_ejection_until == 0 &&
-                       node_.config().limits.health_checks_enabled;
+void OutlierDetector::on_reported_healthy(Endpoint& endpoint, const char* reason) {
+    const bool own_evidence = endpoint.unresponsive && endpoint.gossip_ejection_until == 0 &&
+                              node_.config().limits.health_checks_enabled;
     if (!endpoint.ejected || node_.now() - endpoint.ejected_at <= second ||
-        (sight && endpoint.health_check_passed_at <= endpoint.ejected_at))
+        (own_evidence && endpoint.health_check_passed_at <= endpoint.ejected_at))
         return;
-    readmit(endpoint, who);
+    readmit(endpoint, reason);
 }
 
-void OutlierDetector::on_outcome(std::uint32_t sender, std::uint32_t endpoint_id, std::uint8_t ending) {
-    if (ending > static_cast<std::uint8_t>(Outcome::not_sent)) return;
+void OutlierDetector::on_outcome(std::uint32_t sender, std::uint32_t endpoint_id, std::uint8_t outcome) {
+    if (outcome > static_cast<std::uint8_t>(Outcome::not_sent)) return;
     if (Endpoint* endpoint = endpoint_table_.find_endpoint(endpoint_id))
-        record_outcome(*endpoint, static_cast<Outcome>(ending), false, sender);
+        record_outcome(*endpoint, static_cast<Outcome>(outcome), false, sender);
 }
 
 void OutlierDetector::on_slow_messages(std::uint32_t endpoint_id, Ticks delay) {
@@ -133,13 +135,13 @@
     eject_unresponsive(*endpoint, "seconds without a line", span);
 }
 
-void OutlierDetector::eject_unresponsive(Endpoint& endpoint, const char* why, Ticks figure) {
+void OutlierDetector::eject_unresponsive(Endpoint& endpoint, const char* reason, Ticks figure) {
     if (endpoint.ejected && endpoint.unresponsive) return;
     endpoint.unresponsive = true;
     endpoint.failed_at = node_.now();
     endpoint.failure_likelihood.log_likelihood_ratio = failure_detector::ejection_threshold;
     if (!endpoint.ejected || endpoint.gossip_ejection_until != 0)
-        eject(endpoint, why, static_cast<double>(figure) / second);
+        eject(endpoint, reason, static_cast<double>(figure) / second);
 }
 
 void OutlierDetector::readmit_expired(Endpoint& endpoint) {
--- a/src/balance/outlier_detector.h
+++ b/src/balance/outlier_detector.h
@@ -23,33 +23,33 @@
     void decay_outcomes() { recent_outcomes_.fade(failure_detector::outcome_decay); }
     /// Ends the ejections by gossip that no node has renewed.
     void readmit_expired(Endpoint& endpoint);
-    /// What fails everywhere (a store that all setups need, a burst past its rate) is no endpoint's fault.
-    /// Setting eps aside for it, and moving their tunnels, would feed the very jam: the test asks what an
-    /// endpoint does worse than the others. `by`: the node whose setup it was; only one's own say that an
-    /// endpoint is out of reach.
-    void record_outcome(Endpoint& endpoint, Outcome ending, bool by_probe, std::uint32_t by);
-    /// A node with few tunnels of its own learns too little of an endpoint: the endpoint's reporter
-    /// judges for all.
-    void record_own_outcome(Endpoint& endpoint, Outcome ending);
-    /// An endpoint that was silent and answers again may have restarted: the list says so seconds later,
-    /// and by then it would have fallen over under what a warm one takes. Until the list is heard it counts
-    /// as cold.
+    /// Records an outcome observed by node `by` and ejects or readmits by it. What fails everywhere (a
+    /// store that all setups need, a burst past its rate) is no endpoint's fault, and ejecting endpoints
+    /// for it would feed the congestion: the test compares an endpoint with the others. Only a node's own
+    /// outcomes show that an endpoint is unreachable.
+    void record_outcome(Endpoint& endpoint, Outcome outcome, bool by_health_check, std::uint32_t observer);
+    /// Records an outcome of this node and passes it to the endpoint's report owner, reason judges for all: a
+    /// node with few tunnels of its own learns too little.
+    void record_own_outcome(Endpoint& endpoint, Outcome outcome);
+    /// An unreachable endpoint that responds again may have restarted, which the list says only seconds
+    /// later. Until then it counts as warming up, so that it is not overloaded.
     void on_responsive(Endpoint& endpoint);
-    void eject(Endpoint& endpoint, const char* why, double figure, bool hearsay = false);
-    void readmit(Endpoint& endpoint, const char* why);
-    /// What a node finds itself goes before what it hears: one that it found dead has to answer it first.
-    void on_reported_healthy(Endpoint& endpoint, const char* who);
-    void on_outcome(std::uint32_t sender, std::uint32_t endpoint_id, std::uint8_t ending);
+    void eject(Endpoint& endpoint, const char* reason, double figure, bool by_gossip = false);
+    void readmit(Endpoint& endpoint, const char* reason);
+    /// Readmits on another node's success, except where this node itself found the endpoint unresponsive:
+    /// then it must respond to this node's health check first.
+    void on_reported_healthy(Endpoint& endpoint, const char* reason);
+    void on_outcome(std::uint32_t sender, std::uint32_t endpoint_id, std::uint8_t outcome);
     void on_slow_messages(std::uint32_t endpoint_id, Ticks delay);
-    /// A sound endpoint answers a line at once, on each connection. Guards against one that hangs or is cut
-    /// off, of which setups and probes tell only seconds later.
+    /// A healthy endpoint answers a line at once, on each connection. This ejects one that hangs or is cut
+    /// off seconds before setups and health checks would show it.
     void on_unresponsive(std::uint32_t endpoint_id, Ticks span);
     const failure_detector::OutcomeTotals& recent_outcomes() const { return recent_outcomes_; }
 
   private:
     friend class StateCodec;
 
-    void eject_unresponsive(Endpoint& endpoint, const char* why, Ticks figure);
+    void eject_unresponsive(Endpoint& endpoint, const char* reason, Ticks figure);
 
     NodeContext& node_;
     EndpointTable& endpoint_table_;
--- a/src/balance/peer_monitor.cpp
+++ b/src/balance/peer_monitor.cpp
@@ -34,7 +34,7 @@
 
 void PeerMonitor::check_heartbeats() {
     if (!node_.gossip_enabled()) return;
-    // Signs go on until those who watch have long ceased to tell of silence: all reckon a little apart.
+    // Heartbeats stop later than monitoring does: nodes estimate the cost of gossip slightly differently.
     if (node_.now() - heartbeat_sent_at_ >= second && gossip_budget_.gossip_worthwhile(4)) {
         heartbeat_sent_at_ = node_.now();
         for (const auto n : peer_table_.next_alive(1))
--- a/src/balance/peer_monitor.h
+++ b/src/balance/peer_monitor.h
@@ -24,10 +24,10 @@
 
     /// A node that has just started holds no records: the others send those that it should hold.
     void announce_start();
-    /// Each node gives the next two living ones a sign of life and watches the two before it, and tells all
-    /// where one falls silent: signs from all to all would grow with the square of the nodes.
+    /// Sends heartbeats to the next two live nodes and monitors the previous two; a node that falls silent
+    /// is broadcast as down. Heartbeats between all nodes would grow with the square of their number.
     void check_heartbeats();
-    /// Its neighbour tells that a node fell silent; one that still runs says so itself.
+    /// A monitoring node found `node` silent. A node that is reported down but runs announces itself.
     void on_peer_down(std::uint32_t node);
     void on_node_started(std::uint32_t sender);
 
--- a/src/balance/peer_table.h
+++ b/src/balance/peer_table.h
@@ -20,7 +20,7 @@
     bool ring_changed() const { return ring_changed_; }
     void mark_ring_changed() { ring_changed_ = true; }
     void mark_owners_elected() { ring_changed_ = false; }
-    /// The two living nodes that come next by number, or by `step` = all but one, before this one.
+    /// The next two live nodes by number, or with `step` = all but one the previous two.
     NodePair next_alive(std::size_t step) const;
     bool is_alive(std::uint32_t node) const;
     std::size_t chain(std::uint64_t key, Ring::Chain& out) const;
--- a/src/balance/placement.cpp
+++ b/src/balance/placement.cpp
@@ -39,23 +39,26 @@
         if (endpoint.state != EndpointState::active || !in_deduplication_scope(tunnel, endpoint)) return;
         const bool tried = std::find(tunnel.tried_endpoints.begin(), tunnel.tried_endpoints.end(), i) !=
                            tunnel.tried_endpoints.end();
-        const bool trial = endpoint.ejected && node_.now() >= endpoint.probation_at && tunnel.attempts == 0 &&
-                           (!node_.config().limits.health_checks_enabled ||
-                            endpoint.health_check_passed_at > endpoint.ejected_at);
-        if (pass == 0 && (tried || (endpoint_table_.is_excluded(endpoint) && !trial))) return;
-        const double price = marginal_cost(i, tunnel.load, tunnel.group);
+        const bool on_probation = endpoint.ejected && node_.now() >= endpoint.probation_at &&
+                                  tunnel.attempts == 0 &&
+                                  (!node_.config().limits.health_checks_enabled ||
+                                   endpoint.health_check_passed_at > endpoint.ejected_at);
+        if (pass == 0 && (tried || (endpoint_table_.is_excluded(endpoint) && !on_probation))) return;
+        const double cost = marginal_cost(i, tunnel.load, tunnel.group);
         if (!slow_start_quota_.slow_start_allows(i)) {
-            if (price < quota_short_cost_) quota_short_endpoint_ = i, quota_short_cost_ = price;
+            if (cost < quota_short_cost_) quota_short_endpoint_ = i, quota_short_cost_ = cost;
             return;
         }
-        least = std::min(least, price);
-        total += weights_[i] = weight(endpoint, price);
+        least = std::min(least, cost);
+        total += weights_[i] = weight(endpoint, cost);
     };
     for (int pass = 0; pass < 2 && total <= 0; ++pass)
         for (const char in_group : {char{1}, char{0}}) {
-            // Another copy of the group would cost twice as much: no need to look at all the other eps.
-            const bool dear = load_cost_model_.group_copy_cost(tunnel.group) > 2 * least;
-            for (std::uint32_t i = 0; i < endpoint_table_.endpoints().size() && !(dear && total > 0); ++i)
+            // Another copy of the group would cost twice as much: the other endpoints need not be
+            // considered.
+            const bool copy_is_costly = load_cost_model_.group_copy_cost(tunnel.group) > 2 * least;
+            for (std::uint32_t i = 0;
+                 i < endpoint_table_.endpoints().size() && !(copy_is_costly && total > 0); ++i)
                 if (affinity_.holds_group()[i] == in_group) weigh(i, pass);
         }
     too_costly_ = total > 0 && !tunnel.mid_flow && least > load_cost_model_.max_cost_of(tunnel.traffic_class);
@@ -108,16 +111,16 @@
     load_.estimate_unseen_placements(unheard_a_second * load_.mean_load() * tick_interval / second, weights_);
 }
 
-double Placement::weight(const Endpoint& endpoint, double price) const {
-    double w = 1 / (price + 1e-3 +
-                    ((load_.misses_other_nodes(endpoint) || load_.has_no_load_data(endpoint)) &&
-                             !slow_start_.is_warming_up(endpoint)
-                         ? load_cost_model_.uncertainty_cost()
-                         : 0));
-    for (int k = 0; k < 3; ++k) w *= w;  // an endpoint of twice the cost gets a 256th of the weight
+double Placement::weight(const Endpoint& endpoint, double cost) const {
+    double value = 1 / (cost + 1e-3 +
+                        ((load_.misses_other_nodes(endpoint) || load_.has_no_load_data(endpoint)) &&
+                                 !slow_start_.is_warming_up(endpoint)
+                             ? load_cost_model_.uncertainty_cost()
+                             : 0));
+    for (int k = 0; k < 3; ++k) value *= value;  // an endpoint of twice the cost gets a 256th of the weight
     const double free =
         load_.misses_other_nodes(endpoint) ? std::max(1 - load_.utilization(endpoint), 0.05) : 1;
-    return load_.capacity(endpoint) * free * w + weight_floor;
+    return load_.capacity(endpoint) * free * value + weight_floor;
 }
 
 bool Placement::uses_key_hash(const TrackedTunnel& tunnel) const {
--- a/src/balance/placement.h
+++ b/src/balance/placement.h
@@ -24,12 +24,12 @@
     Placement& operator=(const Placement&) = delete;
 
     std::uint32_t choose(const TrackedTunnel& tunnel);
-    /// The endpoint that would best take the tunnel is short of nothing but a unit that another node may
-    /// have.
+    /// The cheapest endpoint lacks only a unit of quota that another node may lease.
     bool waits_for_lease(const TrackedTunnel& tunnel) const;
     /// The marginal cost of a load of this group on an endpoint.
     double marginal_cost(std::uint32_t index, double load, std::uint32_t group) const;
-    /// What all place that is not heard of here, spread as this node would spread it.
+    /// Estimates the placements by other nodes that this node sees nothing of, spread as it would spread
+    /// them itself.
     void estimate_unseen_load();
     std::uint32_t quota_short_endpoint() const { return quota_short_endpoint_; }
     bool too_costly() const { return too_costly_; }
@@ -37,10 +37,10 @@
   private:
     friend class StateCodec;
 
-    double weight(const Endpoint& endpoint, double price) const;
-    // Where nodes may not talk, no record reaches who meets a tunnel mid-flow. Then the chance in the draw is
-    // the key's own (rendezvous hashing), the same at all nodes: by like weights they find the endpoint
-    // that it was placed on. A client that comes back from a break is drawn for anew.
+    double weight(const Endpoint& endpoint, double cost) const;
+    // Without gossip no record reaches the node that meets a tunnel mid-flow. Then the random number of the
+    // draw follows from the key (rendezvous hashing) and is the same at all nodes: with similar weights
+    // they find the endpoint that the tunnel was placed on. A reconnecting client gets a new draw.
     bool uses_key_hash(const TrackedTunnel& tunnel) const;
     std::uint32_t draw_by_key(std::uint64_t key) const;
     bool in_deduplication_scope(const TrackedTunnel& tunnel, const Endpoint& endpoint) const;
--- a/src/balance/rebalancer.cpp
+++ b/src/balance/rebalancer.cpp
@@ -37,7 +37,7 @@
 
 void Rebalancer::migrate_excess(std::uint32_t index) {
     Endpoint& endpoint = endpoint_table_.endpoints()[index];
-    const bool dead = endpoint.ejected && endpoint.unresponsive;
+    const bool unresponsive = endpoint.ejected && endpoint.unresponsive;
     if (endpoint.open_tunnels == 0 || node_.now() - endpoint.migrated_at < second / 2 ||
         !admission_.admission_was_open() || tunnel_table_.pending_attempts() > 4)
         return;
@@ -45,15 +45,15 @@
         load_.utilization_at(endpoint, load_.total_load(endpoint) - endpoint.pending_load);
     const bool seen =
         load_.load_totals_known() ||
-        endpoint.utilization_at > endpoint.migrated_at + placement_visible_after;  // what was moved last
-    if (!dead && (load_.has_no_load_data(endpoint) || utilization < migrate_above ||
-                  utilization < 1.2 * load_.fleet_utilization() || !seen))
+        endpoint.utilization_at > endpoint.migrated_at + placement_visible_after;  // the last migrations show
+    if (!unresponsive && (load_.has_no_load_data(endpoint) || utilization < migrate_above ||
+                          utilization < 1.2 * load_.fleet_utilization() || !seen))
         return;
     endpoint.migrated_at = node_.now();
-    double left =
-        dead ? endpoint.own_load / 2 : (utilization - migrate_above) / utilization * endpoint.own_load;
+    double left = unresponsive ? endpoint.own_load / 2
+                               : (utilization - migrate_above) / utilization * endpoint.own_load;
     while (left > 0 && migration_tokens_ >= 1) {
-        const std::uint32_t candidate = best_migration(endpoint, utilization, dead);
+        const std::uint32_t candidate = best_migration(endpoint, utilization, unresponsive);
         if (candidate == none || node_.draw() * tunnel_table_.tunnels()[candidate].load > left) return;
         left -= tunnel_table_.tunnels()[candidate].load;
         migration_tokens_ -= 1;
@@ -62,33 +62,37 @@
     }
 }
 
-std::uint32_t Rebalancer::best_migration(const Endpoint& off, double utilization, bool dead) {
+std::uint32_t Rebalancer::best_migration(const Endpoint& source, double utilization, bool unresponsive) {
     std::uint32_t best = none;
-    double most = migration_min_gain;
-    for (std::uint32_t i = 0; i < tunnel_table_.tunnels().places(); ++i) {
-        const TrackedTunnel& tunnel = tunnel_table_.tunnels()[i];
-        if (!tunnel_table_.tunnels().used(i) || tunnel.state != TunnelState::open ||
-            &endpoint_table_.endpoints()[tunnel.endpoint_index] != &off)
+    double best_gain = migration_min_gain;
+    for (std::uint32_t index = 0; index < tunnel_table_.tunnels().places(); ++index) {
+        const TrackedTunnel& tunnel = tunnel_table_.tunnels()[index];
+        if (!tunnel_table_.tunnels().used(index) || tunnel.state != TunnelState::open ||
+            &endpoint_table_.endpoints()[tunnel.endpoint_index] != &source)
             continue;
-        // With the last of a group its copy goes too: each member counts for its part of that.
-        const int members = records_.groups().members(tunnel.group, off.id);
+        // A group's copy leaves with its last member: each member counts for its part of the copy.
+        const int members = records_.groups().members(tunnel.group, source.id);
         const double load =
             tunnel.load / load_.mean_load() + (members > 0 ? group_copy_tunnels / members : 0);
-        const double here =
-            dead ? 10 : load_cost_model_.late_cost(utilization - tunnel.load / load_.capacity(off) / 2, load);
-        if (here < most) continue;
+        const double cost_here =
+            unresponsive
+                ? 10
+                : load_cost_model_.late_cost(utilization - tunnel.load / load_.capacity(source) / 2, load);
+        if (cost_here < best_gain) continue;
         affinity_.mark_affinity_targets(tunnel);
-        double there =
-            load_cost_model_.max_cost_of(tunnel.traffic_class);  // in a full fleet it is better declined
-        const double dear = load_cost_model_.group_copy_cost(tunnel.group);
-        for (std::uint32_t k = 0; k < endpoint_table_.endpoints().size(); ++k)
-            if ((affinity_.holds_group()[k] != 0 || dear < there) &&
-                &endpoint_table_.endpoints()[k] != &off && slow_start_quota_.slow_start_allows(k) &&
-                load_.has_headroom(endpoint_table_.endpoints()[k], max_utilization))
-                there = std::min(there, placement_.marginal_cost(k, tunnel.load, tunnel.group));
-        if (here - there <= most) continue;
-        most = here - there;
-        best = i;
+        double cost_elsewhere =
+            load_cost_model_.max_cost_of(tunnel.traffic_class);  // in a full fleet it is better shed
+        const double new_copy_cost = load_cost_model_.group_copy_cost(tunnel.group);
+        for (std::uint32_t other = 0; other < endpoint_table_.endpoints().size(); ++other)
+            if ((affinity_.holds_group()[other] != 0 || new_copy_cost < cost_elsewhere) &&
+                &endpoint_table_.endpoints()[other] != &source &&
+                slow_start_quota_.slow_start_allows(other) &&
+                load_.has_headroom(endpoint_table_.endpoints()[other], max_utilization))
+                cost_elsewhere =
+                    std::min(cost_elsewhere, placement_.marginal_cost(other, tunnel.load, tunnel.group));
+        if (cost_here - cost_elsewhere <= best_gain) continue;
+        best_gain = cost_here - cost_elsewhere;
+        best = index;
     }
     return best;
 }
--- a/src/balance/rebalancer.h
+++ b/src/balance/rebalancer.h
@@ -1,4 +1,4 @@
-/// Migrates open tunnels off endpoints that are overloaded or do not respond.
+/// Migrates open tunnels source endpoints that are overloaded or do not respond.
 #pragma once
 
 #include "balance/endpoint.h"
@@ -27,14 +27,15 @@
     Rebalancer& operator=(const Rebalancer&) = delete;
 
     void refill_tokens();
-    /// The tunnels whose moves win the most go first; the weights place them when they are back. A node moves
-    /// its part of the excess, by chance where that is less than one tunnel, so that not all move at once.
+    /// The tunnels whose moves win the best_gain go first; the weights place them when they are back. A node
+    /// moves its part of the excess, by chance where that is less than one tunnel, so that not all move at
+    /// once.
     void migrate_excess(std::uint32_t index);
 
   private:
     friend class StateCodec;
 
-    std::uint32_t best_migration(const Endpoint& off, double utilization, bool dead);
+    std::uint32_t best_migration(const Endpoint& source, double utilization, bool unresponsive);
 
     NodeContext& node_;
     EndpointTable& endpoint_table_;
--- a/src/balance/record_lookup.h
+++ b/src/balance/record_lookup.h
@@ -22,9 +22,9 @@
     RecordLookup& operator=(const RecordLookup&) = delete;
 
     void on_lookup_reply(std::uint64_t key, bool known, std::uint32_t endpoint_id, std::int64_t stamp);
-    /// A tail that lost its records (it restarted, or took over from one that died) cannot answer: then a
-    /// copy names the endpoint, the node's own first, else that of a node near the tail on the ring, which
-    /// was on the chain before. Newest-stamp records never name an endpoint that was left before.
+    /// A tail without the record (it restarted, or replaced a failed node) cannot answer. Then a copy names
+    /// the endpoint: this node's, else that of a node near the tail, which was on the chain before. The
+    /// newest stamp wins, so a copy does not name an endpoint that the tunnel has left.
     void query_neighbours(std::uint32_t index);
     void wait_for_answer(std::uint32_t index);
 
--- a/src/balance/record_replicator.cpp
+++ b/src/balance/record_replicator.cpp
@@ -37,14 +37,17 @@
     tunnel.refresh_records_at = node_.now() + refresh_period;
     forward_record(tunnel.key, endpoint_id, tunnel.stamp, tunnel.group, tunnel.load, true);
     if (load_.load_totals_known() || tunnel.group == 0) return;
-    const bool far = first && endpoint_table_.endpoints()[tunnel.endpoint_index].zone != node_.config().zone;
-    const std::uint32_t to = affinity_.group_leader(tunnel.group);
-    if (far && to == node_.config().own_node) affinity_.on_cross_zone(tunnel.group, node_.config().zone);
-    if (far)
-        gossip_.post(to, [&](peer::Message& m) { return m.cross_zone(tunnel.group, node_.config().zone); });
-    if (to == node_.config().own_node || peer_table_.on_chain(tunnel.key, to))
+    const bool crosses_zone =
+        first && endpoint_table_.endpoints()[tunnel.endpoint_index].zone != node_.config().zone;
+    const std::uint32_t leader = affinity_.group_leader(tunnel.group);
+    if (crosses_zone && leader == node_.config().own_node)
+        affinity_.on_cross_zone(tunnel.group, node_.config().zone);
+    if (crosses_zone)
+        gossip_.post(leader,
+                     [&](peer::Message& m) { return m.cross_zone(tunnel.group, node_.config().zone); });
+    if (leader == node_.config().own_node || peer_table_.on_chain(tunnel.key, leader))
         return affinity_.maintain_affinity_targets(tunnel.group);
-    gossip_.post(to, [&](peer::Message& m) {
+    gossip_.post(leader, [&](peer::Message& m) {
         return m.record(tunnel.key, endpoint_id, tunnel.stamp, tunnel.group, tunnel.load);
     });
 }
@@ -87,8 +90,8 @@
         return;  // the newest stamp wins
     forward_record(key, endpoint_id, stamp, group, load, false);
     const std::uint32_t index = endpoint_table_.endpoint_by_id().find(endpoint_id);
-    // What others place shows in no sum yet; counting it keeps nodes from crowding one endpoint
-    // together.
+    // Placements by other nodes are in no load total yet; counting them keeps nodes from crowding one
+    // endpoint together.
     if (index == none || !fresh || node_.now() - stamp > second) return;
     load_.add_pending_load(index, load);
     if (on_own_chain && known == nullptr) gossip_budget_.count_placement();  // a known one was counted before
@@ -106,13 +109,13 @@
 void RecordReplicator::forward_record(std::uint64_t key, std::uint32_t endpoint_id, Ticks stamp,
                                       std::uint32_t group, double load, bool first) {
     Ring::Chain nodes{};
-    const std::size_t n = peer_table_.chain(key, nodes);
-    const std::size_t me = static_cast<std::size_t>(
-        std::find(nodes.begin(), nodes.begin() + n, node_.config().own_node) - nodes.begin());
-    if (!first && me == n) return;
-    const std::size_t to = first && me + 1 != n ? n : me;
-    if (to == 0) return;
-    gossip_.post(nodes[to - 1],
+    const std::size_t length = peer_table_.chain(key, nodes);
+    const std::size_t own_position = static_cast<std::size_t>(
+        std::find(nodes.begin(), nodes.begin() + length, node_.config().own_node) - nodes.begin());
+    if (!first && own_position == length) return;
+    const std::size_t next_position = first && own_position + 1 != length ? length : own_position;
+    if (next_position == 0) return;
+    gossip_.post(nodes[next_position - 1],
                  [&](peer::Message& m) { return m.record(key, endpoint_id, stamp, group, load); });
 }
 
--- a/src/balance/record_replicator.h
+++ b/src/balance/record_replicator.h
@@ -27,15 +27,15 @@
     /// Once a second: publishes the records that are due and drops those not refreshed.
     void refresh();
     void publish(TrackedTunnel& tunnel, bool first = false);
-    /// Only records whose chains hold the node go out again: all of them would be a storm.
+    /// Publishes again the records whose chains hold the node; all records would be too much gossip.
     void rereplicate_records(std::uint32_t node, bool alive);
-    /// Stamps of records are a hybrid logical clock: the wall clock, but never behind a stamp that was heard.
-    /// Guards against placements of a node whose clock is behind, which would lose to older ones.
+    /// A hybrid logical clock: the wall clock, but never behind a stamp seen. A node whose clock is behind
+    /// would otherwise lose its placements to older ones.
     Ticks next_stamp();
     void observe_stamp(Ticks stamp);
-    /// The tunnel was placed in an earlier life of the endpoint, by half a second at least: clocks differ.
-    /// They may differ by hours: one that was heard of long after that life began belongs to it, whatever its
-    /// stamp says.
+    /// The tunnel was placed in an earlier incarnation of the endpoint, by at least half a second: clocks
+    /// differ. They may differ by hours: a record refreshed long after the incarnation began belongs to it,
+    /// whatever its stamp.
     bool predates_incarnation(std::uint64_t key, const Endpoint& endpoint) const;
     void on_record(std::uint64_t key, std::uint32_t endpoint_id, std::int64_t stamp, std::uint32_t group,
                    double load);
--- a/src/balance/record_table.h
+++ b/src/balance/record_table.h
@@ -62,9 +62,8 @@
     }
     GroupTable& groups() { return groups_; }
     const GroupTable& groups() const { return groups_; }
-    // Loads of the tunnels whose records are held as the carrier or on the chain, and of those of them that
-    // were placed before `born`. Only what was heard of since counts: the records of what has ended stay for
-    // long.
+    // Loads of the tunnels whose records are held as their carrier or on their chain, and the part placed
+    // before `born`. Records of ended tunnels stay, so only those refreshed since count.
     struct Sampled {
         double load = 0, older = 0;
     };
--- a/src/balance/ring.h
+++ b/src/balance/ring.h
@@ -23,15 +23,15 @@
                 points_.emplace_back(mix((std::uint64_t{n} << 32) + i + salt), n);
         std::sort(points_.begin(), points_.end());
     }
-    // The first living node from a place on.
+    // The first live node from a key's point on.
     template <class IsAlive>
     std::uint32_t first(std::uint64_t key, IsAlive&& is_alive) const {
         Chain nodes{};
         chain(key, 1, is_alive, nodes);
         return nodes[0];
     }
-    // The tail first (the first living node from the key's point on), then its predecessors; how many there
-    // are.
+    // The chain of a key, tail first (the first live node from the key's point on), then its predecessors.
+    // Returns the number of nodes.
     template <class IsAlive>
     std::size_t chain(std::uint64_t key, std::size_t length, IsAlive&& is_alive, Chain& out) const {
         const auto it =
--- a/src/balance/slow_start_quota.cpp
+++ b/src/balance/slow_start_quota.cpp
@@ -51,11 +51,11 @@
                                    tunnel_table_.timer_label(index));
     Endpoint& endpoint = endpoint_table_.endpoints()[placement_.quota_short_endpoint()];
     for (int i = 0; i < lease_fanout; ++i) {
-        const auto lender = endpoint.quota.request_lease(quota_schedule_, endpoint.id,
-                                                         slow_start_rate(endpoint), node_.now());
-        if (!lender) return;
-        const auto slot = static_cast<std::uint32_t>(lender->slot);
-        gossip_.post(lender->node, [&](peer::Message& m) { return m.lease_request(endpoint.id, slot); });
+        const auto request = endpoint.quota.request_lease(quota_schedule_, endpoint.id,
+                                                          slow_start_rate(endpoint), node_.now());
+        if (!request) return;
+        const auto slot = static_cast<std::uint32_t>(request->slot);
+        gossip_.post(request->node, [&](peer::Message& m) { return m.lease_request(endpoint.id, slot); });
     }
 }
 
@@ -86,12 +86,12 @@
                     static_cast<double>(node_.config().rules.slow_start_duration) / second);
 }
 
-void SlowStartQuota::start_quota_schedule(Ticks born_at) {
-    const Ticks fall =
+void SlowStartQuota::start_quota_schedule(Ticks incarnation_started_at) {
+    const Ticks window =
         node_.config().rules.overload_window > 0 ? node_.config().rules.overload_window : second;
-    const auto nodes_dealt = static_cast<std::uint32_t>(node_.node_slots());
-    quota_schedule_ = {node_.config().own_node, nodes_dealt, std::max<Ticks>(fall / 16, 1), fall / 2,
-                       born_at};
+    const auto node_count = static_cast<std::uint32_t>(node_.node_slots());
+    quota_schedule_ = {node_.config().own_node, node_count, std::max<Ticks>(window / 16, 1), window / 2,
+                       incarnation_started_at};
 }
 
 }  // namespace lemonstair
--- a/src/balance/slow_start_quota.h
+++ b/src/balance/slow_start_quota.h
@@ -23,28 +23,29 @@
     SlowStartQuota(const SlowStartQuota&) = delete;
     SlowStartQuota& operator=(const SlowStartQuota&) = delete;
 
-    /// What all nodes together may send a cold endpoint a second: each has its share (src/budget), and
-    /// borrows units for tunnels that wait for one. In a window of `fall` come units of the window and of
-    /// `keep` before it.
+    /// The rate of new tunnels, a second, that all nodes together may send an endpoint in slow start. In an
+    /// overload window come the units of the window and those still spendable from before it.
     double slow_start_rate(const Endpoint& endpoint) const;
     bool slow_start_allows(std::uint32_t index) const;
-    /// A tunnel waits for want of a unit: some are asked for where they lie. Not for long where it could go
-    /// elsewhere.
+    /// Requests units of other nodes' slots for a waiting tunnel; it waits only briefly where it could be
+    /// placed elsewhere.
     void request_lease(std::uint32_t index);
     void on_lease_request(std::uint32_t sender, std::uint32_t endpoint_id, std::uint32_t slot);
     bool on_lease_grant(std::uint32_t sender, std::uint32_t endpoint_id, std::uint32_t slot);
-    /// Guards against two dealings of one budget: what was spent by the one before is of an earlier life.
+    /// Starts anew, so that no unit is spent twice: earlier units may have been spent by the previous owner
+    /// of the state.
     void restart_quota_schedule();
     const quota::QuotaSchedule& quota_schedule() const { return quota_schedule_; }
 
   private:
     friend class StateCodec;
 
-    // A cold endpoint takes new tunnels as fast as fills it over its warm-up; where they end sooner,
-    // faster.
+    // The time, in s, over which new tunnels fill an endpoint: its slow start, or the lifetime of tunnels
+    // where that is shorter.
     double fill_duration() const;
-    // What began before may have been spent by an earlier life, or by the process that was the node before.
-    void start_quota_schedule(Ticks born_at);
+    // Slots begun earlier may have been spent by an earlier incarnation, or by the process that ran the
+    // node before.
+    void start_quota_schedule(Ticks incarnation_started_at);
 
     NodeContext& node_;
     EndpointTable& endpoint_table_;
--- a/src/balance/tunnel_lifecycle.cpp
+++ b/src/balance/tunnel_lifecycle.cpp
@@ -48,10 +48,10 @@
       lookup_(lookup),
       records_(records) {}
 
-void TunnelLifecycle::on_request(std::uint64_t id, const TunnelRequest& a) {
-    const std::uint32_t index = track_tunnel(id, a);
+void TunnelLifecycle::on_request(std::uint64_t id, const TunnelRequest& request) {
+    const std::uint32_t index = track_tunnel(id, request);
     TrackedTunnel& tunnel = tunnel_table_.tunnels()[index];
-    if (!a.mid_flow)
+    if (!request.mid_flow)
         return admission_.admission_open() ? place(index) : finish(index, Reason::admission_closed);
     if (!tunnel.has_key || tunnel_table_.lookups().find(tunnel.key) != none) return place(index);
     Ring::Chain nodes{};
@@ -75,10 +75,11 @@
     resume(index, none);
 }
 
-void TunnelLifecycle::adopt_open_tunnel(std::uint64_t id, const TunnelRequest& a, std::uint32_t endpoint_id) {
+void TunnelLifecycle::adopt_open_tunnel(std::uint64_t id, const TunnelRequest& request,
+                                        std::uint32_t endpoint_id) {
     const std::uint32_t endpoint_index = endpoint_table_.endpoint_by_id().find(endpoint_id);
     if (endpoint_index == none) return;
-    const std::uint32_t index = track_tunnel(id, a);
+    const std::uint32_t index = track_tunnel(id, request);
     TrackedTunnel& tunnel = tunnel_table_.tunnels()[index];
     tunnel.endpoint_index = endpoint_index;
     tunnel.attempts = 1;
@@ -88,10 +89,10 @@
     replicator_.publish(tunnel);
 }
 
-void TunnelLifecycle::on_opened(std::uint64_t id, int setup) {
+void TunnelLifecycle::on_opened(std::uint64_t id, int attempt) {
     const std::uint32_t index = tunnel_table_.tunnel_by_id().find(id);
     if (index == none || tunnel_table_.tunnels()[index].state != TunnelState::setting_up ||
-        setup + 1 != tunnel_table_.tunnels()[index].attempts)
+        attempt + 1 != tunnel_table_.tunnels()[index].attempts)
         return;
     outliers_.record_own_outcome(endpoint_table_.endpoints()[tunnel_table_.tunnels()[index].endpoint_index],
                                  Outcome::ok);
@@ -101,33 +102,33 @@
     tunnel_table_.transition_to(index, TunnelState::open);
 }
 
-void TunnelLifecycle::on_ended(std::uint64_t id, int setup, Outcome ending, Ticks took, bool settled) {
+void TunnelLifecycle::on_ended(std::uint64_t id, int attempt, Outcome outcome, Ticks took, bool settled) {
     const std::uint32_t index = tunnel_table_.tunnel_by_id().find(id);
-    if (index == none || setup + 1 != tunnel_table_.tunnels()[index].attempts) return;
+    if (index == none || attempt + 1 != tunnel_table_.tunnels()[index].attempts) return;
     TrackedTunnel& tunnel = tunnel_table_.tunnels()[index];
     if (tunnel.state == TunnelState::setting_up) {
         const Ticks fair_wait =
             attempt_policy::fair_wait(node_.config().traffic_classes[tunnel.traffic_class].latency_objective);
-        const bool too_short = ending == Outcome::timed_out && took < fair_wait;
+        const bool too_short = outcome == Outcome::timed_out && took < fair_wait;
         if (!too_short)
-            outliers_.record_own_outcome(endpoint_table_.endpoints()[tunnel.endpoint_index], ending);
-        // These did not get as far as a jam.
-        if (ending != Outcome::unreachable && ending != Outcome::withdrawn && !too_short)
+            outliers_.record_own_outcome(endpoint_table_.endpoints()[tunnel.endpoint_index], outcome);
+        // Setups that ended before reaching the endpoint say nothing about congestion.
+        if (outcome != Outcome::unreachable && outcome != Outcome::withdrawn && !too_short)
             admission_.on_setup_ended();
-        if (ending == Outcome::ok) admission_.on_setup_succeeded();
+        if (outcome == Outcome::ok) admission_.on_setup_succeeded();
     }
-    if (tunnel.state == TunnelState::open && ending == Outcome::ok) turnover_.on_tunnel_ended();
-    if (tunnel.state == TunnelState::open && ending == Outcome::connection_lost) {
+    if (tunnel.state == TunnelState::open && outcome == Outcome::ok) turnover_.on_tunnel_ended();
+    if (tunnel.state == TunnelState::open && outcome == Outcome::connection_lost) {
         endpoint_table_.endpoints()[tunnel.endpoint_index].connection_lost_at = node_.now();
         if (node_.now() - tunnel.attempt_started_at < early_loss_window) load_.on_early_loss();
     }
     if (settled || tunnel.state == TunnelState::abandoned) return release(index);
     if (tunnel.state != TunnelState::setting_up) return finish(index, Reason::attempts_used);
-    if (!never_executed(ending) && tunnel.may_have_run_on == none) {
+    if (!never_executed(outcome) && tunnel.may_have_run_on == none) {
         tunnel.may_have_run_on = tunnel.endpoint_index;
         tunnel.may_have_run_since = tunnel.attempt_started_at;
     }
-    const Reason reason = may_retry(tunnel, ending);
+    const Reason reason = may_retry(tunnel, outcome);
     if (reason != Reason::allowed) return finish(index, reason);
     place(index);
 }
@@ -181,7 +182,7 @@
         return place(index);
     if (replicator_.predates_incarnation(tunnel_table_.tunnels()[index].key,
                                          endpoint_table_.endpoints()[endpoint_index]))
-        return place(index);  // an endpoint_index that restarted holds it no more
+        return place(index);  // it has restarted since and holds it no more
     send(index, endpoint_index, true);
 }
 
@@ -192,12 +193,12 @@
 
 bool TunnelLifecycle::serialize_tunnel(std::uint64_t id, std::string& into) const {
     const std::uint32_t index = tunnel_table_.tunnel_by_id().find(id);
-    const bool stands = index != none && tunnel_table_.tunnels()[index].state == TunnelState::open;
-    if (stands)
+    const bool is_open = index != none && tunnel_table_.tunnels()[index].state == TunnelState::open;
+    if (is_open)
         StateCodec::write_tunnel(
             into, tunnel_table_.tunnels()[index],
             endpoint_table_.endpoints()[tunnel_table_.tunnels()[index].endpoint_index].id);
-    return stands;
+    return is_open;
 }
 
 bool TunnelLifecycle::restore_tunnel(std::uint64_t id, std::string_view bytes, Ticks clock_shift) {
@@ -217,7 +218,8 @@
     TrackedTunnel& tunnel = tunnel_table_.tunnels()[index];
     const std::uint32_t endpoint_index = placement_.choose(tunnel);
     if (endpoint_index != none) return send(index, endpoint_index);
-    // No endpoint_index may be sent anything now (all cold, or no list yet): wait within the setup goal.
+    // No endpoint may be sent to now (all in slow start, or no list yet): wait within the latency
+    // objective.
     tunnel.wait_until =
         std::min(tunnel.arrived_at + node_.config().traffic_classes[tunnel.traffic_class].latency_objective,
                  tunnel.deadline - 4 * node_.config().clock_resolution);
@@ -229,15 +231,15 @@
     if (placement_.waits_for_lease(tunnel)) slow_start_quota_.request_lease(index);
 }
 
-void TunnelLifecycle::send(std::uint32_t index, std::uint32_t endpoint_index, bool held_there) {
+void TunnelLifecycle::send(std::uint32_t index, std::uint32_t endpoint_index, bool is_sticky) {
     TrackedTunnel& tunnel = tunnel_table_.tunnels()[index];
-    const TrafficClass& p = node_.config().traffic_classes[tunnel.traffic_class];
-    const int others = node_.config().limits.max_attempts - tunnel.attempts - 1;
+    const TrafficClass& traffic_class = node_.config().traffic_classes[tunnel.traffic_class];
+    const int further_attempts = node_.config().limits.max_attempts - tunnel.attempts - 1;
     Ticks wait = tunnel.deadline - node_.now();
-    if (others > 0 && p.idempotency != Idempotency::non_idempotent)
-        wait = std::min(wait, std::max(p.latency_objective, wait / (others + 2)));
+    if (further_attempts > 0 && traffic_class.idempotency != Idempotency::non_idempotent)
+        wait = std::min(wait, std::max(traffic_class.latency_objective, wait / (further_attempts + 2)));
     Endpoint& endpoint = endpoint_table_.endpoints()[endpoint_index];
-    if (slow_start_.is_warming_up(endpoint) && !held_there)
+    if (slow_start_.is_warming_up(endpoint) && !is_sticky)
         static_cast<void>(endpoint.quota.spend(slow_start_quota_.quota_schedule(), endpoint.id,
                                                slow_start_quota_.slow_start_rate(endpoint), node_.now()));
     if (endpoint.ejected) endpoint.probation_at = node_.now() + probation_interval;
@@ -254,9 +256,9 @@
     replicator_.publish(tunnel, !tunnel.mid_flow);
 }
 
-void TunnelLifecycle::finish(std::uint32_t index, Reason why) {
+void TunnelLifecycle::finish(std::uint32_t index, Reason reason) {
     TrackedTunnel& tunnel = tunnel_table_.tunnels()[index];
-    node_.delegate().report_reason(tunnel.id, why);
+    node_.delegate().report_reason(tunnel.id, reason);
     if (attempt_policy::may_promise_no_effect(allowance_of(tunnel), history_of(tunnel), node_.now()))
         node_.delegate().reject(
             tunnel.id, std::min(node_.config().limits.max_retry_after,
@@ -277,18 +279,21 @@
     tunnel_table_.tunnels().give_back(index);
 }
 
-std::uint32_t TunnelLifecycle::track_tunnel(std::uint64_t id, const TunnelRequest& a) {
+std::uint32_t TunnelLifecycle::track_tunnel(std::uint64_t id, const TunnelRequest& request) {
     const std::uint32_t index = tunnel_table_.tunnels().take();
     TrackedTunnel& tunnel = tunnel_table_.tunnels()[index];
-    tunnel = {.id = id, .deadline = a.deadline, .arrived_at = node_.now(), .traffic_class = a.traffic_class};
-    tunnel.has_key = !a.key.empty();
-    tunnel.mid_flow = a.mid_flow;
-    tunnel.reconnect = a.reconnect;
-    if (tunnel.has_key) tunnel.key = hash_text(a.key);
-    if (node_.config().groups_enabled && !a.group.empty())
-        tunnel.group = static_cast<std::uint32_t>(hash_text(a.group) | 1);
+    tunnel = {.id = id,
+              .deadline = request.deadline,
+              .arrived_at = node_.now(),
+              .traffic_class = request.traffic_class};
+    tunnel.has_key = !request.key.empty();
+    tunnel.mid_flow = request.mid_flow;
+    tunnel.reconnect = request.reconnect;
+    if (tunnel.has_key) tunnel.key = hash_text(request.key);
+    if (node_.config().groups_enabled && !request.group.empty())
+        tunnel.group = static_cast<std::uint32_t>(hash_text(request.group) | 1);
     const Record* record = tunnel.has_key ? records_.find(tunnel.key) : nullptr;
-    tunnel.load = a.expected_load > 0 ? a.expected_load : load_.usual_load(tunnel.traffic_class);
+    tunnel.load = request.expected_load > 0 ? request.expected_load : load_.usual_load(tunnel.traffic_class);
     if (record != nullptr && record->load > 0) tunnel.load = record->load;
     tunnel_table_.tunnel_by_id().put(id, index);
     return index;
@@ -314,22 +319,25 @@
 }
 
 attempt_policy::Allowance TunnelLifecycle::allowance_of(const TrackedTunnel& tunnel) const {
-    const TrafficClass& p = node_.config().traffic_classes[tunnel.traffic_class];
-    return {p.idempotency,          p.deduplication_scope,
-            p.deduplication_window, node_.config().limits.max_attempts,
-            tunnel.deadline,        node_.config().clock_resolution};
+    const TrafficClass& traffic_class = node_.config().traffic_classes[tunnel.traffic_class];
+    return {traffic_class.idempotency,
+            traffic_class.deduplication_scope,
+            traffic_class.deduplication_window,
+            node_.config().limits.max_attempts,
+            tunnel.deadline,
+            node_.config().clock_resolution};
 }
 
 attempt_policy::History TunnelLifecycle::history_of(const TrackedTunnel& tunnel) {
     return {tunnel.attempts, tunnel.may_have_run_on != none, tunnel.may_have_run_since};
 }
 
-Reason TunnelLifecycle::may_retry(const TrackedTunnel& tunnel, Outcome ending) {
+Reason TunnelLifecycle::may_retry(const TrackedTunnel& tunnel, Outcome outcome) {
     const Reason reason =
-        attempt_policy::may_retry(allowance_of(tunnel), history_of(tunnel), ending, node_.now());
+        attempt_policy::may_retry(allowance_of(tunnel), history_of(tunnel), outcome, node_.now());
     if (reason != Reason::allowed) return reason;
-    // Where most setups fail everywhere, another try would only add to it.
-    if (ending == Outcome::timed_out &&
+    // Where most setups fail everywhere, a retry would only add load.
+    if (outcome == Outcome::timed_out &&
         endpoint_table_.endpoints()[tunnel.endpoint_index].failure_likelihood.failure_rate_elsewhere(
             outliers_.recent_outcomes(), node_.now()) > failure_detector::outlier_failure_rate / 2)
         return Reason::failing_everywhere;
--- a/src/balance/tunnel_lifecycle.h
+++ b/src/balance/tunnel_lifecycle.h
@@ -1,4 +1,4 @@
-/// The life of a tunnel from its request to its end: attempts, retries, waiting and final answers.
+/// Drives each tunnel from its request to its end: attempts, retries, waiting and final answers.
 #pragma once
 #include <string>
 #include <string_view>
@@ -38,17 +38,25 @@
     TunnelLifecycle(const TunnelLifecycle&) = delete;
     TunnelLifecycle& operator=(const TunnelLifecycle&) = delete;
 
-    void on_request(std::uint64_t id, const TunnelRequest& a);
+    /// A new tunnel, or one met mid-flow: rejects it, looks its record up, or places it.
+    void on_request(std::uint64_t id, const TunnelRequest& request);
+    /// A lookup or a wait for a lease has timed out.
     void on_tunnel_timer(std::uint64_t label);
-    void adopt_open_tunnel(std::uint64_t id, const TunnelRequest& a, std::uint32_t endpoint_id);
-    void on_opened(std::uint64_t id, int setup);
-    void on_ended(std::uint64_t id, int setup, Outcome ending, Ticks took, bool settled);
+    /// A tunnel that is already open to an endpoint.
+    void adopt_open_tunnel(std::uint64_t id, const TunnelRequest& request, std::uint32_t endpoint_id);
+    void on_opened(std::uint64_t id, int attempt);
+    /// An attempt or an open tunnel has ended; `settled`: its client has the final answer already.
+    void on_ended(std::uint64_t id, int attempt, Outcome outcome, Ticks took, bool settled);
+    /// Whether the attempt that is out may still be written within `reserve` (see attempt_policy).
     Reason may_write(std::uint64_t id, Ticks reserve) const;
     void set_answer_deadline(Ticks when);
     void on_client_disconnected(std::uint64_t id);
     void on_load_changed(std::uint64_t id, double load);
+    /// Sends a tunnel to the endpoint that its record names (an id, or none), if that still holds it.
     void resume(std::uint32_t index, std::uint32_t endpoint_id);
+    /// Chooses again for each waiting tunnel.
     void retry_waiting();
+    /// Hot restart. False where the tunnel is not open, or the bytes cannot be used.
     bool serialize_tunnel(std::uint64_t id, std::string& into) const;
     bool restore_tunnel(std::uint64_t id, std::string_view bytes, Ticks clock_shift);
 
@@ -56,18 +64,19 @@
     friend class StateCodec;
 
     void place(std::uint32_t index);
-    // Held there: what the endpoint holds already asks for nothing more of it.
-    void send(std::uint32_t index, std::uint32_t endpoint_index, bool held_there = false);
-    // The final answer of a tunnel that is given up: at once, and a decline wherever that is true.
-    void finish(std::uint32_t index, Reason why);
+    // Starts an attempt. `is_sticky`: the endpoint holds the tunnel already, so no slow-start quota is spent.
+    void send(std::uint32_t index, std::uint32_t endpoint_index, bool is_sticky = false);
+    // Gives the final answer: a rejection wherever a retry is certainly harmless, else a failure.
+    void finish(std::uint32_t index, Reason reason);
     void release(std::uint32_t index);
-    std::uint32_t track_tunnel(std::uint64_t id, const TunnelRequest& a);
+    std::uint32_t track_tunnel(std::uint64_t id, const TunnelRequest& request);
     void retry(std::uint32_t index);
-    // To what already holds the tunnel, until the drain's grace is over.
+    // Whether the endpoint that holds a tunnel may be sent it: until the grace of a drain is over.
     bool may_send_sticky(const Endpoint& endpoint) const;
     attempt_policy::Allowance allowance_of(const TrackedTunnel& tunnel) const;
     static attempt_policy::History history_of(const TrackedTunnel& tunnel);
-    Reason may_retry(const TrackedTunnel& tunnel, Outcome ending);
+    // The one place that decides whether a retry may begin.
+    Reason may_retry(const TrackedTunnel& tunnel, Outcome outcome);
 
     NodeContext& node_;
     EndpointTable& endpoint_table_;
