--- a/example/example_server.cpp
+++ b/example/example_server.cpp
@@ -1,6 +1,7 @@
-// A toy for trying a node: plays discovery and any number of hosts in one process.
+// A server to try a node with: discovery and any number of endpoints in one process.
 //     lemonstair_example_server DISCOVERY HOST [HOST ...]        each an address and a port
-// A host opens every tunnel, echoes its lines, and tells as its load how many it holds of ten.
+// An endpoint opens every tunnel and echoes its lines. The load that it reports is a tenth for each open
+// tunnel.
 #include <poll.h>
 #include <sys/socket.h>
 
@@ -22,91 +23,104 @@
 using lemonstair::net::Address;
 namespace net = lemonstair::net;
 
-class Toy final : public net::EventHandler {
+class ExampleServer final : public net::EventHandler {
   public:
-    Toy(net::EventLoop& loop, const std::vector<std::string>& names) : loop_(loop), open_(names.size()) {
-        for (const auto& name : names) {
-            const auto at = net::parse_address(name);
-            if (!at) throw std::invalid_argument("'" + name + "' is not an address and a port");
-            const auto n = doors_.size();
-            doors_.emplace_back(loop, loop.system().listen_on(*at), POLLIN, *this, n);
-            if (n > 0)
-                members_ += std::string(n > 1 ? "," : "") + R"({"id":"toy-)" + std::to_string(n) +
-                            R"(","host_port":")" + name +
-                            R"(","locality":"here","phase":"in_service","size":1.0,"up_since_ms":0})";
+    // The first address is discovery's, the others are the endpoints'. Throws std::invalid_argument or
+    // std::system_error.
+    ExampleServer(net::EventLoop& loop, const std::vector<std::string>& addresses)
+        : loop_(loop), open_tunnels_(addresses.size()) {
+        for (const auto& name : addresses) {
+            const auto address = net::parse_address(name);
+            if (!address) throw std::invalid_argument("'" + name + "' is not an address and a port");
+            const auto index = listeners_.size();
+            listeners_.emplace_back(loop, loop.system().listen_on(*address), POLLIN, *this, index);
+            if (index > 0)
+                endpoints_ += std::string(index > 1 ? "," : "") + R"({"id":"toy-)" + std::to_string(index) +
+                              R"(","host_port":")" + name +
+                              R"(","locality":"here","phase":"in_service","size":1.0,"up_since_ms":0})";
         }
-        loop.schedule(loop.now() + sign_every, *this, 0);
+        loop.schedule(loop.now() + keep_alive_interval, *this, 0);
     }
     void on_ready(std::uint64_t token, short) override {
-        if (token < doors_.size()) return accept(token);
-        const auto it = lines_.find(token);
-        if (it == lines_.end()) return;
+        if (token < listeners_.size()) return accept(token);
+        const auto it = connections_.find(token);
+        if (it == connections_.end()) return;
         std::array<char, 4096> bytes;
-        const auto got = it->second.socket.read(bytes);
-        it->second.text.append(bytes.data(), got.bytes);
-        bool over = got.ended || got.error != 0;
-        for (std::size_t end; !over && (end = it->second.text.find('\n')) != std::string::npos;) {
-            const std::string line = it->second.text.substr(0, end + 1);
-            it->second.text.erase(0, end + 1);
-            over = !heard(it->second, line);
+        const auto received = it->second.socket.read(bytes);
+        it->second.text.append(bytes.data(), received.bytes);
+        bool closing = received.ended || received.error != 0;
+        std::string& text = it->second.text;
+        while (!closing) {
+            const auto end = text.find('\n');
+            if (end == std::string::npos) break;
+            const std::string line = text.substr(0, end + 1);
+            text.erase(0, end + 1);
+            closing = !handle_line(it->second, line);
         }
-        if (over || it->second.text.size() > 4096) close(it);
+        if (closing || text.size() > 4096) close(it);
     }
-    // A watch is told every two seconds that it stands.
+    // An empty line tells a watch that it is still current.
     void on_timer(std::uint64_t) override {
-        for (auto& [token, line] : lines_)
-            if (line.door == 0 && line.watches) line.socket.write("1\r\n\n\r\n");
-        loop_.schedule(loop_.now() + sign_every, *this, 0);
+        for (auto& [token, connection] : connections_)
+            if (connection.listener == discovery && connection.is_watch)
+                connection.socket.write("1\r\n\n\r\n");
+        loop_.schedule(loop_.now() + keep_alive_interval, *this, 0);
     }
 
   private:
-    static constexpr net::Ticks sign_every = 20000;
-    struct Line {
+    static constexpr net::Ticks keep_alive_interval = 20000;  // tenths of a ms
+    static constexpr std::size_t discovery = 0;               // its listener; the others are endpoints
+    struct Connection {
         net::Socket socket;
-        std::size_t door = 0;
+        std::size_t listener = 0;
         std::string text;
-        bool tunnel = false, watches = false;
+        bool is_tunnel = false, is_watch = false;
     };
-    using Lines = std::map<std::uint64_t, Line>;
-    void accept(std::size_t door) {
-        net::Fd fd = doors_[door].accept();
+    using Connections = std::map<std::uint64_t, Connection>;
+    void accept(std::size_t listener) {
+        net::Fd fd = listeners_[listener].accept();
         if (!fd.open()) return;
-        const std::uint64_t token = next_++;
-        lines_[token].door = door;
-        lines_[token].socket = net::Socket(loop_, std::move(fd), POLLIN, *this, token);
+        const std::uint64_t token = next_token_++;
+        connections_[token].listener = listener;
+        connections_[token].socket = net::Socket(loop_, std::move(fd), POLLIN, *this, token);
     }
-    void close(Lines::iterator at) {
-        if (at->second.tunnel) --open_[at->second.door];
-        lines_.erase(at);
+    void close(Connections::iterator it) {
+        if (it->second.is_tunnel) --open_tunnels_[it->second.listener];
+        connections_.erase(it);
     }
-    static bool say(Line& to, std::string_view text) { return to.socket.write(text).bytes == text.size(); }
-    bool heard(Line& from, const std::string& line) {
-        if (from.door == 0) {
-            if (line.substr(0, 4) != "GET ") return true;  // the call's other head lines
-            const std::string list = R"({"revision":1,"complete":true,"members":[)" + members_ + "]}\n";
+    // False where the connection is to be closed.
+    static bool send(Connection& connection, std::string_view text) {
+        return connection.socket.write(text).bytes == text.size();
+    }
+    // False where the connection is to be closed.
+    bool handle_line(Connection& connection, const std::string& line) {
+        if (connection.listener == discovery) {
+            if (line.substr(0, 4) != "GET ") return true;  // the request's headers
+            const std::string list = R"({"revision":1,"complete":true,"members":[)" + endpoints_ + "]}\n";
             std::ostringstream answer;
             answer << "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                    << std::hex << list.size() << "\r\n"
                    << list << "\r\n";
-            from.watches = true;
-            return say(from, answer.str());
+            connection.is_watch = true;
+            return send(connection, answer.str());
         }
-        if (from.tunnel) return say(from, line);
-        if (line.substr(0, 4) == "PING") return say(from, "PONG\r\n");
+        if (connection.is_tunnel) return send(connection, line);
+        if (line.substr(0, 4) == "PING") return send(connection, "PONG\r\n");
         if (line.substr(0, 5) == "STATS")
-            return say(from, "PONG x0=" + std::to_string(0.1 * open_[from.door]) + "\r\n");
+            return send(connection,
+                        "PONG x0=" + std::to_string(0.1 * open_tunnels_[connection.listener]) + "\r\n");
         if (line.substr(0, 5) != "OPEN ") return false;
-        from.tunnel = true;
-        ++open_[from.door];
-        std::cout << "toy-" << from.door << " opens " << line << std::flush;
-        return say(from, "UP toy-" + std::to_string(from.door) + "\r\n");
+        connection.is_tunnel = true;
+        ++open_tunnels_[connection.listener];
+        std::cout << "toy-" << connection.listener << " opens " << line << std::flush;
+        return send(connection, "UP toy-" + std::to_string(connection.listener) + "\r\n");
     }
     net::EventLoop& loop_;
-    std::vector<int> open_;  // tunnels, by door
-    std::vector<net::Socket> doors_;
-    std::string members_;
-    Lines lines_;
-    std::uint64_t next_ = 1 << 16;
+    std::vector<int> open_tunnels_;  // by listener
+    std::vector<net::Socket> listeners_;
+    std::string endpoints_;
+    Connections connections_;
+    std::uint64_t next_token_ = 1 << 16;
 };
 
 }  // namespace
@@ -119,7 +133,7 @@
     try {
         net::Kernel kernel;
         net::EventLoop loop(kernel);
-        Toy toy(loop, {argv + 1, argv + argc});
+        ExampleServer server(loop, {argv + 1, argv + argc});
         for (;;) loop.run_once([] {});
     } catch (const std::exception& e) {
         std::cerr << "lemonstair_example_server: " << e.what() << '\n';
--- a/src/config/node_config.cpp
+++ b/src/config/node_config.cpp
@@ -128,7 +128,7 @@
         config.max_admin_connections =
             std::clamp<std::size_t>(config.max_descriptors / descriptors_per_admin_connection,
                                     min_admin_connections, max_admin_connections);
-    // A health check is answered at once whatever waits at its endpoint, so its answer tells nothing of how
+    // A health check is answered at once whatever waits at its endpoint, so its answer says nothing about how
     // long messages take there.
     config.balancer.reports_message_delay = false;
     config.load_reports_enabled = settings.inner("report").text("via", "none") != "none";
--- a/src/discovery/endpoint_directory.h
+++ b/src/discovery/endpoint_directory.h
@@ -1,5 +1,6 @@
 // The endpoint directory: the endpoints that discovery lists, and the decoder of these lists. It numbers each
-// endpoint by a hash of its id, so that all nodes use the same number, and tells the balancer what it knows.
+// endpoint by a hash of its id, so that all nodes use the same number, and passes what it knows to the
+// balancer.
 #pragma once
 
 #include <cstdint>
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -2,8 +2,6 @@
 
 #include <poll.h>
 
-#include <array>
-
 #include "backoff/backoff.h"
 
 namespace lemonstair::discovery {
--- a/src/health_check/health_checker.cpp
+++ b/src/health_check/health_checker.cpp
@@ -22,7 +22,7 @@
 // The request lines; an endpoint answers either with PONG.
 constexpr std::string_view ping_request = "PING\r\n", load_report_request = "STATS\r\n";
 
-// Whether the error tells of the endpoint or only of this machine.
+// A local failure says nothing about the endpoint.
 Outcome outcome_of_connect(int error) {
     return net::is_local_failure(error) ? Outcome::not_sent : Outcome::unreachable;
 }
@@ -202,8 +202,8 @@
     const bool may_be_stale =
         connections_[index].reused && outcome != Outcome::timed_out && outcome != Outcome::error;
     close(index);
-    // An idle connection may have died since its last use, which tells nothing of the endpoint: a new one is
-    // tried.
+    // An idle connection may have died since its last use, which says nothing about the endpoint: a new one
+    // is tried.
     if (may_be_stale) {
         connections_[index].reused = false;
         return connect(index);
--- a/src/metrics/tunnel_counters.h
+++ b/src/metrics/tunnel_counters.h
@@ -6,7 +6,7 @@
 
 namespace lemonstair::metrics {
 
-// What the client of a tunnel was told last; none: nothing yet, or it left before.
+// The last answer that the client of a tunnel got; none: no answer yet, or it left before one.
 enum class FinalAnswer : std::uint8_t { none, opened, declined, closed_with_error };
 
 struct TunnelCounters {
--- a/src/net/transfer.h
+++ b/src/net/transfer.h
@@ -32,7 +32,7 @@
 bool is_resource_exhausted(int error);
 // The error concerns one accept call only; the next may succeed.
 bool is_per_call_accept_error(int error);
-// The connection was not even attempted, so the error tells nothing of the peer; includes exhausted
+// The connection was not even attempted, so the error says nothing about the peer; includes exhausted
 // resources.
 bool is_local_failure(int error);
 
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -166,12 +166,7 @@
 
   private:
     void handle(const std::string& name, const Value& f) {
-        if (name == "Batch") {
-            if (in_batch_) throw Malformed("Batch within a batch");
-            in_batch_ = true;
-            now_ = round_up_to_ticks(f.number("ts"));
-            return;
-        }
+        if (name == "Batch") return begin_batch(f);
         if (!in_batch_) throw Malformed(name + " outside a batch");
         if (name == "Go") {
             in_batch_ = false;
@@ -185,31 +180,47 @@
         if (name == "Stop") return instances_[who].reset();
         Balancer& b = *instances_[who]->balancer;
         b.set_time(now_);
+        if (!handle_tunnel_event(b, who, name, f) && !handle_node_event(b, name, f))
+            throw Malformed("event '" + name + "' is unknown");
+    }
+    void begin_batch(const Value& f) {
+        if (in_batch_) throw Malformed("Batch within a batch");
+        in_batch_ = true;
+        now_ = round_up_to_ticks(f.number("ts"));
+    }
+    // This and handle_node_event return false where the event is none of theirs.
+    bool handle_tunnel_event(Balancer& b, std::uint64_t who, const std::string& name, const Value& f) {
         if (name == "Interim")
             on_interim(b, f);
         else if (name == "Reply")
             b.on_ended(f.whole("ticket"), static_cast<int>(f.small("hop")), f.small("host"),
                        decode_outcome(f), round_up_to_ticks(f.number("duration", 0)), f.flag("settled"));
-        else if (name == "CheckResult")
-            b.on_health_check(f.small("host"), decode_outcome(f), round_up_to_ticks(f.number("duration", 0)),
-                              decode_load_report(f));
-        else if (name == "TimeoutFired")
-            on_timer(b, f.text("label"));
-        else if (name == "Peer")
-            on_gossip(b, f);
         else if (name == "Incoming")
             b.on_request(f.whole("ticket"), decode_request(who, f));
         else if (name == "Flowing")
             b.on_opened(f.whole("ticket"), static_cast<int>(f.small("hop")), f.small("host"),
                         round_up_to_ticks(f.number("duration", 0)));
-        else if (name == "Fleet")
-            apply_endpoint_list(b, f);
         else if (name == "ClientLeft")
             b.on_client_disconnected(f.whole("ticket"));
         else if (name == "Open")
             b.adopt_open_tunnel(f.whole("ticket"), decode_request(who, f), f.small("host"));
         else
-            throw Malformed("event '" + name + "' is unknown");
+            return false;
+        return true;
+    }
+    static bool handle_node_event(Balancer& b, const std::string& name, const Value& f) {
+        if (name == "CheckResult")
+            b.on_health_check(f.small("host"), decode_outcome(f), round_up_to_ticks(f.number("duration", 0)),
+                              decode_load_report(f));
+        else if (name == "TimeoutFired")
+            on_timer(b, f.text("label"));
+        else if (name == "Peer")
+            on_gossip(b, f);
+        else if (name == "Fleet")
+            apply_endpoint_list(b, f);
+        else
+            return false;
+        return true;
     }
     void enlist(std::uint64_t who, const Value& f) {
         if (who > 1000000) throw Malformed("Enlist: field 'who' is too large");
