--- a/src/fakes/clients.cpp
+++ b/src/fakes/clients.cpp
@@ -66,7 +66,7 @@
     if (node == Front::none) return pause(index, second / 2);
     client.node = node;
     client.end = environment_.network.connect(client.machine, front_.address(node), *this);
-    client.connected = true;
+    client.has_connection = true;
     client.reads = true;
     by_end_[client.end.number()] = index;
     client.reader = {};
@@ -118,15 +118,15 @@
 
 void FakeClients::close_connection(std::uint32_t index) {
     Client& client = clients_[index];
-    if (!client.connected) return;
-    client.connected = false;
+    if (!client.has_connection) return;
+    client.has_connection = false;
     environment_.network.close(client.end);
 }
 
 // The final answer has come: the node must close, and send no more.
 void FakeClients::await_close(std::uint32_t index) {
     Client& client = clients_[index];
-    client.connected = false;
+    client.has_connection = false;
     closing_[client.end.number()] = client.tunnel;
     environment_.events.schedule(environment_.now() + closing_timeout, *this,
                                  std::uint64_t{close_due} << 56 | client.end.number());
@@ -178,7 +178,7 @@
     const std::uint32_t index = it->second;
     Client& client = clients_[index];
     drain_closing(end);
-    if (!client.connected || !(client.end == end)) return;
+    if (!client.has_connection || !(client.end == end)) return;
     if (client.state == State::calling && environment_.network.is_up(end)) send_open(index);
     if (client.state != State::calling && !client.waiting.empty())
         write_waiting(environment_.network, end, client.waiting);
@@ -190,7 +190,7 @@
     const End end = clients_[index].end;
     for (;;) {
         Client& client = clients_[index];
-        if (!client.connected || !(client.end == end)) return;
+        if (!client.has_connection || !(client.end == end)) return;
         const auto got = environment_.network.read(end, bytes, true);
         if (got.bytes > 0) {
             client.reader.feed({bytes.data(), got.bytes},
--- a/src/fakes/clients.h
+++ b/src/fakes/clients.h
@@ -58,8 +58,8 @@
         ClientPlan plan;
         State state = State::away;
         End end;
-        bool connected = false, slow_reader = false, reads = true, finished_sending = false, resuming = false,
-             reconnecting = false;
+        bool has_connection = false, slow_reader = false, reads = true, finished_sending = false,
+             resuming = false, reconnecting = false;
         bool gap_echoed = false, gap_heard = false;  // lines may be missing after a change of node
         Machine machine = 0;
         std::uint32_t node = 0;
--- a/src/fakes/discovery.cpp
+++ b/src/fakes/discovery.cpp
@@ -68,8 +68,8 @@
     environment_.note("discovery silent", port_, on ? 1 : 0);
     if (on) return;
     // What was cut off stays so: those that watched must call again.
-    for (Call& c : calls_)
-        if (!c.over) environment_.network.reset(c.end), c.over = true;
+    for (Call& call : calls_)
+        if (!call.over) environment_.network.reset(call.end), call.over = true;
 }
 
 void FakeDiscovery::restart(std::uint64_t revision) {
@@ -107,21 +107,21 @@
     const std::uint32_t index = it->second;
     std::array<char, 2048> bytes;
     for (;;) {
-        Call& c = calls_[index];
+        Call& call = calls_[index];
         const auto got = environment_.network.read(e, bytes, true);
         if (got.ended || got.error != 0) return end(index);
         if (got.bytes == 0) return;
-        c.reader.feed({bytes.data(), got.bytes}, [&](std::string_view line) {
+        call.reader.feed({bytes.data(), got.bytes}, [&](std::string_view line) {
             if (line.substr(0, 4) == "GET ") {
                 const auto from = line.find("index=");
                 if (from != std::string_view::npos) {
                     std::string_view rest = line.substr(from + 6);
-                    read_whole(next_word(rest), c.known_revision);
+                    read_whole(next_word(rest), call.known_revision);
                 }
-                c.asked = true;
+                call.asked = true;
             }
-            if (line.empty() && c.asked && !c.watches) {
-                c.watches = true;
+            if (line.empty() && call.asked && !call.watches) {
+                call.watches = true;
                 environment_.events.schedule(environment_.now() + answer_after_, *this,
                                              token(answer_call, index));
             }
@@ -150,17 +150,17 @@
 }
 
 void FakeDiscovery::answer(std::uint32_t index) {
-    Call& c = calls_[index];
-    if (c.over || silent_) return;
-    environment_.network.write(c.end, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", true);
-    if (c.known_revision == revision_) return write_chunk(index, "");
+    Call& call = calls_[index];
+    if (call.over || silent_) return;
+    environment_.network.write(call.end, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", true);
+    if (call.known_revision == revision_) return write_chunk(index, "");
     // After a number that this service never gave, the whole list.
-    const bool whole = c.known_revision == 0 || c.known_revision > revision_;
+    const bool whole = call.known_revision == 0 || call.known_revision > revision_;
     std::vector<std::uint32_t> servers;
     for (std::uint32_t h = 0; h < list_.size(); ++h)
-        if (whole ? list_[h].phase != DiscoveryEntry::Phase::terminated : changed_[h] > c.known_revision)
+        if (whole ? list_[h].phase != DiscoveryEntry::Phase::terminated : changed_[h] > call.known_revision)
             servers.push_back(h);
-    write_chunk(index, list_json(c.node, whole, servers));
+    write_chunk(index, list_json(call.node, whole, servers));
     notify(index, servers);
 }
 
@@ -184,23 +184,23 @@
                 if (!calls_[i].over && calls_[i].watches && !silent_) write_chunk(i, "");
             return environment_.events.schedule(environment_.now() + keepalive_interval, *this, what);
         case change_due: {
-            const Change& c = pending_changes_[index];
-            list_[c.server] = c.entry;
-            changed_[c.server] = ++revision_;
-            environment_.note("discovery says", c.server, static_cast<std::uint64_t>(c.entry.phase),
-                              c.entry.id);
+            const Change& change = pending_changes_[index];
+            list_[change.server] = change.entry;
+            changed_[change.server] = ++revision_;
+            environment_.note("discovery says", change.server, static_cast<std::uint64_t>(change.entry.phase),
+                              change.entry.id);
             const int corrupt = std::exchange(corrupt_, 0);
             for (std::uint32_t i = 0; i < calls_.size(); ++i) {
                 if (calls_[i].over || !calls_[i].watches || silent_) continue;
                 if (corrupt == 1) write_chunk(i, "{\"revision\":");  // the watch is given up, and comes back
                 if (corrupt == 1) continue;
-                std::string text = list_json(calls_[i].node, false, {c.server});
+                std::string text = list_json(calls_[i].node, false, {change.server});
                 if (corrupt == 2)
                     text.insert(text.find('[') + 1,
                                 R"({"host_port":"10.77.0.9:8443","phase":"in_service"},)");
                 if (corrupt == 3) write_chunk(i, R"({"revision":1,"complete":true,"members":[]})");
                 write_chunk(i, text);
-                notify(i, {c.server});
+                notify(i, {change.server});
             }
             return;
         }
--- a/src/fakes/front.cpp
+++ b/src/fakes/front.cpp
@@ -25,14 +25,15 @@
 }
 
 void Front::check(std::uint32_t node) {
-    HealthState& c = nodes_[node];
-    if (c.connected) environment_.network.close(c.end);
-    c.received.clear();
-    c.end = environment_.network.connect(machine_, c.address, *this);
-    by_end_[c.end.number()] = node;
-    c.connected = true;
-    c.ping_sent = false;
-    if (c.in_rotation && environment_.now() - c.answered_at > detection_delay_) c.in_rotation = false;
+    HealthState& state = nodes_[node];
+    if (state.checking) environment_.network.close(state.end);
+    state.received.clear();
+    state.end = environment_.network.connect(machine_, state.address, *this);
+    by_end_[state.end.number()] = node;
+    state.checking = true;
+    state.ping_sent = false;
+    if (state.in_rotation && environment_.now() - state.answered_at > detection_delay_)
+        state.in_rotation = false;
     environment_.events.schedule(environment_.now() + check_every, *this, node);
 }
 
@@ -50,27 +51,27 @@
 void Front::on_stream_event(End end) {
     const auto it = by_end_.find(end.number());
     if (it == by_end_.end()) return;
-    HealthState& c = nodes_[it->second];
-    if (!(c.end == end) || !c.connected) return;
-    if (environment_.network.is_up(end) && !c.ping_sent) {
+    HealthState& state = nodes_[it->second];
+    if (!(state.end == end) || !state.checking) return;
+    if (environment_.network.is_up(end) && !state.ping_sent) {
         environment_.network.write(end, "PING\r\n", true);
-        c.ping_sent = true;
+        state.ping_sent = true;
     }
     std::array<char, 64> bytes;
     const auto received = environment_.network.read(end, bytes, true);
-    c.received.append(bytes.data(), received.bytes);
-    if (c.received.find("PONG\r\n") != std::string::npos) {
-        c.answered_at = environment_.now();
-        if (!c.leaving) c.in_rotation = true;
+    state.received.append(bytes.data(), received.bytes);
+    if (state.received.find("PONG\r\n") != std::string::npos) {
+        state.answered_at = environment_.now();
+        if (!state.leaving) state.in_rotation = true;
     }
-    if (c.received.find("BUSY\r\n") != std::string::npos) c.in_rotation = false;
+    if (state.received.find("BUSY\r\n") != std::string::npos) state.in_rotation = false;
     if (received.error != 0 && received.error != ECONNRESET) {
-        c.leaving = false;  // nobody listens: whoever comes up there next is another
-        c.in_rotation = c.in_rotation && environment_.now() - c.answered_at <= detection_delay_;
+        state.leaving = false;  // nobody listens: whoever comes up there next is another
+        state.in_rotation = state.in_rotation && environment_.now() - state.answered_at <= detection_delay_;
     }
-    if (received.error != 0 || received.ended || c.received.size() >= 6) {
+    if (received.error != 0 || received.ended || state.received.size() >= 6) {
         environment_.network.close(end);
-        c.connected = false;
+        state.checking = false;
     }
 }
 
--- a/src/fakes/front.h
+++ b/src/fakes/front.h
@@ -33,7 +33,7 @@
     struct HealthState {
         net::Address address;
         End end;
-        bool connected = false, ping_sent = false, in_rotation = false, leaving = false;
+        bool checking = false, ping_sent = false, in_rotation = false, leaving = false;
         Ticks answered_at = 0;
         std::string received;
     };
--- a/src/process_harness/process_harness.cpp
+++ b/src/process_harness/process_harness.cpp
@@ -65,8 +65,8 @@
     void new_file(std::uint32_t node, const std::string& text) override;
 
     // ---- NodeFaults: of `count` nodes from the fault's node on
-    void begin_node_fault(const Fault& f, std::uint64_t index) override;
-    bool end_node_fault(const Fault& f) override;
+    void begin_node_fault(const Fault& fault, std::uint64_t index) override;
+    bool end_node_fault(const Fault& fault) override;
 
   private:
     enum class Kind : std::uint8_t { restart, kill_late, check_nodes };
@@ -76,12 +76,12 @@
     }
     void start_node(std::uint32_t node);
     void end_node(std::uint32_t node, simulation::Invariants::NodeEnd how);
-    void begin_at(std::uint32_t node, const Fault& f);
-    void leave(std::uint32_t node, const Fault& f);
+    void begin_at(std::uint32_t node, const Fault& fault);
+    void leave(std::uint32_t node, const Fault& fault);
     void check_nodes();
     bool check_ended(std::uint32_t node);
-    std::uint32_t last_node(const Fault& f) const {
-        return std::min(f.target + std::max(f.count, 1U), scenario_.nodes);
+    std::uint32_t last_node(const Fault& fault) const {
+        return std::min(fault.target + std::max(fault.count, 1U), scenario_.nodes);
     }
     bool play_until(Ticks until, const volatile bool& stop);
     RunResult make_result(Ticks played_for);
@@ -129,39 +129,40 @@
 // ---- nodes
 
 void ProcessHarness::start_node(std::uint32_t node) {
-    ProcessSlot& s = slots_[node];
-    if (s.process) return;
-    ++s.incarnation;
-    s.leaving = s.stalled = false;
-    s.last_use = {};
+    ProcessSlot& slot = slots_[node];
+    if (slot.process) return;
+    ++slot.incarnation;
+    slot.leaving = slot.stalled = false;
+    slot.last_use = {};
     invariants_.node_started(node);
-    s.process = std::make_unique<Process>(
-        wish_.program, std::string(1, 'n').append(std::to_string(node)), s.file, wish_.log_folder,
-        wish_.environment ? wish_.environment(node, s.incarnation) : std::vector<std::string>{});
+    slot.process = std::make_unique<Process>(
+        wish_.program, std::string(1, 'n').append(std::to_string(node)), slot.file, wish_.log_folder,
+        wish_.environment ? wish_.environment(node, slot.incarnation) : std::vector<std::string>{});
 }
 
 void ProcessHarness::end_node(std::uint32_t node, simulation::Invariants::NodeEnd how) {
-    ProcessSlot& s = slots_[node];
-    if (!s.process) return;
-    s.processor_s += s.process->used().processor_s;
+    ProcessSlot& slot = slots_[node];
+    if (!slot.process) return;
+    slot.processor_s += slot.process->used().processor_s;
     invariants_.node_ended(node, how);
-    s.process.reset();
+    slot.process.reset();
 }
 
 void ProcessHarness::new_file(std::uint32_t node, const std::string& text) {
-    ProcessSlot& s = slots_[node];
-    s.file = text;
-    if (!s.process) return;
-    s.process->configure(text);
-    s.process->signal(SIGHUP);
+    ProcessSlot& slot = slots_[node];
+    slot.file = text;
+    if (!slot.process) return;
+    slot.process->configure(text);
+    slot.process->signal(SIGHUP);
 }
 
 // True: its process had ended, by request or by itself.
 bool ProcessHarness::check_ended(std::uint32_t node) {
-    ProcessSlot& s = slots_[node];
-    if (s.process->runs()) return false;
-    const bool left = s.leaving && s.process->ended_well();
-    if (!left) invariants_.report("crash", "node " + std::to_string(node) + " " + s.process->how_it_ended());
+    ProcessSlot& slot = slots_[node];
+    if (slot.process->runs()) return false;
+    const bool left = slot.leaving && slot.process->ended_well();
+    if (!left)
+        invariants_.report("crash", "node " + std::to_string(node) + " " + slot.process->how_it_ended());
     end_node(node, left ? simulation::Invariants::NodeEnd::left : simulation::Invariants::NodeEnd::crashed);
     return true;
 }
@@ -170,73 +171,73 @@
 void ProcessHarness::check_nodes() {
     schedule(events_.now() + second, Kind::check_nodes);
     for (std::uint32_t n = 0; n < slots_.size(); ++n) {
-        ProcessSlot& s = slots_[n];
-        if (!s.process || check_ended(n)) continue;
-        const Process::Used used = s.process->used();
-        if (s.last_use.waited_s > 0 && !s.stalled)
+        ProcessSlot& slot = slots_[n];
+        if (!slot.process || check_ended(n)) continue;
+        const Process::Used used = slot.process->used();
+        if (slot.last_use.waited_s > 0 && !slot.stalled)
             outcome_.max_core_wait_s =
-                std::max(outcome_.max_core_wait_s, used.waited_s - s.last_use.waited_s);
+                std::max(outcome_.max_core_wait_s, used.waited_s - slot.last_use.waited_s);
         outcome_.costs.memory_kb = std::max(outcome_.costs.memory_kb, used.memory_kb);
-        s.last_use = used;
+        slot.last_use = used;
     }
 }
 
 // ---- faults
 
-void ProcessHarness::leave(std::uint32_t node, const Fault& f) {
-    ProcessSlot& s = slots_[node];
-    s.leaving = true;
+void ProcessHarness::leave(std::uint32_t node, const Fault& fault) {
+    ProcessSlot& slot = slots_[node];
+    slot.leaving = true;
     invariants_.node_shutdown_requested(node);
-    s.process->signal(SIGTERM);
+    slot.process->signal(SIGTERM);
     fixture_->front().leaves(node, random_.between(second / 5, second * 2 / 5));
-    schedule(events_.now() + kill_after_leave, Kind::kill_late, node, s.incarnation);
-    schedule(events_.now() + kill_after_leave + f.duration, Kind::restart, node, s.incarnation);
+    schedule(events_.now() + kill_after_leave, Kind::kill_late, node, slot.incarnation);
+    schedule(events_.now() + kill_after_leave + fault.duration, Kind::restart, node, slot.incarnation);
 }
 
-void ProcessHarness::begin_at(std::uint32_t node, const Fault& f) {
+void ProcessHarness::begin_at(std::uint32_t node, const Fault& fault) {
     using K = FaultKind;
-    ProcessSlot& s = slots_[node];
-    switch (f.kind) {
+    ProcessSlot& slot = slots_[node];
+    switch (fault.kind) {
         case K::node_kill:
             return end_node(node, simulation::Invariants::NodeEnd::killed);
         case K::node_leave:
-            return leave(node, f);
+            return leave(node, fault);
         case K::node_stall:
-            s.stalled = true;
-            invariants_.node_stalled(node, events_.now() + f.duration + second / 2);
-            return s.process->signal(SIGSTOP);
+            slot.stalled = true;
+            invariants_.node_stalled(node, events_.now() + fault.duration + second / 2);
+            return slot.process->signal(SIGSTOP);
         case K::node_reload:
-            return s.process->signal(SIGHUP);
+            return slot.process->signal(SIGHUP);
         case K::node_reload_broken:
-            s.process->configure(s.file.substr(0, s.file.size() / 2));
-            return s.process->signal(SIGHUP);
+            slot.process->configure(slot.file.substr(0, slot.file.size() / 2));
+            return slot.process->signal(SIGHUP);
         default:
             return;
     }
 }
 
-void ProcessHarness::begin_node_fault(const Fault& f, std::uint64_t) {
-    const std::uint32_t last = last_node(f);
-    for (std::uint32_t n = f.target; n < last; ++n)
-        if (slots_[n].process) begin_at(n, f);
+void ProcessHarness::begin_node_fault(const Fault& fault, std::uint64_t) {
+    const std::uint32_t last = last_node(fault);
+    for (std::uint32_t n = fault.target; n < last; ++n)
+        if (slots_[n].process) begin_at(n, fault);
 }
 
-bool ProcessHarness::end_node_fault(const Fault& f) {
+bool ProcessHarness::end_node_fault(const Fault& fault) {
     using K = FaultKind;
-    const std::uint32_t last = last_node(f);
-    switch (f.kind) {
+    const std::uint32_t last = last_node(fault);
+    switch (fault.kind) {
         case K::node_kill:
-            for (std::uint32_t n = f.target; n < last; ++n) start_node(n);
+            for (std::uint32_t n = fault.target; n < last; ++n) start_node(n);
             return true;
         case K::node_stall:
-            for (std::uint32_t n = f.target; n < last; ++n) {
+            for (std::uint32_t n = fault.target; n < last; ++n) {
                 if (slots_[n].process) slots_[n].process->signal(SIGCONT);
                 slots_[n].stalled = false;
                 slots_[n].last_use = {};
             }
             return true;
         case K::node_reload_broken:
-            for (std::uint32_t n = f.target; n < last; ++n) new_file(n, slots_[n].file);
+            for (std::uint32_t n = fault.target; n < last; ++n) new_file(n, slots_[n].file);
             return true;
         default:
             return false;
--- a/src/simulation/fault_injector.cpp
+++ b/src/simulation/fault_injector.cpp
@@ -21,31 +21,31 @@
 void FaultInjector::schedule_all() {
     const Ticks start = events_.start_time(), last = start + scenario_.duration;
     for (std::uint64_t i = 0; i < scenario_.faults.size(); ++i) {
-        const Fault& f = scenario_.faults[i];
-        schedule(start + f.start, Kind::begin, i);
-        if (fault_info(f.kind).has_duration)
-            schedule(std::min(last, start + f.start + f.duration), Kind::end, i);
+        const Fault& fault = scenario_.faults[i];
+        schedule(start + fault.start, Kind::begin, i);
+        if (fault_info(fault.kind).has_duration)
+            schedule(std::min(last, start + fault.start + fault.duration), Kind::end, i);
     }
 }
 
-void FaultInjector::begin(const Fault& f, std::uint64_t index) {
-    fixture_.environment().note("fault", index, f.target, fault_info(f.kind).name);
-    if (f.kind == FaultKind::server_drain)
-        schedule(events_.now() + std::max(f.duration, least_drain), Kind::drain_step, index);
-    if (!fixture_.begin(f)) nodes_.begin_node_fault(f, index);
+void FaultInjector::begin(const Fault& fault, std::uint64_t index) {
+    fixture_.environment().note("fault", index, fault.target, fault_info(fault.kind).name);
+    if (fault.kind == FaultKind::server_drain)
+        schedule(events_.now() + std::max(fault.duration, least_drain), Kind::drain_step, index);
+    if (!fixture_.begin(fault)) nodes_.begin_node_fault(fault, index);
 }
 
 void FaultInjector::on_event(std::uint64_t token) {
     const auto event = decode<Kind>(token);
-    const Fault& f = scenario_.faults[event.index];
+    const Fault& fault = scenario_.faults[event.index];
     switch (event.kind) {
         case Kind::begin:
-            return begin(f, event.index);
+            return begin(fault, event.index);
         case Kind::end:
-            if (!nodes_.end_node_fault(f)) fixture_.end(f);
+            if (!nodes_.end_node_fault(fault)) fixture_.end(fault);
             return;
         case Kind::drain_step:
-            if (fixture_.advance_drain(f))
+            if (fixture_.advance_drain(fault))
                 schedule(events_.now() + restart_after_drain, Kind::drain_step, event.index);
             return;
     }
--- a/src/simulation/fault_injector.h
+++ b/src/simulation/fault_injector.h
@@ -36,7 +36,7 @@
   private:
     enum class Kind : std::uint8_t { begin, end, drain_step };
     void schedule(Ticks when, Kind kind, std::uint64_t index);
-    void begin(const Fault& f, std::uint64_t index);
+    void begin(const Fault& fault, std::uint64_t index);
 
     const Scenario& scenario_;
     simnet::EventQueue& events_;
--- a/src/simulation/fixture.cpp
+++ b/src/simulation/fixture.cpp
@@ -74,6 +74,7 @@
                                                                          discovery_port, 5, random_.part(2)));
     const Machine front = network_.add_machine();
     std::vector<Machine> client_machines;
+    client_machines.reserve(3);
     for (int i = 0; i < 3; ++i) client_machines.push_back(network_.add_machine());
     std::vector<net::Address> node_addresses;
     node_addresses.reserve(scenario_.nodes);
@@ -188,16 +189,16 @@
     for (auto& r : discovery_services_) r->change(server, e, scenario_.discovery_delay);
 }
 
-bool Fixture::begin(const Fault& f) {
-    return begin_at_servers(f) || begin_at_discovery(f) || begin_on_network(f);
+bool Fixture::begin(const Fault& fault) {
+    return begin_at_servers(fault) || begin_at_discovery(fault) || begin_on_network(fault);
 }
 
-bool Fixture::begin_at_servers(const Fault& f) {
-    if (fault_info(f.kind).target != FaultInfo::Target::server) return false;
-    fakes::FakeServer& server = *servers_[f.target];
-    switch (f.kind) {
+bool Fixture::begin_at_servers(const Fault& fault) {
+    if (fault_info(fault.kind).target != FaultInfo::Target::server) return false;
+    fakes::FakeServer& server = *servers_[fault.target];
+    switch (fault.kind) {
         case K::server_slow:
-            server.slow_down(f.magnitude);
+            server.slow_down(fault.magnitude);
             break;
         case K::server_errors:
             server.fail_setups(true);
@@ -206,25 +207,25 @@
             server.decline_setups(true);
             break;
         case K::server_hang:
-            invariants_.server_silent(f.target, true);
+            invariants_.server_silent(fault.target, true);
             server.hang(true);
             break;
         case K::server_kill:
             server.stop();
-            publish(f.target, Phase::terminated);
+            publish(fault.target, Phase::terminated);
             break;
         case K::server_vanish:
             topology_.cut_off(server.machine(), true);
             invariants_.machine_cut(server.machine(), true);
             break;
         case K::server_drain:
-            publish(f.target, Phase::terminating);
+            publish(fault.target, Phase::terminating);
             break;
         case K::server_resets:
-            server.reset_some(f.magnitude);
+            server.reset_some(fault.magnitude);
             break;
         case K::server_moves_clients:
-            server.move_clients(f.duration);
+            server.move_clients(fault.duration);
             break;
         default:
             return false;
@@ -232,9 +233,9 @@
     return true;
 }
 
-bool Fixture::begin_at_discovery(const Fault& f) {
+bool Fixture::begin_at_discovery(const Fault& fault) {
     fakes::FakeDiscovery& discovery = *discovery_services_.back();
-    switch (f.kind) {
+    switch (fault.kind) {
         case K::discovery_down:
             discovery.down(true);
             return true;
@@ -242,10 +243,10 @@
             discovery.silent(true);
             return true;
         case K::discovery_slow:
-            discovery.answer_after(static_cast<Ticks>(f.magnitude * second));
+            discovery.answer_after(static_cast<Ticks>(fault.magnitude * second));
             return true;
         case K::discovery_corrupt:
-            discovery.corrupt_next(static_cast<int>(f.count));
+            discovery.corrupt_next(static_cast<int>(fault.count));
             return true;
         case K::discovery_restart:
             discovery.restart(1);
@@ -264,41 +265,41 @@
     }
 }
 
-bool Fixture::begin_on_network(const Fault& f) {
-    switch (f.kind) {
+bool Fixture::begin_on_network(const Fault& fault) {
+    switch (fault.kind) {
         case K::node_vanish:
-            topology_.cut_off(f.target, true);
-            invariants_.machine_cut(f.target, true);
+            topology_.cut_off(fault.target, true);
+            invariants_.machine_cut(fault.target, true);
             return true;
         case K::network_slow:
             for (Machine m = 0; m < scenario_.nodes + scenario_.servers; ++m)
-                topology_.slow_by(m, f.magnitude);
+                topology_.slow_by(m, fault.magnitude);
             return true;
         case K::datagrams_lost:
-            topology_.datagrams().lost = f.magnitude;
+            topology_.datagrams().lost = fault.magnitude;
             return true;
         case K::datagrams_doubled:
-            topology_.datagrams().doubled = f.magnitude;
+            topology_.datagrams().doubled = fault.magnitude;
             return true;
         case K::datagrams_late:
-            topology_.datagrams().jitter = static_cast<Ticks>(f.magnitude * second);
+            topology_.datagrams().jitter = static_cast<Ticks>(fault.magnitude * second);
             return true;
         case K::datagrams_old:
-            topology_.send_again(f.target, f.count);
+            topology_.send_again(fault.target, fault.count);
             return true;
         case K::nodes_deaf:
         case K::nodes_mute:
         case K::nodes_apart:
         case K::nodes_cut_from_servers:
         case K::path_cut:
-            return set_isolation(f, true), true;
+            return set_isolation(fault, true), true;
         case K::client_surge:
-            clients_->add(plans(f.count, f.start, f.duration, planned_));
+            clients_->add(plans(fault.count, fault.start, fault.duration, planned_));
             return true;
         case K::misbehaving_clients:
-            misbehaving_clients_->start(static_cast<int>(f.count),
-                                        static_cast<fakes::MisbehavingClients::Kind>(f.second_target),
-                                        f.count % 2 == 0);
+            misbehaving_clients_->start(static_cast<int>(fault.count),
+                                        static_cast<fakes::MisbehavingClients::Kind>(fault.second_target),
+                                        fault.count % 2 == 0);
             return true;
         default:
             return false;
@@ -306,27 +307,28 @@
 }
 
 // Faults of `count` nodes from one on.
-void Fixture::set_isolation(const Fault& f, bool on) {
-    const std::uint32_t last = std::min(f.target + std::max(f.count, 1U), scenario_.nodes);
-    if (f.kind == K::nodes_apart) return topology_.datagrams().apart(f.target, last - f.target, on);
-    if (f.kind == K::path_cut) invariants_.machine_cut(servers_[f.second_target]->machine(), on);
-    for (std::uint32_t n = f.target; n < last; ++n) {
-        if (f.kind == K::path_cut) topology_.cut_path(n, servers_[f.second_target]->machine(), on);
-        if (f.kind == K::nodes_deaf) topology_.datagrams().deaf(n, on);
-        if (f.kind == K::nodes_mute) topology_.datagrams().mute(n, on);
-        if (f.kind != K::nodes_cut_from_servers) continue;
+void Fixture::set_isolation(const Fault& fault, bool on) {
+    const std::uint32_t last = std::min(fault.target + std::max(fault.count, 1U), scenario_.nodes);
+    if (fault.kind == K::nodes_apart)
+        return topology_.datagrams().apart(fault.target, last - fault.target, on);
+    if (fault.kind == K::path_cut) invariants_.machine_cut(servers_[fault.second_target]->machine(), on);
+    for (std::uint32_t n = fault.target; n < last; ++n) {
+        if (fault.kind == K::path_cut) topology_.cut_path(n, servers_[fault.second_target]->machine(), on);
+        if (fault.kind == K::nodes_deaf) topology_.datagrams().deaf(n, on);
+        if (fault.kind == K::nodes_mute) topology_.datagrams().mute(n, on);
+        if (fault.kind != K::nodes_cut_from_servers) continue;
         for (auto& h : servers_) topology_.cut_path(n, h->machine(), on);
         invariants_.machine_cut(n, on);  // without servers a node is excused
     }
 }
 
-void Fixture::end(const Fault& f) {
+void Fixture::end(const Fault& fault) {
     fakes::FakeServer* server =
-        fault_info(f.kind).target == FaultInfo::Target::server ? servers_[f.target].get() : nullptr;
-    switch (f.kind) {
+        fault_info(fault.kind).target == FaultInfo::Target::server ? servers_[fault.target].get() : nullptr;
+    switch (fault.kind) {
         case K::node_vanish:
-            topology_.cut_off(f.target, false);
-            return invariants_.machine_cut(f.target, false);
+            topology_.cut_off(fault.target, false);
+            return invariants_.machine_cut(fault.target, false);
         case K::server_slow:
             return server->slow_down(1);
         case K::server_errors:
@@ -334,20 +336,20 @@
         case K::server_full:
             return server->decline_setups(false);
         case K::server_hang:
-            invariants_.server_silent(f.target, false);
+            invariants_.server_silent(fault.target, false);
             return server->hang(false);
         case K::server_kill:
             server->start(true);
-            invariants_.server_started(f.target);
-            return publish(f.target, Phase::active);
+            invariants_.server_started(fault.target);
+            return publish(fault.target, Phase::active);
         case K::server_vanish:
             topology_.forget(server->machine());
             server->stop();
             topology_.cut_off(server->machine(), false);
             invariants_.machine_cut(server->machine(), false);
             server->start(true);
-            invariants_.server_started(f.target);
-            return publish(f.target, Phase::active);
+            invariants_.server_started(fault.target);
+            return publish(fault.target, Phase::active);
         case K::discovery_down:
             return discovery_services_.back()->down(false);
         case K::discovery_silent:
@@ -371,23 +373,23 @@
         case K::nodes_apart:
         case K::nodes_cut_from_servers:
         case K::path_cut:
-            return set_isolation(f, false);
+            return set_isolation(fault, false);
         default:
             return;
     }
 }
 
 // The first step stops a server that drains, the second starts it again.
-bool Fixture::advance_drain(const Fault& f) {
-    fakes::FakeServer& server = *servers_[f.target];
+bool Fixture::advance_drain(const Fault& fault) {
+    fakes::FakeServer& server = *servers_[fault.target];
     if (server.state() == fakes::FakeServer::State::up) {
         server.stop();
-        publish(f.target, Phase::terminated);
+        publish(fault.target, Phase::terminated);
         return true;
     }
     server.start(true);
-    invariants_.server_started(f.target);
-    publish(f.target, Phase::active);
+    invariants_.server_started(fault.target);
+    publish(fault.target, Phase::active);
     return false;
 }
 
--- a/src/simulation/operator_actions.cpp
+++ b/src/simulation/operator_actions.cpp
@@ -39,8 +39,9 @@
 
 // A node that has no descriptors to spare cannot answer operators.
 bool OperatorActions::starved(std::uint32_t node) const {
-    return std::any_of(scenario_.faults.begin(), scenario_.faults.end(),
-                       [&](const Fault& f) { return f.kind == FaultKind::node_starve && f.target == node; });
+    return std::any_of(scenario_.faults.begin(), scenario_.faults.end(), [&](const Fault& fault) {
+        return fault.kind == FaultKind::node_starve && fault.target == node;
+    });
 }
 
 void OperatorActions::call(std::uint32_t node, const char* line, fakes::AdminClient::Callback callback) {
@@ -55,11 +56,11 @@
 // ---- metrics
 
 void OperatorActions::read_metrics(std::uint32_t node) {
-    const ProcessSlot& s = nodes_.slot(node);
+    const ProcessSlot& slot = nodes_.slot(node);
     schedule(events_.now() + metrics_interval, Kind::read_metrics, node);
-    if (!s.current.node || !s.current.process->runs()) return;
+    if (!slot.current.node || !slot.current.process->runs()) return;
     call(node, "GET /stats",
-         [this, node, incarnation = s.incarnation, upgrades = s.upgrades](const auto& answer) {
+         [this, node, incarnation = slot.incarnation, upgrades = slot.upgrades](const auto& answer) {
              const Ticks now = events_.now();
              if (!nodes_.is_single_process(node, incarnation, upgrades) || starved(node) ||
                  !invariants_.was_undisturbed(node, now - answer.took - second, now))
@@ -74,30 +75,30 @@
 
 // ---- upgrade
 
-void OperatorActions::upgrade(std::uint32_t node, std::uint64_t fault) {
-    const ProcessSlot& s = nodes_.slot(node);
-    if (!s.current.node || !s.current.process->runs() || s.leaving || s.previous.process) return;
+void OperatorActions::upgrade(std::uint32_t node, std::uint64_t fault_index) {
+    const ProcessSlot& slot = nodes_.slot(node);
+    if (!slot.current.node || !slot.current.process->runs() || slot.leaving || slot.previous.process) return;
     upgrades_[node] = {events_.now(), 0};
     if (!nodes_.start_upgrade(node)) return;
-    schedule(events_.now() + health_interval, Kind::poll_health, fault, s.upgrades);
+    schedule(events_.now() + health_interval, Kind::poll_health, fault_index, slot.upgrades);
 }
 
-void OperatorActions::poll_health(std::uint64_t fault, std::uint32_t upgrades) {
-    const Fault& f = scenario_.faults[fault];
-    const ProcessSlot& s = nodes_.slot(f.target);
-    if (s.upgrades != upgrades || !s.previous.process) return;
-    check_health(f.target, f.kind == FaultKind::node_upgrade);
-    schedule(events_.now() + health_interval, Kind::poll_health, fault, upgrades);
+void OperatorActions::poll_health(std::uint64_t fault_index, std::uint32_t upgrades) {
+    const Fault& fault = scenario_.faults[fault_index];
+    const ProcessSlot& slot = nodes_.slot(fault.target);
+    if (slot.upgrades != upgrades || !slot.previous.process) return;
+    check_health(fault.target, fault.kind == FaultKind::node_upgrade);
+    schedule(events_.now() + health_interval, Kind::poll_health, fault_index, upgrades);
 }
 
 // `completes`: the previous process is told to leave once the new one is healthy.
 void OperatorActions::check_health(std::uint32_t node, bool completes) {
-    const ProcessSlot& s = nodes_.slot(node);
+    const ProcessSlot& slot = nodes_.slot(node);
     Upgrade& upgrade = upgrades_[node];
-    if (!s.previous.process || !s.current.process || upgrade.healthy_at != 0) return;
+    if (!slot.previous.process || !slot.current.process || upgrade.healthy_at != 0) return;
     const Ticks now = events_.now();
     if (now - upgrade.began <= healthy_within) {
-        call(node, "GET /healthcheck", [this, node, upgrades = s.upgrades, completes](const auto& answer) {
+        call(node, "GET /healthcheck", [this, node, upgrades = slot.upgrades, completes](const auto& answer) {
             if (answer.status == 200 && nodes_.slot(node).upgrades == upgrades) on_healthy(node, completes);
         });
         return;
@@ -109,17 +110,17 @@
 }
 
 void OperatorActions::on_healthy(std::uint32_t node, bool completes) {
-    const ProcessSlot& s = nodes_.slot(node);
-    if (upgrades_[node].healthy_at != 0 || !s.previous.process) return;
+    const ProcessSlot& slot = nodes_.slot(node);
+    if (upgrades_[node].healthy_at != 0 || !slot.previous.process) return;
     upgrades_[node].healthy_at = events_.now();
     if (!completes) return;
-    s.previous.process->signal(SIGTERM);
-    schedule(events_.now() + kill_after_leave, Kind::kill_previous, node, s.upgrades);
+    slot.previous.process->signal(SIGTERM);
+    schedule(events_.now() + kill_after_leave, Kind::kill_previous, node, slot.upgrades);
 }
 
 void OperatorActions::fail_upgrade(std::uint32_t node) {
-    const ProcessSlot& s = nodes_.slot(node);
-    if (!s.previous.process || !s.current.process || !s.previous.process->runs()) return;
+    const ProcessSlot& slot = nodes_.slot(node);
+    if (!slot.previous.process || !slot.current.process || !slot.previous.process->runs()) return;
     nodes_.abort_upgrade(node);
     call(node, "POST /healthcheck/ok", [](const auto&) {});
     upgrades_[node].healthy_at = 0;
@@ -127,41 +128,41 @@
 
 // ---- drain
 
-void OperatorActions::drain(const Fault& f, std::uint64_t fault) {
-    ProcessSlot& s = nodes_.slot(f.target);
-    if (!nodes_.is_single_process(f.target, s.incarnation, s.upgrades) || s.drained) return;
-    s.drained = true;
-    invariants_.node_drained(f.target, true);
-    call(f.target, "POST /healthcheck/fail", [](const auto&) {});
-    schedule(events_.now() + drained_within, Kind::check_drained, fault, s.incarnation);
+void OperatorActions::drain(const Fault& fault, std::uint64_t fault_index) {
+    ProcessSlot& slot = nodes_.slot(fault.target);
+    if (!nodes_.is_single_process(fault.target, slot.incarnation, slot.upgrades) || slot.drained) return;
+    slot.drained = true;
+    invariants_.node_drained(fault.target, true);
+    call(fault.target, "POST /healthcheck/fail", [](const auto&) {});
+    schedule(events_.now() + drained_within, Kind::check_drained, fault_index, slot.incarnation);
 }
 
 // By then no client is sent there, and none is held there but where packets pass.
-void OperatorActions::check_drained(std::uint64_t fault, std::uint32_t incarnation) {
-    const Fault& f = scenario_.faults[fault];
-    const ProcessSlot& s = nodes_.slot(f.target);
+void OperatorActions::check_drained(std::uint64_t fault_index, std::uint32_t incarnation) {
+    const Fault& fault = scenario_.faults[fault_index];
+    const ProcessSlot& slot = nodes_.slot(fault.target);
     const Ticks now = events_.now();
-    if (!s.current.node || s.incarnation != incarnation) return;
-    const bool same = nodes_.is_single_process(f.target, incarnation, s.upgrades) &&
-                      invariants_.was_undisturbed(f.target, now - drained_within - second, now);
-    if (same && s.drained && !starved(f.target)) {
-        invariants_.judge_drained(f.target);
-        call(f.target, "GET /healthcheck", [this, node = f.target](const auto& answer) {
+    if (!slot.current.node || slot.incarnation != incarnation) return;
+    const bool same = nodes_.is_single_process(fault.target, incarnation, slot.upgrades) &&
+                      invariants_.was_undisturbed(fault.target, now - drained_within - second, now);
+    if (same && slot.drained && !starved(fault.target)) {
+        invariants_.judge_drained(fault.target);
+        call(fault.target, "GET /healthcheck", [this, node = fault.target](const auto& answer) {
             if (answer.status == 200 && nodes_.slot(node).drained)
                 invariants_.report("drained",
                                    "node " + std::to_string(node) + " still says yes 4 s after the call");
         });
     }
-    schedule(now + f.duration, Kind::end_drain, fault, incarnation);
+    schedule(now + fault.duration, Kind::end_drain, fault_index, incarnation);
 }
 
-void OperatorActions::end_drain(const Fault& f, std::uint32_t incarnation) {
-    ProcessSlot& s = nodes_.slot(f.target);
-    if (!s.current.node || s.incarnation != incarnation || !s.drained) return;
-    s.drained = false;
-    invariants_.node_drained(f.target, false);
-    call(f.target, "POST /healthcheck/ok", [](const auto&) {});
-    const auto check = [this, node = f.target, incarnation, upgrades = s.upgrades] {
+void OperatorActions::end_drain(const Fault& fault, std::uint32_t incarnation) {
+    ProcessSlot& slot = nodes_.slot(fault.target);
+    if (!slot.current.node || slot.incarnation != incarnation || !slot.drained) return;
+    slot.drained = false;
+    invariants_.node_drained(fault.target, false);
+    call(fault.target, "POST /healthcheck/ok", [](const auto&) {});
+    const auto check = [this, node = fault.target, incarnation, upgrades = slot.upgrades] {
         call(node, "GET /healthcheck", [this, node, incarnation, upgrades](const auto& answer) {
             const Ticks now = events_.now();
             if (answer.status != 200 && nodes_.is_single_process(node, incarnation, upgrades) &&
--- a/src/simulation/operator_actions.h
+++ b/src/simulation/operator_actions.h
@@ -20,10 +20,10 @@
 
     // `fault`: its place in the scenario. As the platform does it: the previous process has SIGTERM once the
     // new one says that it is healthy.
-    void upgrade(std::uint32_t node, std::uint64_t fault);
+    void upgrade(std::uint32_t node, std::uint64_t fault_index);
     // The new process dies before it has taken over.
     void fail_upgrade(std::uint32_t node);
-    void drain(const Fault& f, std::uint64_t fault);
+    void drain(const Fault& fault, std::uint64_t fault_index);
     // Connections that say nothing, or half a request.
     void open_idle_connections(std::uint32_t node, int count);
     void on_event(std::uint64_t token) override;
@@ -44,11 +44,11 @@
     void call(std::uint32_t node, const char* line, fakes::AdminClient::Callback callback);
     bool starved(std::uint32_t node) const;
     void read_metrics(std::uint32_t node);
-    void poll_health(std::uint64_t fault, std::uint32_t upgrades);
+    void poll_health(std::uint64_t fault_index, std::uint32_t upgrades);
     void check_health(std::uint32_t node, bool completes);
     void on_healthy(std::uint32_t node, bool completes);
-    void check_drained(std::uint64_t fault, std::uint32_t incarnation);
-    void end_drain(const Fault& f, std::uint32_t incarnation);
+    void check_drained(std::uint64_t fault_index, std::uint32_t incarnation);
+    void end_drain(const Fault& fault, std::uint32_t incarnation);
 
     const Scenario& scenario_;
     simnet::EventQueue& events_;
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -13,10 +13,6 @@
 
 constexpr Ticks ms = 10, second = 10000;
 
-}  // namespace
-
-namespace {
-
 // The order of draws is part of a seed's meaning: a draw that is added goes to the end.
 void draw_fleet(RandomSource& random, Scenario& scenario) {
     scenario.packet_passthrough = random.odds(0.5);
@@ -53,56 +49,58 @@
     traits.report_interval = random.between(300 * ms, 1200 * ms);
 }
 
-void draw_parameters(RandomSource& random, Fault& f) {
-    switch (f.kind) {
+void draw_parameters(RandomSource& random, Fault& fault) {
+    switch (fault.kind) {
         case FaultKind::server_slow:
-            f.magnitude = random.between(3.0, 100.0);
+            fault.magnitude = random.between(3.0, 100.0);
             break;
         case FaultKind::network_slow:
-            f.magnitude = random.between(2.0, 10.0);
+            fault.magnitude = random.between(2.0, 10.0);
             break;
         case FaultKind::discovery_corrupt:
-            f.count = static_cast<std::uint32_t>(random.between(std::int64_t{1}, std::int64_t{3}));
+            fault.count = static_cast<std::uint32_t>(random.between(std::int64_t{1}, std::int64_t{3}));
             break;
         case FaultKind::datagrams_old:
-            f.count = 40;
+            fault.count = 40;
             break;
         case FaultKind::client_surge:
-            f.count = static_cast<std::uint32_t>(random.between(std::int64_t{20}, std::int64_t{150}));
+            fault.count = static_cast<std::uint32_t>(random.between(std::int64_t{20}, std::int64_t{150}));
             break;
         case FaultKind::misbehaving_clients:
-            f.count = static_cast<std::uint32_t>(random.between(std::int64_t{5}, std::int64_t{120}));
-            f.second_target = static_cast<std::uint32_t>(
+            fault.count = static_cast<std::uint32_t>(random.between(std::int64_t{5}, std::int64_t{120}));
+            fault.second_target = static_cast<std::uint32_t>(
                 random.between(std::int64_t{0}, std::int64_t{fakes::MisbehavingClients::kinds} - 1));
             break;
         default:
-            f.magnitude = random.between(0.1, 1.0);
+            fault.magnitude = random.between(0.1, 1.0);
             break;
     }
 }
 
 // What the kind does not take is left as it was before: a fault that is written and read again is the same.
-void drop_unused(const FaultInfo& info, Fault& f) {
-    if (!info.has_duration) f.duration = 0;
-    if (!info.has_magnitude) f.magnitude = 1;
-    if (!info.has_count) f.count = 0;
-    if (info.target == Target::nobody) f.target = 0;
-    if (f.kind != FaultKind::path_cut && f.kind != FaultKind::misbehaving_clients) f.second_target = 0;
+void drop_unused(const FaultInfo& info, Fault& fault) {
+    if (!info.has_duration) fault.duration = 0;
+    if (!info.has_magnitude) fault.magnitude = 1;
+    if (!info.has_count) fault.count = 0;
+    if (info.target == Target::nobody) fault.target = 0;
+    if (fault.kind != FaultKind::path_cut && fault.kind != FaultKind::misbehaving_clients)
+        fault.second_target = 0;
 }
 
 Fault draw_fault(RandomSource& random, const Scenario& scenario, const FaultInfo& info) {
-    Fault f;
-    f.kind = info.kind;
-    f.start = random.between(second, 15 * second);
-    f.duration = random.between(second / 10, 5 * second);
-    if (f.kind == FaultKind::node_stall) f.duration = random.between(std::int64_t{20} * ms, 2 * second);
-    f.target = static_cast<std::uint32_t>(random.between(
+    Fault fault;
+    fault.kind = info.kind;
+    fault.start = random.between(second, 15 * second);
+    fault.duration = random.between(second / 10, 5 * second);
+    if (fault.kind == FaultKind::node_stall)
+        fault.duration = random.between(std::int64_t{20} * ms, 2 * second);
+    fault.target = static_cast<std::uint32_t>(random.between(
         std::int64_t{0}, std::int64_t{info.target == Target::node ? scenario.nodes : scenario.servers} - 1));
-    f.second_target =
+    fault.second_target =
         static_cast<std::uint32_t>(random.between(std::int64_t{0}, std::int64_t{scenario.servers} - 1));
-    draw_parameters(random, f);
-    drop_unused(info, f);
-    return f;
+    draw_parameters(random, fault);
+    drop_unused(info, fault);
+    return fault;
 }
 
 // Faults of operators and those among nodes are drawn by scenarios of their own.
@@ -119,14 +117,15 @@
     for (std::int64_t i = 0; i < faults; ++i) {
         const FaultInfo& info = *plain[static_cast<std::size_t>(
             random.between(std::int64_t{0}, static_cast<std::int64_t>(plain.size()) - 1))];
-        const Fault f = draw_fault(random, scenario, info);
-        scenario.faults.push_back(f);
+        const Fault fault = draw_fault(random, scenario, info);
+        scenario.faults.push_back(fault);
         // Faults come together: some have a second one of their kind within a moment.
         if (!random.odds(0.3) || i + 1 >= faults) continue;
-        Fault twin = f;
-        twin.start = std::min(15 * second, f.start + random.between(std::int64_t{0}, second / 2));
+        Fault twin = fault;
+        twin.start = std::min(15 * second, fault.start + random.between(std::int64_t{0}, second / 2));
         if (info.target != Target::nobody)
-            twin.target = (f.target + 1) % (info.target == Target::node ? scenario.nodes : scenario.servers);
+            twin.target =
+                (fault.target + 1) % (info.target == Target::node ? scenario.nodes : scenario.servers);
         scenario.faults.push_back(twin);
     }
 }
@@ -165,15 +164,15 @@
                                    FaultKind::node_idle_connections};
     const std::int64_t more = random.between(std::int64_t{1}, std::int64_t{4});
     for (std::int64_t i = 0; i < more; ++i) {
-        Fault f;
-        f.kind = kinds[random.between(std::int64_t{0}, std::int64_t{4})];
-        f.start = random.between(second, 15 * second);
-        f.target =
+        Fault fault;
+        fault.kind = kinds[random.between(std::int64_t{0}, std::int64_t{4})];
+        fault.start = random.between(second, 15 * second);
+        fault.target =
             static_cast<std::uint32_t>(random.between(std::int64_t{0}, std::int64_t{scenario.nodes} - 1));
-        if (fault_info(f.kind).has_duration) f.duration = random.between(50 * ms, 2 * second);
-        if (fault_info(f.kind).has_count)
-            f.count = static_cast<std::uint32_t>(random.between(std::int64_t{5}, std::int64_t{200}));
-        scenario.faults.push_back(f);
+        if (fault_info(fault.kind).has_duration) fault.duration = random.between(50 * ms, 2 * second);
+        if (fault_info(fault.kind).has_count)
+            fault.count = static_cast<std::uint32_t>(random.between(std::int64_t{5}, std::int64_t{200}));
+        scenario.faults.push_back(fault);
     }
     sort_faults(scenario);
     return scenario;
--- a/src/simulation/simulated_nodes.cpp
+++ b/src/simulation/simulated_nodes.cpp
@@ -45,15 +45,16 @@
       invariants_(invariants),
       tamper_(tamper),
       slots_(scenario.nodes) {
-    for (ProcessSlot& s : slots_) {
-        s.machine = network_.add_machine();
-        if (scenario_.max_clock_skew > 0) s.clock_ahead = random.between(Ticks{0}, scenario_.max_clock_skew);
+    for (ProcessSlot& slot : slots_) {
+        slot.machine = network_.add_machine();
+        if (scenario_.max_clock_skew > 0)
+            slot.clock_ahead = random.between(Ticks{0}, scenario_.max_clock_skew);
     }
 }
 
 // Nodes go before what they run on.
 SimulatedNodes::~SimulatedNodes() {
-    for (ProcessSlot& s : slots_) s.current.node.reset(), s.previous.node.reset();
+    for (ProcessSlot& slot : slots_) slot.current.node.reset(), slot.previous.node.reset();
 }
 
 void SimulatedNodes::share_listener(std::uint32_t node) {
@@ -64,42 +65,42 @@
 
 bool SimulatedNodes::is_single_process(std::uint32_t node, std::uint32_t incarnation,
                                        std::uint32_t upgrades) const {
-    const ProcessSlot& s = slots_[node];
-    return s.current.node && s.current.process->runs() && !s.previous.process && !s.leaving &&
-           s.incarnation == incarnation && s.upgrades == upgrades;
+    const ProcessSlot& slot = slots_[node];
+    return slot.current.node && slot.current.process->runs() && !slot.previous.process && !slot.leaving &&
+           slot.incarnation == incarnation && slot.upgrades == upgrades;
 }
 
 // ---- start
 
 void SimulatedNodes::start(std::uint32_t node) {
-    ProcessSlot& s = slots_[node];
-    if (s.current.node) return;
-    ++s.incarnation;
-    s.leaving = s.drained = false;
+    ProcessSlot& slot = slots_[node];
+    if (slot.current.node) return;
+    ++slot.incarnation;
+    slot.leaving = slot.drained = false;
     invariants_.node_started(node);
     if (!start_process(node)) end(node, Invariants::NodeEnd::crashed);
 }
 
 void SimulatedNodes::make_process(std::uint32_t node, NodeProcess& running) {
-    const ProcessSlot& s = slots_[node];
-    const Process::Traits traits{s.clock_ahead, scenario_.loop_pass_time, scenario_.sockets};
-    running.process = std::make_unique<Process>(events_, network_, s.machine, traits);
-    running.process->files()[file_name] = s.file;
+    const ProcessSlot& slot = slots_[node];
+    const Process::Traits traits{slot.clock_ahead, scenario_.loop_pass_time, scenario_.sockets};
+    running.process = std::make_unique<Process>(events_, network_, slot.machine, traits);
+    running.process->files()[file_name] = slot.file;
     running.drain = std::make_unique<TraceDrain>(*environment_, invariants_, node);
     running.log = std::make_unique<log::Log>(log::Level::info, *running.drain);
     running.started_at = events_.now();
-    running.shared_clients = s.previous.process != nullptr;
+    running.shared_clients = slot.previous.process != nullptr;
 }
 
-config::Environment SimulatedNodes::make_environment(ProcessSlot& s) {
+config::Environment SimulatedNodes::make_environment(ProcessSlot& slot) {
     if (!scenario_.operated) return {};
-    NodeProcess& running = s.current;
-    running.process->attach_local_sockets(*s.local_sockets);
-    running.inherited = std::to_string(running.process->inherit(*s.listener));
+    NodeProcess& running = slot.current;
+    running.process->attach_local_sockets(*slot.local_sockets);
+    running.inherited = std::to_string(running.process->inherit(*slot.listener));
     // Two processes of a node have admin addresses of their own.
-    running.admin_address = simnet::Network::address(s.machine, admin_port);
-    if (s.previous.process && s.previous.admin_address == running.admin_address)
-        running.admin_address = simnet::Network::address(s.machine, admin_port + 1);
+    running.admin_address = simnet::Network::address(slot.machine, admin_port);
+    if (slot.previous.process && slot.previous.admin_address == running.admin_address)
+        running.admin_address = simnet::Network::address(slot.machine, admin_port + 1);
     running.admin_text = net::address_text(running.admin_address);
     return {.admin_addr = running.admin_text.c_str(),
             .inherited_fd = running.inherited.c_str(),
@@ -120,14 +121,14 @@
 
 // False where it does not start.
 bool SimulatedNodes::start_process(std::uint32_t node) {
-    ProcessSlot& s = slots_[node];
-    NodeProcess& running = s.current;
+    ProcessSlot& slot = slots_[node];
+    NodeProcess& running = slot.current;
     make_process(node, running);
-    const config::Environment around = make_environment(s);
+    const config::Environment around = make_environment(slot);
     net::System* system = running.process.get();
     if (tamper_ != nullptr && (running.tampered = tamper_->between(*running.process)) != nullptr)
         system = running.tampered.get();
-    environment_->note("node starts", node, s.incarnation);
+    environment_->note("node starts", node, slot.incarnation);
     try {
         running.source = std::make_unique<config::ConfigSource>(*system, file_name, around);
         running.node = make_node(running, *system);
@@ -142,9 +143,9 @@
 // ---- run
 
 void SimulatedNodes::check_descriptors(std::uint32_t node) {
-    const ProcessSlot& s = slots_[node];
-    if (!s.previous.process || !s.previous.process->runs() || !s.current.process) return;
-    const std::size_t current = s.current.process->held(), previous = s.previous.process->held();
+    const ProcessSlot& slot = slots_[node];
+    if (!slot.previous.process || !slot.previous.process->runs() || !slot.current.process) return;
+    const std::size_t current = slot.current.process->held(), previous = slot.previous.process->held();
     if (current + previous <= scenario_.sockets) return;
     invariants_.report("descriptors", "both processes of node " + std::to_string(node) + " held " +
                                           std::to_string(current) + " and " + std::to_string(previous) +
@@ -153,14 +154,14 @@
 
 // A process that has left is kept: it must not be destroyed while a call of it is on the stack.
 bool SimulatedNodes::pass(std::uint32_t node, const Process* process) {
-    ProcessSlot& s = slots_[node];
-    NodeProcess& running = s.previous.process.get() == process ? s.previous : s.current;
+    ProcessSlot& slot = slots_[node];
+    NodeProcess& running = slot.previous.process.get() == process ? slot.previous : slot.current;
     try {
         const bool goes_on = running.node->turn();
         check_descriptors(node);
         if (goes_on) return true;
-        environment_->note("node left", node, s.incarnation);
-        if (&running == &s.current) invariants_.node_ended(node, Invariants::NodeEnd::left);
+        environment_->note("node left", node, slot.incarnation);
+        if (&running == &slot.current) invariants_.node_ended(node, Invariants::NodeEnd::left);
     } catch (const std::exception& e) {
         invariants_.report("crash", "node " + std::to_string(node) + ": " + e.what());
         invariants_.node_ended(node, Invariants::NodeEnd::crashed);
@@ -178,17 +179,17 @@
 }
 
 void SimulatedNodes::write_half_file(std::uint32_t node) {
-    const ProcessSlot& s = slots_[node];
-    s.current.process->files()[file_name] = s.file.substr(0, s.file.size() / 2);
+    const ProcessSlot& slot = slots_[node];
+    slot.current.process->files()[file_name] = slot.file.substr(0, slot.file.size() / 2);
 }
 
 // ---- upgrade
 
 bool SimulatedNodes::start_upgrade(std::uint32_t node) {
-    ProcessSlot& s = slots_[node];
-    s.previous = std::exchange(s.current, {});
-    ++s.upgrades;
-    s.drained = false;  // the new one begins serving
+    ProcessSlot& slot = slots_[node];
+    slot.previous = std::exchange(slot.current, {});
+    ++slot.upgrades;
+    slot.drained = false;  // the new one begins serving
     invariants_.node_drained(node, false);
     const bool started = start_process(node);
     if (!started) end(node, Invariants::NodeEnd::crashed);
@@ -197,23 +198,23 @@
 
 // What the new one had taken over is lost to the clients, as in a stall.
 void SimulatedNodes::abort_upgrade(std::uint32_t node) {
-    ProcessSlot& s = slots_[node];
-    environment_->note("new process dies", node, s.incarnation);
+    ProcessSlot& slot = slots_[node];
+    environment_->note("new process dies", node, slot.incarnation);
     invariants_.node_stalled(node, events_.now());
-    end_process(node, s.current);
-    s.current = std::exchange(s.previous, {});
-    s.current.shared_clients = true;
+    end_process(node, slot.current);
+    slot.current = std::exchange(slot.previous, {});
+    slot.current.shared_clients = true;
 }
 
 // ---- end
 
 void SimulatedNodes::end(std::uint32_t node, Invariants::NodeEnd how) {
-    ProcessSlot& s = slots_[node];
-    if (!s.current.process) return;
-    if (s.current.process->runs() || !s.current.node) invariants_.node_ended(node, how);
-    environment_->note("node ends", node, s.incarnation);
-    end_process(node, s.previous);
-    end_process(node, s.current);
+    ProcessSlot& slot = slots_[node];
+    if (!slot.current.process) return;
+    if (slot.current.process->runs() || !slot.current.node) invariants_.node_ended(node, how);
+    environment_->note("node ends", node, slot.incarnation);
+    end_process(node, slot.previous);
+    end_process(node, slot.current);
 }
 
 void SimulatedNodes::end_process(std::uint32_t node, NodeProcess& running) {
@@ -239,11 +240,12 @@
 void SimulatedNodes::check_leftovers() {
     constexpr std::size_t allowed = 3;  // a client that comes and goes at this moment
     for (std::uint32_t n = 0; n < size(); ++n) {
-        const ProcessSlot& s = slots_[n];
-        if (!s.current.node || !s.current.process->runs() || s.leaving || s.previous.process) continue;
+        const ProcessSlot& slot = slots_[n];
+        if (!slot.current.node || !slot.current.process->runs() || slot.leaving || slot.previous.process)
+            continue;
         std::size_t clients = 0, calls = 0;
-        s.current.process->each_end([&](simnet::End end) { ++(end.side == 1 ? clients : calls); });
-        const auto holds = s.current.node->holds();
+        slot.current.process->each_end([&](simnet::End end) { ++(end.side == 1 ? clients : calls); });
+        const auto holds = slot.current.node->holds();
         usage_.most_timers = std::max(usage_.most_timers, holds.timers);
         const auto check = [&](std::size_t held, std::size_t most, const char* what) {
             if (held > most)
--- a/src/simulation/simulation.cpp
+++ b/src/simulation/simulation.cpp
@@ -43,16 +43,16 @@
     void new_file(std::uint32_t node, const std::string& text) override;
 
     // ---- NodeFaults
-    void begin_node_fault(const Fault& f, std::uint64_t index) override;
-    bool end_node_fault(const Fault& f) override;
+    void begin_node_fault(const Fault& fault, std::uint64_t index) override;
+    bool end_node_fault(const Fault& fault) override;
 
   private:
     enum class Kind : std::uint8_t { restart, kill_late };
     void schedule(Ticks when, Kind kind, std::uint64_t index, std::uint32_t incarnation = 0) {
         events_.schedule(when, *this, encode(TimedEvent<Kind>{kind, index, incarnation}));
     }
-    void leave(const Fault& f, std::uint64_t index);
-    void stall(const Fault& f);
+    void leave(const Fault& fault, std::uint64_t index);
+    void stall(const Fault& fault);
     void play_until(Ticks until);
     Verdict make_verdict();
 
@@ -80,75 +80,76 @@
     operators_ = std::make_unique<OperatorActions>(scenario_, events_, network_, fixture_->environment(),
                                                    invariants_, nodes_);
     injector_ = std::make_unique<FaultInjector>(scenario_, events_, *fixture_, *this);
-    for (const Fault& f : scenario_.faults)
-        if (f.kind == FaultKind::datagrams_old) network_.keep_datagrams();
+    for (const Fault& fault : scenario_.faults)
+        if (fault.kind == FaultKind::datagrams_old) network_.keep_datagrams();
 }
 
 // ---- faults of the nodes' processes
 
-void Simulation::leave(const Fault& f, std::uint64_t index) {
-    ProcessSlot& slot = nodes_.slot(f.target);
+void Simulation::leave(const Fault& fault, std::uint64_t index) {
+    ProcessSlot& slot = nodes_.slot(fault.target);
     if (!slot.current.node || slot.leaving || slot.previous.process) return;
     slot.leaving = true;
-    invariants_.node_shutdown_requested(f.target);
-    nodes_.signal(f.target, SIGTERM);
-    fixture_->front().leaves(f.target, random_.between(second / 5, second * 2 / 5));
+    invariants_.node_shutdown_requested(fault.target);
+    nodes_.signal(fault.target, SIGTERM);
+    fixture_->front().leaves(fault.target, random_.between(second / 5, second * 2 / 5));
     schedule(events_.now() + kill_after_leave, Kind::kill_late, index, slot.incarnation);
 }
 
-void Simulation::stall(const Fault& f) {
-    const ProcessSlot& slot = nodes_.slot(f.target);
+void Simulation::stall(const Fault& fault) {
+    const ProcessSlot& slot = nodes_.slot(fault.target);
     if (!slot.runs()) return;
-    invariants_.node_stalled(f.target, events_.now() + f.duration);
-    if (slot.previous.process) slot.previous.process->stall(f.duration);
-    slot.current.process->stall(f.duration);
+    invariants_.node_stalled(fault.target, events_.now() + fault.duration);
+    if (slot.previous.process) slot.previous.process->stall(fault.duration);
+    slot.current.process->stall(fault.duration);
 }
 
-void Simulation::begin_node_fault(const Fault& f, std::uint64_t index) {
+void Simulation::begin_node_fault(const Fault& fault, std::uint64_t index) {
     using K = FaultKind;
-    const ProcessSlot& slot = nodes_.slot(f.target);
-    switch (f.kind) {
+    const ProcessSlot& slot = nodes_.slot(fault.target);
+    switch (fault.kind) {
         case K::node_kill:
-            return nodes_.end(f.target, Invariants::NodeEnd::killed);
+            return nodes_.end(fault.target, Invariants::NodeEnd::killed);
         case K::node_leave:
-            return leave(f, index);
+            return leave(fault, index);
         case K::node_stall:
-            return stall(f);
+            return stall(fault);
         case K::node_starve:
             if (slot.current.process) slot.current.process->starve(true);
             return;
         case K::node_reload:
-            return nodes_.signal(f.target, SIGHUP);
+            return nodes_.signal(fault.target, SIGHUP);
         case K::node_upgrade:
         case K::node_upgrade_fails:
-            return operators_->upgrade(f.target, index);
+            return operators_->upgrade(fault.target, index);
         case K::node_drain:
-            return operators_->drain(f, index);
+            return operators_->drain(fault, index);
         case K::node_idle_connections:
-            return operators_->open_idle_connections(f.target, static_cast<int>(f.count));
+            return operators_->open_idle_connections(fault.target, static_cast<int>(fault.count));
         case K::node_reload_broken:
             if (!slot.current.process) return;
-            nodes_.write_half_file(f.target);
-            return nodes_.signal(f.target, SIGHUP);
+            nodes_.write_half_file(fault.target);
+            return nodes_.signal(fault.target, SIGHUP);
         default:
             return;
     }
 }
 
-bool Simulation::end_node_fault(const Fault& f) {
+bool Simulation::end_node_fault(const Fault& fault) {
     using K = FaultKind;
-    switch (f.kind) {
+    switch (fault.kind) {
         case K::node_kill:
-            nodes_.start(f.target);
+            nodes_.start(fault.target);
             return true;
         case K::node_upgrade_fails:
-            operators_->fail_upgrade(f.target);
+            operators_->fail_upgrade(fault.target);
             return true;
         case K::node_starve:
-            if (nodes_.slot(f.target).current.process) nodes_.slot(f.target).current.process->starve(false);
+            if (nodes_.slot(fault.target).current.process)
+                nodes_.slot(fault.target).current.process->starve(false);
             return true;
         case K::node_reload_broken:
-            new_file(f.target, nodes_.slot(f.target).file);
+            new_file(fault.target, nodes_.slot(fault.target).file);
             return true;
         default:
             return false;
@@ -166,10 +167,10 @@
         case Kind::restart:
             return nodes_.start(static_cast<std::uint32_t>(event.index));
         case Kind::kill_late: {
-            const Fault& f = scenario_.faults[event.index];
-            if (nodes_.slot(f.target).incarnation != event.incarnation) return;
-            nodes_.end(f.target, Invariants::NodeEnd::killed_late);
-            return schedule(events_.now() + f.duration, Kind::restart, f.target);
+            const Fault& fault = scenario_.faults[event.index];
+            if (nodes_.slot(fault.target).incarnation != event.incarnation) return;
+            nodes_.end(fault.target, Invariants::NodeEnd::killed_late);
+            return schedule(events_.now() + fault.duration, Kind::restart, fault.target);
         }
     }
 }
