--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -40,7 +40,7 @@
     return call + "\r\n";
 }
 
-Town::BalancerConfig operated(int sockets = 256) { return {.sockets = sockets, .operators = true}; }
+NodeFixture::Options operated(int sockets = 256) { return {.sockets = sockets, .admin = true}; }
 
 // A figure behind its name in an answer; -1: there is none.
 long figure(const std::string& answer, const std::string& name) {
@@ -112,57 +112,57 @@
 }
 
 TEST_CASE("a drained node says no at once and yes again; to say it twice is harmless") {
-    Town town(operated());
-    CHECK(status_of(town.get("/healthcheck")) == 200);
-    for (int i = 0; i < 2; ++i) CHECK(status_of(town.post("/healthcheck/fail")) == 200);
-    CHECK(status_of(town.get("/healthcheck")) == 503);
-    End front = town.client("PING\r\n");
-    CHECK(town.until([&] { return front.heard("\r\n"); }));
-    CHECK(front.got != "PONG\r\n");
-    for (int i = 0; i < 2; ++i) CHECK(status_of(town.post("/healthcheck/ok")) == 200);
-    CHECK(status_of(town.get("/healthcheck")) == 200);
-    front = town.client("PING\r\n");
-    CHECK(town.until([&] { return front.heard("PONG\r\n"); }));
+    NodeFixture fixture(operated());
+    CHECK(status_of(fixture.get("/healthcheck")) == 200);
+    for (int i = 0; i < 2; ++i) CHECK(status_of(fixture.post("/healthcheck/fail")) == 200);
+    CHECK(status_of(fixture.get("/healthcheck")) == 503);
+    TestConnection front = fixture.connect_client("PING\r\n");
+    CHECK(fixture.run_until([&] { return front.has_received("\r\n"); }));
+    CHECK(front.received != "PONG\r\n");
+    for (int i = 0; i < 2; ++i) CHECK(status_of(fixture.post("/healthcheck/ok")) == 200);
+    CHECK(status_of(fixture.get("/healthcheck")) == 200);
+    front = fixture.connect_client("PING\r\n");
+    CHECK(fixture.run_until([&] { return front.has_received("PONG\r\n"); }));
 }
 
 TEST_CASE("a node that leaves is not ready and cannot be told to take clients again") {
-    Town town(operated());
-    OpenTunnel tunnel = town.opened();
+    NodeFixture fixture(operated());
+    OpenTunnel tunnel = fixture.open_tunnel();
     std::raise(SIGTERM);
-    town.pass(20);
-    CHECK(status_of(town.get("/healthcheck")) == 503);
-    CHECK(status_of(town.post("/healthcheck/ok")) == 503);
-    CHECK(status_of(town.post("/healthcheck/fail")) == 200);
-    CHECK(town.get("/healthcheck").find("leaving") != std::string::npos);
+    fixture.run_for(20);
+    CHECK(status_of(fixture.get("/healthcheck")) == 503);
+    CHECK(status_of(fixture.post("/healthcheck/ok")) == 503);
+    CHECK(status_of(fixture.post("/healthcheck/fail")) == 200);
+    CHECK(fixture.get("/healthcheck").find("leaving") != std::string::npos);
 }
 
 TEST_CASE("the figures are what clients and hosts saw, zeros among them") {
-    Town town(operated());
-    std::string f = town.get("/stats");
+    NodeFixture fixture(operated());
+    std::string f = fixture.get("/stats");
     for (const char* name :
          {"fulfilled", "throttled", "faulted", "relayed", "open_requests", "out_of_rotation"})
         CHECK(figure(f, name) == 0);
     CHECK(figure(f, "registry_entries") == 2);
     CHECK(f.find(R"({"operations":{"chat":{)") != std::string::npos);
-    OpenTunnel tunnel = town.opened();
-    OpenTunnel second = town.opened();
-    End waits = town.client(town.line());
-    End asked = town.setup();
-    f = town.get("/stats");
+    OpenTunnel tunnel = fixture.open_tunnel();
+    OpenTunnel second = fixture.open_tunnel();
+    TestConnection waits = fixture.connect_client(fixture.open_line());
+    TestConnection asked = fixture.accept_attempt();
+    f = fixture.get("/stats");
     CHECK(figure(f, "fulfilled") == 2);
     CHECK(figure(f, "relayed") == 3);
     CHECK(f.find(R"(},"relayed":3,)") != std::string::npos);  // of all classes, beside each class's own
     CHECK(figure(f, "open_requests") == 3);
-    asked.say("BUSY\r\n");
-    for (int i = 0; i < 2; ++i) town.setup().say("BUSY\r\n");
-    CHECK(town.until([&] { return waits.heard("BUSY\r\n"); }));
-    tunnel.client.finish();
-    CHECK(town.until([&] { return tunnel.host.over(); }));
-    tunnel.host.finish();
-    CHECK(town.until([&] { return tunnel.client.over(); }));
-    End bad = town.client("OPEN 1 k c=nothing,d=2000\r\n");
-    CHECK(town.until([&] { return bad.heard("ERR\r\n"); }));
-    f = town.get("/stats");
+    asked.send("BUSY\r\n");
+    for (int i = 0; i < 2; ++i) fixture.accept_attempt().send("BUSY\r\n");
+    CHECK(fixture.run_until([&] { return waits.has_received("BUSY\r\n"); }));
+    tunnel.client.shutdown_write();
+    CHECK(fixture.run_until([&] { return tunnel.host.is_closed(); }));
+    tunnel.host.shutdown_write();
+    CHECK(fixture.run_until([&] { return tunnel.client.is_closed(); }));
+    TestConnection bad = fixture.connect_client("OPEN 1 k c=nothing,d=2000\r\n");
+    CHECK(fixture.run_until([&] { return bad.has_received("ERR\r\n"); }));
+    f = fixture.get("/stats");
     CHECK(figure(f, "fulfilled") == 2);
     CHECK(figure(f, "throttled") == 1);
     CHECK(figure(f, "faulted") == 0);
@@ -171,85 +171,88 @@
 }
 
 TEST_CASE("a setup that fails for good counts once, and a client that sends another command is not lost") {
-    Town town(operated());
-    End c = town.client(town.line());
-    End h = town.setup();
-    c.say("PING\r\n");
-    CHECK(town.until([&] { return c.heard("ERR\r\n"); }));
-    const std::string f = town.get("/stats");
+    NodeFixture fixture(operated());
+    TestConnection c = fixture.connect_client(fixture.open_line());
+    TestConnection h = fixture.accept_attempt();
+    c.send("PING\r\n");
+    CHECK(fixture.run_until([&] { return c.has_received("ERR\r\n"); }));
+    const std::string f = fixture.get("/stats");
     CHECK(figure(f, "faulted") == 1);
     CHECK(figure(f, "open_requests") == 0);
 }
 
 TEST_CASE("callers that say nothing or half a call, by hundreds, keep neither callers nor clients out") {
-    Town town(operated(64));
-    std::vector<End> slow;
+    NodeFixture fixture(operated(64));
+    std::vector<TestConnection> slow;
     for (int i = 0; i < 300; ++i) {
-        slow.push_back(town.caller(i % 2 == 0 ? "" : "GET /hea"));
-        if (i % 50 == 0) town.pass(1);
+        slow.push_back(fixture.connect_admin(i % 2 == 0 ? "" : "GET /hea"));
+        if (i % 50 == 0) fixture.run_for(1);
     }
     const auto from = std::chrono::steady_clock::now();
-    for (int i = 0; i < 5; ++i) CHECK(status_of(town.get("/stats")) == 200);
+    for (int i = 0; i < 5; ++i) CHECK(status_of(fixture.get("/stats")) == 200);
     CHECK(std::chrono::steady_clock::now() - from < std::chrono::seconds(1));
-    OpenTunnel tunnel = town.opened();
-    CHECK(town.until([&] { return std::all_of(slow.begin(), slow.end(), [](End& e) { return e.over(); }); },
-                     9000));
-    End half = town.caller("GET /hea");
-    CHECK(town.until([&] { return half.over(); }, 4000));
-    CHECK(status_of(half.got) == 408);
+    OpenTunnel tunnel = fixture.open_tunnel();
+    CHECK(fixture.run_until(
+        [&] {
+            return std::all_of(slow.begin(), slow.end(), [](TestConnection& e) { return e.is_closed(); });
+        },
+        9000));
+    TestConnection half = fixture.connect_admin("GET /hea");
+    CHECK(fixture.run_until([&] { return half.is_closed(); }, 4000));
+    CHECK(status_of(half.received) == 408);
 }
 
 TEST_CASE("a caller that sends on for ever, or reads nothing, is let go") {
-    Town town(operated());
-    End talks = town.caller("GET /stats HTTP/1.1\r\n\r\n"),
-        reads_nothing = town.caller("GET /stats HTTP/1.1\r\n\r\n");
-    CHECK(town.until([&] {
-        for (int i = 0; i < 10; ++i) talks.say(std::string(1000, 'x'));
-        return talks.over() && talks.heard("200 OK");
+    NodeFixture fixture(operated());
+    TestConnection talks = fixture.connect_admin("GET /stats HTTP/1.1\r\n\r\n"),
+                   reads_nothing = fixture.connect_admin("GET /stats HTTP/1.1\r\n\r\n");
+    CHECK(fixture.run_until([&] {
+        for (int i = 0; i < 10; ++i) talks.send(std::string(1000, 'x'));
+        return talks.is_closed() && talks.has_received("200 OK");
     }));
-    town.pass(800);
+    fixture.run_for(800);
     char byte = 0;
     CHECK(::recv(reads_nothing.fd.get(), &byte, 1, MSG_PEEK) ==
           1);  // its answer is there, and the node is done
-    CHECK(town.node->holds().callers == 0);
+    CHECK(fixture.node->holds().callers == 0);
 }
 
 TEST_CASE(
     "a node full of clients still answers its operators, and tunnels never take the desk's descriptors") {
-    Town town(operated(64));
-    std::vector<std::pair<End, End>> open;
-    std::vector<End> declined;
+    NodeFixture fixture(operated(64));
+    std::vector<std::pair<TestConnection, TestConnection>> open;
+    std::vector<TestConnection> declined;
     for (int i = 0; i < 40; ++i) {
-        End c = town.client(town.line());
-        End h;
-        town.until([&] {
-            for (const Door* d : {&town.a, &town.b})
+        TestConnection c = fixture.connect_client(fixture.open_line());
+        TestConnection h;
+        fixture.run_until([&] {
+            for (const TestListener* d : {&fixture.host_a, &fixture.host_b})
                 if (!h.fd.open()) h = d->accept();
-            return (h.fd.open() && h.heard("\n")) || c.over();
+            return (h.fd.open() && h.has_received("\n")) || c.is_closed();
         });
         if (!h.fd.open()) {
             declined.push_back(std::move(c));
             continue;
         }
-        h.say("UP r\r\n");
-        CHECK(town.until([&] { return c.heard("UP r\r\n"); }));
+        h.send("UP r\r\n");
+        CHECK(fixture.run_until([&] { return c.has_received("UP r\r\n"); }));
         open.emplace_back(std::move(c), std::move(h));
     }
     CHECK(!declined.empty());
-    std::vector<End> idle;
+    std::vector<TestConnection> idle;
     idle.reserve(40);
-    for (int i = 0; i < 40; ++i) idle.push_back(town.client());
-    const std::string f = town.get("/stats");
+    for (int i = 0; i < 40; ++i) idle.push_back(fixture.connect_client());
+    const std::string f = fixture.get("/stats");
     CHECK(figure(f, "open_requests") == static_cast<long>(open.size()));
     CHECK(figure(f, "fulfilled") == static_cast<long>(open.size()));
     CHECK(figure(f, "throttled") == static_cast<long>(declined.size()));
 }
 
 TEST_CASE("an address for operators that is faulty or taken ends the start and names the key") {
-    Town town(operated());
-    std::string text = town.text;
+    NodeFixture fixture(operated());
+    std::string text = fixture.config_text;
     json::Document file;
-    text.replace(text.find(town.desk), town.desk.size(), "nowhere");
+    text.replace(text.find(fixture.admin_address), fixture.admin_address.size(), "nowhere");
     REQUIRE(file.parse(text));
     CHECK_THROWS_WITH_AS(config::parse_node_config(file.root()), doctest::Contains("admin_addr"),
                          json::Malformed);
@@ -258,79 +261,80 @@
     // The environment goes before the file.
     CHECK(config::parse_node_config(file.root(), {.admin_addr = "127.0.0.1:7"}).admin ==
           net::parse_address("127.0.0.1:7"));
-    Door taken;
+    TestListener taken;
     text.replace(text.find("nowhere"), 7, taken.name());
-    text.replace(text.find(town.name), town.name.size(), Door().name());
+    text.replace(text.find(fixture.address), fixture.address.size(), TestListener().name());
     REQUIRE(file.parse(text));
-    CHECK_THROWS_WITH_AS(node::Node(town.kernel, config::parse_node_config(file.root()),
-                                    file.root().inner("known"), town.log, {}),
+    CHECK_THROWS_WITH_AS(node::Node(fixture.kernel, config::parse_node_config(file.root()),
+                                    file.root().inner("known"), fixture.log, {}),
                          doctest::Contains("admin_addr"), json::Malformed);
 }
 
 TEST_CASE("without an address for operators there is no listener and nothing is set aside") {
-    Town with(operated()), without;
+    NodeFixture with(operated()), without;
     CHECK(config::parse_node_config(without.file.root()).callers == 0);
     CHECK(config::parse_node_config(with.file.root()).callers > 0);
-    CHECK(!without.caller("GET /stats HTTP/1.1\r\n\r\n").heard("HTTP"));
+    CHECK(!without.connect_admin("GET /stats HTTP/1.1\r\n\r\n").has_received("HTTP"));
     CHECK(without.node->holds().descriptors < with.node->holds().descriptors);
 }
 
 TEST_CASE("a drained node moves its clients between two lines, stays, and takes clients again") {
-    Town town({.mode = "proxy", .operators = true});
-    OpenTunnel tunnel = town.opened();
-    OpenTunnel second = town.opened();
-    second.host.say("half a li");  // its host is in the middle of a line, and then says nothing more
-    CHECK(town.until([&] { return second.client.heard("half a li"); }));
-    End waits = town.client(town.line());
-    End asked = town.setup();
-    CHECK(status_of(town.post("/healthcheck/fail")) == 200);
+    NodeFixture fixture({.mode = "proxy", .admin = true});
+    OpenTunnel tunnel = fixture.open_tunnel();
+    OpenTunnel second = fixture.open_tunnel();
+    second.host.send("half a li");  // its host is in the middle of a line, and then says nothing more
+    CHECK(fixture.run_until([&] { return second.client.has_received("half a li"); }));
+    TestConnection waits = fixture.connect_client(fixture.open_line());
+    TestConnection asked = fixture.accept_attempt();
+    CHECK(status_of(fixture.post("/healthcheck/fail")) == 200);
     const auto from = std::chrono::steady_clock::now();
     // Who came before the no is served, and moved when it is open.
-    asked.say("UP r\r\n");
-    CHECK(town.until([&] { return waits.heard("UP r\r\n"); }));
-    CHECK(town.until([&] { return tunnel.client.over() && waits.over() && second.client.over(); }, 4000));
+    asked.send("UP r\r\n");
+    CHECK(fixture.run_until([&] { return waits.has_received("UP r\r\n"); }));
+    CHECK(fixture.run_until(
+        [&] { return tunnel.client.is_closed() && waits.is_closed() && second.client.is_closed(); }, 4000));
     CHECK(std::chrono::steady_clock::now() - from < std::chrono::milliseconds(3500));
-    CHECK(tunnel.client.got == "MOVE\r\n");
-    CHECK(waits.got == "UP r\r\nMOVE\r\n");
+    CHECK(tunnel.client.received == "MOVE\r\n");
+    CHECK(waits.received == "UP r\r\nMOVE\r\n");
     CHECK(!tunnel.client.reset);
-    CHECK(tunnel.host.over());
-    town.pass(1200);
-    CHECK(town.runs);
-    CHECK(figure(town.get("/stats"), "open_requests") == 0);
-    CHECK(status_of(town.post("/healthcheck/ok")) == 200);
-    OpenTunnel third = town.opened();
-    town.pass(1500);
-    CHECK(!third.client.over());
+    CHECK(tunnel.host.is_closed());
+    fixture.run_for(1200);
+    CHECK(fixture.running);
+    CHECK(figure(fixture.get("/stats"), "open_requests") == 0);
+    CHECK(status_of(fixture.post("/healthcheck/ok")) == 200);
+    OpenTunnel third = fixture.open_tunnel();
+    fixture.run_for(1500);
+    CHECK(!third.client.is_closed());
 }
 
 TEST_CASE("a drain that is taken back half way moves nobody from then on") {
-    Town town({.mode = "proxy", .operators = true});
-    OpenTunnel tunnel = town.opened();
-    town.post("/healthcheck/fail");
-    town.pass(100);
-    town.post("/healthcheck/ok");
-    town.pass(2000);
-    CHECK(!tunnel.client.over());
-    tunnel.client.say("still here\r\n");
-    CHECK(town.until([&] { return tunnel.host.heard("still here\r\n"); }));
+    NodeFixture fixture({.mode = "proxy", .admin = true});
+    OpenTunnel tunnel = fixture.open_tunnel();
+    fixture.post("/healthcheck/fail");
+    fixture.run_for(100);
+    fixture.post("/healthcheck/ok");
+    fixture.run_for(2000);
+    CHECK(!tunnel.client.is_closed());
+    tunnel.client.send("still here\r\n");
+    CHECK(fixture.run_until([&] { return tunnel.host.has_received("still here\r\n"); }));
 }
 
 TEST_CASE("where packets pass a drained node keeps what it carries") {
-    Town town({.mode = "pass", .operators = true});
-    OpenTunnel tunnel = town.opened();
-    town.post("/healthcheck/fail");
-    town.pass(2500);
-    CHECK(!tunnel.client.over());
-    tunnel.host.say("on\r\n");
-    CHECK(town.until([&] { return tunnel.client.heard("on\r\n"); }));
+    NodeFixture fixture({.mode = "pass", .admin = true});
+    OpenTunnel tunnel = fixture.open_tunnel();
+    fixture.post("/healthcheck/fail");
+    fixture.run_for(2500);
+    CHECK(!tunnel.client.is_closed());
+    tunnel.host.send("on\r\n");
+    CHECK(fixture.run_until([&] { return tunnel.client.has_received("on\r\n"); }));
 }
 
 TEST_CASE("SIGTERM while drained makes it leave") {
-    Town town({.mode = "proxy", .operators = true});
-    OpenTunnel tunnel = town.opened();
-    town.post("/healthcheck/fail");
-    town.pass(100);
+    NodeFixture fixture({.mode = "proxy", .admin = true});
+    OpenTunnel tunnel = fixture.open_tunnel();
+    fixture.post("/healthcheck/fail");
+    fixture.run_for(100);
     std::raise(SIGTERM);
-    CHECK(town.until([&] { return tunnel.client.over() && !town.runs; }, 4000));
-    CHECK(tunnel.client.got == "MOVE\r\n");
+    CHECK(fixture.run_until([&] { return tunnel.client.is_closed() && !fixture.running; }, 4000));
+    CHECK(tunnel.client.received == "MOVE\r\n");
 }
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -6,43 +6,44 @@
 using namespace fake;
 
 TEST_CASE("a storm of failing setups is not fed: few setups go out, the rest is declined at once") {
-    Node n;
-    n.list({7, 8, 9});
+    BalancerFixture n;
+    n.set_endpoints({7, 8, 9});
     std::uint64_t t = 1;
     for (int i = 0; i < 50; ++i) {
         for (int k = 0; k < 10; ++k, ++t) {
-            const auto before = n.sent.size();
+            const auto before = n.attempts.size();
             n.on_request(t);
-            for (auto done = before; done < n.sent.size(); ++done) n.end(t, Outcome::error);
+            for (auto done = before; done < n.attempts.size(); ++done) n.end(t, Outcome::error);
         }
-        n.pass(100 * ms);
+        n.advance(100 * ms);
     }
-    CHECK(n.sent.size() < 60);
-    CHECK(n.declined.size() == t - 1);
-    const auto before = n.declined.size();
-    n.pass(3 * s);  // the trouble is over
+    CHECK(n.attempts.size() < 60);
+    CHECK(n.rejected.size() == t - 1);
+    const auto before = n.rejected.size();
+    n.advance(3 * s);  // the trouble is over
     for (int i = 0; i < 30; ++i, ++t) {
         n.on_request(t);
         n.open(t);
-        n.pass(100 * ms);
+        n.advance(100 * ms);
     }
-    CHECK(n.declined.size() - before < 10);
+    CHECK(n.rejected.size() - before < 10);
 }
 
 TEST_CASE(
     "past what the eps can do, the heavy and little credited is declined and the light and dear is placed") {
-    auto terms = Node::usual();
-    terms.traffic_classes = {Node::profile(), Node::profile()};
-    terms.traffic_classes[1].priority_weight = 10;
-    Node n(terms);
-    n.list({7, 8});
+    auto config = BalancerFixture::default_config();
+    config.traffic_classes = {BalancerFixture::traffic_class(), BalancerFixture::traffic_class()};
+    config.traffic_classes[1].priority_weight = 10;
+    BalancerFixture n(config);
+    n.set_endpoints({7, 8});
     std::uint64_t t = 1;
     const auto arrive = [&](std::uint32_t profile) {
-        n.b->on_request(t, {.key = {}, .group = {}, .deadline = n.now + 3 * s, .traffic_class = profile});
-        const bool placed = n.setups_of(t) == 1;
+        n.balancer->on_request(t,
+                               {.key = {}, .group = {}, .deadline = n.now + 3 * s, .traffic_class = profile});
+        const bool placed = n.attempts_of(t) == 1;
         if (placed) {
             n.open(t);
-            n.b->on_load_changed(t, profile == 0 ? 0.2 : 0.01);
+            n.balancer->on_load_changed(t, profile == 0 ? 0.2 : 0.01);
         }
         ++t;
         return placed;
@@ -51,20 +52,21 @@
     for (int i = 0; i < 40; ++i) {
         arrive(1);
         heavy = arrive(0);
-        n.pass(100 * ms);
+        n.advance(100 * ms);
     }
     CHECK(!heavy);
     CHECK(arrive(1));
-    CHECK(n.declined.size() > 10);
+    CHECK(n.rejected.size() > 10);
 }
 
 TEST_CASE("two hosts that refuse all connections at once do not shut the gate for those who reach others") {
-    Node n;
-    n.list({1, 2, 3, 4, 5});
+    BalancerFixture n;
+    n.set_endpoints({1, 2, 3, 4, 5});
     for (std::uint64_t t = 1; t <= 30; ++t) n.on_request(t);
-    const auto out = n.sent;
-    for (const auto& s : out)
-        if (s.ep <= 2) n.b->on_ended(s.tun, 0, s.ep, Outcome::unreachable, 1 * ms, false);
-    CHECK(n.sent.size() > 35);  // the seed spreads them over all five
-    CHECK(n.declined.empty());
+    const auto out = n.attempts;
+    for (const auto& attempt : out)
+        if (attempt.endpoint <= 2)
+            n.balancer->on_ended(attempt.tunnel, 0, attempt.endpoint, Outcome::unreachable, 1 * ms, false);
+    CHECK(n.attempts.size() > 35);  // the seed spreads them over all five
+    CHECK(n.rejected.empty());
 }
--- a/tests/backoff_test.cpp
+++ b/tests/backoff_test.cpp
@@ -10,24 +10,24 @@
 
 using namespace lemonstair;
 using backoff::Backoff;
+using fake::BalancerFixture;
 using fake::ms;
-using fake::Node;
 using fake::s;
 
 namespace {
 
 BalancerConfig asking(std::uint32_t nodes) {
-    BalancerConfig t = Node::usual(0, nodes);
+    BalancerConfig t = BalancerFixture::default_config(0, nodes);
     t.must_poll = true;
     t.limits.gossip_enabled = false;
     return t;
 }
 
 // Lets time pass until the module asks for the list; how long that took.
-Ticks until_asked(Node& n, Ticks limit) {
+Ticks until_asked(BalancerFixture& n, Ticks limit) {
     const Ticks from = n.now;
-    const int before = n.watches;
-    while (n.watches == before && n.now - from < limit) n.pass(5 * ms);
+    const int before = n.list_requests;
+    while (n.list_requests == before && n.now - from < limit) n.advance(5 * ms);
     return n.now - from;
 }
 
@@ -82,8 +82,8 @@
         for (const std::uint32_t seed : {1U, 77777777U, 1234567890U}) {
             BalancerConfig t = asking(nodes);
             t.seed = seed;
-            Node n(t);
-            n.list({7, 8}, EndpointListKind::cached);
+            BalancerFixture n(t);
+            n.set_endpoints({7, 8}, EndpointListKind::cached);
             CHECK(until_asked(n, 20 * s) <= 16 * s / 10);
         }
 }
@@ -93,10 +93,10 @@
     for (std::uint32_t i = 0; i < 60; ++i) {
         BalancerConfig t = asking(300);
         t.seed = 7919 * (i + 1);
-        Node n(t);
-        n.list({7, 8}, EndpointListKind::cached);
-        n.pass(2 * s);
-        n.list({}, EndpointListKind::failed);
+        BalancerFixture n(t);
+        n.set_endpoints({7, 8}, EndpointListKind::cached);
+        n.advance(2 * s);
+        n.set_endpoints({}, EndpointListKind::failed);
         after.push_back(until_asked(n, 20 * s));
     }
     std::sort(after.begin(), after.end());
@@ -105,15 +105,15 @@
 }
 
 TEST_CASE("a node that must ask calls again within the bound, after each of many failures") {
-    Node n(asking(300));
-    n.list({7, 8}, EndpointListKind::cached);
-    n.pass(2 * s);
+    BalancerFixture n(asking(300));
+    n.set_endpoints({7, 8}, EndpointListKind::cached);
+    n.advance(2 * s);
     for (int i = 0; i < 30; ++i) {
-        n.list({}, EndpointListKind::failed);
+        n.set_endpoints({}, EndpointListKind::failed);
         CHECK(until_asked(n, 20 * s) <= backoff::longest_pause + 100 * ms);
     }
-    n.list({7, 8});
-    const int before = n.watches;
-    n.list({}, EndpointListKind::moved);
-    CHECK(n.watches == before + 1);  // another place: at once
+    n.set_endpoints({7, 8});
+    const int before = n.list_requests;
+    n.set_endpoints({}, EndpointListKind::moved);
+    CHECK(n.list_requests == before + 1);  // another place: at once
 }
--- a/tests/balancer_fixture.h
+++ b/tests/balancer_fixture.h
@@ -18,27 +18,29 @@
 using namespace lemonstair;
 constexpr Ticks ms = 10, s = 10000;
 
-struct Sent {
-    std::uint64_t tun;
-    std::uint32_t ep;
-    Ticks wait, at;
+struct Attempt {
+    std::uint64_t tunnel;
+    std::uint32_t endpoint;
+    Ticks max_wait, time;
 };
 
-struct Node : BalancerDelegate {
-    std::vector<Sent> sent;
-    std::vector<std::uint64_t> declined, errors, moved, probes;
-    std::vector<std::pair<std::uint32_t, std::vector<std::uint8_t>>> post;  // 99: to all
+struct BalancerFixture : BalancerDelegate {
+    std::vector<Attempt> attempts;
+    std::vector<std::uint64_t> rejected, failed, migrated, health_checks;
+    std::vector<std::pair<std::uint32_t, std::vector<std::uint8_t>>> gossip;  // 99: broadcast
     std::vector<std::pair<Ticks, std::uint64_t>> timers;
-    std::vector<std::string> lines;
-    int watches = 0;
+    std::vector<std::string> log_lines;
+    int list_requests = 0;
     Ticks now = 100 * s;
-    std::unique_ptr<Balancer> b;
+    std::unique_ptr<Balancer> balancer;
 
-    explicit Node(BalancerConfig terms) { b = Balancer::start(std::move(terms), *this, now); }
-    Node() : Node(usual(0, 1)) {}
+    explicit BalancerFixture(BalancerConfig config) {
+        balancer = Balancer::start(std::move(config), *this, now);
+    }
+    BalancerFixture() : BalancerFixture(default_config(0, 1)) {}
 
-    static TrafficClass profile(Idempotency effect = Idempotency::idempotent,
-                                DeduplicationScope scope = DeduplicationScope::all) {
+    static TrafficClass traffic_class(Idempotency effect = Idempotency::idempotent,
+                                      DeduplicationScope scope = DeduplicationScope::all) {
         return {.latency_objective = 500 * ms,
                 .client_timeout = 3 * s,
                 .deduplication_window = 5 * s,
@@ -48,42 +50,42 @@
                 .deduplication_scope = scope,
                 .stream = true};
     }
-    static BalancerConfig usual() { return usual(0, 1); }
-    static BalancerConfig usual(std::uint32_t me, std::uint32_t nodes) {
-        BalancerConfig t;
-        t.traffic_classes = {profile()};
-        t.rules = {.poll_interval = 10 * s,
-                   .drain_grace = 3 * s,
-                   .slow_start_duration = 8 * s,
-                   .overload_window = 15 * s / 10,
-                   .slow_start_initial_factor = 0.33,
-                   .overload_multiple = 2.5};
-        t.limits = {.max_retry_after = 0,
-                    .max_attempts = 3,
-                    .gossip_enabled = nodes > 1,
-                    .health_checks_enabled = true};
-        t.clock_resolution = 5 * ms;
-        t.own_node = me;
-        t.node_count = nodes;
-        return t;
+    static BalancerConfig default_config() { return default_config(0, 1); }
+    static BalancerConfig default_config(std::uint32_t own_node, std::uint32_t nodes) {
+        BalancerConfig config;
+        config.traffic_classes = {traffic_class()};
+        config.rules = {.poll_interval = 10 * s,
+                        .drain_grace = 3 * s,
+                        .slow_start_duration = 8 * s,
+                        .overload_window = 15 * s / 10,
+                        .slow_start_initial_factor = 0.33,
+                        .overload_multiple = 2.5};
+        config.limits = {.max_retry_after = 0,
+                         .max_attempts = 3,
+                         .gossip_enabled = nodes > 1,
+                         .health_checks_enabled = true};
+        config.clock_resolution = 5 * ms;
+        config.own_node = own_node;
+        config.node_count = nodes;
+        return config;
     }
-    void start_attempt(std::uint64_t t, std::uint32_t ep, Ticks wait) override {
-        sent.push_back({t, ep, wait, now});
+    void start_attempt(std::uint64_t tunnel, std::uint32_t endpoint, Ticks wait) override {
+        attempts.push_back({tunnel, endpoint, wait, now});
     }
-    void reject(std::uint64_t t, Ticks) override { declined.push_back(t); }
-    void fail(std::uint64_t t) override { errors.push_back(t); }
-    void migrate(std::uint64_t t) override { moved.push_back(t); }
-    void check_health(std::uint32_t ep) override { probes.push_back(ep); }
-    void request_endpoint_list() override { ++watches; }
+    void reject(std::uint64_t tunnel, Ticks) override { rejected.push_back(tunnel); }
+    void fail(std::uint64_t tunnel) override { failed.push_back(tunnel); }
+    void migrate(std::uint64_t tunnel) override { migrated.push_back(tunnel); }
+    void check_health(std::uint32_t endpoint) override { health_checks.push_back(endpoint); }
+    void request_endpoint_list() override { ++list_requests; }
     void set_timer(Ticks at, std::uint64_t label) override { timers.emplace_back(at, label); }
     void send_gossip(std::uint32_t n, std::span<const std::uint8_t> m) override {
-        post.emplace_back(n, std::vector(m.begin(), m.end()));
+        gossip.emplace_back(n, std::vector(m.begin(), m.end()));
     }
     void broadcast_gossip(std::span<const std::uint8_t> m) override { send_gossip(99, m); }
-    void log(std::string_view l) override { lines.emplace_back(l); }
+    void log(std::string_view line) override { log_lines.emplace_back(line); }
 
-    // Lets time pass; timers fire on the way, earliest first.
-    void pass(Ticks span) {
+    // Advances the time; timers that are due fire on the way, earliest first.
+    void advance(Ticks span) {
         const Ticks until = now + span;
         for (;;) {
             const auto next = std::min_element(timers.begin(), timers.end());
@@ -91,36 +93,41 @@
             const auto [at, label] = *next;
             timers.erase(next);
             now = std::max(now, at);
-            b->set_time(now);
-            b->on_timer(label);
+            balancer->set_time(now);
+            balancer->on_timer(label);
         }
         now = until;
-        b->set_time(now);
+        balancer->set_time(now);
     }
-    void list(const std::vector<std::uint32_t>& eps, EndpointListKind kind = EndpointListKind::complete,
-              EndpointState life = EndpointState::active, Ticks started = 0) {
-        b->begin_endpoint_list(kind);
-        for (const auto e : eps) b->add_endpoint(e, 0, 0, life, 1, started);
-        b->end_endpoint_list();
+    void set_endpoints(const std::vector<std::uint32_t>& endpoints,
+                       EndpointListKind kind = EndpointListKind::complete,
+                       EndpointState life = EndpointState::active, Ticks started = 0) {
+        balancer->begin_endpoint_list(kind);
+        for (const auto endpoint : endpoints) balancer->add_endpoint(endpoint, 0, 0, life, 1, started);
+        balancer->end_endpoint_list();
     }
-    void on_request(std::uint64_t t, std::string_view key = "", bool mid_flow = false,
+    void on_request(std::uint64_t tunnel, std::string_view key = "", bool mid_flow = false,
                     Ticks timeout = 3 * s) {
-        b->on_request(t, {.key = key, .group = {}, .deadline = now + timeout, .mid_flow = mid_flow});
+        balancer->on_request(tunnel,
+                             {.key = key, .group = {}, .deadline = now + timeout, .mid_flow = mid_flow});
+    }
+    const Attempt& last_attempt() const { return attempts.back(); }
+    int attempts_of(std::uint64_t tunnel) const {
+        return static_cast<int>(std::count_if(attempts.begin(), attempts.end(),
+                                              [&](const Attempt& x) { return x.tunnel == tunnel; }));
     }
-    const Sent& last() const { return sent.back(); }
-    int setups_of(std::uint64_t t) const {
-        return static_cast<int>(
-            std::count_if(sent.begin(), sent.end(), [&](const Sent& x) { return x.tun == t; }));
+    void open(std::uint64_t tunnel) {
+        balancer->on_opened(tunnel, attempts_of(tunnel) - 1, last_attempt().endpoint, 10 * ms);
     }
-    void open(std::uint64_t t) { b->on_opened(t, setups_of(t) - 1, last().ep, 10 * ms); }
-    void end(std::uint64_t t, Outcome e, bool settled = false) {
-        b->on_ended(t, setups_of(t) - 1, last().ep, e, 10 * ms, settled);
+    void end(std::uint64_t tunnel, Outcome outcome, bool settled = false) {
+        balancer->on_ended(tunnel, attempts_of(tunnel) - 1, last_attempt().endpoint, outcome, 10 * ms,
+                           settled);
     }
-    void answer_probes(double load) {
-        for (const auto p : std::exchange(probes, {})) {
+    void answer_health_checks(double load) {
+        for (const auto p : std::exchange(health_checks, {})) {
             LoadReport r;
             r.load = load;
-            b->on_health_check(static_cast<std::uint32_t>(p), Outcome::ok, ms, r);
+            balancer->on_health_check(static_cast<std::uint32_t>(p), Outcome::ok, ms, r);
         }
     }
 };
@@ -129,31 +136,31 @@
 inline std::string key_of(std::uint64_t n) { return std::string("k").append(std::to_string(n)); }
 inline std::string group_of(std::uint64_t n) { return std::string("g").append(std::to_string(n)); }
 
-// Carries all waiting messages between nodes.
-inline void deliver(std::vector<Node*> nodes) {
+// Delivers all queued gossip, and what is sent in answer, until none is left.
+inline void deliver_gossip(std::vector<BalancerFixture*> nodes) {
     for (bool any = true; any;) {
         any = false;
         for (std::uint32_t from = 0; from < nodes.size(); ++from) {
-            for (const auto& [to, bytes] : std::exchange(nodes[from]->post, {}))
+            for (const auto& [to, bytes] : std::exchange(nodes[from]->gossip, {}))
                 for (std::uint32_t n = 0; n < nodes.size(); ++n)
                     if (n != from && nodes[n] != nullptr && (to == 99 || to == n)) {
-                        nodes[n]->b->on_gossip(from, bytes);
+                        nodes[n]->balancer->on_gossip(from, bytes);
                         any = true;
                     }
         }
     }
 }
 
-// Nodes of one tier for which messages have their price, with the list that they remember.
-inline std::vector<std::unique_ptr<Node>> tier_of(std::uint32_t nodes,
-                                                  const std::vector<std::uint32_t>& eps) {
-    std::vector<std::unique_ptr<Node>> all;
+// Starts nodes of one tier with a cached endpoint list, for which gossip has a cost.
+inline std::vector<std::unique_ptr<BalancerFixture>> start_nodes(
+    std::uint32_t nodes, const std::vector<std::uint32_t>& endpoints) {
+    std::vector<std::unique_ptr<BalancerFixture>> all;
     for (std::uint32_t n = 0; n < nodes; ++n) {
-        auto terms = Node::usual(n, nodes);
-        terms.costs.gossip_message = 0.01;
-        terms.seed = 31 * n + 1;
-        all.push_back(std::make_unique<Node>(terms));
-        all.back()->list(eps, EndpointListKind::cached);
+        auto config = BalancerFixture::default_config(n, nodes);
+        config.costs.gossip_message = 0.01;
+        config.seed = 31 * n + 1;
+        all.push_back(std::make_unique<BalancerFixture>(config));
+        all.back()->set_endpoints(endpoints, EndpointListKind::cached);
     }
     return all;
 }
--- a/tests/endpoint_list_test.cpp
+++ b/tests/endpoint_list_test.cpp
@@ -6,19 +6,19 @@
 using namespace fake;
 
 TEST_CASE("a list that cannot be had is asked for again, well within the rule, and not at once") {
-    auto terms = Node::usual();
-    terms.must_poll = true;
-    Node n(terms);
-    n.list({7}, EndpointListKind::cached);
-    n.pass(1 * s);
-    REQUIRE(n.watches == 1);
+    auto config = BalancerFixture::default_config();
+    config.must_poll = true;
+    BalancerFixture n(config);
+    n.set_endpoints({7}, EndpointListKind::cached);
+    n.advance(1 * s);
+    REQUIRE(n.list_requests == 1);
     for (int i = 0; i < 6; ++i) {
-        n.list({}, EndpointListKind::failed);
-        const int before = n.watches;
-        n.pass(50 * ms);
-        CHECK(n.watches == before);
-        n.pass(9 * s);
-        CHECK(n.watches > before);
+        n.set_endpoints({}, EndpointListKind::failed);
+        const int before = n.list_requests;
+        n.advance(50 * ms);
+        CHECK(n.list_requests == before);
+        n.advance(9 * s);
+        CHECK(n.list_requests > before);
     }
 }
 
@@ -27,12 +27,12 @@
     "leaves") {
     std::vector<Ticks> at;
     for (std::uint32_t n = 0; n < 100; ++n) {
-        auto terms = Node::usual(n, 100);
-        terms.must_poll = true;
-        terms.seed = 7919 * (n + 1);
-        Node node(terms);
-        node.list({7}, EndpointListKind::cached);
-        for (const Ticks start = node.now; node.watches == 0; node.pass(100 * ms))
+        auto config = BalancerFixture::default_config(n, 100);
+        config.must_poll = true;
+        config.seed = 7919 * (n + 1);
+        BalancerFixture node(config);
+        node.set_endpoints({7}, EndpointListKind::cached);
+        for (const Ticks start = node.now; node.list_requests == 0; node.advance(100 * ms))
             REQUIRE(node.now - start <= 16 * s / 10);
         at.push_back(node.now);
     }
--- a/tests/failure_detector_test.cpp
+++ b/tests/failure_detector_test.cpp
@@ -18,40 +18,40 @@
 constexpr Ticks at = 1000 * s;
 
 BalancerConfig priced(std::uint32_t me, std::uint32_t nodes = 60) {
-    BalancerConfig terms = Node::usual(me, nodes);
-    terms.costs.gossip_message = 0.01;
-    return terms;
+    BalancerConfig config = BalancerFixture::default_config(me, nodes);
+    config.costs.gossip_message = 0.01;
+    return config;
 }
 // A node of sixty that has been among these eps for a while, and what it hears of them.
 struct Hearer {
-    Node n{priced(0)};
-    explicit Hearer(const std::vector<std::uint32_t>& eps = {7, 8, 9}) {
-        n.list(eps);
-        n.pass(5 * s);
+    BalancerFixture n{priced(0)};
+    explicit Hearer(const std::vector<std::uint32_t>& endpoints = {7, 8, 9}) {
+        n.set_endpoints(endpoints);
+        n.advance(5 * s);
     }
     void hear(std::uint32_t from, std::uint32_t ep, std::uint32_t first, std::uint32_t other, Ticks age = 0) {
         peer::Message m;
         m.dead(ep, n.now - age, first, other);
-        n.b->on_gossip(from, m.bytes());
+        n.balancer->on_gossip(from, m.bytes());
     }
     void report(std::uint32_t ep, bool good) {
         peer::Message m;
         m.report(ep, good, 0.3);
-        n.b->on_gossip(3, m.bytes());
+        n.balancer->on_gossip(3, m.bytes());
     }
     // Setups at an ep fail at other nodes, at each in turn.
     void fail_elsewhere(std::uint32_t ep, std::vector<std::uint32_t> nodes) {
         for (std::size_t i = 0; i < 6; ++i) {
             peer::Message m;
             m.outcome(ep, static_cast<std::uint8_t>(Outcome::error));
-            n.b->on_gossip(nodes[i % nodes.size()], m.bytes());
+            n.balancer->on_gossip(nodes[i % nodes.size()], m.bytes());
         }
     }
-    std::uint32_t excluded() const { return n.b->endpoint_counts().excluded; }
+    std::uint32_t excluded() const { return n.balancer->endpoint_counts().excluded; }
 };
-std::size_t accusations(const Node& n) {
+std::size_t accusations(const BalancerFixture& n) {
     std::size_t sum = 0;
-    for (const auto& [to, bytes] : n.post) {
+    for (const auto& [to, bytes] : n.gossip) {
         peer::Sizes sizes{};
         peer::add_sizes(bytes, 1, sizes);
         sum += sizes[14] > 0 ? 1 : 0;
@@ -142,7 +142,7 @@
 TEST_CASE("hearsay sets an ep aside with two nodes' words, not with one's told twice") {
     Hearer h;
     h.hear(3, 7, 3, nobody);
-    h.n.pass(100 * ms);
+    h.n.advance(100 * ms);
     h.hear(4, 7, 3, nobody);  // passed on by another
     h.hear(4, 7, 3, 3);       // and named twice
     CHECK(h.excluded() == 0);
@@ -169,12 +169,12 @@
 TEST_CASE("what was set aside by hearsay alone comes back once nobody says it any more") {
     Hearer h({7, 8, 9, 10});
     h.hear(3, 7, 3, 4);
-    h.n.pass(8 * s);
+    h.n.advance(8 * s);
     CHECK(h.excluded() == 1);
     h.hear(3, 7, 3, 4);  // renewed
-    h.n.pass(8 * s);
+    h.n.advance(8 * s);
     CHECK(h.excluded() == 1);
-    h.n.pass(3 * s);
+    h.n.advance(3 * s);
     CHECK(h.excluded() == 0);
 }
 
@@ -184,25 +184,25 @@
     do {
         h.n.on_request(t);
         h.n.open(t);
-    } while (h.n.last().ep != 7 && ++t < 100);
-    REQUIRE(h.n.last().ep == 7);
+    } while (h.n.last_attempt().endpoint != 7 && ++t < 100);
+    REQUIRE(h.n.last_attempt().endpoint == 7);
     h.hear(3, 7, 3, 4);
     CHECK(h.excluded() == 0);
 }
 
 TEST_CASE("of a zone and of a cell hearsay takes at most half, until the node finds one dead there itself") {
     Hearer h(std::vector<std::uint32_t>{});
-    h.n.b->begin_endpoint_list(EndpointListKind::complete);
+    h.n.balancer->begin_endpoint_list(EndpointListKind::complete);
     for (std::uint32_t ep = 1; ep <= 8; ++ep)
-        h.n.b->add_endpoint(ep, ep <= 4 ? 0 : 1, ep <= 4 ? 0 : ep / 7, EndpointState::active, 1, 0);
-    h.n.b->end_endpoint_list();
-    h.n.pass(5 * s);
+        h.n.balancer->add_endpoint(ep, ep <= 4 ? 0 : 1, ep <= 4 ? 0 : ep / 7, EndpointState::active, 1, 0);
+    h.n.balancer->end_endpoint_list();
+    h.n.advance(5 * s);
     for (std::uint32_t ep = 1; ep <= 4; ++ep) h.hear(3, ep, 3, 4);
     CHECK(h.excluded() == 2);
     h.hear(3, 5, 3, 4);
     h.hear(3, 6, 3, 4);  // in the other zone, of another cell than the next two
     CHECK(h.excluded() == 3);
-    h.n.b->on_unresponsive(1, 2 * s);  // set aside by hearsay before, now by its own sight
+    h.n.balancer->on_unresponsive(1, 2 * s);  // set aside by hearsay before, now by its own sight
     CHECK(h.excluded() == 3);
     h.hear(5, 3, 5, 6);
     CHECK(h.excluded() == 4);
@@ -212,19 +212,19 @@
     Hearer h({7, 8, 9, 10, 11});
     h.n.on_request(1);
     h.n.open(1);
-    h.n.post.clear();
-    h.n.probes.clear();
-    h.n.b->on_unresponsive(h.n.last().ep, 1 * s);
-    h.n.pass(400 * ms);
+    h.n.gossip.clear();
+    h.n.health_checks.clear();
+    h.n.balancer->on_unresponsive(h.n.last_attempt().endpoint, 1 * s);
+    h.n.advance(400 * ms);
     CHECK(accusations(h.n) == 0);
-    CHECK(!h.n.probes.empty());  // it looks whether any other answers
-    std::erase(h.n.probes, h.n.last().ep);
-    h.n.answer_probes(0.2);
-    h.n.pass(300 * ms);
+    CHECK(!h.n.health_checks.empty());  // it looks whether any other answers
+    std::erase(h.n.health_checks, h.n.last_attempt().endpoint);
+    h.n.answer_health_checks(0.2);
+    h.n.advance(300 * ms);
     CHECK(accusations(h.n) >= 1);
     CHECK(accusations(h.n) <= 3);
-    h.n.post.clear();
-    h.n.pass(2 * s);
+    h.n.gossip.clear();
+    h.n.advance(2 * s);
     CHECK(accusations(h.n) == 0);
 }
 
@@ -234,25 +234,25 @@
         h.n.on_request(t);
         h.n.open(t);
     }
-    h.n.post.clear();
-    h.n.lines.clear();
+    h.n.gossip.clear();
+    h.n.log_lines.clear();
     for (int i = 0; i < 40; ++i) {
-        for (std::uint32_t ep = 7; ep <= 14; ++ep) h.n.b->on_unresponsive(ep, 1 * s + i * (100 * ms));
-        for (const auto p : std::exchange(h.n.probes, {}))
-            h.n.b->on_health_check(static_cast<std::uint32_t>(p), Outcome::timed_out, s, LoadReport{});
-        h.n.pass(100 * ms);
+        for (std::uint32_t ep = 7; ep <= 14; ++ep) h.n.balancer->on_unresponsive(ep, 1 * s + i * (100 * ms));
+        for (const auto p : std::exchange(h.n.health_checks, {}))
+            h.n.balancer->on_health_check(static_cast<std::uint32_t>(p), Outcome::timed_out, s, LoadReport{});
+        h.n.advance(100 * ms);
     }
     CHECK(accusations(h.n) == 0);
     const auto says = [&](std::string_view what) {
-        return std::count_if(h.n.lines.begin(), h.n.lines.end(),
+        return std::count_if(h.n.log_lines.begin(), h.n.log_lines.end(),
                              [&](const auto& l) { return l.find(what) != std::string::npos; });
     };
     CHECK(says("the trouble is here") == 1);
     CHECK(says("answer this node again") == 0);
-    h.n.pass(1 * s);
-    h.n.answer_probes(0.2);
+    h.n.advance(1 * s);
+    h.n.answer_health_checks(0.2);
     CHECK(says("answer this node again") == 1);
-    h.n.pass(3 * s);  // and what it found meanwhile is told to nobody
+    h.n.advance(3 * s);  // and what it found meanwhile is told to nobody
     CHECK(accusations(h.n) == 0);
 }
 
@@ -262,7 +262,7 @@
     CHECK(h.excluded() == 0);
     h.fail_elsewhere(7, {1, 2});
     CHECK(h.excluded() == 1);
-    h.n.pass(11 * s);
+    h.n.advance(11 * s);
     CHECK(h.excluded() == 0);
     Hearer half({7, 8, 9, 10});
     for (const std::uint32_t ep : {8, 9}) half.hear(3, ep, 3, 4);
@@ -274,25 +274,25 @@
     Hearer h;
     h.hear(3, 7, 3, 4);
     std::string told;
-    h.n.b->serialize_state(told);
-    Node next(priced(0));
+    h.n.balancer->serialize_state(told);
+    BalancerFixture next(priced(0));
     next.now = h.n.now;
-    next.b->set_time(next.now);
-    next.list({7, 8, 9});
-    REQUIRE(next.b->restore_state(told, 0));
-    CHECK(next.b->endpoint_counts().excluded == 1);
-    next.pass(11 * s);
-    CHECK(next.b->endpoint_counts().excluded == 0);
+    next.balancer->set_time(next.now);
+    next.set_endpoints({7, 8, 9});
+    REQUIRE(next.balancer->restore_state(told, 0));
+    CHECK(next.balancer->endpoint_counts().excluded == 1);
+    next.advance(11 * s);
+    CHECK(next.balancer->endpoint_counts().excluded == 0);
 }
 
 TEST_CASE("what a node found dead itself does not come back on hearsay before it answers this node") {
     Hearer h({7, 8, 9, 10});
-    h.n.b->on_unresponsive(7, 2 * s);
+    h.n.balancer->on_unresponsive(7, 2 * s);
     REQUIRE(h.excluded() == 1);
-    h.n.pass(2 * s);
+    h.n.advance(2 * s);
     h.report(7, true);
     CHECK(h.excluded() == 1);
-    h.n.answer_probes(0.2);
+    h.n.answer_health_checks(0.2);
     h.report(7, true);
     CHECK(h.excluded() == 0);
 }
--- a/tests/graceful_shutdown_test.cpp
+++ b/tests/graceful_shutdown_test.cpp
@@ -24,84 +24,88 @@
 
 TEST_CASE(
     "with deadlines of half a second all clients are moved before the node can be killed, stuck lines too") {
-    Town town({.mode = "proxy", .timeout = "0.55"});
-    OpenTunnel tunnel = town.opened();
-    OpenTunnel stuck = town.opened();
-    stuck.client.say("half a line");
-    REQUIRE(town.until([&] { return stuck.host.heard("half a line"); }));
+    NodeFixture fixture({.mode = "proxy", .client_timeout = "0.55"});
+    OpenTunnel tunnel = fixture.open_tunnel();
+    OpenTunnel stuck = fixture.open_tunnel();
+    stuck.client.send("half a line");
+    REQUIRE(fixture.run_until([&] { return stuck.host.has_received("half a line"); }));
     const auto told = Clock::now();
     std::raise(SIGTERM);
-    REQUIRE(town.until([&] { return ms_since(told) >= 380; }, 2000));
-    End late = town.client("OPEN late k c=chat,d=550\r\n");
-    End late_host = town.setup();
-    REQUIRE(town.until([&] { return ms_since(told) >= 600; }, 2000));
-    late_host.say("UP r\r\n");
+    REQUIRE(fixture.run_until([&] { return ms_since(told) >= 380; }, 2000));
+    TestConnection late = fixture.connect_client("OPEN late k c=chat,d=550\r\n");
+    TestConnection late_host = fixture.accept_attempt();
+    REQUIRE(fixture.run_until([&] { return ms_since(told) >= 600; }, 2000));
+    late_host.send("UP r\r\n");
     // The longest deadline and 0.7 s later comes SIGKILL.
     const int left = 1250 - ms_since(told);
     REQUIRE(left > 0);
-    town.until(
-        [&] { return tunnel.client.heard("MOVE") && stuck.client.heard("MOVE") && late.heard("MOVE"); },
+    fixture.run_until(
+        [&] {
+            return tunnel.client.has_received("MOVE") && stuck.client.has_received("MOVE") &&
+                   late.has_received("MOVE");
+        },
         left);
-    CHECK(tunnel.client.heard("MOVE\r\n"));
-    CHECK(late.heard("UP r\r\nMOVE\r\n"));
-    CHECK(stuck.client.heard("MOVE\r\n"));
+    CHECK(tunnel.client.has_received("MOVE\r\n"));
+    CHECK(late.has_received("UP r\r\nMOVE\r\n"));
+    CHECK(stuck.client.has_received("MOVE\r\n"));
 }
 
 TEST_CASE("a setup that is out for longer than a node that leaves has time is answered before it is killed") {
     for (const char* mode : {"pass", "proxy"}) {
-        Town town({.mode = mode, .timeout = "6"});
-        End c = town.client("OPEN 1 k c=chat,d=6000\r\n");
-        End h = town.setup();
+        NodeFixture fixture({.mode = mode, .client_timeout = "6"});
+        TestConnection c = fixture.connect_client("OPEN 1 k c=chat,d=6000\r\n");
+        TestConnection h = fixture.accept_attempt();
         const auto told = Clock::now();
         std::raise(SIGTERM);
-        town.pass(100);
-        End late = town.client("OPEN 2 k2 c=chat,d=6000\r\n");
-        std::vector<End> silent;
-        town.until(
+        fixture.run_for(100);
+        TestConnection late = fixture.connect_client("OPEN 2 k2 c=chat,d=6000\r\n");
+        std::vector<TestConnection> silent;
+        fixture.run_until(
             [&] {
-                for (const Door* d : {&town.a, &town.b})
-                    for (End e = d->accept(); e.fd.open(); e = d->accept()) silent.push_back(std::move(e));
-                return c.over() && late.over();
+                for (const TestListener* d : {&fixture.host_a, &fixture.host_b})
+                    for (TestConnection e = d->accept(); e.fd.open(); e = d->accept())
+                        silent.push_back(std::move(e));
+                return c.is_closed() && late.is_closed();
             },
             3650 - ms_since(told));
-        CHECK(c.heard("\r\n"));
-        CHECK(late.heard("\r\n"));
+        CHECK(c.has_received("\r\n"));
+        CHECK(late.has_received("\r\n"));
     }
 }
 
 TEST_CASE("a line that comes in the instant in which the node would exit is answered") {
     for (const bool accepted : {true, false}) {
-        Town town({.mode = "proxy"});
-        End c;
-        if (accepted) c = town.client();
-        town.pass(20);
+        NodeFixture fixture({.mode = "proxy"});
+        TestConnection c;
+        if (accepted) c = fixture.connect_client();
+        fixture.run_for(20);
         const auto told = Clock::now();
         std::raise(SIGTERM);
-        REQUIRE(town.until([&] { return ms_since(told) >= 400; }, 2000));
-        const std::string line = town.line();
+        REQUIRE(fixture.run_until([&] { return ms_since(told) >= 400; }, 2000));
+        const std::string line = fixture.open_line();
         // The pass that finds the node empty, all timers due, knows of nothing; behind its back the line
         // comes.
         stall(400);
-        town.kernel.after_poll = [&] {
-            if (!accepted) c = town.client();
-            c.say(line);
+        fixture.kernel.after_poll = [&] {
+            if (!accepted) c = fixture.connect_client();
+            c.send(line);
         };
-        town.runs = town.node->turn();
-        REQUIRE(town.runs);
-        End h = town.setup();
-        h.say("UP r\r\n");
-        CHECK(town.until([&] { return c.heard("UP r\r\nMOVE\r\n"); }));
+        fixture.running = fixture.node->turn();
+        REQUIRE(fixture.running);
+        TestConnection h = fixture.accept_attempt();
+        h.send("UP r\r\n");
+        CHECK(fixture.run_until([&] { return c.has_received("UP r\r\nMOVE\r\n"); }));
         c = {};
-        CHECK(town.until([&] { return !town.runs; }));
+        CHECK(fixture.run_until([&] { return !fixture.running; }));
     }
 }
 
 TEST_CASE("a node that has been drained for long still serves who comes, and moves it") {
-    Town town({.mode = "proxy", .operators = true});
-    REQUIRE(town.post("/healthcheck/fail").find(" 200 ") != std::string::npos);
+    NodeFixture fixture({.mode = "proxy", .admin = true});
+    REQUIRE(fixture.post("/healthcheck/fail").find(" 200 ") != std::string::npos);
     const auto told = Clock::now();
-    REQUIRE(town.until([&] { return ms_since(told) >= 4100; }, 6000));
-    End c = town.client(town.line()), h = town.setup();
-    h.say("UP r\r\n");
-    CHECK(town.until([&] { return c.heard("UP r\r\nMOVE\r\n"); }));
+    REQUIRE(fixture.run_until([&] { return ms_since(told) >= 4100; }, 6000));
+    TestConnection c = fixture.connect_client(fixture.open_line()), h = fixture.accept_attempt();
+    h.send("UP r\r\n");
+    CHECK(fixture.run_until([&] { return c.has_received("UP r\r\nMOVE\r\n"); }));
 }
--- a/tests/health_check_test.cpp
+++ b/tests/health_check_test.cpp
@@ -7,19 +7,19 @@
 
 TEST_CASE(
     "a probe goes over a kept connection; one that died unseen is made anew before the host is blamed") {
-    Town town({.mode = "pass", .sockets = 256, .probing = true});
-    const auto asked = [&](End& e) {
-        return town.until([&] {
-            if (!e.fd.open()) e = town.a.accept();
-            return e.fd.open() && e.heard("STATS\r\n");
+    NodeFixture fixture({.mode = "pass", .sockets = 256, .probing = true});
+    const auto asked = [&](TestConnection& e) {
+        return fixture.run_until([&] {
+            if (!e.fd.open()) e = fixture.host_a.accept();
+            return e.fd.open() && e.has_received("STATS\r\n");
         });
     };
-    End e;
+    TestConnection e;
     CHECK(asked(e));
-    e.say("PONG x0=0.5,nonsense=,queue=x\r\n");
-    e.got.clear();
+    e.send("PONG x0=0.5,nonsense=,queue=x\r\n");
+    e.received.clear();
     CHECK(asked(e));
-    e.cut();
+    e.abort();
     e = {};
     CHECK(asked(e));
 }
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -14,37 +14,39 @@
 
 namespace {
 
-Town::BalancerConfig upgraded(const std::string& mode = "pass", int sockets = 256) {
-    return {.mode = mode, .sockets = sockets, .operators = true, .inherits = true};
+NodeFixture::Options upgraded(const std::string& mode = "pass", int sockets = 256) {
+    return {.mode = mode, .sockets = sockets, .admin = true, .inherits_listener = true};
 }
 
-std::string state_of(Town& town) {
-    const std::string answer = town.get("/healthcheck");
+std::string state_of(NodeFixture& fixture) {
+    const std::string answer = fixture.get("/healthcheck");
     const auto at = answer.find("\"state\":\"");
     return at == std::string::npos ? answer : answer.substr(at + 9, answer.find('"', at + 9) - at - 9);
 }
 
 // What the old process has handed over entirely, the new one holds.
-bool all_over(Town& town) { return town.next->holds().tunnels > 0 && town.node->holds().tunnels == 0; }
+bool all_over(NodeFixture& fixture) {
+    return fixture.next->holds().tunnels > 0 && fixture.node->holds().tunnels == 0;
+}
 
 // A process at the other end of the line, played by a story.
 struct Stranger {
     net::Kernel kernel;
     net::Fd fd;
     std::string name;
-    explicit Stranger(Town& town) : name(town.launch().nearby) {}
+    explicit Stranger(NodeFixture& fixture) : name(fixture.parse_config().nearby) {}
     bool call() {
         fd = kernel.connect_local(name);
         return fd.open();
     }
-    void say(std::string_view bytes) { kernel.send_packet(fd.get(), bytes, {}); }
-    void say(const hot_restart::Packet& packet) { say(hot_restart::encode(packet)); }
+    void send(std::string_view bytes) { kernel.send_packet(fd.get(), bytes, {}); }
+    void send(const hot_restart::Packet& packet) { send(hot_restart::encode(packet)); }
     // The kinds of all that came, and whether the line is over.
     std::vector<hot_restart::Kind> heard;
     bool over = false;
-    bool hear(Town& town, const std::function<bool()>& enough, int ms = 3000) {
+    bool hear(NodeFixture& fixture, const std::function<bool()>& enough, int ms = 3000) {
         std::vector<char> room(hot_restart::longest_packet);
-        return town.until(
+        return fixture.run_until(
             [&] {
                 for (;;) {
                     std::vector<net::Fd> descriptors;
@@ -98,154 +100,160 @@
 }
 
 TEST_CASE("open tunnels go over with what is half read of them, and neither side notices") {
-    Town town(upgraded());
-    OpenTunnel tunnel = town.opened();
-    OpenTunnel second = town.opened();
-    tunnel.client.say("half a ");
-    second.host.say("LOAD 1");
-    CHECK(town.until([&] { return tunnel.host.heard("half a ") && second.client.heard("LOAD 1"); }));
-    town.upgrade();
-    CHECK(town.until([&] { return all_over(town); }));
-    CHECK(town.next->holds().tunnels == 2);
-    tunnel.client.say("line\r\n");
-    second.host.say("20\r\n");
-    CHECK(town.until(
-        [&] { return tunnel.host.heard("half a line\r\n") && second.client.heard("LOAD 120\r\n"); }));
+    NodeFixture fixture(upgraded());
+    OpenTunnel tunnel = fixture.open_tunnel();
+    OpenTunnel second = fixture.open_tunnel();
+    tunnel.client.send("half a ");
+    second.host.send("LOAD 1");
+    CHECK(fixture.run_until(
+        [&] { return tunnel.host.has_received("half a ") && second.client.has_received("LOAD 1"); }));
+    fixture.upgrade();
+    CHECK(fixture.run_until([&] { return all_over(fixture); }));
+    CHECK(fixture.next->holds().tunnels == 2);
+    tunnel.client.send("line\r\n");
+    second.host.send("20\r\n");
+    CHECK(fixture.run_until([&] {
+        return tunnel.host.has_received("half a line\r\n") && second.client.has_received("LOAD 120\r\n");
+    }));
     // The old one leaves, and nothing of it is felt.
     std::raise(SIGTERM);
-    CHECK(town.until([&] { return !town.runs; }, 4000));
-    town.old_is_gone();
-    tunnel.host.say("still\r\n");
-    CHECK(town.until([&] { return tunnel.client.heard("still\r\n"); }));
-    CHECK(!tunnel.client.over());
-    tunnel.client.finish();
-    CHECK(town.until([&] { return tunnel.host.over(); }));
+    CHECK(fixture.run_until([&] { return !fixture.running; }, 4000));
+    fixture.retire_old_node();
+    tunnel.host.send("still\r\n");
+    CHECK(fixture.run_until([&] { return tunnel.client.has_received("still\r\n"); }));
+    CHECK(!tunnel.client.is_closed());
+    tunnel.client.shutdown_write();
+    CHECK(fixture.run_until([&] { return tunnel.host.is_closed(); }));
     CHECK(!tunnel.host.reset);
 }
 
 TEST_CASE("bytes that one side does not take yet go over too, none lost and none twice") {
-    Town town(upgraded());
-    OpenTunnel tunnel = town.opened();
+    NodeFixture fixture(upgraded());
+    OpenTunnel tunnel = fixture.open_tunnel();
     std::string sent;
     for (int i = 0; i < 30000; ++i) {
         const std::string line = std::to_string(i) + std::string(200, 'x') + "\r\n";
         if (net::write_some(tunnel.host.fd.get(), line).bytes < line.size()) break;
         sent += line;
-        if (i % 1000 == 0) town.pass(1);
+        if (i % 1000 == 0) fixture.run_for(1);
     }
     REQUIRE(sent.size() > 100000);
-    town.upgrade();
-    CHECK(town.until([&] { return all_over(town); }));
-    town.runs = false;  // it has nothing left to do
-    CHECK(town.until([&] {
-        tunnel.client.hear();
-        return tunnel.client.got.size() >= sent.size();
+    fixture.upgrade();
+    CHECK(fixture.run_until([&] { return all_over(fixture); }));
+    fixture.running = false;  // it has nothing left to do
+    CHECK(fixture.run_until([&] {
+        tunnel.client.receive();
+        return tunnel.client.received.size() >= sent.size();
     }));
-    const bool same = tunnel.client.got.substr(0, sent.size()) == sent;
+    const bool same = tunnel.client.received.substr(0, sent.size()) == sent;
     CHECK(same);
 }
 
 TEST_CASE(
     "a setup that is out is answered by the process that took it; its tunnel goes over when it is open") {
-    Town town(upgraded());
-    End c = town.client(town.line());
-    End h = town.setup();
-    town.upgrade();
-    CHECK(town.until([&] { return state_of(town) == "serving"; }));
-    CHECK(town.node->holds().tunnels == 1);
-    h.say("UP r\r\n");
-    CHECK(town.until([&] { return c.heard("UP r\r\n"); }));
-    CHECK(town.until([&] { return all_over(town); }));
-    h.say("on\r\n");
-    CHECK(town.until([&] { return c.heard("on\r\n"); }));
-    CHECK(c.got == "UP r\r\non\r\n");
+    NodeFixture fixture(upgraded());
+    TestConnection c = fixture.connect_client(fixture.open_line());
+    TestConnection h = fixture.accept_attempt();
+    fixture.upgrade();
+    CHECK(fixture.run_until([&] { return state_of(fixture) == "serving"; }));
+    CHECK(fixture.node->holds().tunnels == 1);
+    h.send("UP r\r\n");
+    CHECK(fixture.run_until([&] { return c.has_received("UP r\r\n"); }));
+    CHECK(fixture.run_until([&] { return all_over(fixture); }));
+    h.send("on\r\n");
+    CHECK(fixture.run_until([&] { return c.has_received("on\r\n"); }));
+    CHECK(c.received == "UP r\r\non\r\n");
 }
 
 TEST_CASE("each client that comes during upgrades is answered, by one process") {
-    Town town(upgraded());
+    NodeFixture fixture(upgraded());
     int answered = 0;
     for (int round = 0; round < 3; ++round) {
-        std::vector<End> waiting, at_host;
+        std::vector<TestConnection> waiting, at_host;
         const auto come = [&] {
-            waiting.push_back(town.client(town.line()));
-            town.pass(1);
-            for (const Door* d : {&town.a, &town.b})
-                for (End e = d->accept(); e.fd.open(); e = d->accept()) at_host.push_back(std::move(e));
-            for (End& e : at_host)
-                if (e.heard("\n") && e.got.substr(0, 4) == "OPEN") e.say("UP r\r\n"), e.got = "said";
+            waiting.push_back(fixture.connect_client(fixture.open_line()));
+            fixture.run_for(1);
+            for (const TestListener* d : {&fixture.host_a, &fixture.host_b})
+                for (TestConnection e = d->accept(); e.fd.open(); e = d->accept())
+                    at_host.push_back(std::move(e));
+            for (TestConnection& e : at_host)
+                if (e.has_received("\n") && e.received.substr(0, 4) == "OPEN")
+                    e.send("UP r\r\n"), e.received = "said";
         };
         for (int i = 0; i < 5; ++i) come();
-        town.upgrade();
+        fixture.upgrade();
         for (int i = 0; i < 10; ++i) come();
         std::raise(SIGTERM);
-        CHECK(town.until(
+        CHECK(fixture.run_until(
             [&] {
-                for (const Door* d : {&town.a, &town.b})
-                    for (End e = d->accept(); e.fd.open(); e = d->accept()) at_host.push_back(std::move(e));
-                for (End& e : at_host)
-                    if (e.heard("\n") && e.got.substr(0, 4) == "OPEN") e.say("UP r\r\n"), e.got = "said";
-                return !town.runs;
+                for (const TestListener* d : {&fixture.host_a, &fixture.host_b})
+                    for (TestConnection e = d->accept(); e.fd.open(); e = d->accept())
+                        at_host.push_back(std::move(e));
+                for (TestConnection& e : at_host)
+                    if (e.has_received("\n") && e.received.substr(0, 4) == "OPEN")
+                        e.send("UP r\r\n"), e.received = "said";
+                return !fixture.running;
             },
             4000));
-        town.old_is_gone();
-        for (End& e : waiting) {
-            CHECK(town.until([&] { return e.heard("UP r\r\n"); }));
-            CHECK(e.got == "UP r\r\n");
-            CHECK(!e.over());
+        fixture.retire_old_node();
+        for (TestConnection& e : waiting) {
+            CHECK(fixture.run_until([&] { return e.has_received("UP r\r\n"); }));
+            CHECK(e.received == "UP r\r\n");
+            CHECK(!e.is_closed());
             ++answered;
         }
-        CHECK(town.until([&] { return town.node->holds().tunnels == waiting.size(); }));
+        CHECK(fixture.run_until([&] { return fixture.node->holds().tunnels == waiting.size(); }));
         waiting.clear();
         at_host.clear();
-        CHECK(town.until([&] { return town.node->holds().tunnels == 0; }));
+        CHECK(fixture.run_until([&] { return fixture.node->holds().tunnels == 0; }));
     }
     CHECK(answered == 45);
 }
 
 TEST_CASE("a new process that dies after its yes leaves the node to the old one") {
-    Town town(upgraded());
-    OpenTunnel tunnel = town.opened();
-    town.upgrade();
-    CHECK(town.until([&] { return all_over(town); }));
-    auto late = town.client(town.line());
-    town.next.reset();  // with what it had taken
-    town.next_runs = false;
-    End h2 = town.setup();
-    h2.say("UP r\r\n");
-    CHECK(town.until([&] { return late.heard("UP r\r\n"); }));
-    End front = town.client("PING\r\n");
-    CHECK(town.until([&] { return front.heard("PONG\r\n"); }));
+    NodeFixture fixture(upgraded());
+    OpenTunnel tunnel = fixture.open_tunnel();
+    fixture.upgrade();
+    CHECK(fixture.run_until([&] { return all_over(fixture); }));
+    auto late = fixture.connect_client(fixture.open_line());
+    fixture.next.reset();  // with what it had taken
+    fixture.next_running = false;
+    TestConnection h2 = fixture.accept_attempt();
+    h2.send("UP r\r\n");
+    CHECK(fixture.run_until([&] { return late.has_received("UP r\r\n"); }));
+    TestConnection front = fixture.connect_client("PING\r\n");
+    CHECK(fixture.run_until([&] { return front.has_received("PONG\r\n"); }));
 }
 
 TEST_CASE("an old process that is stuck does not keep the new one from serving") {
-    Town town(upgraded());
-    town.runs = false;  // it is not called any more
-    town.upgrade();
-    CHECK(town.until([&] { return state_of(town) == "serving"; }, 4000));
-    OpenTunnel tunnel = town.opened();
-    CHECK(town.next->holds().tunnels == 1);
+    NodeFixture fixture(upgraded());
+    fixture.running = false;  // it is not called any more
+    fixture.upgrade();
+    CHECK(fixture.run_until([&] { return state_of(fixture) == "serving"; }, 4000));
+    OpenTunnel tunnel = fixture.open_tunnel();
+    CHECK(fixture.next->holds().tunnels == 1);
     // When it goes on it finds that it was replaced, and leaves the clients to the other when it is told to
     // go.
-    town.runs = true;
-    town.pass(50);
+    fixture.running = true;
+    fixture.run_for(50);
     std::raise(SIGTERM);
-    CHECK(town.until([&] { return !town.runs; }, 4000));
+    CHECK(fixture.run_until([&] { return !fixture.running; }, 4000));
 }
 
 TEST_CASE("what a dead process left in the meeting place is no process") {
-    Town town(upgraded());
-    const std::string name = town.launch().nearby;
-    town.runs = false;
-    town.node.reset();
+    NodeFixture fixture(upgraded());
+    const std::string name = fixture.parse_config().nearby;
+    fixture.running = false;
+    fixture.node.reset();
     REQUIRE(std::filesystem::exists(name));
-    town.upgrade();
-    CHECK(state_of(town) == "serving");
+    fixture.upgrade();
+    CHECK(state_of(fixture) == "serving");
 }
 
 TEST_CASE("foreign, torn and untimely words end the line and nothing else") {
-    Town town(upgraded());
-    OpenTunnel tunnel = town.opened();
-    Stranger stranger(town);
+    NodeFixture fixture(upgraded());
+    OpenTunnel tunnel = fixture.open_tunnel();
+    Stranger stranger(fixture);
     const std::string hello =
         hot_restart::encode({.kind = hot_restart::Kind::greet, .held = 10, .text = "n0"});
     std::vector<std::string> words{
@@ -262,115 +270,116 @@
     for (const std::string& word : words) {
         REQUIRE(stranger.call());
         stranger.over = false;
-        stranger.say(word);
+        stranger.send(word);
         CAPTURE(word.substr(0, 20));
-        CHECK(stranger.hear(town, [&] { return stranger.over; }));
+        CHECK(stranger.hear(fixture, [&] { return stranger.over; }));
     }
-    tunnel.host.say("on\r\n");
-    CHECK(town.until([&] { return tunnel.client.heard("on\r\n"); }));
-    OpenTunnel second = town.opened();
-    CHECK(state_of(town) == "serving");
+    tunnel.host.send("on\r\n");
+    CHECK(fixture.run_until([&] { return tunnel.client.has_received("on\r\n"); }));
+    OpenTunnel second = fixture.open_tunnel();
+    CHECK(state_of(fixture) == "serving");
 }
 
 TEST_CASE(
     "a new process that greets and says no more, or dies half way, changes nothing; the next one may come") {
-    Town town(upgraded());
-    OpenTunnel tunnel = town.opened();
-    Stranger stranger(town), third(town);
+    NodeFixture fixture(upgraded());
+    OpenTunnel tunnel = fixture.open_tunnel();
+    Stranger stranger(fixture), third(fixture);
     REQUIRE(stranger.call());
-    stranger.say({.kind = hot_restart::Kind::greet, .held = 10, .text = "n0"});
-    CHECK(stranger.hear(town, [&] { return stranger.has(hot_restart::Kind::told); }));
+    stranger.send({.kind = hot_restart::Kind::greet, .held = 10, .text = "n0"});
+    CHECK(stranger.hear(fixture, [&] { return stranger.has(hot_restart::Kind::told); }));
     CHECK(stranger.has(hot_restart::Kind::memory_part));
-    CHECK(state_of(town) == "serving");
+    CHECK(state_of(fixture) == "serving");
     // A third one meanwhile is told to wait.
     REQUIRE(third.call());
-    CHECK(third.hear(town, [&] { return third.has(hot_restart::Kind::refuse); }));
+    CHECK(third.hear(fixture, [&] { return third.has(hot_restart::Kind::refuse); }));
     stranger.fd.close();
-    town.pass(5);
+    fixture.run_for(5);
     REQUIRE(third.call());
-    third.say({.kind = hot_restart::Kind::greet, .held = 10, .text = "n0"});
-    CHECK(third.hear(town, [&] { return third.has(hot_restart::Kind::told); }));
-    third.say({.kind = hot_restart::Kind::ready});
-    CHECK(third.hear(town, [&] { return third.has(hot_restart::Kind::tunnel); }));
+    third.send({.kind = hot_restart::Kind::greet, .held = 10, .text = "n0"});
+    CHECK(third.hear(fixture, [&] { return third.has(hot_restart::Kind::told); }));
+    third.send({.kind = hot_restart::Kind::ready});
+    CHECK(third.hear(fixture, [&] { return third.has(hot_restart::Kind::tunnel); }));
     third.fd.close();  // before it has said that it has the tunnel
-    CHECK(town.until([&] { return state_of(town) == "serving"; }));
-    tunnel.host.say("on\r\n");
-    CHECK(town.until([&] { return tunnel.client.heard("on\r\n"); }));
-    CHECK(town.until([&] { return true; }));
+    CHECK(fixture.run_until([&] { return state_of(fixture) == "serving"; }));
+    tunnel.host.send("on\r\n");
+    CHECK(fixture.run_until([&] { return tunnel.client.has_received("on\r\n"); }));
+    CHECK(fixture.run_until([&] { return true; }));
 }
 
 TEST_CASE("a third version that is started during an upgrade waits for its turn") {
-    Town town(upgraded());
-    OpenTunnel tunnel = town.opened();
-    town.upgrade();
-    CHECK(town.until([&] { return all_over(town); }));
-    auto second = std::move(town.next);
-    town.upgrade();
+    NodeFixture fixture(upgraded());
+    OpenTunnel tunnel = fixture.open_tunnel();
+    fixture.upgrade();
+    CHECK(fixture.run_until([&] { return all_over(fixture); }));
+    auto second = std::move(fixture.next);
+    fixture.upgrade();
     std::raise(SIGTERM);
-    town.runs = town.node->turn();  // who reads it first is told
-    CHECK(town.until(
+    fixture.running = fixture.node->turn();  // who reads it first is told
+    CHECK(fixture.run_until(
         [&] {
             second->turn();
-            if (!town.runs) town.node.reset();
-            return !town.runs && state_of(town) == "serving" && town.next->holds().tunnels == 1;
+            if (!fixture.running) fixture.node.reset();
+            return !fixture.running && state_of(fixture) == "serving" && fixture.next->holds().tunnels == 1;
         },
         6000));
-    tunnel.host.say("on\r\n");
-    CHECK(town.until([&] { return tunnel.client.heard("on\r\n"); }));
+    tunnel.host.send("on\r\n");
+    CHECK(fixture.run_until([&] { return tunnel.client.has_received("on\r\n"); }));
 }
 
 TEST_CASE("what the listener's number names must be a listening socket, else the start ends and says so") {
-    Town town(upgraded());
+    NodeFixture fixture(upgraded());
     const auto with = [&](const char* fd) {
-        return node::Node(town.kernel, config::parse_node_config(town.file.root(), {.inherited_fd = fd}),
-                          town.file.root().inner("known"), town.log, {});
+        return node::Node(fixture.kernel,
+                          config::parse_node_config(fixture.file.root(), {.inherited_fd = fd}),
+                          fixture.file.root().inner("known"), fixture.log, {});
     };
     for (const char* fd : {"x", "-1", "5x"})
         CHECK_THROWS_WITH_AS(with(fd), doctest::Contains("NODE_INHERITED_FD"), json::Malformed);
     const net::Fd plain(::socket(AF_INET, SOCK_STREAM, 0)), udp(::socket(AF_INET, SOCK_DGRAM, 0)),
-        file = town.kernel.spare();
+        file = fixture.kernel.spare();
     for (const int fd : {900, plain.get(), udp.get(), file.get()})
         CHECK_THROWS_WITH_AS(with(std::to_string(fd).c_str()), doctest::Contains("NODE_INHERITED_FD"),
                              json::Malformed);
 }
 
 TEST_CASE("with no listener handed down there is no meeting place, and nothing is held for one") {
-    Town with(upgraded()), without(Town::BalancerConfig{.operators = true});
-    CHECK(without.launch().nearby.empty());
+    NodeFixture with(upgraded()), without(NodeFixture::Options{.admin = true});
+    CHECK(without.parse_config().nearby.empty());
     CHECK(without.node->holds().descriptors + 1 == with.node->holds().descriptors);
 }
 
 TEST_CASE(
     "an upgrade while drained, and where connections end at the node, moves nobody once clients go over") {
-    Town town(upgraded("proxy"));
-    OpenTunnel tunnel = town.opened();
-    CHECK(town.post("/healthcheck/fail").substr(9, 3) == "200");
-    town.upgrade();
-    CHECK(town.until([&] { return all_over(town); }));
-    CHECK(state_of(town) == "serving");
+    NodeFixture fixture(upgraded("proxy"));
+    OpenTunnel tunnel = fixture.open_tunnel();
+    CHECK(fixture.post("/healthcheck/fail").substr(9, 3) == "200");
+    fixture.upgrade();
+    CHECK(fixture.run_until([&] { return all_over(fixture); }));
+    CHECK(state_of(fixture) == "serving");
     std::raise(SIGTERM);
-    CHECK(town.until([&] { return !town.runs; }, 4000));
-    town.old_is_gone();
-    town.pass(1500);
-    CHECK(!tunnel.client.over());
+    CHECK(fixture.run_until([&] { return !fixture.running; }, 4000));
+    fixture.retire_old_node();
+    fixture.run_for(1500);
+    CHECK(!tunnel.client.is_closed());
 }
 
 TEST_CASE("with few descriptors both processes together stay within what is granted") {
-    Town town(upgraded("pass", 64));
+    NodeFixture fixture(upgraded("pass", 64));
     std::vector<OpenTunnel> open;
     open.reserve(12);
-    for (int i = 0; i < 12; ++i) open.push_back(town.opened());
-    town.upgrade();
+    for (int i = 0; i < 12; ++i) open.push_back(fixture.open_tunnel());
+    fixture.upgrade();
     std::size_t most = 0;
-    CHECK(town.until([&] {
-        most = std::max(most, town.node->holds().descriptors + town.next->holds().descriptors);
-        return all_over(town);
+    CHECK(fixture.run_until([&] {
+        most = std::max(most, fixture.node->holds().descriptors + fixture.next->holds().descriptors);
+        return all_over(fixture);
     }));
-    CHECK(town.next->holds().tunnels == open.size());
+    CHECK(fixture.next->holds().tunnels == open.size());
     CHECK(most + 12 <=
           64 + 8);  // twice what both have outside their loops, and the desk's, which are set aside
     for (OpenTunnel& tunnel : open) {
-        tunnel.host.say("on\r\n");
-        CHECK(town.until([&] { return tunnel.client.heard("on\r\n"); }));
+        tunnel.host.send("on\r\n");
+        CHECK(fixture.run_until([&] { return tunnel.client.has_received("on\r\n"); }));
     }
 }
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -18,16 +18,17 @@
 }  // namespace
 
 TEST_CASE("a list of 1,100 hosts is taken whole, and tunnels go to many of them") {
-    Town town({.operators = true});
-    End watch;
-    REQUIRE(town.until([&] {
-        if (!watch.fd.open()) watch = town.discovery.accept();
-        return watch.fd.open() && watch.heard("\r\n\r\n");
+    NodeFixture fixture({.admin = true});
+    TestConnection watch;
+    REQUIRE(fixture.run_until([&] {
+        if (!watch.fd.open()) watch = fixture.discovery.accept();
+        return watch.fd.open() && watch.has_received("\r\n\r\n");
     }));
     std::string list = R"({"revision":9,"complete":true,"members":[)";
     for (std::uint32_t i = 0; i < many; ++i) {
         if (i > 0) list.push_back(',');
-        list.append(Town::member(std::string("s-").append(std::to_string(i)), i % 2 ? town.a : town.b));
+        list.append(NodeFixture::member(std::string("s-").append(std::to_string(i)),
+                                        i % 2 ? fixture.host_a : fixture.host_b));
     }
     list.append("]}\n");
     std::array<char, 16> size{};
@@ -35,53 +36,54 @@
     std::string answer = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     answer.append(size.data()).append(list).append("\r\n");
     std::size_t told = 0;
-    REQUIRE(town.until([&] {
+    REQUIRE(fixture.run_until([&] {
         told += net::write_some(watch.fd.get(), std::string_view(answer).substr(told)).bytes;
         return told == answer.size();
     }));
-    REQUIRE(town.until(
-        [&] { return town.get("/stats").find("\"registry_entries\":1100") != std::string::npos; }));
+    REQUIRE(fixture.run_until(
+        [&] { return fixture.get("/stats").find("\"registry_entries\":1100") != std::string::npos; }));
     for (int i = 0; i < 20; ++i) {
-        End c = town.client(town.line()), h = town.setup();
-        h.say("UP r\r\n");
-        CHECK(town.until([&] { return c.heard("UP r\r\n"); }));
+        TestConnection c = fixture.connect_client(fixture.open_line()), h = fixture.accept_attempt();
+        h.send("UP r\r\n");
+        CHECK(fixture.run_until([&] { return c.has_received("UP r\r\n"); }));
     }
 }
 
 TEST_CASE(
     "nodes 0 and 1,099 of 1,100 place by the reports of 1,100 eps; their records go all over the ring") {
-    Node first(Node::usual(0, many)), last(Node::usual(many - 1, many));
-    std::vector<std::uint32_t> eps;
-    for (std::uint32_t i = 0; i < many; ++i) eps.push_back(ep_number(i));
-    for (auto* n : {&first, &last}) n->list(eps);
-    const auto tell = [&](Node& to, auto&& add) {  // all eps, in as many messages as it takes
+    BalancerFixture first(BalancerFixture::default_config(0, many)),
+        last(BalancerFixture::default_config(many - 1, many));
+    std::vector<std::uint32_t> endpoints;
+    for (std::uint32_t i = 0; i < many; ++i) endpoints.push_back(ep_number(i));
+    for (auto* n : {&first, &last}) n->set_endpoints(endpoints);
+    const auto tell = [&](BalancerFixture& to, auto&& add) {  // all eps, in as many messages as it takes
         peer::Message m;
-        for (const auto ep : eps) {
+        for (const auto ep : endpoints) {
             if (add(m, ep)) continue;
-            to.b->on_gossip(1, m.bytes());
+            to.balancer->on_gossip(1, m.bytes());
             m = {};
             REQUIRE(add(m, ep));
         }
-        to.b->on_gossip(1, m.bytes());
+        to.balancer->on_gossip(1, m.bytes());
     };
     for (auto* n : {&first, &last})
         tell(*n, [&](peer::Message& m, std::uint32_t ep) {
-            return m.report(ep, true, ep == eps.back() ? 0.1 : 0.5);
+            return m.report(ep, true, ep == endpoints.back() ? 0.1 : 0.5);
         });
     // The lightest, the last of the list, draws the first tunnel at both ends of the fleet.
     std::set<std::uint32_t> used, heard_by;
     for (std::uint64_t t = 1; t <= 400; ++t)
         for (auto* n : {&first, &last}) {
-            n->pass(25 * ms);
+            n->advance(25 * ms);
             n->on_request(t, key_of(t));
-            REQUIRE(n->setups_of(t) == 1);
-            if (t == 1) CHECK(n->last().ep == eps.back());
-            used.insert(n->last().ep);
+            REQUIRE(n->attempts_of(t) == 1);
+            if (t == 1) CHECK(n->last_attempt().endpoint == endpoints.back());
+            used.insert(n->last_attempt().endpoint);
             n->open(t);
         }
     CHECK(used.size() >= 200);
     for (auto* n : {&first, &last})
-        for (const auto& [to, bytes] : n->post) {
+        for (const auto& [to, bytes] : n->gossip) {
             CHECK(bytes.size() <= peer::max_bytes);
             if (to != 99) heard_by.insert(to);  // 99: to all, and node 99 itself
         }
--- a/tests/load_estimator_test.cpp
+++ b/tests/load_estimator_test.cpp
@@ -11,9 +11,9 @@
 
 // One of a hundred nodes whose words are dear, with ten eps.
 struct Far {
-    Far() : n(terms()) { n.list({1, 2, 3, 4, 5, 6, 7, 8, 9, 10}); }
+    Far() : n(terms()) { n.set_endpoints({1, 2, 3, 4, 5, 6, 7, 8, 9, 10}); }
     static BalancerConfig terms() {
-        auto t = Node::usual(0, 100);
+        auto t = BalancerFixture::default_config(0, 100);
         t.limits.health_checks_enabled = false;
         t.costs.gossip_message = 0.05;
         return t;
@@ -21,22 +21,22 @@
     void on_gossip(std::uint32_t first, std::uint32_t last, double load) {
         peer::Message m;
         for (std::uint32_t ep = first; ep <= last; ++ep) m.report(ep, true, load);
-        n.b->on_gossip(1, m.bytes());
+        n.balancer->on_gossip(1, m.bytes());
     }
     // Two tunnels a second, that stay; how many went to the eps from first to last.
     long come(int tunnels, std::uint32_t first, std::uint32_t last) {
-        const auto before = static_cast<std::ptrdiff_t>(n.sent.size());
+        const auto before = static_cast<std::ptrdiff_t>(n.attempts.size());
         for (int i = 0; i < tunnels; ++i) {
             ++t;
             n.on_request(t, key_of(t));
             n.open(t);
-            n.pass(500 * ms);
+            n.advance(500 * ms);
         }
-        REQUIRE(n.sent.size() == static_cast<std::size_t>(before + tunnels));
-        return std::count_if(n.sent.begin() + before, n.sent.end(),
-                             [&](const Sent& x) { return x.ep >= first && x.ep <= last; });
+        REQUIRE(n.attempts.size() == static_cast<std::size_t>(before + tunnels));
+        return std::count_if(n.attempts.begin() + before, n.attempts.end(),
+                             [&](const Attempt& x) { return x.endpoint >= first && x.endpoint <= last; });
     }
-    Node n;
+    BalancerFixture n;
     std::uint64_t t = 0;
 };
 
@@ -71,15 +71,15 @@
 TEST_CASE("an ep that no report has come of is taken to carry what the others do") {
     Far f;
     f.on_gossip(1, 5, 0.4);
-    f.n.pass(200 * ms);
+    f.n.advance(200 * ms);
     const auto reported = f.come(60, 1, 5);
     CHECK(reported >= 12);
     CHECK(reported <= 48);
 }
 
 TEST_CASE("what an ep can do is reckoned for all eps, also while only few were reported") {
-    Node host;
-    Known known(Node::usual(0, 3), host);
+    BalancerFixture host;
+    Known known(BalancerFixture::default_config(0, 3), host);
     for (std::uint32_t i = 0; i < 2; ++i) known.eps[i].reported(0.5, known.now);
     known.now += 1 * s;
     known.sampled = {.load = 10, .older = 0};  // of all, held at each of three nodes
@@ -87,8 +87,8 @@
 }
 
 TEST_CASE("a node that has just started does not take the few records it has for all") {
-    Node host;
-    Known known(Node::usual(0, 3), host);
+    BalancerFixture host;
+    Known known(BalancerFixture::default_config(0, 3), host);
     for (auto& e : known.eps) e.reported(0.5, known.now);
     const double first = known.room(known.eps[0]);
     CHECK(known.room_after(300) == doctest::Approx(first));  // none has come
@@ -100,12 +100,12 @@
 }
 
 TEST_CASE("where nodes may not talk, each sees its own tunnels alone of all") {
-    Node host;
-    auto terms = Node::usual(0, 30);
-    Known heard(terms, host);
+    BalancerFixture host;
+    auto config = BalancerFixture::default_config(0, 30);
+    Known heard(config, host);
     CHECK(heard.tunnels_a_sample() == doctest::Approx(10));
-    terms.limits.gossip_enabled = false;
-    Known alone(terms, host);
+    config.limits.gossip_enabled = false;
+    Known alone(config, host);
     CHECK(alone.tunnels_a_sample() == doctest::Approx(30));
 }
 
@@ -124,22 +124,23 @@
 TEST_CASE("where loads are not known, a dear crossing does not keep all tunnels in the node's zone") {
     for (const bool reports : {false, true}) {
         INFO("reports: ", reports);
-        auto terms = Node::usual(0, 3);
-        terms.limits.gossip_enabled = false;
-        terms.limits.health_checks_enabled = reports;
-        terms.costs.cross_zone = 0.08;
-        terms.must_poll = false;
-        Node n(terms);
-        n.b->begin_endpoint_list(EndpointListKind::complete);
-        for (std::uint32_t i = 1; i <= 8; ++i) n.b->add_endpoint(i, i % 2, 0, EndpointState::active, 1, 0);
-        n.b->end_endpoint_list();
+        auto config = BalancerFixture::default_config(0, 3);
+        config.limits.gossip_enabled = false;
+        config.limits.health_checks_enabled = reports;
+        config.costs.cross_zone = 0.08;
+        config.must_poll = false;
+        BalancerFixture n(config);
+        n.balancer->begin_endpoint_list(EndpointListKind::complete);
+        for (std::uint32_t i = 1; i <= 8; ++i)
+            n.balancer->add_endpoint(i, i % 2, 0, EndpointState::active, 1, 0);
+        n.balancer->end_endpoint_list();
         int far = 0;
         for (std::uint64_t t = 1; t <= 200; ++t) {
-            n.pass(500 * ms);
-            n.answer_probes(0.3);
+            n.advance(500 * ms);
+            n.answer_health_checks(0.3);
             n.on_request(t, key_of(t));
-            REQUIRE(n.setups_of(t) == 1);
-            far += n.last().ep % 2 != 0 ? 1 : 0;
+            REQUIRE(n.attempts_of(t) == 1);
+            far += n.last_attempt().endpoint % 2 != 0 ? 1 : 0;
             n.open(t);
             n.end(t, Outcome::ok, true);
         }
@@ -149,18 +150,19 @@
 }
 
 TEST_CASE("a silent ep is probed each second until it answers, then no more often than others") {
-    auto terms = Node::usual(0, 100);
-    terms.limits.gossip_enabled = false;
-    terms.costs.health_check = 1;  // eight seconds between two
-    Node n(terms);
-    n.list({1, 2, 3, 4, 5, 6, 7, 8});
+    auto config = BalancerFixture::default_config(0, 100);
+    config.limits.gossip_enabled = false;
+    config.costs.health_check = 1;  // eight seconds between two
+    BalancerFixture n(config);
+    n.set_endpoints({1, 2, 3, 4, 5, 6, 7, 8});
     const auto probes_of_1 = [&](int seconds, Outcome ending) {
         int probes = 0;
         for (int i = 0; i < 10 * seconds; ++i) {
-            n.pass(100 * ms);
-            for (const auto p : std::exchange(n.probes, {})) {
+            n.advance(100 * ms);
+            for (const auto p : std::exchange(n.health_checks, {})) {
                 probes += p == 1 ? 1 : 0;
-                n.b->on_health_check(static_cast<std::uint32_t>(p), p == 1 ? ending : Outcome::ok, ms, {});
+                n.balancer->on_health_check(static_cast<std::uint32_t>(p), p == 1 ? ending : Outcome::ok, ms,
+                                            {});
             }
         }
         return probes;
@@ -172,24 +174,24 @@
 
 TEST_CASE("where nothing tells how long messages take, work that reports show piling up weighs") {
     const auto goes_to = [](bool reports_message_delay) {
-        BalancerConfig terms = Node::usual(0, 1);
-        terms.reports_message_delay = reports_message_delay;
-        Node n(terms);
-        n.list({1, 2});
+        BalancerConfig config = BalancerFixture::default_config(0, 1);
+        config.reports_message_delay = reports_message_delay;
+        BalancerFixture n(config);
+        n.set_endpoints({1, 2});
         int first = 0;
         for (int i = 0; i < 40; ++i) {
-            n.pass(s / 4);
-            for (const auto p : std::exchange(n.probes, {})) {
+            n.advance(s / 4);
+            for (const auto p : std::exchange(n.health_checks, {})) {
                 LoadReport r;
                 r.load =
                     p == 1 ? (i < 24 ? 1.5 : 0.5) : 0.55;  // no longer asked too much, but not yet through
-                n.b->on_health_check(static_cast<std::uint32_t>(p), Outcome::ok, ms, r);
+                n.balancer->on_health_check(static_cast<std::uint32_t>(p), Outcome::ok, ms, r);
             }
             if (i < 30) continue;
             const auto t = 100 + static_cast<std::uint64_t>(i);
             n.on_request(t);
-            first += n.last().ep == 1 ? 1 : 0;
-            n.b->on_ended(t, 0, n.last().ep, Outcome::cancelled, ms, true);
+            first += n.last_attempt().endpoint == 1 ? 1 : 0;
+            n.balancer->on_ended(t, 0, n.last_attempt().endpoint, Outcome::cancelled, ms, true);
         }
         return first;
     };
@@ -198,17 +200,17 @@
 }
 
 TEST_CASE("what an ep can do is not learned from the first few loads told, which may be tiny") {
-    Node n;
-    n.list({7, 8});
+    BalancerFixture n;
+    n.set_endpoints({7, 8});
     for (std::uint64_t t = 1; t <= 6; ++t) n.on_request(t), n.open(t);
-    for (std::uint64_t t = 1; t <= 6; ++t) n.b->on_load_changed(t, 0.001);
+    for (std::uint64_t t = 1; t <= 6; ++t) n.balancer->on_load_changed(t, 0.001);
     for (const double load : {0.3, 0.31, 0.32}) {
-        n.pass(2 * s);
-        n.answer_probes(load);
+        n.advance(2 * s);
+        n.answer_health_checks(load);
     }
-    n.b->on_load_changed(1, 0.5);
-    n.b->on_load_changed(2, 0.5);
+    n.balancer->on_load_changed(1, 0.5);
+    n.balancer->on_load_changed(2, 0.5);
     n.on_request(20);
-    CHECK(n.declined.empty());
-    CHECK(n.setups_of(20) == 1);
+    CHECK(n.rejected.empty());
+    CHECK(n.attempts_of(20) == 1);
 }
--- a/tests/load_reports_test.cpp
+++ b/tests/load_reports_test.cpp
@@ -9,7 +9,7 @@
 TEST_CASE(
     "one node reports for all eps; where it says nothing, the next on the ring does, and then the third") {
     constexpr std::uint32_t nodes = 90;
-    const auto all = tier_of(nodes, {1, 2, 3, 4, 5, 6, 7, 8});
+    const auto all = start_nodes(nodes, {1, 2, 3, 4, 5, 6, 7, 8});
     std::vector<std::uint32_t> dead;
     std::size_t bytes = 0;
     const auto play = [&](Ticks span, double load) {
@@ -17,14 +17,14 @@
         for (Ticks t = 0; t < span; t += 100 * ms)
             for (std::uint32_t n = 0; n < nodes; ++n) {
                 if (std::find(dead.begin(), dead.end(), n) != dead.end()) continue;
-                all[n]->pass(100 * ms);
-                all[n]->answer_probes(load);
-                for (const auto& [to, m] : std::exchange(all[n]->post, {})) {
+                all[n]->advance(100 * ms);
+                all[n]->answer_health_checks(load);
+                for (const auto& [to, m] : std::exchange(all[n]->gossip, {})) {
                     if (to != 99) continue;
                     told.push_back(n);
                     bytes += m.size() * (nodes - 1);
                     for (std::uint32_t k = 0; k < nodes; ++k)
-                        if (k != n) all[k]->b->on_gossip(n, m);
+                        if (k != n) all[k]->balancer->on_gossip(n, m);
                 }
             }
         return told;
@@ -42,19 +42,21 @@
 }
 
 TEST_CASE("nodes with the same list have the same reporters, however they came to it") {
-    Node at_once(Node::usual(0, 60)), bit_by_bit(Node::usual(0, 60));
-    at_once.list({1, 2, 3, 4, 5, 6, 7, 8, 9, 10});
-    bit_by_bit.list({21, 22, 23, 24, 25, 26, 27, 28});
-    for (std::uint32_t ep = 1; ep <= 10; ++ep) bit_by_bit.list({ep}, EndpointListKind::changes);
-    bit_by_bit.list({21, 22, 23, 24, 25, 26, 27, 28}, EndpointListKind::changes, EndpointState::removed);
-    const auto reporters = [](Node& n) {
+    BalancerFixture at_once(BalancerFixture::default_config(0, 60)),
+        bit_by_bit(BalancerFixture::default_config(0, 60));
+    at_once.set_endpoints({1, 2, 3, 4, 5, 6, 7, 8, 9, 10});
+    bit_by_bit.set_endpoints({21, 22, 23, 24, 25, 26, 27, 28});
+    for (std::uint32_t ep = 1; ep <= 10; ++ep) bit_by_bit.set_endpoints({ep}, EndpointListKind::changes);
+    bit_by_bit.set_endpoints({21, 22, 23, 24, 25, 26, 27, 28}, EndpointListKind::changes,
+                             EndpointState::removed);
+    const auto reporters = [](BalancerFixture& n) {
         std::vector<std::uint32_t> of(11, 99);
         for (std::uint64_t t = 1; t <= 300; ++t) {
             n.on_request(t);
-            n.post.clear();
+            n.gossip.clear();
             n.open(t);
-            for (const auto& [to, m] : n.post) of[n.last().ep] = to;
-            n.pass(100 * ms);
+            for (const auto& [to, m] : n.gossip) of[n.last_attempt().endpoint] = to;
+            n.advance(100 * ms);
         }
         return of;
     };
@@ -65,18 +67,18 @@
 
 TEST_CASE("a large change of a load is told sooner than a small one") {
     const auto told_after = [](double load) {
-        auto terms = Node::usual(0, 2);
-        terms.costs.gossip_message = 1;
-        Node n(terms);
-        n.list({7}, EndpointListKind::cached);
-        n.pass(5 * s);
-        n.answer_probes(0.2);
-        for (int i = 0; i < 20; ++i) n.pass(100 * ms), n.answer_probes(0.2);
-        n.post.clear();
+        auto config = BalancerFixture::default_config(0, 2);
+        config.costs.gossip_message = 1;
+        BalancerFixture n(config);
+        n.set_endpoints({7}, EndpointListKind::cached);
+        n.advance(5 * s);
+        n.answer_health_checks(0.2);
+        for (int i = 0; i < 20; ++i) n.advance(100 * ms), n.answer_health_checks(0.2);
+        n.gossip.clear();
         for (int i = 0; i < 600; ++i) {
-            n.pass(100 * ms);
-            n.answer_probes(load);
-            for (const auto& [to, m] : std::exchange(n.post, {}))
+            n.advance(100 * ms);
+            n.answer_health_checks(load);
+            for (const auto& [to, m] : std::exchange(n.gossip, {}))
                 if (to == 99 && m.size() == 1 + peer::report_bytes) return i;
         }
         return 600;
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -35,44 +35,44 @@
 // Blocks the thread of the test, and so each node in it.
 inline void stall(int ms) { std::this_thread::sleep_for(std::chrono::milliseconds(ms)); }
 
-// One end of a connection that a story holds.
-struct End {
+// One end of a connection, held by a test: a client's, a host's, discovery's or an operator's.
+struct TestConnection {
     net::Fd fd;
-    std::string got;  // all that has come, but for what the story took
+    std::string received;  // all that has come, less what the test has cleared
     bool ended = false, reset = false;
 
-    void say(std::string_view text) { net::write_some(fd.get(), text); }
-    void finish() { ::shutdown(fd.get(), SHUT_WR); }
-    void cut() {
+    void send(std::string_view text) { net::write_some(fd.get(), text); }
+    void shutdown_write() { ::shutdown(fd.get(), SHUT_WR); }
+    void abort() {
         const linger at_once{1, 0};
         ::setsockopt(fd.get(), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
         fd.close();
     }
-    void hear() {
+    void receive() {
         std::array<char, 8192> bytes;
         for (;;) {
             const auto r = net::read_some(fd.get(), bytes);
             ended = ended || r.ended;
             reset = reset || r.error != 0;
             if (r.bytes == 0) return;
-            got.append(bytes.data(), r.bytes);
+            received.append(bytes.data(), r.bytes);
         }
     }
-    bool heard(std::string_view text) {
-        hear();
-        return got.find(text) != std::string::npos;
+    bool has_received(std::string_view text) {
+        receive();
+        return received.find(text) != std::string::npos;
     }
-    bool over() {
-        hear();
+    bool is_closed() {
+        receive();
         return ended || reset;
     }
 };
 
-// Where a story is connected to: a host's or discovery's door.
-struct Door {
+// A listening socket on the loopback that a test accepts from: a host's or discovery's.
+struct TestListener {
     net::Fd fd;
     net::Address at;
-    Door() {
+    TestListener() {
         at.at.sin_family = AF_INET;
         at.at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
         fd = net::listen_on(at);
@@ -80,14 +80,18 @@
         ::getsockname(fd.get(), reinterpret_cast<sockaddr*>(&at.at), &size);
     }
     std::string name() const { return "127.0.0.1:" + std::to_string(ntohs(at.at.sin_port)); }
-    End accept() const { return {net::Fd(::accept4(fd.get(), nullptr, nullptr, SOCK_NONBLOCK)), {}}; }
+    TestConnection accept() const {
+        return {net::Fd(::accept4(fd.get(), nullptr, nullptr, SOCK_NONBLOCK)), {}};
+    }
 };
 
-// Several nodes take turns in one thread: none keeps the others waiting for long.
-struct Shared final : net::Kernel {
+// The kernel, with calls that fail when a test says so. With `shared`, nodes take turns in one thread and no
+// poll lasts over 1 ms, so that none delays the others.
+struct FaultyKernel final : net::Kernel {
     bool shared = false;
-    std::function<void()> after_poll;  // once: what it does is behind the back of the pass
-    std::size_t cut_lines_at = 0;      // of an OPEN line the system takes so many bytes at first
+    std::function<void()>
+        after_poll;  // runs once, after a poll has returned: the current pass does not see what it does
+    std::size_t cut_lines_at = 0;  // the first write of an OPEN line takes so many bytes; 0: all
     // The next so many calls fail with this error.
     struct Failing {
         int calls = 0, error = 0;
@@ -103,7 +107,7 @@
         if (listens.strikes()) throw std::system_error(errno, std::generic_category(), "listen");
         return Kernel::listen_on(at);
     }
-    std::function<int(int fd)> connection_error;  // in place of what became of a connection
+    std::function<int(int fd)> connection_error;  // replaces the outcome of a connect
     Ticks clock_ahead = 0;
     Ticks now() override { return Kernel::now() + clock_ahead; }
     Ticks clock_base() override { return Kernel::clock_base() + clock_ahead; }
@@ -127,157 +131,164 @@
 
 // A client and its host's end, with the tunnel open between them.
 struct OpenTunnel {
-    End client, host;
+    TestConnection client, host;
 };
 
-struct Town {
-    struct BalancerConfig {
+struct NodeFixture {
+    struct Options {
         std::string mode = "pass";
         int sockets = 256;
         bool probing = false;
         int log = -1;
-        bool operators = false;
-        bool inherits = false;        // the platform holds the clients' listener
-        std::string timeout = "3";    // of clients, in s
-        std::string grace = "3";      // of a drain, in s
-        std::string slow_start = "";  // further keys of the rules
+        bool admin = false;
+        bool inherits_listener = false;    // the clients' listener is handed down to the process
+        std::string client_timeout = "3";  // of clients, in s
+        std::string drain_grace = "3";     // of a drain, in s
+        std::string slow_start = "";       // further keys of the rules
     };
-    Door a, b, discovery;
-    std::string name = Door().name(), desk = Door().name();
-    Shared kernel, newer;  // newer: of a new version
+    TestListener host_a, host_b, discovery;
+    std::string address = TestListener().name(), admin_address = TestListener().name();
+    FaultyKernel kernel, next_kernel;  // next_kernel: of the new version in a hot restart
     log::Descriptor drain;
     log::Log log;
     json::Document file;
-    std::string text;
-    net::Fd listener;  // the platform's
+    std::string config_text;
+    net::Fd listener;  // the inherited one, if any
     std::string folder;
-    std::unique_ptr<node::Node> node, next;  // next: a new version, started beside it
-    bool runs = true, next_runs = false;
+    std::unique_ptr<node::Node> node, next;  // next: the new version, started beside it
+    bool running = true, next_running = false;
     int lines = 0;
-    int unreadable = 0;  // so many times the configuration cannot be read again
+    int failing_reads = 0;  // the next so many reloads of the configuration fail
 
-    Town() : Town(BalancerConfig{}) {}
-    explicit Town(const BalancerConfig& t, Ticks clock_ahead = 0, Shared::Failing listens = {})
-        : drain(t.log), log(log::Level::error, drain) {
+    NodeFixture() : NodeFixture(Options{}) {}
+    explicit NodeFixture(const Options& options, Ticks clock_ahead = 0, FaultyKernel::Failing listens = {})
+        : drain(options.log), log(log::Level::error, drain) {
         kernel.clock_ahead = clock_ahead;
         kernel.listens = listens;
-        text = R"({"name":"n0","listen":")" + name + R"(","discovery":")" + discovery.name() +
-               (t.operators ? R"(","admin_addr":")" + desk : "") + R"(","seed":"8c1f","limits":{"sockets":)" +
-               std::to_string(t.sockets) + R"(},"known":{"revision":4,"complete":true,"members":[)" +
-               member("a", a) + "," + member("b", b) +
-               R"(]},"settings":{"balancers":1,"me":0,"zone":0,"zones":["z"],"granularity":0.005,)" +
-               R"("membership_mode":"push","domain":{"mode":")" + t.mode +
-               R"("},"limits":{"max_setups":3,"connect_timeout":0.25,"probing":)" +
-               (t.probing ? "true" : "false") +
-               R"(},"report":{"via":"probe","columns":["x0"]},"rules":{"stop_sending_within":)" + t.grace +
-               t.slow_start + R"(},)" + R"("profiles":[{"name":"chat","setup_goal":0.3,"client_timeout":)" +
-               t.timeout + R"(,"credit":1,)" + R"("effect":"read_like","stream":true}]}})";
-        file.parse(text);
-        if (t.inherits) {
-            listener = net::listen_on(*net::parse_address(name));
+        config_text = R"({"name":"n0","listen":")" + address + R"(","discovery":")" + discovery.name() +
+                      (options.admin ? R"(","admin_addr":")" + admin_address : "") +
+                      R"(","seed":"8c1f","limits":{"sockets":)" + std::to_string(options.sockets) +
+                      R"(},"known":{"revision":4,"complete":true,"members":[)" + member("a", host_a) + "," +
+                      member("b", host_b) +
+                      R"(]},"settings":{"balancers":1,"me":0,"zone":0,"zones":["z"],"granularity":0.005,)" +
+                      R"("membership_mode":"push","domain":{"mode":")" + options.mode +
+                      R"("},"limits":{"max_setups":3,"connect_timeout":0.25,"probing":)" +
+                      (options.probing ? "true" : "false") +
+                      R"(},"report":{"via":"probe","columns":["x0"]},"rules":{"stop_sending_within":)" +
+                      options.drain_grace + options.slow_start + R"(},)" +
+                      R"("profiles":[{"name":"chat","setup_goal":0.3,"client_timeout":)" +
+                      options.client_timeout + R"(,"credit":1,)" +
+                      R"("effect":"read_like","stream":true}]}})";
+        file.parse(config_text);
+        if (options.inherits_listener) {
+            listener = net::listen_on(*net::parse_address(address));
             std::array<char, 32> made{"/tmp/lemonstair-story-XXXXXX"};
             folder = ::mkdtemp(made.data());
         }
         node = start(kernel);
     }
-    Town(const Town&) = delete;
-    Town& operator=(const Town&) = delete;
-    ~Town() {
+    NodeFixture(const NodeFixture&) = delete;
+    NodeFixture& operator=(const NodeFixture&) = delete;
+    ~NodeFixture() {
         node.reset();
         next.reset();
         if (!folder.empty()) std::filesystem::remove_all(folder);
     }
-    config::NodeConfig launch() {
+    config::NodeConfig parse_config() {
         const std::string fd = std::to_string(listener.open() ? ::dup(listener.get()) : -1);
         return config::parse_node_config(file.root(), {.inherited_fd = listener.open() ? fd.c_str() : nullptr,
                                                        .tmpdir = folder.empty() ? nullptr : folder.c_str()});
     }
     std::unique_ptr<node::Node> start(net::System& system) {
-        return std::make_unique<node::Node>(system, launch(), file.root().inner("known"), log, [this] {
-            if (unreadable > 0 && unreadable-- > 0) throw json::Malformed("cannot be read");
-            if (!file.parse(text)) throw json::Malformed("not JSON");
+        return std::make_unique<node::Node>(system, parse_config(), file.root().inner("known"), log, [this] {
+            if (failing_reads > 0 && failing_reads-- > 0) throw json::Malformed("cannot be read");
+            if (!file.parse(config_text)) throw json::Malformed("not JSON");
             return config::parse_node_config(file.root());
         });
     }
-    // A new version is started beside the old one, with an address for operators of its own.
+    // Starts a new version beside the old one, with an admin address of its own.
     void upgrade() {
-        const std::string old_desk = std::exchange(desk, Door().name());
-        if (const auto at = text.find(old_desk); at != std::string::npos)
-            text.replace(at, old_desk.size(), desk);
-        file.parse(text);
-        next = start(newer);
-        next_runs = kernel.shared = newer.shared = true;
+        const std::string old_address = std::exchange(admin_address, TestListener().name());
+        if (const auto at = config_text.find(old_address); at != std::string::npos)
+            config_text.replace(at, old_address.size(), admin_address);
+        file.parse(config_text);
+        next = start(next_kernel);
+        next_running = kernel.shared = next_kernel.shared = true;
     }
-    // The new one is all that is left.
-    void old_is_gone() {
+    // After the old version has exited: the new one is the node.
+    void retire_old_node() {
         node = std::move(next);
-        runs = std::exchange(next_runs, false);
+        running = std::exchange(next_running, false);
     }
-    static std::string member(std::string_view id, const Door& at, std::string_view phase = "in_service") {
+    static std::string member(std::string_view id, const TestListener& at,
+                              std::string_view state = "in_service") {
         return std::string(R"({"id":")").append(id).append(R"(","host_port":")").append(at.name()) +
                std::string(R"(","locality":"z","phase":")")
-                   .append(phase)
+                   .append(state)
                    .append(R"(","size":1,"up_since_ms":0})");
     }
-    // Lets the node run until something holds; false where it does not within a time.
-    bool until(const std::function<bool()>& holds, int ms = 3000) {
+    // Runs the event loop of the node (and of the new version) until the condition holds; false if it does
+    // not within `ms`.
+    bool run_until(const std::function<bool()>& holds, int ms = 3000) {
         const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(ms);
         while (!holds()) {
             if (std::chrono::steady_clock::now() > end) return false;
-            if (runs) runs = node->turn();
-            if (next_runs) next_runs = next->turn();
+            if (running) running = node->turn();
+            if (next_running) next_running = next->turn();
         }
         return true;
     }
-    void pass(int ms) {
-        until([] { return false; }, ms);
+    void run_for(int ms) {
+        run_until([] { return false; }, ms);
     }
-    End client(std::string_view line = "") const {
-        End e{net::connect_to(*net::parse_address(name)), {}};
+    TestConnection connect_client(std::string_view line = "") const {
+        TestConnection e{net::connect_to(*net::parse_address(address)), {}};
         pollfd up{e.fd.get(), POLLOUT, 0};
         ::poll(&up, 1, 1000);
-        if (!line.empty()) e.say(line);
+        if (!line.empty()) e.send(line);
         return e;
     }
-    // Somebody who operates the node.
-    End caller(std::string_view call = "") const {
-        End e{net::connect_to(*net::parse_address(desk)), {}};
+    // A connection to the admin server.
+    TestConnection connect_admin(std::string_view call = "") const {
+        TestConnection e{net::connect_to(*net::parse_address(admin_address)), {}};
         pollfd up{e.fd.get(), POLLOUT, 0};
         ::poll(&up, 1, 1000);
-        if (!call.empty()) e.say(call);
+        if (!call.empty()) e.send(call);
         return e;
     }
-    // The whole answer to a call.
-    std::string call(std::string_view text) {
-        End e = caller(text);
-        until([&] { return e.over(); });
-        return e.got;
+    // The complete answer to an admin request.
+    std::string call_admin(std::string_view text) {
+        TestConnection e = connect_admin(text);
+        run_until([&] { return e.is_closed(); });
+        return e.received;
+    }
+    std::string get(const std::string& path) {
+        return call_admin("GET " + path + " HTTP/1.1\r\nHost: n\r\n\r\n");
     }
-    std::string get(const std::string& path) { return call("GET " + path + " HTTP/1.1\r\nHost: n\r\n\r\n"); }
     std::string post(const std::string& path) {
-        return call("POST " + path + " HTTP/1.1\r\nHost: n\r\nContent-Length: 0\r\n\r\n");
+        return call_admin("POST " + path + " HTTP/1.1\r\nHost: n\r\nContent-Length: 0\r\n\r\n");
     }
-    // The setup that reaches one of the two hosts, at either.
-    End setup(const Door** at = nullptr) {
-        End e;
-        until([&] {
-            for (const Door* d : {&a, &b}) {
+    // Accepts the next attempt at whichever host it reaches, which `at` is set to.
+    TestConnection accept_attempt(const TestListener** at = nullptr) {
+        TestConnection e;
+        run_until([&] {
+            for (const TestListener* d : {&host_a, &host_b}) {
                 if (e.fd.open()) break;
                 e = d->accept();
                 if (at != nullptr) *at = d;
             }
-            return e.fd.open() && e.heard("\n");
+            return e.fd.open() && e.has_received("\n");
         });
         return e;
     }
-    // A first line with an id of its own.
-    std::string line() { return "OPEN " + std::to_string(++lines) + " k c=chat,d=2000\r\n"; }
-    OpenTunnel opened() {
-        End c = client(line()), h = setup();
-        h.say("UP r\r\n");
-        until([&] { return c.heard("UP r\r\n"); });
-        c.got.clear();
-        h.got.clear();
+    // An OPEN line with a new id.
+    std::string open_line() { return "OPEN " + std::to_string(++lines) + " k c=chat,d=2000\r\n"; }
+    OpenTunnel open_tunnel() {
+        TestConnection c = connect_client(open_line()), h = accept_attempt();
+        h.send("UP r\r\n");
+        run_until([&] { return c.has_received("UP r\r\n"); });
+        c.received.clear();
+        h.received.clear();
         return {std::move(c), std::move(h)};
     }
 };
--- a/tests/node_input_test.cpp
+++ b/tests/node_input_test.cpp
@@ -9,77 +9,82 @@
 using namespace fake;
 
 TEST_CASE("a first line may come cut at any byte") {
-    Town town;
+    NodeFixture fixture;
     for (std::size_t at = 1, size = 99; at < size; ++at) {
-        const std::string line = "PING\r\n" + town.line();
+        const std::string line = "PING\r\n" + fixture.open_line();
         size = line.size();
-        End c = town.client(line.substr(0, at));
-        town.pass(1);
-        c.say(line.substr(at));
-        End h = town.setup();
-        h.say("UP r\r\n");
-        REQUIRE(town.until([&] { return c.heard("UP r\r\n"); }));
-        CHECK(c.got == "PONG\r\nUP r\r\n");
+        TestConnection c = fixture.connect_client(line.substr(0, at));
+        fixture.run_for(1);
+        c.send(line.substr(at));
+        TestConnection h = fixture.accept_attempt();
+        h.send("UP r\r\n");
+        REQUIRE(fixture.run_until([&] { return c.has_received("UP r\r\n"); }));
+        CHECK(c.received == "PONG\r\nUP r\r\n");
     }
 }
 
 TEST_CASE("a client that sends on after its bad line, or reconnects with it, has its ERR and costs little") {
-    Town town({.mode = "pass", .sockets = 256, .probing = false});
-    End rude = town.client("frob\r\n");
+    NodeFixture fixture({.mode = "pass", .sockets = 256, .probing = false});
+    TestConnection rude = fixture.connect_client("frob\r\n");
     const std::string more(1 << 16, 'x');
     std::size_t sent = 0;
-    CHECK(town.until([&] {
+    CHECK(fixture.run_until([&] {
         const auto r = net::write_some(rude.fd.get(), more);
         sent += r.bytes;
-        return rude.heard("ERR\r\n") && rude.ended;
+        return rude.has_received("ERR\r\n") && rude.ended;
     }));
-    CHECK(town.until([&] { return net::write_some(rude.fd.get(), more).error != 0; }, 2000));
+    CHECK(fixture.run_until([&] { return net::write_some(rude.fd.get(), more).error != 0; }, 2000));
     CHECK(sent < (16 << 20));
-    std::vector<End> rest;
+    std::vector<TestConnection> rest;
     rest.reserve(300);
-    for (int i = 0; i < 300; ++i) rest.push_back(town.client("frob\r\n"));
-    CHECK(town.opened().client.fd.open());
-    CHECK(town.until([&] { return std::all_of(rest.begin(), rest.end(), [](End& e) { return e.over(); }); }));
+    for (int i = 0; i < 300; ++i) rest.push_back(fixture.connect_client("frob\r\n"));
+    CHECK(fixture.open_tunnel().client.fd.open());
+    CHECK(fixture.run_until([&] {
+        return std::all_of(rest.begin(), rest.end(), [](TestConnection& e) { return e.is_closed(); });
+    }));
 }
 
 TEST_CASE(
     "commands behind a first line, or the id of another's open tunnel, are neither passed on nor served") {
-    Town town;
-    const std::string line = town.line();
-    End c = town.client(line), h = town.setup();
-    h.say("UP r\r\n");
-    REQUIRE(town.until([&] { return c.heard("UP r\r\n"); }));
-    const auto nothing_at_hosts = [&] { return !town.a.accept().fd.open() && !town.b.accept().fd.open(); };
-    End twin = town.client(line), many = town.client(town.line() + town.line());
-    End pings = town.client();
-    for (int i = 0; i < 100; ++i) pings.say("PING\r\n");
-    CHECK(town.until([&] { return twin.over() && many.over() && pings.over(); }));
-    CHECK(twin.got == "ERR\r\n");
-    CHECK(many.got == "ERR\r\n");
+    NodeFixture fixture;
+    const std::string line = fixture.open_line();
+    TestConnection c = fixture.connect_client(line), h = fixture.accept_attempt();
+    h.send("UP r\r\n");
+    REQUIRE(fixture.run_until([&] { return c.has_received("UP r\r\n"); }));
+    const auto nothing_at_hosts = [&] {
+        return !fixture.host_a.accept().fd.open() && !fixture.host_b.accept().fd.open();
+    };
+    TestConnection twin = fixture.connect_client(line),
+                   many = fixture.connect_client(fixture.open_line() + fixture.open_line());
+    TestConnection pings = fixture.connect_client();
+    for (int i = 0; i < 100; ++i) pings.send("PING\r\n");
+    CHECK(fixture.run_until([&] { return twin.is_closed() && many.is_closed() && pings.is_closed(); }));
+    CHECK(twin.received == "ERR\r\n");
+    CHECK(many.received == "ERR\r\n");
     CHECK(nothing_at_hosts());
-    End late = town.client(town.line()), out = town.setup();
-    late.say("OPEN 2 k c=chat,d=9\r\n");
-    CHECK(town.until([&] { return late.over() && out.over(); }));
-    CHECK(late.got == "ERR\r\n");
+    TestConnection late = fixture.connect_client(fixture.open_line()), out = fixture.accept_attempt();
+    late.send("OPEN 2 k c=chat,d=9\r\n");
+    CHECK(fixture.run_until([&] { return late.is_closed() && out.is_closed(); }));
+    CHECK(late.received == "ERR\r\n");
     CHECK(nothing_at_hosts());
-    c.cut();  // an id is spent with its tunnel; only packets that come back mid-flow go on under it
-    End again = town.client(line);
-    CHECK(town.until([&] { return again.over(); }));
-    CHECK(again.got == "ERR\r\n");
+    c.abort();  // an id is spent with its tunnel; only packets that come back mid-flow go on under it
+    TestConnection again = fixture.connect_client(line);
+    CHECK(fixture.run_until([&] { return again.is_closed(); }));
+    CHECK(again.received == "ERR\r\n");
     CHECK(nothing_at_hosts());
-    End back = town.client(line.substr(0, line.size() - 2) + ",mid=1\r\n");
-    End h2 = town.setup();
-    h2.say("UP r\r\n");
-    CHECK(town.until([&] { return back.heard("UP r\r\n"); }));
-    back.cut();  // nor does it matter that the node has yet to hear that they went elsewhere before
-    back = town.client(line.substr(0, line.size() - 2) + ",mid=1\r\n");
-    town.setup().say("UP r\r\n");
-    CHECK(town.until([&] { return back.heard("UP r\r\n"); }));
+    TestConnection back = fixture.connect_client(line.substr(0, line.size() - 2) + ",mid=1\r\n");
+    TestConnection h2 = fixture.accept_attempt();
+    h2.send("UP r\r\n");
+    CHECK(fixture.run_until([&] { return back.has_received("UP r\r\n"); }));
+    back.abort();  // nor does it matter that the node has yet to hear that they went elsewhere before
+    back = fixture.connect_client(line.substr(0, line.size() - 2) + ",mid=1\r\n");
+    fixture.accept_attempt().send("UP r\r\n");
+    CHECK(fixture.run_until([&] { return back.has_received("UP r\r\n"); }));
 }
 
 TEST_CASE("bad input ends its own connection and nothing else") {
-    Town town;
-    OpenTunnel tunnel = town.opened();
+    NodeFixture fixture;
+    OpenTunnel tunnel = fixture.open_tunnel();
     const std::string endless(9000, 'x');
     for (const std::string& bad :
          {endless, std::string("OPEN\r\n"), std::string("OPEN 1 k c=no,d=5\r\n"),
@@ -87,20 +92,21 @@
           std::string("OPEN 1 k c=chat,d=soon\r\n"), std::string("OPEN 1 k c=chat,d=\r\n"),
           std::string("OPEN  k c=chat,d=5\r\n"), std::string("OPEN k c=chat,d=5\r\n"),
           std::string("OPEN 1 k\x01 c=chat,d=5\r\n"), std::string("\0\xff\r\n", 4)}) {
-        End e = town.client(bad);
-        CHECK(town.until([&] { return e.over(); }));
-        CHECK(e.got.substr(0, 3) != "UP ");
+        TestConnection e = fixture.connect_client(bad);
+        CHECK(fixture.run_until([&] { return e.is_closed(); }));
+        CHECK(e.received.substr(0, 3) != "UP ");
     }
-    End cut = town.client("OPEN 1 k c=ch");
-    cut.finish();
-    CHECK(town.until([&] { return cut.over(); }));
-    End c2 = town.client(town.line());
-    town.setup().say(endless);  // a host's answer without end is no answer: another host is asked
-    End h2 = town.setup();
-    h2.say("UP r\r\n");
-    CHECK(town.until([&] { return c2.heard("UP r\r\n"); }));
-    h2.say(endless);
-    CHECK(town.until([&] { return c2.over(); }));
-    tunnel.host.say("still here\r\n");
-    CHECK(town.until([&] { return tunnel.client.heard("still here\r\n"); }));
+    TestConnection cut = fixture.connect_client("OPEN 1 k c=ch");
+    cut.shutdown_write();
+    CHECK(fixture.run_until([&] { return cut.is_closed(); }));
+    TestConnection c2 = fixture.connect_client(fixture.open_line());
+    fixture.accept_attempt().send(
+        endless);  // a host's answer without end is no answer: another host is asked
+    TestConnection h2 = fixture.accept_attempt();
+    h2.send("UP r\r\n");
+    CHECK(fixture.run_until([&] { return c2.has_received("UP r\r\n"); }));
+    h2.send(endless);
+    CHECK(fixture.run_until([&] { return c2.is_closed(); }));
+    tunnel.host.send("still here\r\n");
+    CHECK(fixture.run_until([&] { return tunnel.client.has_received("still here\r\n"); }));
 }
--- a/tests/node_migration_test.cpp
+++ b/tests/node_migration_test.cpp
@@ -10,86 +10,86 @@
 using namespace fake;
 
 TEST_CASE("told to leave, the node takes clients on, moves all between two lines and leaves when empty") {
-    Town town({.mode = "proxy", .sockets = 256, .probing = false});
-    OpenTunnel tunnel = town.opened();
-    tunnel.host.say("half a ");
-    CHECK(town.until([&] { return tunnel.client.heard("half a "); }));
+    NodeFixture fixture({.mode = "proxy", .sockets = 256, .probing = false});
+    OpenTunnel tunnel = fixture.open_tunnel();
+    tunnel.host.send("half a ");
+    CHECK(fixture.run_until([&] { return tunnel.client.has_received("half a "); }));
     std::raise(SIGTERM);
-    town.pass(300);
-    OpenTunnel second = town.opened();
-    CHECK(town.until([&] { return second.client.over(); }));
-    CHECK(second.client.got == "MOVE\r\n");
-    CHECK(!tunnel.client.over());
-    tunnel.host.say("line\r\nand half of the ne");
-    CHECK(town.until([&] { return tunnel.client.over(); }));
-    CHECK(tunnel.client.got == "half a line\r\nMOVE\r\n");
+    fixture.run_for(300);
+    OpenTunnel second = fixture.open_tunnel();
+    CHECK(fixture.run_until([&] { return second.client.is_closed(); }));
+    CHECK(second.client.received == "MOVE\r\n");
+    CHECK(!tunnel.client.is_closed());
+    tunnel.host.send("line\r\nand half of the ne");
+    CHECK(fixture.run_until([&] { return tunnel.client.is_closed(); }));
+    CHECK(tunnel.client.received == "half a line\r\nMOVE\r\n");
     CHECK(!tunnel.client.reset);
     tunnel.client.fd.close(), second.client.fd.close(), tunnel.host.fd.close(), second.host.fd.close();
-    CHECK(town.until([&] { return !town.runs; }));
+    CHECK(fixture.run_until([&] { return !fixture.running; }));
 }
 
 TEST_CASE("where packets pass, a node told to leave keeps what it carries") {
-    Town town;
-    OpenTunnel tunnel = town.opened();
+    NodeFixture fixture;
+    OpenTunnel tunnel = fixture.open_tunnel();
     std::raise(SIGTERM);
-    town.pass(1200);
-    CHECK(!tunnel.client.over());
-    tunnel.host.say("BYE\r\n");
-    tunnel.host.finish();
-    CHECK(town.until([&] { return tunnel.client.over(); }));
-    CHECK(tunnel.client.got == "BYE\r\n");
+    fixture.run_for(1200);
+    CHECK(!tunnel.client.is_closed());
+    tunnel.host.send("BYE\r\n");
+    tunnel.host.shutdown_write();
+    CHECK(fixture.run_until([&] { return tunnel.client.is_closed(); }));
+    CHECK(tunnel.client.received == "BYE\r\n");
     tunnel.client.fd.close();
-    CHECK(town.until([&] { return !town.runs; }));
+    CHECK(fixture.run_until([&] { return !fixture.running; }));
 }
 
 TEST_CASE("a host from which no line comes any more is left within seconds") {
-    Town town;
-    OpenTunnel tunnel = town.opened();
-    tunnel.client.say("hello\r\n");
-    for (int i = 0; i < 16 && !tunnel.client.over(); ++i) {
-        tunnel.host.say("LOAD 100\r\n");  // it still tells its load
-        town.until([&] { return tunnel.client.over(); }, 250);
+    NodeFixture fixture;
+    OpenTunnel tunnel = fixture.open_tunnel();
+    tunnel.client.send("hello\r\n");
+    for (int i = 0; i < 16 && !tunnel.client.is_closed(); ++i) {
+        tunnel.host.send("LOAD 100\r\n");  // it still tells its load
+        fixture.run_until([&] { return tunnel.client.is_closed(); }, 250);
     }
-    CHECK(tunnel.client.over());
-    CHECK(tunnel.client.got.substr(tunnel.client.got.size() - 6) == "MOVE\r\n");
+    CHECK(tunnel.client.is_closed());
+    CHECK(tunnel.client.received.substr(tunnel.client.received.size() - 6) == "MOVE\r\n");
     CHECK(!tunnel.client.reset);
 }
 
 TEST_CASE("a tunnel whose lines its host no longer answers is moved within 7 s, though others there go on") {
-    Town town;
-    town.b.fd.close();
-    OpenTunnel tunnel = town.opened();
-    OpenTunnel other = town.opened();
-    tunnel.client.say("hello\r\n");
+    NodeFixture fixture;
+    fixture.host_b.fd.close();
+    OpenTunnel tunnel = fixture.open_tunnel();
+    OpenTunnel other = fixture.open_tunnel();
+    tunnel.client.send("hello\r\n");
     const auto quiet_for = [&](int ms) {
-        for (; ms > 0 && !tunnel.client.over(); ms -= 500) {
-            other.client.say("line\r\n");
-            other.host.say("line\r\n");
-            town.until([&] { return tunnel.client.over(); }, 500);
+        for (; ms > 0 && !tunnel.client.is_closed(); ms -= 500) {
+            other.client.send("line\r\n");
+            other.host.send("line\r\n");
+            fixture.run_until([&] { return tunnel.client.is_closed(); }, 500);
         }
-        return !tunnel.client.over();
+        return !tunnel.client.is_closed();
     };
     CHECK(quiet_for(4000));
     CHECK(!quiet_for(2500));
-    CHECK(tunnel.client.got == "MOVE\r\n");
-    CHECK(!other.client.over());
+    CHECK(tunnel.client.received == "MOVE\r\n");
+    CHECK(!other.client.is_closed());
 }
 
 TEST_CASE(
     "a tunnel that falls silent between lines is moved within 7 s of the last, not of the first unanswered") {
-    Town town;
-    town.b.fd.close();
-    OpenTunnel tunnel = town.opened();
-    OpenTunnel other = town.opened();
+    NodeFixture fixture;
+    fixture.host_b.fd.close();
+    OpenTunnel tunnel = fixture.open_tunnel();
+    OpenTunnel other = fixture.open_tunnel();
     const auto begin = std::chrono::steady_clock::now();
-    for (int ms = 0; ms < 6800 && !tunnel.client.over();
+    for (int ms = 0; ms < 6800 && !tunnel.client.is_closed();
          ms += 100) {  // the other goes on: the host is not to blame
-        if (ms % 2000 == 1900) tunnel.client.say("hello\r\n");
-        if (ms % 2000 == 900) other.client.say("line\r\n");
-        if (ms % 2000 == 1000) other.host.say("line\r\n");
-        town.until([&] { return tunnel.client.over(); }, 100);
+        if (ms % 2000 == 1900) tunnel.client.send("hello\r\n");
+        if (ms % 2000 == 900) other.client.send("line\r\n");
+        if (ms % 2000 == 1000) other.host.send("line\r\n");
+        fixture.run_until([&] { return tunnel.client.is_closed(); }, 100);
     }
-    CHECK(tunnel.client.got == "MOVE\r\n");
+    CHECK(tunnel.client.received == "MOVE\r\n");
     CHECK(std::chrono::steady_clock::now() - begin > std::chrono::milliseconds(5800));
-    CHECK(!other.client.over());
+    CHECK(!other.client.is_closed());
 }
--- a/tests/node_tunnel_test.cpp
+++ b/tests/node_tunnel_test.cpp
@@ -8,111 +8,111 @@
 using namespace fake;
 
 TEST_CASE("a client's line reaches a host with the wait that is left, and lines pass both ways unchanged") {
-    Town town;
-    End c = town.client("OPEN 9b1f k c=chat,d=2000,x=7\r\nfirst\r\n");
-    End h = town.setup();
-    const auto d = h.got.find(",d=");
-    REQUIRE(h.got.substr(0, d) == "OPEN 9b1f k c=chat");
-    const int wait = std::stoi(h.got.substr(d + 3));
+    NodeFixture fixture;
+    TestConnection c = fixture.connect_client("OPEN 9b1f k c=chat,d=2000,x=7\r\nfirst\r\n");
+    TestConnection h = fixture.accept_attempt();
+    const auto d = h.received.find(",d=");
+    REQUIRE(h.received.substr(0, d) == "OPEN 9b1f k c=chat");
+    const int wait = std::stoi(h.received.substr(d + 3));
     CHECK((wait > 0 && wait < 2000));
-    CHECK(h.got.substr(h.got.find(',', d + 1)) == ",x=7\r\n");
-    h.say("UP receipt\r\nLOAD 120\r\n");
-    CHECK(town.until([&] { return c.heard("UP receipt\r\nLOAD 120\r\n"); }));
-    CHECK(town.until([&] { return h.heard("first\r\n"); }));
-    c.say("a\r\nb");
-    CHECK(town.until([&] { return h.heard("first\r\na\r\nb"); }));
+    CHECK(h.received.substr(h.received.find(',', d + 1)) == ",x=7\r\n");
+    h.send("UP receipt\r\nLOAD 120\r\n");
+    CHECK(fixture.run_until([&] { return c.has_received("UP receipt\r\nLOAD 120\r\n"); }));
+    CHECK(fixture.run_until([&] { return h.has_received("first\r\n"); }));
+    c.send("a\r\nb");
+    CHECK(fixture.run_until([&] { return h.has_received("first\r\na\r\nb"); }));
 }
 
 TEST_CASE("a host that refuses connections has run nothing: the other gets the tunnel") {
-    Town town;
-    town.a.fd.close();
+    NodeFixture fixture;
+    fixture.host_a.fd.close();
     for (int i = 0; i < 6; ++i) {
-        End c = town.client(town.line());
-        End h = town.setup();
-        h.say("UP r\r\n");
-        CHECK(town.until([&] { return c.heard("UP r\r\n"); }));
+        TestConnection c = fixture.connect_client(fixture.open_line());
+        TestConnection h = fixture.accept_attempt();
+        h.send("UP r\r\n");
+        CHECK(fixture.run_until([&] { return c.has_received("UP r\r\n"); }));
     }
 }
 
 TEST_CASE("a silent setup is given up and its connection closed before the next goes out") {
-    Town town;
-    End c = town.client(town.line());
-    const Door *first = nullptr, *second = nullptr;
-    End h1 = town.setup(&first), h2 = town.setup(&second);
+    NodeFixture fixture;
+    TestConnection c = fixture.connect_client(fixture.open_line());
+    const TestListener *first = nullptr, *second = nullptr;
+    TestConnection h1 = fixture.accept_attempt(&first), h2 = fixture.accept_attempt(&second);
     CHECK(first != second);
-    CHECK(town.until([&] { return h1.over(); }, 100));
-    h1.say("UP late\r\n");
-    h2.say("UP r\r\n");
-    CHECK(town.until([&] { return c.heard("UP r\r\n"); }));
-    CHECK(c.got == "UP r\r\n");
+    CHECK(fixture.run_until([&] { return h1.is_closed(); }, 100));
+    h1.send("UP late\r\n");
+    h2.send("UP r\r\n");
+    CHECK(fixture.run_until([&] { return c.has_received("UP r\r\n"); }));
+    CHECK(c.received == "UP r\r\n");
 }
 
 TEST_CASE("a tunnel that no host takes is declined at once, cleanly, though the client has sent more") {
-    Town town;
-    End c = town.client("OPEN 1 k c=chat,d=2000\r\nmore\r\n");
-    for (int i = 0; i < 3; ++i) town.setup().say("BUSY\r\n");
-    CHECK(town.until([&] { return c.over(); }));
-    CHECK(c.got == "BUSY\r\n");
+    NodeFixture fixture;
+    TestConnection c = fixture.connect_client("OPEN 1 k c=chat,d=2000\r\nmore\r\n");
+    for (int i = 0; i < 3; ++i) fixture.accept_attempt().send("BUSY\r\n");
+    CHECK(fixture.run_until([&] { return c.is_closed(); }));
+    CHECK(c.received == "BUSY\r\n");
     CHECK(!c.reset);
 }
 
 TEST_CASE("a client that leaves while it waits ends its setup") {
-    Town town;
-    End c = town.client(town.line());
-    End h = town.setup();
+    NodeFixture fixture;
+    TestConnection c = fixture.connect_client(fixture.open_line());
+    TestConnection h = fixture.accept_attempt();
     c.fd.close();
-    CHECK(town.until([&] { return h.over(); }));
-    CHECK(town.opened().client.fd.open());
+    CHECK(fixture.run_until([&] { return h.is_closed(); }));
+    CHECK(fixture.open_tunnel().client.fd.open());
 }
 
 TEST_CASE("an end is passed on as an end behind the last byte, a reset as a reset") {
-    Town town;
-    OpenTunnel tunnel = town.opened();
-    tunnel.host.say("last words\r\nBYE\r\n");
-    tunnel.host.finish();
-    CHECK(town.until([&] { return tunnel.client.over(); }));
-    CHECK(tunnel.client.got == "last words\r\nBYE\r\n");
+    NodeFixture fixture;
+    OpenTunnel tunnel = fixture.open_tunnel();
+    tunnel.host.send("last words\r\nBYE\r\n");
+    tunnel.host.shutdown_write();
+    CHECK(fixture.run_until([&] { return tunnel.client.is_closed(); }));
+    CHECK(tunnel.client.received == "last words\r\nBYE\r\n");
     CHECK(!tunnel.client.reset);
-    OpenTunnel second = town.opened();
-    second.host.cut();
-    CHECK(town.until([&] { return second.client.over(); }));
+    OpenTunnel second = fixture.open_tunnel();
+    second.host.abort();
+    CHECK(fixture.run_until([&] { return second.client.is_closed(); }));
     CHECK(second.client.reset);
-    OpenTunnel third = town.opened();
-    third.client.say("bye\r\n");
-    third.client.finish();
-    CHECK(town.until([&] { return third.host.over(); }));
-    CHECK(third.host.got == "bye\r\n");
+    OpenTunnel third = fixture.open_tunnel();
+    third.client.send("bye\r\n");
+    third.client.shutdown_write();
+    CHECK(fixture.run_until([&] { return third.host.is_closed(); }));
+    CHECK(third.host.received == "bye\r\n");
     CHECK(!third.host.reset);
 }
 
 TEST_CASE("a side that takes nothing holds the other back, and nothing is lost") {
-    Town town;
-    OpenTunnel tunnel = town.opened();
+    NodeFixture fixture;
+    OpenTunnel tunnel = fixture.open_tunnel();
     const std::string line(1022, 'x');
     std::size_t sent = 0;
     for (int i = 0; i < 20000; ++i) {
         const auto r = net::write_some(tunnel.host.fd.get(), line + "\r\n");
         sent += r.bytes;
-        if (r.bytes < 1024) town.pass(1);
+        if (r.bytes < 1024) fixture.run_for(1);
         if (r.bytes < 1024 && sent > 8000000) break;
     }
-    CHECK(town.until([&] {
-        tunnel.client.hear();
-        return tunnel.client.got.size() == sent;
+    CHECK(fixture.run_until([&] {
+        tunnel.client.receive();
+        return tunnel.client.received.size() == sent;
     }));
 }
 
 TEST_CASE("a tunnel that stood before the start goes to its host, again until it is up") {
-    Town town;
-    End c = town.client("OPEN 1 k c=chat,d=2000,at=b\r\n");
+    NodeFixture fixture;
+    TestConnection c = fixture.connect_client("OPEN 1 k c=chat,d=2000,at=b\r\n");
     for (int i = 0; i < 2; ++i) {
-        End h;
-        CHECK(town.until([&] {
-            if (!h.fd.open()) h = town.b.accept();
-            return h.fd.open() && h.heard("at=b\r\n");
+        TestConnection h;
+        CHECK(fixture.run_until([&] {
+            if (!h.fd.open()) h = fixture.host_b.accept();
+            return h.fd.open() && h.has_received("at=b\r\n");
         }));
-        h.say(i == 0 ? "BUSY\r\n" : "UP r\r\n");
-        if (i == 1) CHECK(town.until([&] { return c.heard("UP r\r\n"); }));
+        h.send(i == 0 ? "BUSY\r\n" : "UP r\r\n");
+        if (i == 1) CHECK(fixture.run_until([&] { return c.has_received("UP r\r\n"); }));
     }
-    CHECK(!town.a.accept().fd.open());
+    CHECK(!fixture.host_a.accept().fd.open());
 }
--- a/tests/outlier_detection_test.cpp
+++ b/tests/outlier_detection_test.cpp
@@ -7,26 +7,27 @@
 using namespace fake;
 
 TEST_CASE("an ep that fails is set aside and comes back on another node's good answers") {
-    Node a(Node::usual(0, 2)), b(Node::usual(1, 2));
-    for (auto* n : {&a, &b}) n->list({7, 8, 9});
+    BalancerFixture a(BalancerFixture::default_config(0, 2)), b(BalancerFixture::default_config(1, 2));
+    for (auto* n : {&a, &b}) n->set_endpoints({7, 8, 9});
     std::uint64_t t = 1;
     for (; t < 60; ++t) {
         a.on_request(t);
-        const bool bad = a.last().ep == 7;
+        const bool bad = a.last_attempt().endpoint == 7;
         if (bad) a.end(t, Outcome::error);
         a.open(t);
     }
     const auto to_bad = [&] {
-        return std::count_if(a.sent.begin(), a.sent.end(), [](const Sent& x) { return x.ep == 7; });
+        return std::count_if(a.attempts.begin(), a.attempts.end(),
+                             [](const Attempt& x) { return x.endpoint == 7; });
     };
     CHECK(to_bad() == 2);
-    a.pass(11 * s / 10);
-    b.list({7}, EndpointListKind::complete);
+    a.advance(11 * s / 10);
+    b.set_endpoints({7}, EndpointListKind::complete);
     b.on_request(1);
-    b.post.clear();
+    b.gossip.clear();
     b.open(1);
-    b.pass(1100 * ms);
-    deliver({&a, &b});
+    b.advance(1100 * ms);
+    deliver_gossip({&a, &b});
     const auto before = to_bad();
     for (std::uint64_t k = 100; k < 130; ++k) {
         a.on_request(k);
@@ -36,91 +37,94 @@
 }
 
 TEST_CASE("what fails on all eps at once moves nobody and is held against none of them") {
-    auto terms = Node::usual();
-    terms.seed = 6;  // with some seeds an ep stays aside: docs/ROADMAP.md, open
-    Node n(terms);
-    n.list({7, 8, 9, 10});
+    auto config = BalancerFixture::default_config();
+    config.seed = 6;  // with some seeds an ep stays aside: docs/ROADMAP.md, open
+    BalancerFixture n(config);
+    n.set_endpoints({7, 8, 9, 10});
     std::uint64_t t = 1;
     for (; t <= 40; ++t) {
         n.on_request(t);
         n.open(t);
-        n.pass(50 * ms);
+        n.advance(50 * ms);
     }
-    n.pass(1 * s);
+    n.advance(1 * s);
     for (; t <= 70; ++t) {  // the store that all setups need is slow
         n.on_request(t);
-        while (n.setups_of(t) > 0 && n.last().tun == t && n.declined.size() + n.errors.size() < t - 40)
+        while (n.attempts_of(t) > 0 && n.last_attempt().tunnel == t &&
+               n.rejected.size() + n.failed.size() < t - 40)
             n.end(t, Outcome::timed_out);
-        n.pass(50 * ms);
+        n.advance(50 * ms);
     }
-    CHECK(n.moved.size() <= 4);
-    n.pass(3 * s);  // the store is itself again
-    const auto before = n.sent.size();
+    CHECK(n.migrated.size() <= 4);
+    n.advance(3 * s);  // the store is itself again
+    const auto before = n.attempts.size();
     for (; t <= 200; ++t) {
         n.on_request(t);
         n.open(t);
-        n.pass(50 * ms);
+        n.advance(50 * ms);
     }
     for (std::uint32_t ep = 7; ep <= 10; ++ep)
-        CHECK(std::any_of(n.sent.begin() + static_cast<std::ptrdiff_t>(before), n.sent.end(),
-                          [&](const Sent& x) { return x.ep == ep; }));
+        CHECK(std::any_of(n.attempts.begin() + static_cast<std::ptrdiff_t>(before), n.attempts.end(),
+                          [&](const Attempt& x) { return x.endpoint == ep; }));
 }
 
 TEST_CASE("an ep whose messages take longer than any client waits is left at once, the others stay") {
-    Node n;
-    n.list({7, 8, 9});
+    BalancerFixture n;
+    n.set_endpoints({7, 8, 9});
     std::uint64_t t = 1;
     std::vector<std::uint64_t> on_bad;
     for (; t <= 30; ++t) {
         n.on_request(t);
-        if (n.last().ep == 7) on_bad.push_back(t);
+        if (n.last_attempt().endpoint == 7) on_bad.push_back(t);
         n.open(t);
-        n.b->on_load_changed(t, 0.001);
-        n.pass(50 * ms);
+        n.balancer->on_load_changed(t, 0.001);
+        n.advance(50 * ms);
     }
     REQUIRE(!on_bad.empty());
-    n.b->on_slow_messages(on_bad[0], 7, 18 * s);
-    const auto before = n.sent.size();
+    n.balancer->on_slow_messages(on_bad[0], 7, 18 * s);
+    const auto before = n.attempts.size();
     for (; t <= 40; ++t) n.on_request(t);
-    CHECK(std::none_of(n.sent.begin() + static_cast<std::ptrdiff_t>(before), n.sent.end(),
-                       [](const Sent& x) { return x.ep == 7; }));
-    for (std::uint64_t k = 31; k <= 40; ++k) n.b->on_ended(k, 0, 0, Outcome::ok, ms, true);
-    n.pass(10 * s);
-    CHECK(n.moved == on_bad);
+    CHECK(std::none_of(n.attempts.begin() + static_cast<std::ptrdiff_t>(before), n.attempts.end(),
+                       [](const Attempt& x) { return x.endpoint == 7; }));
+    for (std::uint64_t k = 31; k <= 40; ++k) n.balancer->on_ended(k, 0, 0, Outcome::ok, ms, true);
+    n.advance(10 * s);
+    CHECK(n.migrated == on_bad);
 }
 
 TEST_CASE("an ep from which no line has come for a second is left, long before setups or probes tell") {
-    Node n;
-    n.list({1, 2, 3});
+    BalancerFixture n;
+    n.set_endpoints({1, 2, 3});
     for (std::uint64_t t = 1; t <= 12; ++t) n.on_request(t), n.open(t);
-    const std::uint32_t quiet = n.last().ep;
-    n.pass(s);
-    n.b->on_unresponsive(quiet, 9 * s / 10);
-    n.pass(s);
-    CHECK(n.moved.empty());
-    n.b->on_unresponsive(quiet, s);
-    n.pass(2 * s);
-    CHECK(!n.moved.empty());
-    for (const auto t : n.moved) CHECK(n.sent[t - 1].ep == quiet);
+    const std::uint32_t quiet = n.last_attempt().endpoint;
+    n.advance(s);
+    n.balancer->on_unresponsive(quiet, 9 * s / 10);
+    n.advance(s);
+    CHECK(n.migrated.empty());
+    n.balancer->on_unresponsive(quiet, s);
+    n.advance(2 * s);
+    CHECK(!n.migrated.empty());
+    for (const auto t : n.migrated) CHECK(n.attempts[t - 1].endpoint == quiet);
     for (std::uint64_t t = 20; t < 30; ++t) {
         n.on_request(t);
-        CHECK(n.last().ep != quiet);
+        CHECK(n.last_attempt().endpoint != quiet);
     }
 }
 
 TEST_CASE("two nodes' words set an ep aside at nodes that have never seen it fail, a report brings it back") {
-    Node a(Node::usual(0, 50));
-    a.list({7, 8, 9});
-    a.pass(5 * s);
+    BalancerFixture a(BalancerFixture::default_config(0, 50));
+    a.set_endpoints({7, 8, 9});
+    a.advance(5 * s);
     peer::Message m;
     m.dead(7, a.now, 3, 4);
-    a.b->on_gossip(3, m.bytes());
+    a.balancer->on_gossip(3, m.bytes());
     for (std::uint64_t t = 1; t <= 30; ++t) a.on_request(t);
-    CHECK(std::none_of(a.sent.begin(), a.sent.end(), [](const Sent& x) { return x.ep == 7; }));
-    a.pass(2 * s);
+    CHECK(
+        std::none_of(a.attempts.begin(), a.attempts.end(), [](const Attempt& x) { return x.endpoint == 7; }));
+    a.advance(2 * s);
     m.clear();
     m.report(7, true, 0);
-    a.b->on_gossip(3, m.bytes());
+    a.balancer->on_gossip(3, m.bytes());
     for (std::uint64_t t = 31; t <= 90; ++t) a.on_request(t);
-    CHECK(std::any_of(a.sent.begin(), a.sent.end(), [](const Sent& x) { return x.ep == 7; }));
+    CHECK(
+        std::any_of(a.attempts.begin(), a.attempts.end(), [](const Attempt& x) { return x.endpoint == 7; }));
 }
--- a/tests/parsers_test.cpp
+++ b/tests/parsers_test.cpp
@@ -45,9 +45,9 @@
 }
 
 TEST_CASE("a faulty configuration is refused by the name of the key") {
-    Town town;
+    NodeFixture fixture;
     const auto refuse = [&](std::string_view part, std::string_view by, const char* key) {
-        std::string text = town.text;
+        std::string text = fixture.config_text;
         REQUIRE(text.find(part) != std::string::npos);
         text.replace(text.find(part), part.size(), by);
         json::Document d;
@@ -136,30 +136,32 @@
     log::Descriptor nowhere(-1);
     log::Log log(log::Level::error, nowhere);
     discovery::EndpointDirectory hosts(zones, log);
-    Node n;
-    Door a, b;
+    BalancerFixture n;
+    TestListener a, b;
     const auto hear = [&](int revision, bool whole, const std::string& members, bool known = false) {
         json::Document d;
         const std::string text = R"({"revision":)" + std::to_string(revision) + R"(,"complete":)" +
                                  (whole ? "true" : "false") + R"(,"members":[)" + members + "]}";
         REQUIRE(d.parse(text));
-        return hosts.take(d.root(), *n.b, known, n.now);
+        return hosts.take(d.root(), *n.balancer, known, n.now);
     };
     const auto goes_to = [&](std::uint64_t tun) {
         n.on_request(tun);
-        return n.sent.empty() || n.last().tun != tun ? "" : hosts.place_of(n.last().ep) == 0 ? "a" : "b";
+        return n.attempts.empty() || n.last_attempt().tunnel != tun ? ""
+               : hosts.place_of(n.last_attempt().endpoint) == 0     ? "a"
+                                                                    : "b";
     };
-    CHECK(hear(4, true, Town::member("a", a) + "," + Town::member("b", b), true));
-    CHECK(hear(5, false, Town::member("a", a, "terminating")));
-    CHECK(hear(5, false, Town::member("b", b, "terminated")));  // heard before
-    CHECK(hear(2, true, Town::member("a", a)));
+    CHECK(hear(4, true, NodeFixture::member("a", a) + "," + NodeFixture::member("b", b), true));
+    CHECK(hear(5, false, NodeFixture::member("a", a, "terminating")));
+    CHECK(hear(5, false, NodeFixture::member("b", b, "terminated")));  // heard before
+    CHECK(hear(2, true, NodeFixture::member("a", a)));
     for (std::uint64_t t = 1; t < 9; ++t) CHECK(goes_to(t) == std::string("b"));
-    CHECK(hear(6, false, Town::member("a", a) + "," + Town::member("b", b, "on_holiday")));
+    CHECK(hear(6, false, NodeFixture::member("a", a) + "," + NodeFixture::member("b", b, "on_holiday")));
     for (std::uint64_t t = 11; t < 19; ++t) CHECK(goes_to(t) == std::string("a"));
     json::Document d;
     for (const char* broken : {"[]", "{}", R"({"revision":9})", R"({"revision":"x","members":[]})"}) {
         REQUIRE(d.parse(broken));
-        CHECK(!hosts.take(d.root(), *n.b, false, n.now));
+        CHECK(!hosts.take(d.root(), *n.balancer, false, n.now));
     }
     CHECK(hosts.revision() == 6);
 }
--- a/tests/peer_link_test.cpp
+++ b/tests/peer_link_test.cpp
@@ -13,7 +13,7 @@
 TEST_CASE("datagrams count from the listed addresses only, and none longer than the limit") {
     net::Kernel kernel;
     net::EventLoop loop(kernel);
-    Door a, b;
+    TestListener a, b;
     config::NodeConfig launch;
     launch.terms.limits.gossip_enabled = true;
     launch.terms.own_node = 0;
@@ -30,7 +30,7 @@
         const std::string text(n, 'x');
         ::sendto(from.get(), text.data(), n, 0, reinterpret_cast<const sockaddr*>(&a.at.at), sizeof a.at.at);
     };
-    const net::Fd peer = net::bind_datagrams(b.at), stranger = net::bind_datagrams(Door().at);
+    const net::Fd peer = net::bind_datagrams(b.at), stranger = net::bind_datagrams(TestListener().at);
     send(stranger, 5), send(peer, 300), send(peer, 256), send(peer, 0);
     for (int i = 0; i < 4; ++i) {
         loop.schedule(loop.now() + 100, link, 0);
--- a/tests/placement_without_gossip_test.cpp
+++ b/tests/placement_without_gossip_test.cpp
@@ -15,50 +15,50 @@
 
 // Another customer's fleet: nodes may not talk, eps tell nothing of their load.
 BalancerConfig mute(std::uint32_t me) {
-    auto terms = Node::usual(me, 3);
-    terms.limits.gossip_enabled = terms.limits.health_checks_enabled = false;
-    terms.packet_passthrough = true;
-    terms.costs.cross_zone = 0.01;
-    terms.seed = me + 1;
-    return terms;
+    auto config = BalancerFixture::default_config(me, 3);
+    config.limits.gossip_enabled = config.limits.health_checks_enabled = false;
+    config.packet_passthrough = true;
+    config.costs.cross_zone = 0.01;
+    config.seed = me + 1;
+    return config;
 }
 
 BalancerConfig mute_groups(std::uint32_t me) {
-    auto terms = mute(me);
-    terms.groups_enabled = true;
-    return terms;
+    auto config = mute(me);
+    config.groups_enabled = true;
+    return config;
 }
 
 }  // namespace
 
 TEST_CASE("nodes that may not talk find the ep of a tunnel mid-flow by its key") {
-    Node a(mute(0)), b(mute(1));
-    for (auto* n : {&a, &b}) n->list({1, 2, 3, 4, 5, 6, 7, 8});
+    BalancerFixture a(mute(0)), b(mute(1));
+    for (auto* n : {&a, &b}) n->set_endpoints({1, 2, 3, 4, 5, 6, 7, 8});
     std::vector<int> used(9);
     for (std::uint64_t t = 1; t <= 40; ++t) {
-        for (auto* n : {&a, &b}) n->pass(3 * s);
+        for (auto* n : {&a, &b}) n->advance(3 * s);
         a.on_request(t, key_of(t));
-        const auto ep = a.last().ep;
+        const auto ep = a.last_attempt().endpoint;
         ++used[ep];
         a.open(t);
         b.on_request(100 + t, key_of(t), true);
-        REQUIRE(b.setups_of(100 + t) == 1);
-        CHECK(b.last().ep == ep);
+        REQUIRE(b.attempts_of(100 + t) == 1);
+        CHECK(b.last_attempt().endpoint == ep);
     }
     CHECK(std::count(used.begin(), used.end(), 0) <= 2);
-    CHECK(a.post.empty());
+    CHECK(a.gossip.empty());
 }
 
 TEST_CASE("where nothing tells of load, eps of another zone take a part though crossing has a price") {
-    Node n(mute(0));
-    n.b->begin_endpoint_list(EndpointListKind::complete);
-    for (std::uint32_t i = 1; i <= 8; ++i) n.b->add_endpoint(i, i % 2, 0, EndpointState::active, 1, 0);
-    n.b->end_endpoint_list();
+    BalancerFixture n(mute(0));
+    n.balancer->begin_endpoint_list(EndpointListKind::complete);
+    for (std::uint32_t i = 1; i <= 8; ++i) n.balancer->add_endpoint(i, i % 2, 0, EndpointState::active, 1, 0);
+    n.balancer->end_endpoint_list();
     int far = 0;
     for (std::uint64_t t = 1; t <= 200; ++t) {
-        n.pass(1 * s);
+        n.advance(1 * s);
         n.on_request(t, key_of(t));
-        far += n.last().ep % 2 != 0 ? 1 : 0;
+        far += n.last_attempt().endpoint % 2 != 0 ? 1 : 0;
         n.open(t);
     }
     CHECK(far >= 40);
@@ -66,24 +66,25 @@
 }
 
 TEST_CASE("where nothing tells of load, a group's tunnels meet on a few eps from the first second") {
-    std::array<Node, 3> nodes{Node(mute_groups(0)), Node(mute_groups(1)), Node(mute_groups(2))};
-    std::vector<std::uint32_t> eps(40);
-    for (std::uint32_t i = 0; i < 40; ++i) eps[i] = 1001 + 17 * i;
-    for (auto& n : nodes) n.list(eps);
+    std::array<BalancerFixture, 3> nodes{BalancerFixture(mute_groups(0)), BalancerFixture(mute_groups(1)),
+                                         BalancerFixture(mute_groups(2))};
+    std::vector<std::uint32_t> endpoints(40);
+    for (std::uint32_t i = 0; i < 40; ++i) endpoints[i] = 1001 + 17 * i;
+    for (auto& n : nodes) n.set_endpoints(endpoints);
     std::vector<std::vector<std::uint32_t>> used(5);
     for (std::uint64_t t = 1; t <= 200; ++t) {
-        Node& n = nodes[t % 3];
-        for (auto& each : nodes) each.pass(20 * ms);
+        BalancerFixture& n = nodes[t % 3];
+        for (auto& each : nodes) each.advance(20 * ms);
         const std::string key = key_of(t), group = group_of(t % 5);
-        n.b->on_request(t, {.key = key, .group = group, .deadline = n.now + 3 * s});
-        REQUIRE(n.setups_of(t) == 1);
-        used[t % 5].push_back(n.last().ep);
+        n.balancer->on_request(t, {.key = key, .group = group, .deadline = n.now + 3 * s});
+        REQUIRE(n.attempts_of(t) == 1);
+        used[t % 5].push_back(n.last_attempt().endpoint);
         n.open(t);
         // Another node finds it by its key and its group.
-        Node& other = nodes[(t + 1) % 3];
-        other.b->on_request(1000 + t,
-                            {.key = key, .group = group, .deadline = n.now + 3 * s, .mid_flow = true});
-        CHECK(other.last().ep == n.last().ep);
+        BalancerFixture& other = nodes[(t + 1) % 3];
+        other.balancer->on_request(1000 + t,
+                                   {.key = key, .group = group, .deadline = n.now + 3 * s, .mid_flow = true});
+        CHECK(other.last_attempt().endpoint == n.last_attempt().endpoint);
         other.open(1000 + t);
         other.end(1000 + t, Outcome::ok, true);
     }
@@ -96,22 +97,23 @@
 }
 
 TEST_CASE("where nothing tells of load, what cold eps may be sent is used, and they are not passed over") {
-    auto terms = mute_groups(0);
-    terms.rules.slow_start_duration = 20 * s;
-    terms.rules.slow_start_initial_factor = 0.2;
-    Node n(terms);
-    n.list({1, 2, 3, 4, 5, 6, 7, 8});
-    n.pass(30 * s);
-    n.b->begin_endpoint_list(EndpointListKind::changes);
-    for (std::uint32_t i = 11; i <= 18; ++i) n.b->add_endpoint(i, 0, 0, EndpointState::active, 1, n.now);
-    n.b->end_endpoint_list();
+    auto config = mute_groups(0);
+    config.rules.slow_start_duration = 20 * s;
+    config.rules.slow_start_initial_factor = 0.2;
+    BalancerFixture n(config);
+    n.set_endpoints({1, 2, 3, 4, 5, 6, 7, 8});
+    n.advance(30 * s);
+    n.balancer->begin_endpoint_list(EndpointListKind::changes);
+    for (std::uint32_t i = 11; i <= 18; ++i)
+        n.balancer->add_endpoint(i, 0, 0, EndpointState::active, 1, n.now);
+    n.balancer->end_endpoint_list();
     int cold_ones = 0;
     for (std::uint64_t t = 1; t <= 300; ++t) {
-        n.pass(50 * ms);
+        n.advance(50 * ms);
         const std::string key = key_of(t), group = group_of(t % 40);
-        n.b->on_request(t, {.key = key, .group = group, .deadline = n.now + 3 * s});
-        REQUIRE(n.setups_of(t) == 1);
-        cold_ones += n.last().ep > 10 ? 1 : 0;
+        n.balancer->on_request(t, {.key = key, .group = group, .deadline = n.now + 3 * s});
+        REQUIRE(n.attempts_of(t) == 1);
+        cold_ones += n.last_attempt().endpoint > 10 ? 1 : 0;
         n.open(t);
     }
     CHECK(cold_ones >= 60);  // the budget of eight, dealt to three nodes, is some 120
@@ -120,33 +122,33 @@
 
 TEST_CASE(
     "where all that opens is soon cut off, a blind node holds back, uses cold eps, and takes up again") {
-    auto terms = mute_groups(0);
-    terms.rules.slow_start_duration = 20 * s;
-    terms.rules.slow_start_initial_factor = 0.2;
-    Node n(terms);
-    std::vector<std::uint32_t> eps(30);
-    for (std::uint32_t i = 0; i < 30; ++i) eps[i] = i + 1;
-    n.list(eps);
-    n.pass(30 * s);
+    auto config = mute_groups(0);
+    config.rules.slow_start_duration = 20 * s;
+    config.rules.slow_start_initial_factor = 0.2;
+    BalancerFixture n(config);
+    std::vector<std::uint32_t> endpoints(30);
+    for (std::uint32_t i = 0; i < 30; ++i) endpoints[i] = i + 1;
+    n.set_endpoints(endpoints);
+    n.advance(30 * s);
     std::uint64_t t = 0;
     // Ten tunnels a second; what is sent to the old eps lives for 0.2 s.
     const auto come = [&](int tunnels, bool cut) {
-        const auto sent_before = n.sent.size(), declined_before = n.declined.size();
+        const auto sent_before = n.attempts.size(), declined_before = n.rejected.size();
         for (int i = 0; i < tunnels; ++i) {
             ++t;
             n.on_request(t, key_of(t));
-            if (n.setups_of(t) > 0) {
+            if (n.attempts_of(t) > 0) {
                 n.open(t);
-                const bool old = n.last().ep <= 30;
-                n.pass(100 * ms);
+                const bool old = n.last_attempt().endpoint <= 30;
+                n.advance(100 * ms);
                 if (old && cut)
                     n.end(t, Outcome::connection_lost, true);
                 else
-                    n.pass(100 * ms);
+                    n.advance(100 * ms);
             }
-            n.pass(100 * ms);
+            n.advance(100 * ms);
         }
-        return std::pair(n.sent.size() - sent_before, n.declined.size() - declined_before);
+        return std::pair(n.attempts.size() - sent_before, n.rejected.size() - declined_before);
     };
     const auto [before, declined] = come(100, false);
     CHECK(before == 100);
@@ -156,13 +158,14 @@
     CHECK(storm < 60);
     CHECK(storm > 2);  // it finds out from time to time
     CHECK(held_back + storm == 200);
-    n.b->begin_endpoint_list(EndpointListKind::changes);
-    for (std::uint32_t i = 41; i <= 70; ++i) n.b->add_endpoint(i, 0, 0, EndpointState::active, 1, n.now);
-    n.b->end_endpoint_list();
-    const auto from = n.sent.size();
+    n.balancer->begin_endpoint_list(EndpointListKind::changes);
+    for (std::uint32_t i = 41; i <= 70; ++i)
+        n.balancer->add_endpoint(i, 0, 0, EndpointState::active, 1, n.now);
+    n.balancer->end_endpoint_list();
+    const auto from = n.attempts.size();
     static_cast<void>(come(100, true));
-    CHECK(std::count_if(n.sent.begin() + static_cast<std::ptrdiff_t>(from), n.sent.end(),
-                        [](const Sent& x) { return x.ep > 40; }) >= 40);
+    CHECK(std::count_if(n.attempts.begin() + static_cast<std::ptrdiff_t>(from), n.attempts.end(),
+                        [](const Attempt& x) { return x.endpoint > 40; }) >= 40);
     static_cast<void>(come(30, false));
     const auto [after, still] = come(100, false);
     CHECK(after >= 95);
@@ -170,10 +173,10 @@
 }
 
 TEST_CASE("where nothing tells of load, an ep that cuts a tunnel off gets no other for a while") {
-    Node n(mute(0));
-    n.list({1, 2, 3, 4});
+    BalancerFixture n(mute(0));
+    n.set_endpoints({1, 2, 3, 4});
     n.on_request(1, "first");
-    const auto full = n.last().ep;
+    const auto full = n.last_attempt().endpoint;
     n.open(1);
     n.end(1, Outcome::connection_lost, true);
     const auto sent_there = [&](std::uint64_t from) {
@@ -182,22 +185,23 @@
             n.open(t);
             n.end(t, Outcome::ok, true);
         }
-        return std::count_if(n.sent.end() - 40, n.sent.end(), [&](const Sent& x) { return x.ep == full; });
+        return std::count_if(n.attempts.end() - 40, n.attempts.end(),
+                             [&](const Attempt& x) { return x.endpoint == full; });
     };
-    n.pass(1 * s);
+    n.advance(1 * s);
     CHECK(sent_there(100) == 0);
-    n.pass(16 * s);
+    n.advance(16 * s);
     CHECK(sent_there(200) > 0);
 }
 
 TEST_CASE("who comes back from a break is drawn for anew: its key does not lead it to the same ep for ever") {
-    Node n(mute(0));
-    n.list({1, 2, 3, 4, 5, 6, 7, 8});
+    BalancerFixture n(mute(0));
+    n.set_endpoints({1, 2, 3, 4, 5, 6, 7, 8});
     std::vector<int> used(9);
     for (std::uint64_t t = 1; t <= 40; ++t) {
-        n.pass(3 * s);
-        n.b->on_request(t, {.key = "k", .group = {}, .deadline = n.now + 3 * s, .reconnect = true});
-        ++used[n.last().ep];
+        n.advance(3 * s);
+        n.balancer->on_request(t, {.key = "k", .group = {}, .deadline = n.now + 3 * s, .reconnect = true});
+        ++used[n.last_attempt().endpoint];
         n.open(t);
         n.end(t, Outcome::ok, true);
     }
@@ -205,23 +209,23 @@
 }
 
 TEST_CASE("nodes that may not talk do not all crowd the ep whose report shows it as the lightest") {
-    auto terms = mute(0);
-    terms.limits.health_checks_enabled = true;
-    std::vector<std::uint32_t> eps(20);
-    for (std::uint32_t i = 0; i < 20; ++i) eps[i] = i + 1;
-    Node n(terms);
-    n.list(eps);
+    auto config = mute(0);
+    config.limits.health_checks_enabled = true;
+    std::vector<std::uint32_t> endpoints(20);
+    for (std::uint32_t i = 0; i < 20; ++i) endpoints[i] = i + 1;
+    BalancerFixture n(config);
+    n.set_endpoints(endpoints);
     std::vector<int> used(21);
     for (std::uint64_t t = 1; t <= 400; ++t) {
-        n.pass(20 * ms);
-        for (const auto p : std::exchange(n.probes, {})) {
+        n.advance(20 * ms);
+        for (const auto p : std::exchange(n.health_checks, {})) {
             LoadReport r;
             r.load = p == 7 ? 0.1 : p == 9 ? 0.95 : 0.45;
-            n.b->on_health_check(p, Outcome::ok, ms, r);
+            n.balancer->on_health_check(p, Outcome::ok, ms, r);
         }
         n.on_request(t, key_of(t));
         n.open(t);
-        ++used[n.last().ep];
+        ++used[n.last_attempt().endpoint];
         n.end(t, Outcome::ok, true);
     }
     CHECK(used[7] >= 20);  // an even share is 20
@@ -230,18 +234,18 @@
 }
 
 TEST_CASE("nodes that may not talk spread their first probes over the pause between two") {
-    auto terms = Node::usual(0, 300);
-    terms.limits.gossip_enabled = false;
-    terms.costs.health_check = 0.004;
-    Node n(terms);
-    std::vector<std::uint32_t> eps(80);
-    for (std::uint32_t i = 0; i < 80; ++i) eps[i] = i + 1;
-    n.list(eps, EndpointListKind::cached);
+    auto config = BalancerFixture::default_config(0, 300);
+    config.limits.gossip_enabled = false;
+    config.costs.health_check = 0.004;
+    BalancerFixture n(config);
+    std::vector<std::uint32_t> endpoints(80);
+    for (std::uint32_t i = 0; i < 80; ++i) endpoints[i] = i + 1;
+    n.set_endpoints(endpoints, EndpointListKind::cached);
     std::vector<std::size_t> by;
     for (int i = 0; i < 8; ++i) {
-        n.pass(1 * s);
-        by.push_back(n.probes.size());
-        for (const auto p : n.probes) n.b->on_health_check(p, Outcome::ok, ms, {});
+        n.advance(1 * s);
+        by.push_back(n.health_checks.size());
+        for (const auto p : n.health_checks) n.balancer->on_health_check(p, Outcome::ok, ms, {});
     }
     CHECK(by[3] >= 20);
     CHECK(by[3] <= 60);
@@ -249,32 +253,32 @@
 }
 
 TEST_CASE("what a client names is no group where the settings have none") {
-    auto terms = mute(0);
-    Node n(terms);
-    n.list({1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12});
+    auto config = mute(0);
+    BalancerFixture n(config);
+    n.set_endpoints({1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12});
     std::vector<int> used(13);
     for (std::uint64_t t = 1; t <= 200; ++t) {
-        n.pass(50 * ms);
+        n.advance(50 * ms);
         const std::string key = key_of(t);
-        n.b->on_request(t, {.key = key, .group = "0000000000000000", .deadline = n.now + 3 * s});
+        n.balancer->on_request(t, {.key = key, .group = "0000000000000000", .deadline = n.now + 3 * s});
         n.open(t);
-        ++used[n.last().ep];
+        ++used[n.last_attempt().endpoint];
     }
     CHECK(std::count(used.begin() + 1, used.end(), 0) == 0);
 }
 
 TEST_CASE("nodes that may not talk probe all eps themselves: no reporter could tell them") {
-    auto terms = mute(0);
-    terms.limits.health_checks_enabled = true;
-    Node n(terms);
-    std::vector<std::uint32_t> eps(16);
-    for (std::uint32_t i = 0; i < 16; ++i) eps[i] = i + 1;
-    n.list(eps);
+    auto config = mute(0);
+    config.limits.health_checks_enabled = true;
+    BalancerFixture n(config);
+    std::vector<std::uint32_t> endpoints(16);
+    for (std::uint32_t i = 0; i < 16; ++i) endpoints[i] = i + 1;
+    n.set_endpoints(endpoints);
     std::vector<int> probed(17);
     for (int i = 0; i < 60; ++i) {
-        n.pass(100 * ms);
-        for (const auto p : n.probes) ++probed[p];
-        n.answer_probes(0.5);
+        n.advance(100 * ms);
+        for (const auto p : n.health_checks) ++probed[p];
+        n.answer_health_checks(0.5);
     }
     CHECK(std::count(probed.begin() + 1, probed.end(), 0) == 0);
     CHECK(*std::min_element(probed.begin() + 1, probed.end()) >= 2);
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -237,7 +237,7 @@
         }
         for (std::size_t i = 0; i < w.letters; ++i) {
             World comes = w;
-            deliver(comes, w.letter[i]);
+            deliver_gossip(comes, w.letter[i]);
             seen(comes);  // it may come once more
             World lost = w;
             lost.letter[i] = lost.letter[--lost.letters];
@@ -251,7 +251,7 @@
             seen(later);
         }
     }
-    void deliver(World& w, const Datagram& l) {
+    void deliver_gossip(World& w, const Datagram& l) {
         const QuotaSchedule d = w.dealing(l.to);
         const std::uint32_t b = l.what & 127U;
         if ((l.what & 128U) != 0) {
@@ -303,28 +303,28 @@
 
 namespace {
 // How many of a hundred new tunnels go to a host that has just started, beside none other.
-int sent_cold(fake::Node& n, std::uint64_t first) {
-    const auto before = n.sent.size();
+int sent_cold(fake::BalancerFixture& n, std::uint64_t first) {
+    const auto before = n.attempts.size();
     for (std::uint64_t t = first; t < first + 100; ++t) n.on_request(t);
-    return static_cast<int>(n.sent.size() - before);
+    return static_cast<int>(n.attempts.size() - before);
 }
 fake::BalancerConfig alone() {
-    auto terms = fake::Node::usual(0, 1);
-    terms.rules.slow_start_initial_factor = 0.9;
-    return terms;
+    auto config = fake::BalancerFixture::default_config(0, 1);
+    config.rules.slow_start_initial_factor = 0.9;
+    return config;
 }
 }  // namespace
 
 TEST_CASE("a node that is the node again after a failed upgrade has nothing of the slots before") {
     using namespace fake;
     for (const bool again : {false, true}) {
-        Node n(alone());
-        n.list({7}, EndpointListKind::complete, EndpointState::active, 100 * s);
-        n.pass(3 * s);
-        if (again) n.b->resume_ownership();
+        BalancerFixture n(alone());
+        n.set_endpoints({7}, EndpointListKind::complete, EndpointState::active, 100 * s);
+        n.advance(3 * s);
+        if (again) n.balancer->resume_ownership();
         const int sent = sent_cold(n, 1);
         CHECK((again ? sent == 0 : sent >= 1));
-        n.pass(1 * s);
+        n.advance(1 * s);
         CHECK(sent_cold(n, 200) >= 1);
     }
 }
@@ -332,44 +332,44 @@
 TEST_CASE("a node that is told another time to fall over in has nothing of the slots before") {
     using namespace fake;
     for (const Ticks fall : {15 * s / 10, 3 * s}) {
-        Node n(alone());
-        n.list({7}, EndpointListKind::complete, EndpointState::active, 100 * s);
-        n.pass(3 * s);
-        auto terms = alone();
-        terms.rules.overload_window = fall;
-        n.b->update_config(terms);
+        BalancerFixture n(alone());
+        n.set_endpoints({7}, EndpointListKind::complete, EndpointState::active, 100 * s);
+        n.advance(3 * s);
+        auto config = alone();
+        config.rules.overload_window = fall;
+        n.balancer->update_config(config);
         const int sent = sent_cold(n, 1);
         CHECK((fall > 2 * s ? sent == 0 : sent >= 1));
-        n.pass(2 * s);
+        n.advance(2 * s);
         CHECK(sent_cold(n, 200) >= 1);
     }
 }
 
 TEST_CASE("a mid-flow tunnel stays at a cold host that holds it and spends nothing there") {
     using namespace fake;
-    Node n(alone());
-    n.list({7}, EndpointListKind::complete, EndpointState::active, 100 * s);
-    n.pass(3 * s);
+    BalancerFixture n(alone());
+    n.set_endpoints({7}, EndpointListKind::complete, EndpointState::active, 100 * s);
+    n.advance(3 * s);
     n.on_request(1, "k1");
     n.open(1);
-    while (sent_cold(n, 1000 + n.sent.size() * 100) > 0) n.pass(0);
-    const auto before = n.sent.size();
+    while (sent_cold(n, 1000 + n.attempts.size() * 100) > 0) n.advance(0);
+    const auto before = n.attempts.size();
     n.on_request(2, "k1", true);
-    CHECK(n.sent.size() == before + 1);
-    CHECK(n.last().ep == 7);
+    CHECK(n.attempts.size() == before + 1);
+    CHECK(n.last_attempt().endpoint == 7);
 }
 
 TEST_CASE("a mid-flow tunnel at a host that has restarted since is a new one, and spends of its budget") {
     using namespace fake;
     for (const bool restarted : {false, true}) {
-        Node n(alone());
-        n.list({7, 8}, EndpointListKind::complete, EndpointState::active, 10 * s);
+        BalancerFixture n(alone());
+        n.set_endpoints({7, 8}, EndpointListKind::complete, EndpointState::active, 10 * s);
         n.on_request(1, "k1");
         n.open(1);
-        const auto ep = n.last().ep;
-        n.pass(2 * s);
-        if (restarted) n.list({ep}, EndpointListKind::changes, EndpointState::active, n.now);
+        const auto ep = n.last_attempt().endpoint;
+        n.advance(2 * s);
+        if (restarted) n.set_endpoints({ep}, EndpointListKind::changes, EndpointState::active, n.now);
         n.on_request(2, "k1", true);
-        CHECK((n.last().ep == ep) == !restarted);
+        CHECK((n.last_attempt().endpoint == ep) == !restarted);
     }
 }
--- a/tests/rebalancing_test.cpp
+++ b/tests/rebalancing_test.cpp
@@ -7,37 +7,37 @@
 using namespace fake;
 
 TEST_CASE("tunnels on an ep past its capacity are asked to move, a part at a time, when others have room") {
-    Node n;
-    n.list({7, 8});
+    BalancerFixture n;
+    n.set_endpoints({7, 8});
     for (std::uint64_t t = 1; t <= 40; ++t) {
         n.on_request(t);
         n.open(t);
     }
     for (int i = 0; i < 30; ++i) {
-        n.pass(100 * ms);
-        for (const auto p : std::exchange(n.probes, {})) {
+        n.advance(100 * ms);
+        for (const auto p : std::exchange(n.health_checks, {})) {
             LoadReport r;
             r.load = p == 7 ? 1.6 : 0.3;
-            n.b->on_health_check(static_cast<std::uint32_t>(p), Outcome::ok, ms, r);
+            n.balancer->on_health_check(static_cast<std::uint32_t>(p), Outcome::ok, ms, r);
         }
     }
-    CHECK(!n.moved.empty());
-    CHECK(n.moved.size() < 30);
+    CHECK(!n.migrated.empty());
+    CHECK(n.migrated.size() < 30);
 }
 
 TEST_CASE("a tunnel on an ep that was told to be bad is moved once its own lines go unanswered") {
-    Node a(Node::usual(0, 60));
-    a.list({7, 8, 9});
-    a.pass(5 * s);
+    BalancerFixture a(BalancerFixture::default_config(0, 60));
+    a.set_endpoints({7, 8, 9});
+    a.advance(5 * s);
     a.on_request(1);
     a.open(1);
-    a.pass(2 * s);
+    a.advance(2 * s);
     peer::Message m;
-    m.dead(a.last().ep, a.now, 3, 4);
-    a.b->on_gossip(3, m.bytes());
-    a.pass(3 * s);
-    CHECK(a.moved.empty());  // setups may fail there while its lines are answered
-    a.b->on_unresponsive(a.last().ep, 600 * ms);
-    a.pass(3 * s);
-    CHECK(a.moved == std::vector<std::uint64_t>{1});
+    m.dead(a.last_attempt().endpoint, a.now, 3, 4);
+    a.balancer->on_gossip(3, m.bytes());
+    a.advance(3 * s);
+    CHECK(a.migrated.empty());  // setups may fail there while its lines are answered
+    a.balancer->on_unresponsive(a.last_attempt().endpoint, 600 * ms);
+    a.advance(3 * s);
+    CHECK(a.migrated == std::vector<std::uint64_t>{1});
 }
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -6,86 +6,88 @@
 using namespace fake;
 
 TEST_CASE("a cold ep gets no burst") {
-    Node n;
-    n.list({7});
-    n.pass(6 * s);
-    n.list({8}, EndpointListKind::changes, EndpointState::active, n.now);
+    BalancerFixture n;
+    n.set_endpoints({7});
+    n.advance(6 * s);
+    n.set_endpoints({8}, EndpointListKind::changes, EndpointState::active, n.now);
     for (std::uint64_t t = 1; t <= 40; ++t) n.on_request(t);
     // 2.5 times a third of 2.5 cores for 1.5 s, by tunnels of 0.05 that fill it in 8 s: 7.7.
-    CHECK(std::count_if(n.sent.begin(), n.sent.end(), [](const Sent& x) { return x.ep == 8; }) <= 7);
+    CHECK(std::count_if(n.attempts.begin(), n.attempts.end(),
+                        [](const Attempt& x) { return x.endpoint == 8; }) <= 7);
 }
 
 TEST_CASE("a wave of returning clients does not push a cold ep over") {
-    Node n;
-    n.list({7});
+    BalancerFixture n;
+    n.set_endpoints({7});
     std::uint64_t t = 1;
     const auto wave = [&](int clients) {
         for (int i = 0; i < clients; ++i, ++t) {
             n.on_request(t);
             n.open(t);
-            n.b->on_load_changed(t, 0.05);
-            n.pass(20 * ms);
+            n.balancer->on_load_changed(t, 0.05);
+            n.advance(20 * ms);
         }
     };
-    n.pass(6 * s);
+    n.advance(6 * s);
     wave(300);
-    n.list({8}, EndpointListKind::changes, EndpointState::active, n.now);
+    n.set_endpoints({8}, EndpointListKind::changes, EndpointState::active, n.now);
     wave(50);
     // A third of a room of 2.5 cores, 2.5 times that for 1.5 s, by tunnels of 0.05 that fill it in 8 s: 7.7.
-    CHECK(std::count_if(n.sent.begin(), n.sent.end(), [](const Sent& x) { return x.ep == 8; }) <= 7);
+    CHECK(std::count_if(n.attempts.begin(), n.attempts.end(),
+                        [](const Attempt& x) { return x.endpoint == 8; }) <= 7);
 }
 
 TEST_CASE("an ep that fell silent and answers again is taken as cold before the list tells") {
-    Node n;
-    n.list({7, 8});
+    BalancerFixture n;
+    n.set_endpoints({7, 8});
     std::uint64_t t = 1;
     for (; t <= 20; ++t) {
         n.on_request(t);
         n.open(t);
-        n.b->on_load_changed(t, 0.001);
+        n.balancer->on_load_changed(t, 0.001);
     }
     for (int i = 0; i < 40; ++i) {
-        n.pass(100 * ms);
-        for (const auto p : std::exchange(n.probes, {}))
-            n.b->on_health_check(static_cast<std::uint32_t>(p), p == 7 ? Outcome::timed_out : Outcome::ok,
-                                 500 * ms, {});
+        n.advance(100 * ms);
+        for (const auto p : std::exchange(n.health_checks, {}))
+            n.balancer->on_health_check(static_cast<std::uint32_t>(p),
+                                        p == 7 ? Outcome::timed_out : Outcome::ok, 500 * ms, {});
     }
     for (int i = 0; i < 12; ++i) {
-        n.pass(100 * ms);
-        n.answer_probes(0.1);
+        n.advance(100 * ms);
+        n.answer_health_checks(0.1);
     }
-    const auto before = n.sent.size();
+    const auto before = n.attempts.size();
     for (std::uint64_t k = 0; k < 40; ++k, ++t) {
         n.on_request(t);
         n.open(t);
     }
-    const auto to_7 = std::count_if(n.sent.begin() + static_cast<std::ptrdiff_t>(before), n.sent.end(),
-                                    [](const Sent& x) { return x.ep == 7; });
+    const auto to_7 = std::count_if(n.attempts.begin() + static_cast<std::ptrdiff_t>(before),
+                                    n.attempts.end(), [](const Attempt& x) { return x.endpoint == 7; });
     CHECK(to_7 <= 2);
 }
 
 TEST_CASE("many nodes keep a cold ep's budget together, though none has ever sent it anything") {
     constexpr std::uint32_t nodes = 120;
-    std::vector<std::unique_ptr<Node>> all;
+    std::vector<std::unique_ptr<BalancerFixture>> all;
     for (std::uint32_t n = 0; n < nodes; ++n) {
-        auto terms = Node::usual(n, nodes);
-        terms.seed = n + 1;
-        all.push_back(std::make_unique<Node>(terms));
-        all.back()->list({7, 8});
+        auto config = BalancerFixture::default_config(n, nodes);
+        config.seed = n + 1;
+        all.push_back(std::make_unique<BalancerFixture>(config));
+        all.back()->set_endpoints({7, 8});
         for (std::uint64_t t = 1; t <= 10; ++t) {  // the ep has been warm for long, tunnels come and end
             all.back()->on_request(1000 + t);
             all.back()->open(1000 + t);
-            all.back()->pass(6 * s);
+            all.back()->advance(6 * s);
             all.back()->end(1000 + t, Outcome::ok, true);
         }
-        all.back()->sent.clear();
-        all.back()->list({8}, EndpointListKind::changes, EndpointState::active, all.back()->now);
+        all.back()->attempts.clear();
+        all.back()->set_endpoints({8}, EndpointListKind::changes, EndpointState::active, all.back()->now);
     }
     std::size_t to_cold = 0;
     for (auto& n : all) {
         for (std::uint64_t t = 1; t <= 3; ++t) n->on_request(t);
-        to_cold += static_cast<std::size_t>(
-            std::count_if(n->sent.begin(), n->sent.end(), [](const Sent& x) { return x.ep == 8; }));
+        to_cold += static_cast<std::size_t>(std::count_if(n->attempts.begin(), n->attempts.end(),
+                                                          [](const Attempt& x) { return x.endpoint == 8; }));
     }
     CHECK(to_cold <= 3);
 }
@@ -93,32 +95,33 @@
 TEST_CASE(
     "a zone comes back cold: all nodes together keep to each host's budget, and use a good part of it") {
     constexpr std::uint32_t nodes = 80;
-    const auto all = tier_of(nodes, {1, 2});
+    const auto all = start_nodes(nodes, {1, 2});
     for (std::uint32_t n = 0; n < nodes; ++n) {
-        all[n]->b->adopt_open_tunnel(1, {.key = key_of(n), .group = {}}, 1 + n % 2);
-        all[n]->b->on_load_changed(1, 0.05);
+        all[n]->balancer->adopt_open_tunnel(1, {.key = key_of(n), .group = {}}, 1 + n % 2);
+        all[n]->balancer->on_load_changed(1, 0.05);
     }
-    std::vector<Node*> tier;
+    std::vector<BalancerFixture*> tier;
     tier.reserve(nodes);
     for (auto& n : all) tier.push_back(n.get());
     for (int i = 0; i < 120; ++i) {
-        for (auto& n : all) n->pass(100 * ms);
-        deliver(tier);
-        for (auto& n : all) n->answer_probes(0.9);
+        for (auto& n : all) n->advance(100 * ms);
+        deliver_gossip(tier);
+        for (auto& n : all) n->answer_health_checks(0.9);
     }
-    for (auto& n : all) n->list({3}, EndpointListKind::changes, EndpointState::active, n->now);
+    for (auto& n : all) n->set_endpoints({3}, EndpointListKind::changes, EndpointState::active, n->now);
     std::size_t at = 0, spent = 0;
     std::vector<std::size_t> each_half_second;
     std::uint64_t tun = 1;
     for (int i = 0; i < 160; ++i) {  // twenty tunnels a second for 8 s, each at another node
-        for (auto& n : all) n->pass(50 * ms);
-        Node& n = *all[at = (at * 7 + 13) % nodes];
-        for (auto& one : all) one->sent.clear();
+        for (auto& n : all) n->advance(50 * ms);
+        BalancerFixture& n = *all[at = (at * 7 + 13) % nodes];
+        for (auto& one : all) one->attempts.clear();
         n.on_request(++tun);
-        for (int way = 0; way < 3; ++way) deliver(tier);  // a unit is asked for, and lent
+        for (int way = 0; way < 3; ++way) deliver_gossip(tier);  // a unit is asked for, and lent
         for (auto& one : all)
-            spent += static_cast<std::size_t>(
-                std::count_if(one->sent.begin(), one->sent.end(), [](const Sent& x) { return x.ep == 3; }));
+            spent +=
+                static_cast<std::size_t>(std::count_if(one->attempts.begin(), one->attempts.end(),
+                                                       [](const Attempt& x) { return x.endpoint == 3; }));
         if (i % 10 == 9) each_half_second.push_back(std::exchange(spent, 0));
     }
     // Forty tunnels are 0.9 of a host, and it takes them as fast as fills it over its warm-up of 8 s: 5.6 a
--- a/tests/system_fault_test.cpp
+++ b/tests/system_fault_test.cpp
@@ -13,27 +13,28 @@
 using namespace std::chrono_literals;
 
 TEST_CASE("a poll that fails for want of memory does not end the node") {
-    Town town;
-    OpenTunnel tunnel = town.opened();
-    town.kernel.polls = {3, ENOMEM};
-    town.pass(50);
-    tunnel.client.say("hello\r\n");
-    CHECK(town.until([&] { return tunnel.host.heard("hello\r\n"); }));
+    NodeFixture fixture;
+    OpenTunnel tunnel = fixture.open_tunnel();
+    fixture.kernel.polls = {3, ENOMEM};
+    fixture.run_for(50);
+    tunnel.client.send("hello\r\n");
+    CHECK(fixture.run_until([&] { return tunnel.host.has_received("hello\r\n"); }));
 }
 
 TEST_CASE("a configuration that cannot be read in the moment of SIGHUP is read soon after") {
-    Town town;
-    End watch;
-    REQUIRE(town.until([&] {
-        if (!watch.fd.open()) watch = town.discovery.accept();
+    NodeFixture fixture;
+    TestConnection watch;
+    REQUIRE(fixture.run_until([&] {
+        if (!watch.fd.open()) watch = fixture.discovery.accept();
         return watch.fd.open();
     }));
-    const Door moved;
-    town.text.replace(town.text.find(town.discovery.name()), town.discovery.name().size(), moved.name());
-    town.unreadable = 2;
+    const TestListener moved;
+    fixture.config_text.replace(fixture.config_text.find(fixture.discovery.name()),
+                                fixture.discovery.name().size(), moved.name());
+    fixture.failing_reads = 2;
     std::raise(SIGHUP);
-    End call;
-    CHECK(town.until(
+    TestConnection call;
+    CHECK(fixture.run_until(
         [&] {
             if (!call.fd.open()) call = moved.accept();
             return call.fd.open();
@@ -43,51 +44,55 @@
 
 TEST_CASE("a node does not exit while it could not look at the queue of its listener") {
     for (const int error : {ECONNABORTED, EINTR, ENFILE}) {
-        Town town({.mode = "proxy"});
+        NodeFixture fixture({.mode = "proxy"});
         const auto told = std::chrono::steady_clock::now();
         std::raise(SIGTERM);
-        REQUIRE(town.until([&] { return std::chrono::steady_clock::now() - told > 400ms; }, 2000));
+        REQUIRE(fixture.run_until([&] { return std::chrono::steady_clock::now() - told > 400ms; }, 2000));
         stall(400);
-        End client;
-        const std::string line = town.line();
-        town.kernel.after_poll = [&] {
-            client = town.client(line);
-            town.kernel.accepts = {1, error};
+        TestConnection client;
+        const std::string line = fixture.open_line();
+        fixture.kernel.after_poll = [&] {
+            client = fixture.connect_client(line);
+            fixture.kernel.accepts = {1, error};
         };
-        town.runs = town.node->turn();
-        CHECK(town.runs);
-        if (!town.runs) continue;
-        End host = town.setup();
-        host.say("UP r\r\n");
-        CHECK(town.until([&] { return client.heard("UP r\r\n"); }));
+        fixture.running = fixture.node->turn();
+        CHECK(fixture.running);
+        if (!fixture.running) continue;
+        TestConnection host = fixture.accept_attempt();
+        host.send("UP r\r\n");
+        CHECK(fixture.run_until([&] { return client.has_received("UP r\r\n"); }));
     }
 }
 
 TEST_CASE("what the kernel of the node refuses for want of its own is held against no host") {
     for (const int error : {ENETUNREACH, EADDRNOTAVAIL, ENOBUFS}) {
-        Town town({.operators = true});
-        town.kernel.connection_error = [&](int fd) {
+        NodeFixture fixture({.admin = true});
+        fixture.kernel.connection_error = [&](int fd) {
             sockaddr_in to{};
             socklen_t size = sizeof to;
             ::getpeername(fd, reinterpret_cast<sockaddr*>(&to), &size);
-            return to.sin_port == town.a.at.at.sin_port ? error : town.kernel.Kernel::connected(fd);
+            return to.sin_port == fixture.host_a.at.at.sin_port ? error
+                                                                : fixture.kernel.Kernel::connected(fd);
         };
         for (int i = 0; i < 12; ++i) {
-            End client = town.client(town.line()), host = town.setup();
-            if (host.fd.open()) host.say("UP r\r\n");
-            town.until([&] { return client.heard("\r\n"); });
+            TestConnection client = fixture.connect_client(fixture.open_line()),
+                           host = fixture.accept_attempt();
+            if (host.fd.open()) host.send("UP r\r\n");
+            fixture.run_until([&] { return client.has_received("\r\n"); });
         }
-        CHECK(town.get("/stats").find("\"out_of_rotation\":0") != std::string::npos);
+        CHECK(fixture.get("/stats").find("\"out_of_rotation\":0") != std::string::npos);
     }
 }
 
 TEST_CASE("a node starts though its socket to listen on cannot be had for a moment") {
     for (const int error : {ENOBUFS, ENFILE}) {
-        std::unique_ptr<Town> town;
-        CHECK_NOTHROW(town = std::make_unique<Town>(Town::BalancerConfig{}, 0, Shared::Failing{3, error}));
-        if (!town) continue;
-        End client = town->client(town->line()), host = town->setup();
-        host.say("UP r\r\n");
-        CHECK(town->until([&] { return client.heard("UP r\r\n"); }));
+        std::unique_ptr<NodeFixture> fixture;
+        CHECK_NOTHROW(fixture = std::make_unique<NodeFixture>(NodeFixture::Options{}, 0,
+                                                              FaultyKernel::Failing{3, error}));
+        if (!fixture) continue;
+        TestConnection client = fixture->connect_client(fixture->open_line()),
+                       host = fixture->accept_attempt();
+        host.send("UP r\r\n");
+        CHECK(fixture->run_until([&] { return client.has_received("UP r\r\n"); }));
     }
 }
--- a/tests/watch_fixture.h
+++ b/tests/watch_fixture.h
@@ -12,25 +12,25 @@
 
 // A watch that the node keeps, and lists on it.
 struct Watch {
-    explicit Watch(Town& town) : town_(town) {
-        REQUIRE(town.until([&] {
-            if (!end_.fd.open()) end_ = town.discovery.accept();
-            return end_.fd.open() && end_.heard("\r\n\r\n");
+    explicit Watch(NodeFixture& fixture) : fixture_(fixture) {
+        REQUIRE(fixture.run_until([&] {
+            if (!connection_.fd.open()) connection_ = fixture.discovery.accept();
+            return connection_.fd.open() && connection_.has_received("\r\n\r\n");
         }));
-        end_.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        town.pass(20);
+        connection_.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+        fixture.run_for(20);
     }
     void tell(const std::string& members, bool complete) {
         const std::string list = R"({"revision":)" + std::to_string(++revision_) + R"(,"complete":)" +
                                  (complete ? "true" : "false") + R"(,"members":[)" + members + "]}\n";
         std::array<char, 16> size{};
         std::snprintf(size.data(), size.size(), "%zx\r\n", list.size());
-        end_.say(std::string(size.data()) + list + "\r\n");
+        connection_.send(std::string(size.data()) + list + "\r\n");
     }
 
   private:
-    Town& town_;
-    End end_;
+    NodeFixture& fixture_;
+    TestConnection connection_;
     int revision_ = 5;
 };
 
