--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -34,7 +34,7 @@
     for (int attempt = 1; attempt < max_attempts; ++attempt) {
         try {
             return source.read();
-        } catch (const lemonstair::config::Unreadable&) {
+        } catch (const lemonstair::config::TransientReadError&) {
             std::this_thread::sleep_for(retry_interval);
         }
     }
@@ -57,7 +57,7 @@
                                                  .inherited_fd = std::getenv("NODE_INHERITED_FD"),
                                                  .tmpdir = std::getenv("TMPDIR")});
         auto config = read_with_retry(source);
-        lemonstair::node::Node node(kernel, std::move(config), source.known(), log,
+        lemonstair::node::Node node(kernel, std::move(config), source.known_endpoints(), log,
                                     [&] { return source.read(); });
         node.run();
         return 0;
