--- a/src/fakes/clients.cpp
+++ b/src/fakes/clients.cpp
@@ -316,7 +316,7 @@
     Ticks sent = 0;
     if ((word != "e" && word != "p") || !read_whole(next_word(rest), number) ||
         !read_whole(next_word(rest), sent))
-        return environment_.execution_log.line_corrupted(client.tunnel, "not the host's", text);
+        return environment_.execution_log.line_corrupted(client.tunnel, "not the server's", text);
     ++tally_.lines;
     std::uint32_t& expected = word == "e" ? client.echoes_received : client.pushes_received;
     bool& gap = word == "e" ? client.gap_echoed : client.gap_heard;
--- a/src/fakes/misbehaving_clients.cpp
+++ b/src/fakes/misbehaving_clients.cpp
@@ -69,7 +69,8 @@
         const auto got = environment_.network.read(end, bytes, true);
         const std::string_view text(bytes.data(), got.bytes);
         if (text.find("UP ") != std::string_view::npos)
-            environment_.execution_log.line_corrupted(0, "a rude client was served", text.substr(0, 40));
+            environment_.execution_log.line_corrupted(0, "a misbehaving client was served",
+                                                      text.substr(0, 40));
         if (got.ended || got.error != 0 || text.find("ERR") != std::string_view::npos ||
             text.find("BUSY") != std::string_view::npos)
             return this->end(index);
--- a/src/process_harness/main.cpp
+++ b/src/process_harness/main.cpp
@@ -31,7 +31,7 @@
 void print_result(const Options& options, const process_harness::RunResult& o) {
     std::cout << std::fixed << std::setprecision(1) << "seed " << o.seed << ": " << o.nodes << " processes, "
               << o.took_s << " s; taken " << o.tally.taken << ", opened " << o.tally.opened << ", declined "
-              << o.tally.declined << " (" << o.declined_idle << " beside an idle host), closed with error "
+              << o.tally.declined << " (" << o.declined_idle << " beside an idle server), closed with error "
               << o.tally.failed << ", setups " << o.tally.setups << ", moved " << o.clients.moved << '\n'
               << "  a node and second: " << o.costs.datagrams << " datagrams, " << std::setprecision(0)
               << o.costs.bytes << " bytes, " << std::setprecision(2) << o.costs.processor_ms
@@ -39,14 +39,14 @@
     bool any_cold = false;
     for (const auto& h : o.servers) any_cold = any_cold || h.cold || h.most_of_budget > 0;
     for (std::size_t h = 0; h < o.servers.size() && (any_cold || options.servers); ++h)
-        std::cout << "  host " << std::setw(3) << h << (o.servers[h].cold ? " cold" : " warm") << "  setups "
-                  << std::setw(5) << o.servers[h].setups << "  at most at once " << o.servers[h].most_at_once
-                  << ", " << o.servers[h].most_of_budget << " of its budget\n";
+        std::cout << "  server " << std::setw(3) << h << (o.servers[h].cold ? " cold" : " warm")
+                  << "  setups " << std::setw(5) << o.servers[h].setups << "  at most at once "
+                  << o.servers[h].most_at_once << ", " << o.servers[h].most_of_budget << " of its budget\n";
     for (std::size_t i = 0; i < std::min(options.show, o.broken.size()); ++i)
         std::cout << "  " << std::setprecision(4) << seconds(o.broken[i].at) << " s  " << o.broken[i].rule
                   << ": " << o.broken[i].what << '\n';
     if (o.broken.size() > options.show) std::cout << "  and " << o.broken.size() - options.show << " more\n";
-    std::cout << std::setprecision(1) << "  the rig was " << static_cast<double>(o.max_lag) / 10
+    std::cout << std::setprecision(1) << "  the harness was " << static_cast<double>(o.max_lag) / 10
               << " ms behind at most, a node waited " << o.max_core_wait_s * 1000
               << " ms of a second for a core\n";
 }
@@ -86,26 +86,26 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    CLI::App app{"Plays days on many real processes of the program, with faults between them."};
+    CLI::App app{"Plays scenarios on many real processes of the program, with faults between them."};
     app.footer(
         "Exit status: 0 all rules kept; 1 a rule broken; 2 wrong use; 3 the machine was too busy to tell.\n"
         "  lemonstair_process_harness run --day tests/scenarios/cold_hosts.toml --program build/lemonstair "
         "--nodes 60");
     app.require_subcommand(1);
     Options options;
-    auto* command = app.add_subcommand("run", "Plays a day in real time");
-    command->add_option("--day", options.scenario, "a day written as TOML")->required();
+    auto* command = app.add_subcommand("run", "Plays a scenario in real time");
+    command->add_option("--day", options.scenario, "a scenario written as TOML")->required();
     command->add_option("--program", options.program, "the node's program")
         ->required()
         ->check(CLI::ExistingFile);
     command->add_option("--seeds", options.seeds, "one seed or a range, as 1..5; left out, that of the file");
     command->add_option("--nodes", options.nodes, "so many processes instead of the file's")
         ->check(CLI::Range(1U, simulation::most_nodes));
-    command->add_option("--json", options.json, "a line of JSON for each day, added to this file");
+    command->add_option("--json", options.json, "a line of JSON for each scenario, added to this file");
     command->add_option("--logs", options.logs, "the nodes' logs into this folder")
         ->check(CLI::ExistingDirectory);
-    command->add_option("--show", options.show, "how many broken rules to tell of each day");
-    command->add_flag("--hosts", options.servers, "a row for each host, also where none starts cold");
+    command->add_option("--show", options.show, "how many broken rules to tell of each scenario");
+    command->add_flag("--hosts", options.servers, "a row for each server, also where none starts cold");
     const volatile bool& stop = process_harness::stop_on_signals();
     return simulation::run_command_line(app, argc, argv, "lemonstair_process_harness",
                                         [&] { return run(options, stop); });
--- a/src/simulation/invariants.cpp
+++ b/src/simulation/invariants.cpp
@@ -32,7 +32,7 @@
 
 void Invariants::judge_bounds() {
     for (std::uint32_t h = 0; h < scenario_.servers; ++h) {
-        std::string who = "host h";
+        std::string who = "server h";
         who += std::to_string(h);
         const double spent = ledger_.most_of_budget(h, scenario_.server.overload_window);
         if (scenario_.max_budget_share > 0 && spent > scenario_.max_budget_share)
@@ -40,7 +40,7 @@
         const double over = ledger_.most_over_allowance(h, scenario_.server.overload_window);
         if (scenario_.judge_slow_start && over > 0)
             report("slow_start",
-                   who + " was sent " + std::to_string(over) + " over what a cold host is allowed");
+                   who + " was sent " + std::to_string(over) + " over what a cold server is allowed");
     }
 }
 
--- a/src/simulation/invariants_clients.cpp
+++ b/src/simulation/invariants_clients.cpp
@@ -61,7 +61,7 @@
         record.opened_at = events_.now();
         if (std::none_of(record.setups.begin(), record.setups.end(),
                          [](const Setup& s) { return s.answer == Answer::up; }))
-            report("twice", named(tunnel) + " was opened by no host");
+            report("twice", named(tunnel) + " was opened by no server");
         return;
     }
     set_state(record, State::over);
@@ -124,7 +124,7 @@
         if (!by_reset && late > margin && !record.request.slow_reader &&
             was_reachable(machine_of_server(record.server), record.server_ended_at - 1, events_.now()))
             report("end_late", named(tunnel) + " was ended " + std::to_string((late + end_passed_in) / 10) +
-                                   " ms after its host had ended it");
+                                   " ms after its server had ended it");
         return;
     }
     // The server keeps it, and can be reached, and says something.
@@ -132,7 +132,7 @@
         !was_reachable(machine_of_server(record.server), record.requested_at, events_.now()))
         return;
     report("cut_off",
-           named(tunnel) + " was cut off though host " + std::to_string(record.server) + " keeps it");
+           named(tunnel) + " was cut off though server " + std::to_string(record.server) + " keeps it");
 }
 
 void Invariants::connection_silent(fakes::TunnelId tunnel, Ticks span) {
--- a/src/simulation/invariants_operators.cpp
+++ b/src/simulation/invariants_operators.cpp
@@ -64,7 +64,7 @@
     const long listed = number_in(body, "registry_entries"), out = number_in(body, "out_of_rotation");
     if (listed < 0 || listed > static_cast<long>(scenario_.servers) || out < 0 || out > listed)
         report("figures", "node " + std::to_string(node) + " lists " + std::to_string(listed) +
-                              " hosts and avoids " + std::to_string(out));
+                              " servers and avoids " + std::to_string(out));
     if (mixed) return;  // which process answered whom is not seen on the wire
     const long relayed = number_in(std::string_view(body).substr(body.rfind("},")), "relayed");
     for (std::uint32_t p = 0; p < environment_->profiles.size(); ++p) {
@@ -93,7 +93,7 @@
     }
     if (relayed < came - 3 - came / 50)
         report("figures", "node " + std::to_string(node) + " tells " + std::to_string(relayed) +
-                              " attempts, hosts saw " + std::to_string(came));
+                              " attempts, servers saw " + std::to_string(came));
 }
 
 }  // namespace lemonstair::simulation
--- a/src/simulation/invariants_servers.cpp
+++ b/src/simulation/invariants_servers.cpp
@@ -27,7 +27,7 @@
     if (!was_reachable(machine_of_server(server), record.left_at, events_.now()) ||
         !was_reachable(node, record.left_at, events_.now()))
         return;
-    report("late_attempt", named(record.request.tunnel) + " went to host " + std::to_string(server) + " " +
+    report("late_attempt", named(record.request.tunnel) + " went to server " + std::to_string(server) + " " +
                                std::to_string((sent - record.left_at) / 10) +
                                " ms after its client had left");
 }
@@ -43,7 +43,7 @@
                        : h % 2;  // zones and cells go by the server's number
         };
         if (p.effect == fakes::Idempotency::non_idempotent)
-            return report("effect", named(record.request.tunnel) + " ran a second time, at host " +
+            return report("effect", named(record.request.tunnel) + " ran a second time, at server " +
                                         std::to_string(server));
         if (place(s.server) != place(server) || std::abs(sent - s.sent) > p.window + margin)
             return report("effect",
@@ -63,13 +63,13 @@
         for (const Setup& s : record.setups)
             if (network_.is_open(end.other()) && s.answer == Answer::none &&
                 network_.is_open(s.end.other()) && was_reachable(node, s.sent, events_.now()))
-                report("at_once", named(tunnel) + " is set up at host " + std::to_string(server) + " while " +
-                                      std::to_string(s.server) + " still has it");
+                report("at_once", named(tunnel) + " is set up at server " + std::to_string(server) +
+                                      " while " + std::to_string(s.server) + " still has it");
         judge_late_attempt(record, server, node, first);
         judge_effect(record, server, first);
         const Ticks since = nodes_[node].inactive_since[server];
         if (since != 0 && first > since + drain_grace + margin && was_undisturbed(node, since, events_.now()))
-            report("drain", named(tunnel) + " went to host " + std::to_string(server) + " " +
+            report("drain", named(tunnel) + " went to server " + std::to_string(server) + " " +
                                 std::to_string((first - since) / 10) + " ms after its node was told");
     }
     record.setups.push_back({server, end, first});
@@ -132,7 +132,7 @@
             return fault_info(f.kind).target == FaultInfo::Target::server && f.target == record.server;
         });
     if (sound)
-        report("astray", named(tunnel) + " went to host " + std::to_string(server) + " though host " +
+        report("astray", named(tunnel) + " went to server " + std::to_string(server) + " though server " +
                              std::to_string(record.server) + " holds it");
 }
 
@@ -142,12 +142,12 @@
 }
 
 void Invariants::server_overloaded(std::uint32_t server, double demand, double overload_limit) {
-    report("cold", "host " + std::to_string(server) + " was asked for " + std::to_string(demand) +
+    report("cold", "server " + std::to_string(server) + " was asked for " + std::to_string(demand) +
                        " cores and bears " + std::to_string(overload_limit));
 }
 
 void Invariants::invalid_line(std::uint32_t server, std::string_view line) {
-    report("line", "host " + std::to_string(server) + " got '" + std::string(line.substr(0, 40)) + "'");
+    report("line", "server " + std::to_string(server) + " got '" + std::string(line.substr(0, 40)) + "'");
 }
 
 void Invariants::endpoint_state_delivered(std::uint32_t node, std::uint32_t server, bool active) {
--- a/src/simulation/main.cpp
+++ b/src/simulation/main.cpp
@@ -113,12 +113,12 @@
                     std::cout << "seed " << v.seed << " breaks a rule:\n";
                     print_violations(v, options.show);
                 }
-                progress.say(std::to_string(played) + " of " + std::to_string(all) + " days, " +
+                progress.say(std::to_string(played) + " of " + std::to_string(all) + " scenarios, " +
                              std::to_string(bad) + " with a broken rule");
             });
     }
     const double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - begin).count();
-    std::cout << std::fixed << std::setprecision(1) << played << " days, " << simulated
+    std::cout << std::fixed << std::setprecision(1) << played << " scenarios, " << simulated
               << " simulated seconds in " << took << " s on " << options.jobs
               << " threads: " << std::setprecision(0) << simulated / took / options.jobs
               << " simulated seconds a second of one\n";
@@ -127,7 +127,7 @@
         return kept;
     }
     for (const auto& [rule, row] : rules)
-        std::cout << rule << ": broken first in " << row.first << " days, seeds" << row.second
+        std::cout << rule << ": broken first in " << row.first << " scenarios, seeds" << row.second
                   << (row.first > 8 ? " ..." : "") << '\n';
     std::cout
         << "next: lemonstair_simulation shrink SEED, or lemonstair_simulation replay SEED --trace FILE\n";
@@ -155,7 +155,7 @@
               << " simulated seconds, " << v.steps << " steps\n  tunnels taken " << v.tally.taken
               << ", opened " << v.tally.opened << ", declined " << v.tally.declined << ", closed with error "
               << v.tally.failed << "; setups " << v.tally.setups << "; mid-flow " << v.tally.resumed
-              << ", of which " << v.tally.not_held << " setups went to a host that does not hold it; moved "
+              << ", of which " << v.tally.not_held << " setups went to a server that does not hold it; moved "
               << v.clients.moved << "\n";
     if (v.broken.empty()) std::cout << "all rules kept\n";
     print_violations(v, 50);
@@ -193,14 +193,14 @@
         }
         std::cout << "'" << v.rule() << "' still breaks with " << small.scenario.faults.size() << " of "
                   << scenario.faults.size() << " faults and " << small.scenario.clients
-                  << " members; the day is in " << out << "\nnext: lemonstair_simulation replay --day " << out
-                  << " --trace FILE\n";
+                  << " clients; the scenario is in " << out << "\nnext: lemonstair_simulation replay --day "
+                  << out << " --trace FILE\n";
     }
     return broken;
 }
 
 void list() {
-    std::cout << "Faults, as [[fault]] of a day with at_s:\n";
+    std::cout << "Faults, as [[fault]] of a scenario with at_s:\n";
     for (const auto& r : simulation::fault_catalogue()) {
         std::string wants;
         if (r.target == simulation::FaultInfo::Target::node) wants += " node";
@@ -216,10 +216,11 @@
     std::cout << "\nRules:\n";
     for (const auto& r : simulation::rule_catalogue())
         std::cout << "  " << std::left << std::setw(14) << r.name << r.says << '\n';
-    std::cout << "\nA day with all its keys (lemonstair_simulation list --day prints the one of a seed):\n";
+    std::cout
+        << "\nA scenario with all its keys (lemonstair_simulation list --day prints the one of a seed):\n";
 }
 
-constexpr const char* operated_help = "days with operators who call, drain and upgrade nodes";
+constexpr const char* operated_help = "scenarios with operators who call, drain and upgrade nodes";
 
 // The subcommands with their options.
 class CommandLine {
@@ -233,14 +234,15 @@
             "small.toml");
         app.require_subcommand(1);
         add_run();
-        replay_ = app.add_subcommand("replay", "Plays one day and tells what became of it");
+        replay_ = app.add_subcommand("replay", "Plays one scenario and tells what became of it");
         add_one(replay_);
         replay_->add_option("--trace", one_.trace, "all that happened, a line each, into this file");
-        shrink_ = app.add_subcommand("shrink", "Makes a day that breaks a rule as small as it will go");
+        shrink_ = app.add_subcommand("shrink", "Makes a scenario that breaks a rule as small as it will go");
         add_one(shrink_);
-        shrink_->add_option("--out", out_, "the smaller day into this file, else to standard output");
-        auto* list_command = app.add_subcommand("list", "What is simulated: faults, rules, keys of a day");
-        list_command->add_option("--day", shown_, "print the day that this seed draws, as TOML");
+        shrink_->add_option("--out", out_, "the smaller scenario into this file, else to standard output");
+        auto* list_command =
+            app.add_subcommand("list", "What is simulated: faults, rules, keys of a scenario");
+        list_command->add_option("--day", shown_, "print the scenario that this seed draws, as TOML");
     }
     int run_chosen() {
         if (*run_) return run(run_options_);
@@ -257,7 +259,7 @@
         return kept;
     }
     CLI::App app{
-        "Plays days of simulated faults on the product's own node, and judges its rules on the wire."};
+        "Plays scenarios of simulated faults on the product's own node, and judges its rules on the wire."};
 
   private:
     void add_run() {
@@ -265,15 +267,15 @@
         run_->add_option("--seeds", run_options_.seeds, "one seed or a range, as 1..10000")
             ->capture_default_str();
         run_->add_option("--jobs", run_options_.jobs, "threads")->check(CLI::Range(1U, 1024U));
-        run_->add_option("--day", run_options_.scenario, "this day with the chances of each seed");
+        run_->add_option("--day", run_options_.scenario, "this scenario with the chances of each seed");
         run_->add_option("--json", run_options_.json, "a line of JSON for each seed into this file");
-        run_->add_option("--show", run_options_.show, "how many broken rules to tell of each day");
+        run_->add_option("--show", run_options_.show, "how many broken rules to tell of each scenario");
         run_->add_flag("--operated", run_options_.operated, operated_help);
         run_->add_flag("--hashes", run_options_.hashes, "print the hash of each trace");
     }
     void add_one(CLI::App* command) {
-        command->add_option("seed", one_.seed, "the seed; left out, that of the day's file");
-        command->add_option("--day", one_.scenario, "a day written as TOML");
+        command->add_option("seed", one_.seed, "the seed; left out, that of the scenario's file");
+        command->add_option("--day", one_.scenario, "a scenario written as TOML");
         command->add_flag("--operated", one_.operated, operated_help);
     }
     RunOptions run_options_;
--- a/src/simulation/simulation.cpp
+++ b/src/simulation/simulation.cpp
@@ -180,7 +180,7 @@
 void Simulation::play_until(Ticks until) {
     while (events_.steps() < most_steps && events_.step(until)) continue;
     events_.pass_to(until);
-    if (events_.steps() >= most_steps) invariants_.report("spin", "the day does not end");
+    if (events_.steps() >= most_steps) invariants_.report("spin", "the scenario does not end");
 }
 
 Verdict Simulation::run() {
--- a/src/soak/main.cpp
+++ b/src/soak/main.cpp
@@ -125,8 +125,8 @@
         for (const simulation::Violation& one : outcome.broken) rules[one.rule] = 1;
         for (const auto& [rule, one] : rules) seeds_of_rule[rule] += one;
     }
-    std::cout << scenarios << " days, " << scenarios_broken << " with a broken rule, " << scenarios_undecided
-              << " more on which the machine was too busy to tell\n";
+    std::cout << scenarios << " scenarios, " << scenarios_broken << " with a broken rule, "
+              << scenarios_undecided << " more on which the machine was too busy to tell\n";
     for (const auto& [rule, count] : seeds_of_rule) std::cout << "  " << rule << " on " << count << '\n';
     return scenarios_broken > 0 ? broken : scenarios_undecided > 0 ? too_busy : kept;
 }
@@ -134,7 +134,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    CLI::App app{"Plays randomized days of overlapping troubles on many real processes."};
+    CLI::App app{"Plays randomized scenarios of overlapping faults on many real processes."};
     app.footer(
         "Exit status: 0 all rules kept; 1 a rule broken; 2 wrong use; 3 the machine was too busy to tell.");
     Options options;
@@ -143,10 +143,10 @@
     app.add_option("--shim", options.shim, "the fault shim")->required()->check(CLI::ExistingFile);
     app.add_option("--nodes", options.nodes, "so many processes instead of 10 to 40 by the seed")
         ->check(CLI::Range(1U, 200U));
-    app.add_option("--json", options.json, "a line of JSON for each day, added to this file");
-    app.add_option("--keep", options.keep, "the logs of days with a broken rule into this folder");
-    app.add_option("--show", options.show, "how many broken rules to tell of each day");
-    app.add_flag("--plain", options.plain, "without the shim: the troubles alone");
+    app.add_option("--json", options.json, "a line of JSON for each scenario, added to this file");
+    app.add_option("--keep", options.keep, "the logs of scenarios with a broken rule into this folder");
+    app.add_option("--show", options.show, "how many broken rules to tell of each scenario");
+    app.add_flag("--plain", options.plain, "without the shim: the faults alone");
     const volatile bool& stop = process_harness::stop_on_signals();
     return simulation::run_command_line(app, argc, argv, "lemonstair_soak",
                                         [&] { return run(options, stop); });
