--- /dev/null
+++ b/src/simulation/fixture_faults.cpp
@@ -0,0 +1,229 @@
+// Faults of servers, discovery and the network: their begin and end.
+#include <algorithm>
+
+#include "simulation/fixture.h"
+
+namespace lemonstair::simulation {
+
+namespace {
+
+using simnet::Machine;
+using K = FaultKind;
+using Phase = fakes::DiscoveryEntry::Phase;
+
+constexpr Ticks second = 10000;
+
+}  // namespace
+
+void Fixture::publish(std::uint32_t server, Phase phase) {
+    fakes::DiscoveryEntry& e = entries_[server];
+    e.phase = phase;
+    e.up_since_ms = servers_[server]->up_since_ms();
+    for (auto& r : discovery_services_) r->change(server, e, scenario_.discovery_delay);
+}
+
+bool Fixture::begin(const Fault& fault) {
+    return begin_at_servers(fault) || begin_at_discovery(fault) || begin_on_network(fault);
+}
+
+bool Fixture::begin_at_servers(const Fault& fault) {
+    if (fault_info(fault.kind).target != FaultInfo::Target::server) return false;
+    fakes::FakeServer& server = *servers_[fault.target];
+    switch (fault.kind) {
+        case K::server_slow:
+            server.slow_down(fault.magnitude);
+            break;
+        case K::server_errors:
+            server.fail_setups(true);
+            break;
+        case K::server_full:
+            server.decline_setups(true);
+            break;
+        case K::server_hang:
+            invariants_.server_silent(fault.target, true);
+            server.hang(true);
+            break;
+        case K::server_kill:
+            server.stop();
+            publish(fault.target, Phase::terminated);
+            break;
+        case K::server_vanish:
+            topology_.cut_off(server.machine(), true);
+            invariants_.machine_cut(server.machine(), true);
+            break;
+        case K::server_drain:
+            publish(fault.target, Phase::terminating);
+            break;
+        case K::server_resets:
+            server.reset_some(fault.magnitude);
+            break;
+        case K::server_moves_clients:
+            server.move_clients(fault.duration);
+            break;
+        default:
+            return false;
+    }
+    return true;
+}
+
+bool Fixture::begin_at_discovery(const Fault& fault) {
+    fakes::FakeDiscovery& discovery = *discovery_services_.back();
+    switch (fault.kind) {
+        case K::discovery_down:
+            discovery.down(true);
+            return true;
+        case K::discovery_silent:
+            discovery.silent(true);
+            return true;
+        case K::discovery_slow:
+            discovery.answer_after(static_cast<Ticks>(fault.magnitude * second));
+            return true;
+        case K::discovery_corrupt:
+            discovery.corrupt_next(static_cast<int>(fault.count));
+            return true;
+        case K::discovery_restart:
+            discovery.restart(1);
+            return true;
+        case K::discovery_move:
+            discovery.retire(second * 3 / 2);
+            discovery_services_.push_back(std::make_unique<fakes::FakeDiscovery>(
+                environment_, first_service_,
+                static_cast<std::uint16_t>(discovery_port + discovery_services_.size()), 1,
+                random_.part(50 + discovery_services_.size())));
+            discovery_services_.back()->open(entries_);
+            for (std::uint32_t n = 0; n < scenario_.nodes; ++n) topology_.new_file(n, file_for(n));
+            return true;
+        default:
+            return false;
+    }
+}
+
+bool Fixture::begin_on_network(const Fault& fault) {
+    switch (fault.kind) {
+        case K::node_vanish:
+            topology_.cut_off(fault.target, true);
+            invariants_.machine_cut(fault.target, true);
+            return true;
+        case K::network_slow:
+            for (Machine m = 0; m < scenario_.nodes + scenario_.servers; ++m)
+                topology_.slow_by(m, fault.magnitude);
+            return true;
+        case K::datagrams_lost:
+            topology_.datagrams().lost = fault.magnitude;
+            return true;
+        case K::datagrams_doubled:
+            topology_.datagrams().doubled = fault.magnitude;
+            return true;
+        case K::datagrams_late:
+            topology_.datagrams().jitter = static_cast<Ticks>(fault.magnitude * second);
+            return true;
+        case K::datagrams_old:
+            topology_.send_again(fault.target, fault.count);
+            return true;
+        case K::nodes_deaf:
+        case K::nodes_mute:
+        case K::nodes_apart:
+        case K::nodes_cut_from_servers:
+        case K::path_cut:
+            return set_isolation(fault, true), true;
+        case K::client_surge:
+            clients_->add(plans(fault.count, fault.start, fault.duration, planned_));
+            return true;
+        case K::misbehaving_clients:
+            misbehaving_clients_->start(static_cast<int>(fault.count),
+                                        static_cast<fakes::MisbehavingClients::Kind>(fault.second_target),
+                                        fault.count % 2 == 0);
+            return true;
+        default:
+            return false;
+    }
+}
+
+// Faults of `count` nodes from one on.
+void Fixture::set_isolation(const Fault& fault, bool on) {
+    const std::uint32_t last = std::min(fault.target + std::max(fault.count, 1U), scenario_.nodes);
+    if (fault.kind == K::nodes_apart)
+        return topology_.datagrams().apart(fault.target, last - fault.target, on);
+    if (fault.kind == K::path_cut) invariants_.machine_cut(servers_[fault.second_target]->machine(), on);
+    for (std::uint32_t n = fault.target; n < last; ++n) {
+        if (fault.kind == K::path_cut) topology_.cut_path(n, servers_[fault.second_target]->machine(), on);
+        if (fault.kind == K::nodes_deaf) topology_.datagrams().deaf(n, on);
+        if (fault.kind == K::nodes_mute) topology_.datagrams().mute(n, on);
+        if (fault.kind != K::nodes_cut_from_servers) continue;
+        for (auto& h : servers_) topology_.cut_path(n, h->machine(), on);
+        invariants_.machine_cut(n, on);  // without servers a node is excused
+    }
+}
+
+void Fixture::end(const Fault& fault) {
+    fakes::FakeServer* server =
+        fault_info(fault.kind).target == FaultInfo::Target::server ? servers_[fault.target].get() : nullptr;
+    switch (fault.kind) {
+        case K::node_vanish:
+            topology_.cut_off(fault.target, false);
+            return invariants_.machine_cut(fault.target, false);
+        case K::server_slow:
+            return server->slow_down(1);
+        case K::server_errors:
+            return server->fail_setups(false);
+        case K::server_full:
+            return server->decline_setups(false);
+        case K::server_hang:
+            invariants_.server_silent(fault.target, false);
+            return server->hang(false);
+        case K::server_kill:
+            server->start(true);
+            invariants_.server_started(fault.target);
+            return publish(fault.target, Phase::active);
+        case K::server_vanish:
+            topology_.forget(server->machine());
+            server->stop();
+            topology_.cut_off(server->machine(), false);
+            invariants_.machine_cut(server->machine(), false);
+            server->start(true);
+            invariants_.server_started(fault.target);
+            return publish(fault.target, Phase::active);
+        case K::discovery_down:
+            return discovery_services_.back()->down(false);
+        case K::discovery_silent:
+            return discovery_services_.back()->silent(false);
+        case K::discovery_slow:
+            return discovery_services_.back()->answer_after(5);
+        case K::network_slow:
+            for (Machine m = 0; m < scenario_.nodes + scenario_.servers; ++m) topology_.slow_by(m, 1);
+            return;
+        case K::datagrams_lost:
+            topology_.datagrams().lost = scenario_.network.lost;
+            return;
+        case K::datagrams_doubled:
+            topology_.datagrams().doubled = scenario_.network.doubled;
+            return;
+        case K::datagrams_late:
+            topology_.datagrams().jitter = scenario_.network.datagram_jitter;
+            return;
+        case K::nodes_deaf:
+        case K::nodes_mute:
+        case K::nodes_apart:
+        case K::nodes_cut_from_servers:
+        case K::path_cut:
+            return set_isolation(fault, false);
+        default:
+            return;
+    }
+}
+
+// The first step stops a server that drains, the second starts it again.
+bool Fixture::advance_drain(const Fault& fault) {
+    fakes::FakeServer& server = *servers_[fault.target];
+    if (server.state() == fakes::FakeServer::State::up) {
+        server.stop();
+        publish(fault.target, Phase::terminated);
+        return true;
+    }
+    server.start(true);
+    invariants_.server_started(fault.target);
+    publish(fault.target, Phase::active);
+    return false;
+}
+
+}  // namespace lemonstair::simulation
--- a/src/simulation/invariants_servers.cpp
+++ b/src/simulation/invariants_servers.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-// Guards against work for nobody: the client closed its connection before the attempt began.
+// An attempt must not begin once the client has closed its connection.
 void Invariants::judge_late_attempt(const TunnelRecord& record, std::uint32_t server, simnet::Machine node,
                                     Ticks sent) {
     constexpr Ticks allowed = 1000;
@@ -73,7 +73,7 @@
                                 std::to_string((first - since) / 10) + " ms after its node was told");
     }
     record.setups.push_back({server, end, first});
-    // Whoever has not been told of its start takes it for warm.
+    // A node that has not been notified of its start cannot know that it is in slow start.
     const bool told = nodes_[node].notified_at[server] > servers_[server].started_at;
     ledger_.record_setup(server, first - events_.start_time(), mid_flow, budget_ ? budget_(server) : 0, told);
     setups_received_.emplace_back(node, first);
--- a/src/simulation/operator_actions.cpp
+++ b/src/simulation/operator_actions.cpp
@@ -91,7 +91,7 @@
     schedule(events_.now() + health_interval, Kind::poll_health, fault_index, upgrades);
 }
 
-// `completes`: the previous process is told to leave once the new one is healthy.
+// `completes`: the previous process gets SIGTERM once the new one is healthy.
 void OperatorActions::check_health(std::uint32_t node, bool completes) {
     const ProcessSlot& slot = nodes_.slot(node);
     Upgrade& upgrade = upgrades_[node];
--- a/src/simulation/scenario.h
+++ b/src/simulation/scenario.h
@@ -37,7 +37,7 @@
     double known_share = 1;         // of the servers, that the nodes know at their start
     Ticks max_clock_skew = 0;       // nodes' clocks are ahead by up to this
     Ticks detection_delay = 20000;  // until the front notices that a node has died
-    Ticks discovery_delay = 5000;   // until discovery tells that a server has changed
+    Ticks discovery_delay = 5000;   // until discovery publishes a change of a server
     Ticks loop_pass_time = 1;       // that a pass of a node's event loop takes
 
     // ---- traffic
--- a/src/simulation/shrink.h
+++ b/src/simulation/shrink.h
@@ -18,8 +18,8 @@
 // Plays a scenario, with the tampering of its test if there is any.
 using Player = std::function<Verdict(const Scenario&)>;
 
-// Drops faults, then what the scenario does not need; at most so many scenarios are played. `told` hears
-// after each play.
+// Drops faults, then what the scenario does not need; at most so many scenarios are played. `on_progress` is
+// called after each play.
 Shrunk shrink(const Scenario& scenario, const std::string& rule, const Player& player, int most_plays = 400,
               const std::function<void(const Shrunk&)>& on_progress = {});
 
