--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -50,7 +50,7 @@
 
 }  // namespace
 
-TEST_CASE("a call is the same whatever byte it is cut at") {
+TEST_CASE("an admin request is read the same whatever byte it is cut at") {
     for (const std::string call : {"GET /stats?x=1 HTTP/1.1\r\nHost: n\r\nAccept: */*\r\n\r\n",
                                    "\r\nPOST /healthcheck/fail HTTP/1.1\r\nContent-LENGTH: 3 \r\n\r\nabc",
                                    "GET /healthcheck HTTP/1.0\n\n"}) {
@@ -66,7 +66,7 @@
     }
 }
 
-TEST_CASE("what is no call of the table is told so, with its length and the end of the connection") {
+TEST_CASE("an invalid request gets its status, with Content-Length and Connection: close") {
     const std::pair<std::string, int> calls[] = {
         {"GET /nothing HTTP/1.1\r\n\r\n", 404},
         {"GET /healthcheck/fail HTTP/1.1\r\n\r\n", 405},
@@ -103,7 +103,7 @@
     }
 }
 
-TEST_CASE("a call that goes wrong at any byte keeps little, however much follows") {
+TEST_CASE("an invalid request keeps little memory, however much follows") {
     http::Request request;
     request.feed("GET /stats HTTP/1.1\r\n");
     for (int i = 0; i < 10000; ++i) request.feed("xxxxxxxxxxxxxxxx");
@@ -111,7 +111,8 @@
     CHECK(!request.whole());
 }
 
-TEST_CASE("a drained node says no at once and yes again; to say it twice is harmless") {
+TEST_CASE(
+    "a draining node is not ready at once, and ready again after the drain is undone; both are idempotent") {
     NodeFixture fixture(operated());
     CHECK(status_of(fixture.get("/healthcheck")) == 200);
     for (int i = 0; i < 2; ++i) CHECK(status_of(fixture.post("/healthcheck/fail")) == 200);
@@ -125,7 +126,7 @@
     CHECK(fixture.run_until([&] { return front.has_received("PONG\r\n"); }));
 }
 
-TEST_CASE("a node that leaves is not ready and cannot be told to take clients again") {
+TEST_CASE("a node in a graceful shutdown is not ready, and its drain cannot be undone") {
     NodeFixture fixture(operated());
     OpenTunnel tunnel = fixture.open_tunnel();
     std::raise(SIGTERM);
@@ -136,7 +137,7 @@
     CHECK(fixture.get("/healthcheck").find("leaving") != std::string::npos);
 }
 
-TEST_CASE("the figures are what clients and hosts saw, zeros among them") {
+TEST_CASE("metrics are what clients and hosts saw, zeros included") {
     NodeFixture fixture(operated());
     std::string f = fixture.get("/stats");
     for (const char* name :
@@ -170,7 +171,7 @@
     CHECK(figure(f, "open_requests") == 1);
 }
 
-TEST_CASE("a setup that fails for good counts once, and a client that sends another command is not lost") {
+TEST_CASE("an attempt that fails for good counts once, and a client that sends another command is not lost") {
     NodeFixture fixture(operated());
     TestConnection c = fixture.connect_client(fixture.open_line());
     TestConnection h = fixture.accept_attempt();
@@ -181,7 +182,7 @@
     CHECK(figure(f, "open_requests") == 0);
 }
 
-TEST_CASE("callers that say nothing or half a call, by hundreds, keep neither callers nor clients out") {
+TEST_CASE("hundreds of idle or partial admin requests block neither admin connections nor clients") {
     NodeFixture fixture(operated(64));
     std::vector<TestConnection> slow;
     for (int i = 0; i < 300; ++i) {
@@ -202,7 +203,7 @@
     CHECK(status_of(half.received) == 408);
 }
 
-TEST_CASE("a caller that sends on for ever, or reads nothing, is let go") {
+TEST_CASE("an admin connection that never stops sending, or never reads, is closed") {
     NodeFixture fixture(operated());
     TestConnection talks = fixture.connect_admin("GET /stats HTTP/1.1\r\n\r\n"),
                    reads_nothing = fixture.connect_admin("GET /stats HTTP/1.1\r\n\r\n");
@@ -248,7 +249,7 @@
     CHECK(figure(f, "throttled") == static_cast<long>(declined.size()));
 }
 
-TEST_CASE("an address for operators that is faulty or taken ends the start and names the key") {
+TEST_CASE("an admin address that is invalid or in use fails the start and names the key") {
     NodeFixture fixture(operated());
     std::string text = fixture.config_text;
     json::Document file;
@@ -270,7 +271,7 @@
                          doctest::Contains("admin_addr"), json::Malformed);
 }
 
-TEST_CASE("without an address for operators there is no listener and nothing is set aside") {
+TEST_CASE("without an admin address there is no listener and no descriptor reserved") {
     NodeFixture with(operated()), without;
     CHECK(config::parse_node_config(without.file.root()).callers == 0);
     CHECK(config::parse_node_config(with.file.root()).callers > 0);
@@ -278,7 +279,7 @@
     CHECK(without.node->holds().descriptors < with.node->holds().descriptors);
 }
 
-TEST_CASE("a drained node moves its clients between two lines, stays, and takes clients again") {
+TEST_CASE("a draining node migrates its clients between lines, keeps running, and accepts clients again") {
     NodeFixture fixture({.mode = "proxy", .admin = true});
     OpenTunnel tunnel = fixture.open_tunnel();
     OpenTunnel second = fixture.open_tunnel();
@@ -307,7 +308,7 @@
     CHECK(!third.client.is_closed());
 }
 
-TEST_CASE("a drain that is taken back half way moves nobody from then on") {
+TEST_CASE("a drain that is undone half way migrates nobody from then on") {
     NodeFixture fixture({.mode = "proxy", .admin = true});
     OpenTunnel tunnel = fixture.open_tunnel();
     fixture.post("/healthcheck/fail");
@@ -319,7 +320,7 @@
     CHECK(fixture.run_until([&] { return tunnel.host.has_received("still here\r\n"); }));
 }
 
-TEST_CASE("where packets pass a drained node keeps what it carries") {
+TEST_CASE("with packet passthrough a draining node keeps open tunnels") {
     NodeFixture fixture({.mode = "pass", .admin = true});
     OpenTunnel tunnel = fixture.open_tunnel();
     fixture.post("/healthcheck/fail");
@@ -329,7 +330,7 @@
     CHECK(fixture.run_until([&] { return tunnel.client.has_received("on\r\n"); }));
 }
 
-TEST_CASE("SIGTERM while drained makes it leave") {
+TEST_CASE("SIGTERM while draining starts the graceful shutdown") {
     NodeFixture fixture({.mode = "proxy", .admin = true});
     OpenTunnel tunnel = fixture.open_tunnel();
     fixture.post("/healthcheck/fail");
--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -5,7 +5,7 @@
 
 using namespace fake;
 
-TEST_CASE("a storm of failing setups is not fed: few setups go out, the rest is declined at once") {
+TEST_CASE("a storm of failing attempts is limited: few attempts go out, the rest is rejected at once") {
     BalancerFixture n;
     n.set_endpoints({7, 8, 9});
     std::uint64_t t = 1;
@@ -30,7 +30,8 @@
 }
 
 TEST_CASE(
-    "past what the eps can do, the heavy and little credited is declined and the light and dear is placed") {
+    "past the capacity the heavy class of low priority is rejected and the light one of high priority "
+    "placed") {
     auto config = BalancerFixture::default_config();
     config.traffic_classes = {BalancerFixture::traffic_class(), BalancerFixture::traffic_class()};
     config.traffic_classes[1].priority_weight = 10;
@@ -59,7 +60,7 @@
     CHECK(n.rejected.size() > 10);
 }
 
-TEST_CASE("two hosts that refuse all connections at once do not shut the gate for those who reach others") {
+TEST_CASE("two endpoints that refuse connections do not make the node shed load for others") {
     BalancerFixture n;
     n.set_endpoints({1, 2, 3, 4, 5});
     for (std::uint64_t t = 1; t <= 30; ++t) n.on_request(t);
--- a/tests/attempt_policy_test.cpp
+++ b/tests/attempt_policy_test.cpp
@@ -5,7 +5,7 @@
 
 using namespace fake;
 
-TEST_CASE("no eps listed: the tunnel waits no longer than its setup goal, then is declined once") {
+TEST_CASE("with no endpoint listed a tunnel waits at most its latency objective and is rejected once") {
     BalancerFixture n;
     n.set_endpoints({});
     n.on_request(1);
@@ -13,7 +13,7 @@
     CHECK(n.rejected == std::vector<std::uint64_t>{1});
 }
 
-TEST_CASE("a failed setup goes to another ep, three setups at most, then a decline at once") {
+TEST_CASE("a failed attempt is retried on another endpoint, three attempts at most, then rejected at once") {
     BalancerFixture n;
     n.set_endpoints({7, 8, 9});
     n.on_request(1);
@@ -25,7 +25,7 @@
     CHECK(n.rejected.size() == 1);
 }
 
-TEST_CASE("a once-only tunnel that may have run is closed with error and never repeated") {
+TEST_CASE("a non-idempotent tunnel that may have run is closed with an error and never retried") {
     auto config = BalancerFixture::default_config();
     config.traffic_classes = {BalancerFixture::traffic_class(Idempotency::non_idempotent)};
     BalancerFixture n(config);
@@ -39,7 +39,7 @@
     CHECK(n.failed.size() == 1);
 }
 
-TEST_CASE("a referenced tunnel that may have run stays within its zone and window, and is not declined") {
+TEST_CASE("a tunnel with an idempotency key is retried within its zone and window only, and not rejected") {
     auto config = BalancerFixture::default_config();
     config.traffic_classes = {
         BalancerFixture::traffic_class(Idempotency::idempotent_with_key, DeduplicationScope::zone)};
--- a/tests/backoff_test.cpp
+++ b/tests/backoff_test.cpp
@@ -33,7 +33,8 @@
 
 }  // namespace
 
-TEST_CASE("whatever a call hangs in when discovery returns, the next one is out with time for its answer") {
+TEST_CASE(
+    "whichever phase a poll hangs in when discovery returns, the next one is sent in time for its answer") {
     // What is left of each phase, at the worst, and then the longest pause.
     const Ticks phases[] = {0, backoff::patience_connecting, backoff::patience_asking,
                             backoff::patience_standing};
@@ -48,7 +49,7 @@
     }
 }
 
-TEST_CASE("pauses grow with failures, are drawn apart, and begin anew after an answer") {
+TEST_CASE("backoff grows with failures, has jitter, and is reset by an answer") {
     Backoff b(1000);
     CHECK(b.failed(0) == 250);
     CHECK(b.failed(0) == 500);
@@ -61,7 +62,7 @@
 }
 
 TEST_CASE(
-    "300 nodes that find discovery down do not call it in one instant, nor more than twice a second each") {
+    "300 nodes that find discovery down do not poll at one instant, nor more than twice a second each") {
     std::minstd_rand rng(7);
     std::vector<Ticks> next(300);
     std::vector<Backoff> backoffs(300);
@@ -77,7 +78,7 @@
 }
 
 TEST_CASE(
-    "a process that starts asks for the list soon, however many nodes there are and whatever they may wait") {
+    "a process that starts polls for the endpoint list soon, whatever the number of nodes and the interval") {
     for (const std::uint32_t nodes : {1U, 3U, 30U, 300U, 1024U})
         for (const std::uint32_t seed : {1U, 77777777U, 1234567890U}) {
             BalancerConfig t = asking(nodes);
@@ -88,7 +89,7 @@
         }
 }
 
-TEST_CASE("300 nodes that lose discovery together spread their first calls over a second, not a moment") {
+TEST_CASE("300 nodes that lose discovery together spread their first polls over a second") {
     std::vector<Ticks> after;
     for (std::uint32_t i = 0; i < 60; ++i) {
         BalancerConfig t = asking(300);
@@ -104,7 +105,7 @@
     CHECK(after.back() <= backoff::longest_pause + 100 * ms);
 }
 
-TEST_CASE("a node that must ask calls again within the bound, after each of many failures") {
+TEST_CASE("a node that must poll does so again within the bound after each of many failures") {
     BalancerFixture n(asking(300));
     n.set_endpoints({7, 8}, EndpointListKind::cached);
     n.advance(2 * s);
--- a/tests/client_disconnect_test.cpp
+++ b/tests/client_disconnect_test.cpp
@@ -54,8 +54,7 @@
 
 }  // namespace
 
-TEST_CASE(
-    "a client that left while its host's connection came up is not sent on, whichever end is met first") {
+TEST_CASE("a client that disconnected during connect is not forwarded, whichever event is handled first") {
     for (const bool host_first : {false, true})
         for (const Leaves how : {Leaves::ends, Leaves::resets, Leaves::ends_behind_bytes}) {
             NodeFixture fixture;
@@ -75,7 +74,7 @@
         }
 }
 
-TEST_CASE("a client that has left before its line is read is not sent on") {
+TEST_CASE("a client that has disconnected before its line is read is not forwarded") {
     for (const bool host_first : {false, true})
         for (const Leaves how : {Leaves::ends, Leaves::resets, Leaves::ends_behind_bytes}) {
             NodeFixture fixture;
@@ -90,7 +89,7 @@
         }
 }
 
-TEST_CASE("a client that left as its first host said BUSY is not sent on to another") {
+TEST_CASE("a client that disconnected as its first host answered BUSY is not retried on another") {
     for (const bool host_first : {false, true})
         for (const Leaves how : {Leaves::ends, Leaves::resets, Leaves::ends_behind_bytes}) {
             NodeFixture fixture;
@@ -107,7 +106,7 @@
         }
 }
 
-TEST_CASE("of a line that was half written when its client left the rest is not sent") {
+TEST_CASE("when the client disconnects with its line half written, the rest is not sent") {
     for (const Leaves how : {Leaves::ends, Leaves::resets, Leaves::ends_behind_bytes}) {
         NodeFixture fixture;
         fixture.kernel.cut_lines_at = 7;
@@ -128,7 +127,8 @@
     }
 }
 
-TEST_CASE("a client that left while it was held for want of a host is not sent on when there is one") {
+TEST_CASE(
+    "a client that disconnected while it was queued for an endpoint is not forwarded when there is one") {
     for (const Leaves how : {Leaves::ends, Leaves::resets, Leaves::ends_behind_bytes}) {
         NodeFixture fixture;
         TestConnection watch;
--- a/tests/clock_skew_test.cpp
+++ b/tests/clock_skew_test.cpp
@@ -28,8 +28,7 @@
 
 }  // namespace
 
-TEST_CASE(
-    "a host that has just started is cold, and only for its time, whatever the wall clock of the node is") {
+TEST_CASE("a host that has just started is in slow start for its duration, whatever the node's wall clock") {
     constexpr Ticks hour = 3600 * s;
     for (const Ticks ahead : {Ticks{0}, hour, -hour, 5 * s}) {
         NodeFixture fixture({.slow_start = R"(,"cold":2,"cold_from":0.1,"fall":1.0,"tip_multiple":1)"},
@@ -50,8 +49,7 @@
     }
 }
 
-TEST_CASE(
-    "a tunnel that goes over to a process with another wall clock is not taken for silent, nor forgotten") {
+TEST_CASE("a tunnel transferred to a process with another wall clock is neither unresponsive nor forgotten") {
     constexpr Ticks hour = 3600 * s;
     for (const Ticks ahead : {hour, -hour}) {
         NodeFixture fixture({.mode = "proxy", .admin = true, .inherits_listener = true});
--- a/tests/deadline_race_test.cpp
+++ b/tests/deadline_race_test.cpp
@@ -11,7 +11,7 @@
 
 using namespace fake;
 
-TEST_CASE("a line that comes as the wait for it ends is answered") {
+TEST_CASE("a line that arrives as its timeout ends is answered") {
     NodeFixture fixture;
     TestConnection client = fixture.connect_client();
     fixture.run_for(2300);
@@ -25,7 +25,7 @@
     CHECK(!client.reset);
 }
 
-TEST_CASE("attempts with next to no time say nothing of their endpoint") {
+TEST_CASE("attempts with almost no time left say nothing about their endpoint") {
     for (const Outcome ending : {Outcome::timed_out, Outcome::withdrawn}) {
         fake::BalancerFixture node;
         node.set_endpoints({1, 2});
--- a/tests/endpoint_list_test.cpp
+++ b/tests/endpoint_list_test.cpp
@@ -5,7 +5,7 @@
 
 using namespace fake;
 
-TEST_CASE("a list that cannot be had is asked for again, well within the rule, and not at once") {
+TEST_CASE("a failed poll of the endpoint list is repeated within the poll interval, after a backoff") {
     auto config = BalancerFixture::default_config();
     config.must_poll = true;
     BalancerFixture n(config);
@@ -23,8 +23,7 @@
 }
 
 TEST_CASE(
-    "the first calls of many nodes for the list are spread, within the second and a half that the rule "
-    "leaves") {
+    "the first polls of many nodes for the endpoint list are spread over the 1.5 s that the rule allows") {
     std::vector<Ticks> at;
     for (std::uint32_t n = 0; n < 100; ++n) {
         auto config = BalancerFixture::default_config(n, 100);
--- a/tests/event_loop_test.cpp
+++ b/tests/event_loop_test.cpp
@@ -8,7 +8,7 @@
 
 using namespace fake;
 
-TEST_CASE("an event of this pass never reaches who took the descriptor's slot in it") {
+TEST_CASE("an event of a loop pass never reaches a handler that took the descriptor's slot in that pass") {
     net::Kernel kernel;
     net::EventLoop loop(kernel);
     struct Both final : net::EventHandler {
--- a/tests/failure_detector_test.cpp
+++ b/tests/failure_detector_test.cpp
@@ -60,7 +60,8 @@
 }
 }  // namespace
 
-TEST_CASE("one node's word is one word, however often it is told; two nodes' are enough, until they lapse") {
+TEST_CASE(
+    "one node's observation counts once however often it is sent; two nodes' are enough until they expire") {
     Observations w;
     CHECK(w.found(3, at, at));
     CHECK(!w.found(3, at, at + s));
@@ -86,7 +87,7 @@
     CHECK(failure_detector::whole_time(told, at - 2000) == at);
 }
 
-TEST_CASE("an answer that anybody had counts more than what was found before it") {
+TEST_CASE("a success seen by any node outweighs failures observed before it") {
     Observations w;
     w.found(3, at, at);
     w.found(4, at, at);
@@ -101,7 +102,7 @@
     CHECK(w.dead(at + 2));
 }
 
-TEST_CASE("words merge to the same in any order, told any number of times") {
+TEST_CASE("observations merge to the same result in any order and any number of times") {
     std::minstd_rand rng(7);
     struct Said {
         std::uint32_t node;
@@ -125,7 +126,7 @@
     }
 }
 
-TEST_CASE("what fails everywhere is no host's fault; what fails on one host is") {
+TEST_CASE("failures on every host blame none; failures on one host blame it") {
     failure_detector::OutcomeTotals all;
     failure_detector::FailureLikelihood good, bad;
     for (int i = 0; i < 40; ++i) good.count(false, false, all, at);
@@ -139,7 +140,7 @@
     for (const auto& o : each) CHECK(o.doubt < failure_detector::doubt_limit);
 }
 
-TEST_CASE("hearsay sets an ep aside with two nodes' words, not with one's told twice") {
+TEST_CASE("gossip ejects an endpoint on the observations of two nodes, not on one repeated") {
     Hearer h;
     h.hear(3, 7, 3, nobody);
     h.n.advance(100 * ms);
@@ -150,7 +151,7 @@
     CHECK(h.excluded() == 1);
 }
 
-TEST_CASE("a word of no peer, of a time to come, or replayed an hour later changes nothing") {
+TEST_CASE("an observation of an unknown peer, of the future, or replayed an hour later changes nothing") {
     Hearer h;
     h.hear(3, 7, 3, 60);
     h.hear(3, 7, 60, 4);
@@ -160,13 +161,13 @@
     CHECK(h.excluded() == 0);
 }
 
-TEST_CASE("an older node's bare word that an ep is bad is no evidence") {
+TEST_CASE("an older node's message without evidence that an endpoint is bad is ignored") {
     Hearer h;
     h.report(7, false);
     CHECK(h.excluded() == 0);
 }
 
-TEST_CASE("what was set aside by hearsay alone comes back once nobody says it any more") {
+TEST_CASE("an endpoint ejected on gossip alone is readmitted once nobody repeats it") {
     Hearer h({7, 8, 9, 10});
     h.hear(3, 7, 3, 4);
     h.n.advance(8 * s);
@@ -178,7 +179,7 @@
     CHECK(h.excluded() == 0);
 }
 
-TEST_CASE("whoever has just had an answer of an ep does not believe that it is dead") {
+TEST_CASE("a node that has just had an answer of an endpoint does not accept that it is dead") {
     Hearer h;
     std::uint64_t t = 1;
     do {
@@ -190,7 +191,7 @@
     CHECK(h.excluded() == 0);
 }
 
-TEST_CASE("of a zone and of a cell hearsay takes at most half, until the node finds one dead there itself") {
+TEST_CASE("gossip ejects at most half of a zone or cell, until the node finds one dead there itself") {
     Hearer h(std::vector<std::uint32_t>{});
     h.n.balancer->begin_endpoint_list(EndpointListKind::complete);
     for (std::uint32_t ep = 1; ep <= 8; ++ep)
@@ -208,7 +209,8 @@
     CHECK(h.excluded() == 4);
 }
 
-TEST_CASE("who finds an ep dead tells those who report of it, once another ep has answered it since") {
+TEST_CASE(
+    "a node that finds an endpoint dead notifies its reporters once another endpoint has answered since") {
     Hearer h({7, 8, 9, 10, 11});
     h.n.on_request(1);
     h.n.open(1);
@@ -228,7 +230,7 @@
     CHECK(accusations(h.n) == 0);
 }
 
-TEST_CASE("a node that is cut off from all eps accuses none, and says so once") {
+TEST_CASE("a node cut off from all endpoints reports none as dead and logs that once") {
     Hearer h({7, 8, 9, 10, 11, 12, 13, 14});
     for (std::uint64_t t = 1; t <= 40; ++t) {
         h.n.on_request(t);
@@ -256,7 +258,7 @@
     CHECK(accusations(h.n) == 0);
 }
 
-TEST_CASE("failures of others' setups set an ep aside with two nodes failing, as hearsay does: for a time") {
+TEST_CASE("failed attempts of two other nodes eject an endpoint, as gossip does: for a time") {
     Hearer h({7, 8, 9, 10});
     h.fail_elsewhere(7, {1});
     CHECK(h.excluded() == 0);
@@ -270,7 +272,7 @@
     CHECK(half.excluded() == 2);  // half of the zone is out by hearsay
 }
 
-TEST_CASE("what hearsay set aside is still hearsay after an upgrade: it comes back when nobody renews it") {
+TEST_CASE("an ejection on gossip is still one after a hot restart: it ends when nobody renews it") {
     Hearer h;
     h.hear(3, 7, 3, 4);
     std::string told;
@@ -285,7 +287,8 @@
     CHECK(next.balancer->endpoint_counts().excluded == 0);
 }
 
-TEST_CASE("what a node found dead itself does not come back on hearsay before it answers this node") {
+TEST_CASE(
+    "an endpoint that the node found dead itself is not readmitted on gossip before it answers this node") {
     Hearer h({7, 8, 9, 10});
     h.n.balancer->on_unresponsive(7, 2 * s);
     REQUIRE(h.excluded() == 1);
--- a/tests/gossip_test.cpp
+++ b/tests/gossip_test.cpp
@@ -6,7 +6,7 @@
 
 using namespace fake;
 
-TEST_CASE("a node whose gossip is slowed by its price is not taken for dead, nor its price forgotten") {
+TEST_CASE("a node whose gossip is slowed by its cost is not taken for dead, and the cost is kept to") {
     auto config = BalancerFixture::default_config(0, 2);
     config.costs.gossip_message = 1;
     BalancerFixture a(config);
@@ -25,7 +25,7 @@
     CHECK(bytes < 300);
 }
 
-TEST_CASE("what nodes say while nothing happens grows with their number, not with its square") {
+TEST_CASE("idle gossip grows with the number of nodes, not with its square") {
     const auto said = [](std::uint32_t nodes) {
         auto config = BalancerFixture::default_config(0, nodes);
         config.costs.gossip_message = 0.01;
@@ -44,8 +44,7 @@
     CHECK(said(400) <= said(100) + 2 * std::size_t{400});
 }
 
-TEST_CASE(
-    "among so many that hellos of all would cost more than they spare, who starts or ends is not told") {
+TEST_CASE("starts and losses of nodes are not broadcast where that would cost more than it saves") {
     for (const std::uint32_t nodes : {3U, 100U}) {
         auto config = BalancerFixture::default_config(0, nodes);
         config.costs.gossip_message = 0.01;
@@ -62,7 +61,7 @@
     }
 }
 
-TEST_CASE("a node held lost that is heard again is told so, and says hello to all once") {
+TEST_CASE("a node marked lost that is heard again is notified and broadcasts one hello") {
     BalancerFixture a(BalancerFixture::default_config(0, 9)), b(BalancerFixture::default_config(5, 9));
     a.set_endpoints({7}), b.set_endpoints({7});
     a.advance(1 * s), b.advance(2 * s);
@@ -78,7 +77,7 @@
     CHECK(b.gossip[0].first == 99);
 }
 
-TEST_CASE("a lost node is told to all, and one that still runs says so at once") {
+TEST_CASE("a lost node is broadcast, and one that still runs denies it at once") {
     BalancerFixture a(BalancerFixture::default_config(0, 9));
     a.set_endpoints({7});
     a.gossip.clear();
--- a/tests/graceful_shutdown_test.cpp
+++ b/tests/graceful_shutdown_test.cpp
@@ -22,8 +22,7 @@
 
 }  // namespace
 
-TEST_CASE(
-    "with deadlines of half a second all clients are moved before the node can be killed, stuck lines too") {
+TEST_CASE("with deadlines of 0.5 s all clients are migrated before SIGKILL, those with half a line too") {
     NodeFixture fixture({.mode = "proxy", .client_timeout = "0.55"});
     OpenTunnel tunnel = fixture.open_tunnel();
     OpenTunnel stuck = fixture.open_tunnel();
@@ -50,7 +49,7 @@
     CHECK(stuck.client.has_received("MOVE\r\n"));
 }
 
-TEST_CASE("a setup that is out for longer than a node that leaves has time is answered before it is killed") {
+TEST_CASE("an attempt that outlasts the graceful shutdown is answered before SIGKILL") {
     for (const char* mode : {"pass", "proxy"}) {
         NodeFixture fixture({.mode = mode, .client_timeout = "6"});
         TestConnection c = fixture.connect_client("OPEN 1 k c=chat,d=6000\r\n");
@@ -73,7 +72,7 @@
     }
 }
 
-TEST_CASE("a line that comes in the instant in which the node would exit is answered") {
+TEST_CASE("a line that arrives in the pass in which the node would exit is answered") {
     for (const bool accepted : {true, false}) {
         NodeFixture fixture({.mode = "proxy"});
         TestConnection c;
@@ -100,7 +99,7 @@
     }
 }
 
-TEST_CASE("a node that has been drained for long still serves who comes, and moves it") {
+TEST_CASE("a node that has been draining for long still serves and migrates new clients") {
     NodeFixture fixture({.mode = "proxy", .admin = true});
     REQUIRE(fixture.post("/healthcheck/fail").find(" 200 ") != std::string::npos);
     const auto told = Clock::now();
--- a/tests/group_affinity_test.cpp
+++ b/tests/group_affinity_test.cpp
@@ -7,7 +7,7 @@
 
 using namespace fake;
 
-TEST_CASE("a tunnel goes where its group is held already, while there is room") {
+TEST_CASE("a tunnel is placed with its group while there is headroom") {
     auto config = BalancerFixture::default_config();
     config.groups_enabled = true;
     config.endpoint_sizes_differ = true;
@@ -28,7 +28,7 @@
 }
 
 TEST_CASE(
-    "without sums, tunnels of a group meet at the same ep from all nodes, and its keeper tells another") {
+    "without load reports a group meets at one endpoint from all nodes, and its leader announces the next") {
     constexpr std::uint32_t nodes = 60;
     std::vector<std::unique_ptr<BalancerFixture>> all;
     std::vector<std::uint32_t> at;
@@ -58,7 +58,7 @@
                         [&](const auto& n) { return n->last_attempt().endpoint == next; }) >= 55);
 }
 
-TEST_CASE("a keeper tells homes of its own groups, and of no others, before any report has come") {
+TEST_CASE("a leader publishes affinity targets of its own groups only, before any load report") {
     auto config = BalancerFixture::default_config(0, 30);
     config.groups_enabled = true;
     BalancerFixture n(config);
@@ -112,7 +112,7 @@
 
 }  // namespace
 
-TEST_CASE("another home of a group says that those before it have no room left") {
+TEST_CASE("another affinity target of a group means that those before it have no headroom") {
     Grouped n;
     n.set_endpoints({1, 2, 3, 4, 5, 6}, EndpointListKind::cached);
     n.advance(6 * s);
--- a/tests/health_check_test.cpp
+++ b/tests/health_check_test.cpp
@@ -5,8 +5,7 @@
 
 using namespace fake;
 
-TEST_CASE(
-    "a probe goes over a kept connection; one that died unseen is made anew before the host is blamed") {
+TEST_CASE("a health check uses a kept connection; one that died is reopened before the host is blamed") {
     NodeFixture fixture({.mode = "pass", .sockets = 256, .probing = true});
     const auto asked = [&](TestConnection& e) {
         return fixture.run_until([&] {
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -68,7 +68,7 @@
 
 }  // namespace
 
-TEST_CASE("one process is the node in every stand that two can be in together") {
+TEST_CASE("in every pair of states of two processes exactly one is the node") {
     const std::pair<Role, Role> together[] = {
         {Role::offering, Role::asking}, {Role::handing, Role::taking}, {Role::done, Role::taking}};
     for (const auto& [old, fresh] : together) CHECK(hot_restart::answers(old) != hot_restart::answers(fresh));
@@ -99,7 +99,7 @@
     CHECK(hot_restart::decode(other, read) == hot_restart::Read::torn);
 }
 
-TEST_CASE("open tunnels go over with what is half read of them, and neither side notices") {
+TEST_CASE("open tunnels are transferred with partly read lines, and neither side notices") {
     NodeFixture fixture(upgraded());
     OpenTunnel tunnel = fixture.open_tunnel();
     OpenTunnel second = fixture.open_tunnel();
@@ -127,7 +127,7 @@
     CHECK(!tunnel.host.reset);
 }
 
-TEST_CASE("bytes that one side does not take yet go over too, none lost and none twice") {
+TEST_CASE("bytes that one side has not read are transferred too, none lost and none twice") {
     NodeFixture fixture(upgraded());
     OpenTunnel tunnel = fixture.open_tunnel();
     std::string sent;
@@ -150,7 +150,7 @@
 }
 
 TEST_CASE(
-    "a setup that is out is answered by the process that took it; its tunnel goes over when it is open") {
+    "an attempt in flight is answered by the process that started it; its tunnel is transferred when open") {
     NodeFixture fixture(upgraded());
     TestConnection c = fixture.connect_client(fixture.open_line());
     TestConnection h = fixture.accept_attempt();
@@ -165,7 +165,7 @@
     CHECK(c.received == "UP r\r\non\r\n");
 }
 
-TEST_CASE("each client that comes during upgrades is answered, by one process") {
+TEST_CASE("each client that connects during hot restarts is answered by one process") {
     NodeFixture fixture(upgraded());
     int answered = 0;
     for (int round = 0; round < 3; ++round) {
@@ -210,7 +210,7 @@
     CHECK(answered == 45);
 }
 
-TEST_CASE("a new process that dies after its yes leaves the node to the old one") {
+TEST_CASE("when a new process dies after it agreed, the old one stays the node") {
     NodeFixture fixture(upgraded());
     OpenTunnel tunnel = fixture.open_tunnel();
     fixture.upgrade();
@@ -240,7 +240,7 @@
     CHECK(fixture.run_until([&] { return !fixture.running; }, 4000));
 }
 
-TEST_CASE("what a dead process left in the meeting place is no process") {
+TEST_CASE("a stale socket of a dead process is not taken for a process") {
     NodeFixture fixture(upgraded());
     const std::string name = fixture.parse_config().nearby;
     fixture.running = false;
@@ -250,7 +250,7 @@
     CHECK(state_of(fixture) == "serving");
 }
 
-TEST_CASE("foreign, torn and untimely words end the line and nothing else") {
+TEST_CASE("foreign, truncated and unexpected packets end the channel and nothing else") {
     NodeFixture fixture(upgraded());
     OpenTunnel tunnel = fixture.open_tunnel();
     Stranger stranger(fixture);
@@ -280,8 +280,7 @@
     CHECK(state_of(fixture) == "serving");
 }
 
-TEST_CASE(
-    "a new process that greets and says no more, or dies half way, changes nothing; the next one may come") {
+TEST_CASE("a new process that stops after its greeting, or dies, changes nothing; the next one may start") {
     NodeFixture fixture(upgraded());
     OpenTunnel tunnel = fixture.open_tunnel();
     Stranger stranger(fixture), third(fixture);
@@ -343,14 +342,13 @@
                              json::Malformed);
 }
 
-TEST_CASE("with no listener handed down there is no meeting place, and nothing is held for one") {
+TEST_CASE("without an inherited listener there is no hot restart socket, and no descriptor reserved for it") {
     NodeFixture with(upgraded()), without(NodeFixture::Options{.admin = true});
     CHECK(without.parse_config().nearby.empty());
     CHECK(without.node->holds().descriptors + 1 == with.node->holds().descriptors);
 }
 
-TEST_CASE(
-    "an upgrade while drained, and where connections end at the node, moves nobody once clients go over") {
+TEST_CASE("a hot restart while draining, in proxy mode, migrates nobody once clients are transferred") {
     NodeFixture fixture(upgraded("proxy"));
     OpenTunnel tunnel = fixture.open_tunnel();
     CHECK(fixture.post("/healthcheck/fail").substr(9, 3) == "200");
@@ -364,7 +362,7 @@
     CHECK(!tunnel.client.is_closed());
 }
 
-TEST_CASE("with few descriptors both processes together stay within what is granted") {
+TEST_CASE("with few descriptors both processes together stay within the limit") {
     NodeFixture fixture(upgraded("pass", 64));
     std::vector<OpenTunnel> open;
     open.reserve(12);
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-TEST_CASE("a list of 1,100 hosts is taken whole, and tunnels go to many of them") {
+TEST_CASE("a list of 1,100 hosts is accepted in full, and tunnels are placed on many of them") {
     NodeFixture fixture({.admin = true});
     TestConnection watch;
     REQUIRE(fixture.run_until([&] {
@@ -50,7 +50,7 @@
 }
 
 TEST_CASE(
-    "nodes 0 and 1,099 of 1,100 place by the reports of 1,100 eps; their records go all over the ring") {
+    "nodes 0 and 1,099 of 1,100 place by reports of 1,100 endpoints; their records spread over the ring") {
     BalancerFixture first(BalancerFixture::default_config(0, many)),
         last(BalancerFixture::default_config(many - 1, many));
     std::vector<std::uint32_t> endpoints;
--- a/tests/load_estimator_test.cpp
+++ b/tests/load_estimator_test.cpp
@@ -56,7 +56,7 @@
 
 }  // namespace
 
-TEST_CASE("an ep that was reported light draws tunnels for a moment, not until the next report") {
+TEST_CASE("an endpoint reported as light attracts tunnels briefly, not until the next report") {
     Far f;
     f.on_gossip(1, 10, 0.5);
     CHECK(f.come(20, 1, 10) == 20);  // what comes in a second is known by now
@@ -68,7 +68,7 @@
     CHECK(f.come(1, 1, 1) == 1);
 }
 
-TEST_CASE("an ep that no report has come of is taken to carry what the others do") {
+TEST_CASE("an endpoint without a report is assumed to carry the average load") {
     Far f;
     f.on_gossip(1, 5, 0.4);
     f.n.advance(200 * ms);
@@ -77,7 +77,7 @@
     CHECK(reported <= 48);
 }
 
-TEST_CASE("what an ep can do is reckoned for all eps, also while only few were reported") {
+TEST_CASE("capacity is estimated for all endpoints while only few are reported") {
     BalancerFixture host;
     Known known(BalancerFixture::default_config(0, 3), host);
     for (std::uint32_t i = 0; i < 2; ++i) known.eps[i].reported(0.5, known.now);
@@ -86,7 +86,7 @@
     CHECK(known.room_after(300) == doctest::Approx(2).epsilon(0.05));
 }
 
-TEST_CASE("a node that has just started does not take the few records it has for all") {
+TEST_CASE("a node that has just started does not take its few records for all of the load") {
     BalancerFixture host;
     Known known(BalancerFixture::default_config(0, 3), host);
     for (auto& e : known.eps) e.reported(0.5, known.now);
@@ -99,7 +99,7 @@
     CHECK(known.room_after(300) == doctest::Approx(first / 4).epsilon(0.05));
 }
 
-TEST_CASE("where nodes may not talk, each sees its own tunnels alone of all") {
+TEST_CASE("without gossip a node knows of its own tunnels only") {
     BalancerFixture host;
     auto config = BalancerFixture::default_config(0, 30);
     Known heard(config, host);
@@ -109,7 +109,7 @@
     CHECK(alone.tunnels_a_sample() == doctest::Approx(30));
 }
 
-TEST_CASE("records of tunnels that have ended stay, but count for no load") {
+TEST_CASE("records of ended tunnels stay but count for no load") {
     RecordTable records;
     records.put({.key = 1, .stamp = 1 * s, .heard = 10 * s, .ep = 1, .load = 0.5, .sampled = true});
     records.put({.key = 2, .stamp = 2 * s, .heard = 30 * s, .ep = 1, .load = 0.25, .sampled = true});
@@ -121,7 +121,7 @@
     CHECK(records.find(1) != nullptr);
 }
 
-TEST_CASE("where loads are not known, a dear crossing does not keep all tunnels in the node's zone") {
+TEST_CASE("where loads are unknown a costly zone crossing does not keep all tunnels in the node's zone") {
     for (const bool reports : {false, true}) {
         INFO("reports: ", reports);
         auto config = BalancerFixture::default_config(0, 3);
@@ -149,7 +149,7 @@
     }
 }
 
-TEST_CASE("a silent ep is probed each second until it answers, then no more often than others") {
+TEST_CASE("an endpoint that does not answer is checked each second until it does, then as often as others") {
     auto config = BalancerFixture::default_config(0, 100);
     config.limits.gossip_enabled = false;
     config.costs.health_check = 1;  // eight seconds between two
@@ -172,7 +172,7 @@
     CHECK(probes_of_1(32, Outcome::ok) <= 6);
 }
 
-TEST_CASE("where nothing tells how long messages take, work that reports show piling up weighs") {
+TEST_CASE("where message delay is not reported, reported overload weighs against an endpoint") {
     const auto goes_to = [](bool reports_message_delay) {
         BalancerConfig config = BalancerFixture::default_config(0, 1);
         config.reports_message_delay = reports_message_delay;
@@ -199,7 +199,7 @@
     CHECK(goes_to(false) == 0);
 }
 
-TEST_CASE("what an ep can do is not learned from the first few loads told, which may be tiny") {
+TEST_CASE("capacity is not learned from the first few reported loads, which may be tiny") {
     BalancerFixture n;
     n.set_endpoints({7, 8});
     for (std::uint64_t t = 1; t <= 6; ++t) n.on_request(t), n.open(t);
--- a/tests/load_reports_test.cpp
+++ b/tests/load_reports_test.cpp
@@ -7,7 +7,7 @@
 using namespace fake;
 
 TEST_CASE(
-    "one node reports for all eps; where it says nothing, the next on the ring does, and then the third") {
+    "one node reports the load of all endpoints; when it fails the next on the ring does, then the third") {
     constexpr std::uint32_t nodes = 90;
     const auto all = start_nodes(nodes, {1, 2, 3, 4, 5, 6, 7, 8});
     std::vector<std::uint32_t> dead;
@@ -41,7 +41,7 @@
     CHECK(bytes < 89 * 65 * 10);  // eight eps in a message, ten times in 80 s
 }
 
-TEST_CASE("nodes with the same list have the same reporters, however they came to it") {
+TEST_CASE("nodes with the same endpoint list elect the same reporters, however they learned the list") {
     BalancerFixture at_once(BalancerFixture::default_config(0, 60)),
         bit_by_bit(BalancerFixture::default_config(0, 60));
     at_once.set_endpoints({1, 2, 3, 4, 5, 6, 7, 8, 9, 10});
@@ -65,7 +65,7 @@
     CHECK(reporters(bit_by_bit) == of);
 }
 
-TEST_CASE("a large change of a load is told sooner than a small one") {
+TEST_CASE("a large change of load is published sooner than a small one") {
     const auto told_after = [](double load) {
         auto config = BalancerFixture::default_config(0, 2);
         config.costs.gossip_message = 1;
--- a/tests/node_discovery_test.cpp
+++ b/tests/node_discovery_test.cpp
@@ -29,7 +29,7 @@
 const std::string good_answer = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 TEST_CASE(
-    "on SIGHUP a node calls the new discovery at once, whose lists count from the start, and serves on") {
+    "on SIGHUP a node polls the new discovery at once, accepts its revisions from the start and serves on") {
     for (const bool leaving : {false, true}) {
         NodeFixture fixture({.mode = "pass", .sockets = 256, .probing = false});
         OpenTunnel tunnel = fixture.open_tunnel();
@@ -69,7 +69,7 @@
     }
 }
 
-TEST_CASE("a new configuration that is broken or faulty is logged by its key, and the old one stays") {
+TEST_CASE("an invalid new configuration is logged with its key, and the old one is kept") {
     std::array<int, 2> p{};
     REQUIRE(::pipe(p.data()) == 0);
     const net::Fd in(p[0]), out(p[1]);
@@ -93,7 +93,8 @@
     CHECK(fixture.open_tunnel().client.fd.open());
 }
 
-TEST_CASE("the watch is kept, dead when silent, back after a pause; broken and old lists do no harm") {
+TEST_CASE(
+    "the watch is kept, closed when silent, reopened after a backoff; broken and old lists do no harm") {
     NodeFixture fixture;
     const auto call = [&](std::string_view asked) { return called(fixture, fixture.discovery, asked); };
     for (const char* bad :
--- a/tests/node_migration_test.cpp
+++ b/tests/node_migration_test.cpp
@@ -9,7 +9,8 @@
 
 using namespace fake;
 
-TEST_CASE("told to leave, the node takes clients on, moves all between two lines and leaves when empty") {
+TEST_CASE(
+    "in a graceful shutdown the node serves new clients, migrates all between lines and exits when empty") {
     NodeFixture fixture({.mode = "proxy", .sockets = 256, .probing = false});
     OpenTunnel tunnel = fixture.open_tunnel();
     tunnel.host.send("half a ");
@@ -28,7 +29,7 @@
     CHECK(fixture.run_until([&] { return !fixture.running; }));
 }
 
-TEST_CASE("where packets pass, a node told to leave keeps what it carries") {
+TEST_CASE("with packet passthrough a graceful shutdown keeps open tunnels") {
     NodeFixture fixture;
     OpenTunnel tunnel = fixture.open_tunnel();
     std::raise(SIGTERM);
@@ -42,7 +43,7 @@
     CHECK(fixture.run_until([&] { return !fixture.running; }));
 }
 
-TEST_CASE("a host from which no line comes any more is left within seconds") {
+TEST_CASE("clients of a host that sends no line any more are migrated within seconds") {
     NodeFixture fixture;
     OpenTunnel tunnel = fixture.open_tunnel();
     tunnel.client.send("hello\r\n");
@@ -55,7 +56,8 @@
     CHECK(!tunnel.client.reset);
 }
 
-TEST_CASE("a tunnel whose lines its host no longer answers is moved within 7 s, though others there go on") {
+TEST_CASE(
+    "a tunnel whose lines go unanswered is migrated within 7 s, though others on that host are answered") {
     NodeFixture fixture;
     fixture.host_b.fd.close();
     OpenTunnel tunnel = fixture.open_tunnel();
@@ -75,8 +77,7 @@
     CHECK(!other.client.is_closed());
 }
 
-TEST_CASE(
-    "a tunnel that falls silent between lines is moved within 7 s of the last, not of the first unanswered") {
+TEST_CASE("a tunnel that goes unanswered is migrated within 7 s of its last line, not of the first") {
     NodeFixture fixture;
     fixture.host_b.fd.close();
     OpenTunnel tunnel = fixture.open_tunnel();
--- a/tests/node_overload_test.cpp
+++ b/tests/node_overload_test.cpp
@@ -11,7 +11,8 @@
 
 using namespace fake;
 
-TEST_CASE("past its descriptors the node says BUSY, and takes clients again when some have left") {
+TEST_CASE(
+    "without free descriptors the node answers BUSY, and serves clients again when some have disconnected") {
     NodeFixture fixture({.mode = "pass", .sockets = 40, .probing = false});
     std::vector<std::pair<TestConnection, TestConnection>> open;
     TestConnection refused;
@@ -29,7 +30,7 @@
     CHECK(fixture.open_tunnel().client.fd.open());
 }
 
-TEST_CASE("clients that say nothing, or ask once and stay, give way to those that speak, and go within 3 s") {
+TEST_CASE("idle clients give way to active ones and are closed within 3 s") {
     NodeFixture fixture({.mode = "pass", .sockets = 40, .probing = false});
     std::vector<TestConnection> silent;
     for (int i = 0; i < 60; ++i) {
@@ -46,7 +47,7 @@
     }));
 }
 
-TEST_CASE("a client whose line comes in pieces is not taken for a silent one when hundreds of those come") {
+TEST_CASE("a client whose line arrives in pieces is not taken for idle among hundreds that are") {
     NodeFixture fixture(NodeFixture::Options{.sockets = 64});
     const std::string line = fixture.open_line();
     TestConnection slow = fixture.connect_client();
@@ -65,7 +66,7 @@
     CHECK(fixture.node->holds().descriptors <= 64);
 }
 
-TEST_CASE("silent clients hold a quarter of the descriptors at most, however many come") {
+TEST_CASE("idle clients hold a quarter of the descriptors at most, however many connect") {
     NodeFixture fixture({.mode = "pass", .sockets = 200, .probing = false});
     std::vector<TestConnection> silent;
     for (int i = 0; i < 150; ++i) {
@@ -77,7 +78,7 @@
     CHECK(!silent.back().is_closed());
 }
 
-TEST_CASE("a client that asks whether the node is ready and stays is let go within a second or so") {
+TEST_CASE("a client that sends PING and stays connected is closed within about a second") {
     NodeFixture fixture;
     TestConnection c = fixture.connect_client("PING\r\n"), slow = fixture.connect_client();
     CHECK(fixture.run_until([&] { return c.is_closed(); }, 1300));
@@ -85,7 +86,7 @@
     CHECK(!slow.is_closed());
 }
 
-TEST_CASE("with no descriptor left the node neither spins nor ends, and goes on when there are some") {
+TEST_CASE("with no descriptor left the node neither spins nor exits, and resumes when there are some") {
     NodeFixture fixture;
     TestConnection c = fixture.connect_client();
     rlimit was{};
--- a/tests/node_tunnel_test.cpp
+++ b/tests/node_tunnel_test.cpp
@@ -23,7 +23,7 @@
     CHECK(fixture.run_until([&] { return h.has_received("first\r\na\r\nb"); }));
 }
 
-TEST_CASE("a host that refuses connections has run nothing: the other gets the tunnel") {
+TEST_CASE("a host that refuses connections has run nothing: the tunnel is retried on the other") {
     NodeFixture fixture;
     fixture.host_a.fd.close();
     for (int i = 0; i < 6; ++i) {
@@ -34,7 +34,7 @@
     }
 }
 
-TEST_CASE("a silent setup is given up and its connection closed before the next goes out") {
+TEST_CASE("an attempt that times out is closed before the next is sent") {
     NodeFixture fixture;
     TestConnection c = fixture.connect_client(fixture.open_line());
     const TestListener *first = nullptr, *second = nullptr;
@@ -47,7 +47,8 @@
     CHECK(c.received == "UP r\r\n");
 }
 
-TEST_CASE("a tunnel that no host takes is declined at once, cleanly, though the client has sent more") {
+TEST_CASE(
+    "a tunnel that no host accepts is rejected at once with a clean close, though the client has sent more") {
     NodeFixture fixture;
     TestConnection c = fixture.connect_client("OPEN 1 k c=chat,d=2000\r\nmore\r\n");
     for (int i = 0; i < 3; ++i) fixture.accept_attempt().send("BUSY\r\n");
@@ -56,7 +57,7 @@
     CHECK(!c.reset);
 }
 
-TEST_CASE("a client that leaves while it waits ends its setup") {
+TEST_CASE("a client that disconnects while it waits cancels its attempt") {
     NodeFixture fixture;
     TestConnection c = fixture.connect_client(fixture.open_line());
     TestConnection h = fixture.accept_attempt();
@@ -85,7 +86,7 @@
     CHECK(!third.host.reset);
 }
 
-TEST_CASE("a side that takes nothing holds the other back, and nothing is lost") {
+TEST_CASE("a side that does not read applies backpressure to the other, and nothing is lost") {
     NodeFixture fixture;
     OpenTunnel tunnel = fixture.open_tunnel();
     const std::string line(1022, 'x');
@@ -102,7 +103,7 @@
     }));
 }
 
-TEST_CASE("a tunnel that stood before the start goes to its host, again until it is up") {
+TEST_CASE("a tunnel that was open before the start is sent to its host, repeatedly until it is open") {
     NodeFixture fixture;
     TestConnection c = fixture.connect_client("OPEN 1 k c=chat,d=2000,at=b\r\n");
     for (int i = 0; i < 2; ++i) {
--- a/tests/outlier_detection_test.cpp
+++ b/tests/outlier_detection_test.cpp
@@ -6,7 +6,7 @@
 
 using namespace fake;
 
-TEST_CASE("an ep that fails is set aside and comes back on another node's good answers") {
+TEST_CASE("an endpoint that fails is ejected and readmitted on another node's successes") {
     BalancerFixture a(BalancerFixture::default_config(0, 2)), b(BalancerFixture::default_config(1, 2));
     for (auto* n : {&a, &b}) n->set_endpoints({7, 8, 9});
     std::uint64_t t = 1;
@@ -36,7 +36,7 @@
     CHECK(to_bad() > before + 1);
 }
 
-TEST_CASE("what fails on all eps at once moves nobody and is held against none of them") {
+TEST_CASE("failures on all endpoints at once migrate nobody and eject no endpoint") {
     auto config = BalancerFixture::default_config();
     config.seed = 6;  // with some seeds an ep stays aside: docs/ROADMAP.md, open
     BalancerFixture n(config);
@@ -68,7 +68,8 @@
                           [&](const Attempt& x) { return x.endpoint == ep; }));
 }
 
-TEST_CASE("an ep whose messages take longer than any client waits is left at once, the others stay") {
+TEST_CASE(
+    "an endpoint whose messages take longer than any client waits is avoided at once, the others are kept") {
     BalancerFixture n;
     n.set_endpoints({7, 8, 9});
     std::uint64_t t = 1;
@@ -91,7 +92,7 @@
     CHECK(n.migrated == on_bad);
 }
 
-TEST_CASE("an ep from which no line has come for a second is left, long before setups or probes tell") {
+TEST_CASE("an endpoint unresponsive for a second is avoided, before attempts or health checks fail") {
     BalancerFixture n;
     n.set_endpoints({1, 2, 3});
     for (std::uint64_t t = 1; t <= 12; ++t) n.on_request(t), n.open(t);
@@ -110,7 +111,7 @@
     }
 }
 
-TEST_CASE("two nodes' words set an ep aside at nodes that have never seen it fail, a report brings it back") {
+TEST_CASE("observations of two nodes eject an endpoint at others, and a load report readmits it") {
     BalancerFixture a(BalancerFixture::default_config(0, 50));
     a.set_endpoints({7, 8, 9});
     a.advance(5 * s);
--- a/tests/parsers_test.cpp
+++ b/tests/parsers_test.cpp
@@ -35,7 +35,7 @@
     CHECK(!d.parse(std::string(100000, '[')));
 }
 
-TEST_CASE("a field that is missing or mistyped is told by its name") {
+TEST_CASE("a field that is missing or mistyped is named") {
     json::Document d;
     REQUIRE(d.parse(R"({"n":"x","big":99999999999})"));
     const auto root = d.root().told_as("here");
@@ -44,7 +44,7 @@
     CHECK_THROWS_WITH(root.small("big"), "here: field 'big' is too large");
 }
 
-TEST_CASE("a faulty configuration is refused by the name of the key") {
+TEST_CASE("an invalid configuration is refused with the name of the key") {
     NodeFixture fixture;
     const auto refuse = [&](std::string_view part, std::string_view by, const char* key) {
         std::string text = fixture.config_text;
@@ -116,7 +116,7 @@
     CHECK(out.view() == "OPEN 9b1f 7f3a c=feed,d=799,g=5c0f,r=1,mid=1,h=0.02\r\n");
 }
 
-TEST_CASE("a probe's answer gives the figures that it names") {
+TEST_CASE("the answer to a health check gives the values that it names") {
     LoadReport r;
     CHECK(health_check::read_pong("PONG queue=2,x0=0.75,what=1,util=", r));
     CHECK(r.queue == 2);
--- a/tests/peer_codec_test.cpp
+++ b/tests/peer_codec_test.cpp
@@ -40,7 +40,7 @@
 };
 }  // namespace
 
-TEST_CASE("what nodes say comes back as it was said, and a full message takes no more") {
+TEST_CASE("gossip items decode as they were encoded, and a full message takes no more") {
     lemonstair::peer::Message m;
     CHECK(m.record(0xfedcba9876543210ULL, 4000000000U, 508436349652LL, 77, 0.125));
     CHECK(m.ask(5));
@@ -65,7 +65,7 @@
     CHECK(m.bytes().size() <= lemonstair::peer::max_bytes);
 }
 
-TEST_CASE("malformed messages are ignored whole") {
+TEST_CASE("malformed messages are ignored entirely") {
     lemonstair::peer::Message m;
     m.lost(1);
     m.ask(5);
@@ -83,7 +83,7 @@
     CHECK(heard.said.str().empty());
 }
 
-TEST_CASE("bytes are counted by what a message says, for each node that hears it") {
+TEST_CASE("bytes are counted by the kind of an item, for each recipient") {
     lemonstair::peer::Message m;
     m.hello();
     m.lost(3);
--- a/tests/placement_test.cpp
+++ b/tests/placement_test.cpp
@@ -18,7 +18,7 @@
     CHECK(n.failed.empty());
 }
 
-TEST_CASE("nothing new goes to a draining ep; what it holds goes on within the grace only") {
+TEST_CASE("a draining endpoint gets no new tunnel and keeps its own for the drain grace only") {
     BalancerFixture n;
     n.set_endpoints({7});
     n.on_request(1, "a");
--- a/tests/placement_without_gossip_test.cpp
+++ b/tests/placement_without_gossip_test.cpp
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-TEST_CASE("nodes that may not talk find the ep of a tunnel mid-flow by its key") {
+TEST_CASE("without gossip a mid-flow tunnel's endpoint is found by its key") {
     BalancerFixture a(mute(0)), b(mute(1));
     for (auto* n : {&a, &b}) n->set_endpoints({1, 2, 3, 4, 5, 6, 7, 8});
     std::vector<int> used(9);
@@ -49,7 +49,7 @@
     CHECK(a.gossip.empty());
 }
 
-TEST_CASE("where nothing tells of load, eps of another zone take a part though crossing has a price") {
+TEST_CASE("without load reports endpoints of another zone take a part, though crossing zones has a cost") {
     BalancerFixture n(mute(0));
     n.balancer->begin_endpoint_list(EndpointListKind::complete);
     for (std::uint32_t i = 1; i <= 8; ++i) n.balancer->add_endpoint(i, i % 2, 0, EndpointState::active, 1, 0);
@@ -65,7 +65,7 @@
     CHECK(far < 100);  // but the node's own zone goes first
 }
 
-TEST_CASE("where nothing tells of load, a group's tunnels meet on a few eps from the first second") {
+TEST_CASE("without load reports a group shares a few endpoints from the first second") {
     std::array<BalancerFixture, 3> nodes{BalancerFixture(mute_groups(0)), BalancerFixture(mute_groups(1)),
                                          BalancerFixture(mute_groups(2))};
     std::vector<std::uint32_t> endpoints(40);
@@ -96,7 +96,7 @@
     }
 }
 
-TEST_CASE("where nothing tells of load, what cold eps may be sent is used, and they are not passed over") {
+TEST_CASE("without load reports slow-start budgets are used and not exceeded") {
     auto config = mute_groups(0);
     config.rules.slow_start_duration = 20 * s;
     config.rules.slow_start_initial_factor = 0.2;
@@ -121,7 +121,7 @@
 }
 
 TEST_CASE(
-    "where all that opens is soon cut off, a blind node holds back, uses cold eps, and takes up again") {
+    "without reports, when open tunnels are cut off, the node sheds load, uses new endpoints and recovers") {
     auto config = mute_groups(0);
     config.rules.slow_start_duration = 20 * s;
     config.rules.slow_start_initial_factor = 0.2;
@@ -172,7 +172,7 @@
     CHECK(still <= 5);
 }
 
-TEST_CASE("where nothing tells of load, an ep that cuts a tunnel off gets no other for a while") {
+TEST_CASE("without load reports an endpoint that cuts a tunnel off gets no other for a while") {
     BalancerFixture n(mute(0));
     n.set_endpoints({1, 2, 3, 4});
     n.on_request(1, "first");
@@ -194,7 +194,7 @@
     CHECK(sent_there(200) > 0);
 }
 
-TEST_CASE("who comes back from a break is drawn for anew: its key does not lead it to the same ep for ever") {
+TEST_CASE("a client that reconnects is placed anew: its key does not pin it to one endpoint") {
     BalancerFixture n(mute(0));
     n.set_endpoints({1, 2, 3, 4, 5, 6, 7, 8});
     std::vector<int> used(9);
@@ -208,7 +208,7 @@
     CHECK(std::count_if(used.begin(), used.end(), [](int x) { return x > 0; }) >= 4);
 }
 
-TEST_CASE("nodes that may not talk do not all crowd the ep whose report shows it as the lightest") {
+TEST_CASE("without gossip nodes do not all choose the endpoint with the lowest reported load") {
     auto config = mute(0);
     config.limits.health_checks_enabled = true;
     std::vector<std::uint32_t> endpoints(20);
@@ -233,7 +233,7 @@
     CHECK(used[9] < 10);
 }
 
-TEST_CASE("nodes that may not talk spread their first probes over the pause between two") {
+TEST_CASE("without gossip the first health checks are spread over their interval") {
     auto config = BalancerFixture::default_config(0, 300);
     config.limits.gossip_enabled = false;
     config.costs.health_check = 0.004;
@@ -252,7 +252,7 @@
     CHECK(by[7] >= 75);
 }
 
-TEST_CASE("what a client names is no group where the settings have none") {
+TEST_CASE("a group named by a client is ignored where the settings have none") {
     auto config = mute(0);
     BalancerFixture n(config);
     n.set_endpoints({1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12});
@@ -267,7 +267,7 @@
     CHECK(std::count(used.begin() + 1, used.end(), 0) == 0);
 }
 
-TEST_CASE("nodes that may not talk probe all eps themselves: no reporter could tell them") {
+TEST_CASE("without gossip each node checks the health of all endpoints itself") {
     auto config = mute(0);
     config.limits.health_checks_enabled = true;
     BalancerFixture n(config);
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -36,7 +36,7 @@
 
 }  // namespace
 
-TEST_CASE("all nodes together, none of which hears anything, never pass a budget in any window") {
+TEST_CASE("nodes that hear nothing of each other together never exceed a budget in any window") {
     for (const double rate : {0.7, 3.0, 40.0}) {
         const auto all = fleet(60, 0);
         std::vector<Quota> shares(all.size());
@@ -56,7 +56,7 @@
     }
 }
 
-TEST_CASE("a node that restarts has nothing of what its earlier life may have spent") {
+TEST_CASE("a restarted node has no quota that its earlier incarnation may have spent") {
     QuotaSchedule d{0, 3, slot, keep, 0};
     const SlotNumber n = owned(d, 20, 100);
     Quota before, after;
@@ -67,7 +67,7 @@
     CHECK(after.left(d, budget, 20, d.begin(next)) > 0);
 }
 
-TEST_CASE("a process that was stopped wakes with nothing that has run out") {
+TEST_CASE("a process that was suspended resumes without expired quota") {
     const QuotaSchedule d{1, 3, slot, keep, 0};
     const SlotNumber n = owned(d, 20, 100);
     Quota share;
@@ -79,7 +79,7 @@
     CHECK(share.left(d, budget, 20, wakes) == live);
 }
 
-TEST_CASE("a lent unit is the lender's no more, counts once, and is refused where it cannot be") {
+TEST_CASE("a leased unit leaves the lender's quota, counts once, and is refused where it is not valid") {
     const auto all = fleet(3, 0);
     constexpr double rate = 10;  // a unit a slot
     Quota lender, taker;
@@ -113,7 +113,7 @@
     CHECK(!taker.borrow(all[1], budget, n + 1000000, 0, now));
 }
 
-TEST_CASE("a slot's number is known by its last bits, and one from far away is none that lives") {
+TEST_CASE("a slot number is recovered from its low bits, and one from far away is not valid") {
     const QuotaSchedule d{0, 3, slot, keep, 0};
     const Ticks now = 17'000'000'000'000;
     for (const SlotNumber off : {-8, 0, 3})
@@ -285,7 +285,7 @@
 
 }  // namespace
 
-TEST_CASE("in every state of three nodes and two budgets no slot is overspent, and what is lost comes back") {
+TEST_CASE("in every state of three nodes and two budgets no slot is overspent, and lost quota returns") {
     const Found f = Checker(Mistake::none).run();
     MESSAGE("states: ", f.states);
     CHECK(f.states > 10000);
@@ -293,7 +293,7 @@
     CHECK(!f.never_back);
 }
 
-TEST_CASE("the checker finds wilful mistakes of the dealing") {
+TEST_CASE("the model checker finds injected faults of the quota schedule") {
     CHECK(Checker(Mistake::lends_without_debit).run().passed);
     CHECK(Checker(Mistake::restart_keeps_share).run().passed);
     CHECK(Checker(Mistake::replay_counts).run().passed);
@@ -315,7 +315,7 @@
 }
 }  // namespace
 
-TEST_CASE("a node that is the node again after a failed upgrade has nothing of the slots before") {
+TEST_CASE("a node that resumes after a failed hot restart has no quota of the slots before") {
     using namespace fake;
     for (const bool again : {false, true}) {
         BalancerFixture n(alone());
@@ -329,7 +329,7 @@
     }
 }
 
-TEST_CASE("a node that is told another time to fall over in has nothing of the slots before") {
+TEST_CASE("a node whose budget window is reconfigured has no quota of the slots before") {
     using namespace fake;
     for (const Ticks fall : {15 * s / 10, 3 * s}) {
         BalancerFixture n(alone());
@@ -345,7 +345,7 @@
     }
 }
 
-TEST_CASE("a mid-flow tunnel stays at a cold host that holds it and spends nothing there") {
+TEST_CASE("a mid-flow tunnel stays at its endpoint in slow start and spends no budget") {
     using namespace fake;
     BalancerFixture n(alone());
     n.set_endpoints({7}, EndpointListKind::complete, EndpointState::active, 100 * s);
@@ -359,7 +359,7 @@
     CHECK(n.last_attempt().endpoint == 7);
 }
 
-TEST_CASE("a mid-flow tunnel at a host that has restarted since is a new one, and spends of its budget") {
+TEST_CASE("a mid-flow tunnel at an endpoint that has restarted since is new and spends budget") {
     using namespace fake;
     for (const bool restarted : {false, true}) {
         BalancerFixture n(alone());
--- a/tests/rebalancing_test.cpp
+++ b/tests/rebalancing_test.cpp
@@ -6,7 +6,7 @@
 
 using namespace fake;
 
-TEST_CASE("tunnels on an ep past its capacity are asked to move, a part at a time, when others have room") {
+TEST_CASE("tunnels on an overloaded endpoint are migrated, a part at a time, when others have headroom") {
     BalancerFixture n;
     n.set_endpoints({7, 8});
     for (std::uint64_t t = 1; t <= 40; ++t) {
@@ -25,7 +25,7 @@
     CHECK(n.migrated.size() < 30);
 }
 
-TEST_CASE("a tunnel on an ep that was told to be bad is moved once its own lines go unanswered") {
+TEST_CASE("a tunnel on an endpoint that gossip calls dead is migrated once its own lines go unanswered") {
     BalancerFixture a(BalancerFixture::default_config(0, 60));
     a.set_endpoints({7, 8, 9});
     a.advance(5 * s);
--- a/tests/records_test.cpp
+++ b/tests/records_test.cpp
@@ -7,7 +7,7 @@
 using namespace fake;
 
 TEST_CASE(
-    "the tail's answer keeps a mid-flow tunnel on its ep; any other copy does when the tail knows nothing") {
+    "the tail's record keeps a mid-flow tunnel on its endpoint; any replica does when the tail has none") {
     BalancerFixture a(BalancerFixture::default_config(0, 3)), b(BalancerFixture::default_config(1, 3)),
         c(BalancerFixture::default_config(2, 3));
     std::vector<BalancerFixture*> all{&a, &b, &c};
@@ -34,7 +34,7 @@
     }
 }
 
-TEST_CASE("a silent tail costs a mid-flow tunnel the tail's wait, not its life") {
+TEST_CASE("a tail that does not answer delays a mid-flow tunnel by its timeout and no more") {
     BalancerFixture a(BalancerFixture::default_config(0, 2));
     a.set_endpoints({7, 8});
     for (std::uint64_t t = 1; t <= 8; ++t) a.on_request(t, key_of(t), true);
@@ -42,7 +42,7 @@
     for (std::uint64_t t = 1; t <= 8; ++t) CHECK(a.attempts_of(t) == 1);
 }
 
-TEST_CASE("the newest stamp wins, in whatever order records come") {
+TEST_CASE("the record with the newest timestamp wins, in whatever order records arrive") {
     BalancerFixture a(BalancerFixture::default_config(0, 2));
     a.set_endpoints({7, 8});
     BalancerFixture x(BalancerFixture::default_config(1, 2)), y(BalancerFixture::default_config(1, 2));
@@ -59,7 +59,7 @@
     CHECK(a.last_attempt().endpoint == 8);
 }
 
-TEST_CASE("a record that nobody refreshes is dropped") {
+TEST_CASE("a record that nobody refreshes expires") {
     BalancerFixture a(BalancerFixture::default_config(0, 2)), x(BalancerFixture::default_config(1, 2));
     a.set_endpoints({7, 8, 9, 10, 11, 12});
     x.set_endpoints({12});
@@ -76,7 +76,7 @@
     CHECK(kept < 10);
 }
 
-TEST_CASE("a client that comes back is placed by the load its record tells") {
+TEST_CASE("a client that reconnects is placed by the load in its record") {
     BalancerFixture n;
     n.set_endpoints({7, 8});
     n.on_request(1, "heavy");
@@ -93,7 +93,7 @@
                        [&](const Attempt& x) { return x.endpoint == on; }));
 }
 
-TEST_CASE("only records whose chain a node is on are sent again when it comes back") {
+TEST_CASE("a node that returns is sent only records of which it holds a replica") {
     constexpr std::uint32_t nodes = 40;
     BalancerFixture a(BalancerFixture::default_config(0, nodes));
     a.set_endpoints({7, 8});
--- a/tests/simnet_test.cpp
+++ b/tests/simnet_test.cpp
@@ -81,7 +81,7 @@
     }
 }
 
-TEST_CASE("an end comes behind the last byte; a close over unread input and a dead process make resets") {
+TEST_CASE("an end follows the last byte; a close with unread input and a dead process cause resets") {
     Wire w;
     const auto e = w.up();
     w.network.write(e, "last", true);
@@ -100,7 +100,7 @@
     CHECK(w.network.write(f, "x").error == EPIPE);
 }
 
-TEST_CASE("a machine that is cut off says nothing; what is lost comes when it is back, or finds nobody") {
+TEST_CASE("a machine that is partitioned sends nothing; lost data arrives after the partition or is reset") {
     Wire w;
     const auto e = w.up(), gone = w.up();
     w.network.cut_off(w.b);
@@ -141,7 +141,8 @@
     CHECK(w.network.is_up(second));
 }
 
-TEST_CASE("datagrams are lost, doubled and overtaken as the weather says, and never past a cut") {
+TEST_CASE(
+    "datagrams are lost, duplicated and reordered as the network conditions say, never across a partition") {
     simnet::NetworkConditions rough;
     rough.lost = 0.3;
     rough.doubled = 0.3;
@@ -188,8 +189,7 @@
     CHECK(p.held() == 3);
 }
 
-TEST_CASE(
-    "a loop that is called again and again for what it does nothing about is seen, one that waits is not") {
+TEST_CASE("an event loop that spins on an unhandled event is detected, one that waits is not") {
     for (const bool reads : {false, true}) {
         Wire w;
         w.network.listen(w.door(), w, 4);
--- a/tests/simulation_faults_test.cpp
+++ b/tests/simulation_faults_test.cpp
@@ -13,7 +13,7 @@
 using simulation::Scenario;
 using simulation::Verdict;
 
-TEST_CASE("each wilful fault of a node is found within 500 seeds and shrunk to a short day") {
+TEST_CASE("each injected fault of a node is found within 500 seeds and shrunk to a short scenario") {
     struct Row {
         spoilt::Fault fault;
         std::string name;
--- a/tests/simulation_test.cpp
+++ b/tests/simulation_test.cpp
@@ -46,7 +46,7 @@
 
 // ---- days as data
 
-TEST_CASE("a day that is drawn can be written, read again and plays the same") {
+TEST_CASE("a drawn scenario can be written, read again and plays the same") {
     for (const std::uint64_t seed : {3U, 17U, 40U, 41U}) {
         const Scenario day = simulation::draw_day(seed);
         const Scenario again = simulation::parse_day(simulation::write_day(day), "again.toml");
@@ -55,7 +55,7 @@
     }
 }
 
-TEST_CASE("a day's file with a fault is refused with file, line and key, in one sentence") {
+TEST_CASE("an invalid scenario file is refused with file, line and key, in one sentence") {
     CHECK(fault_of("seed = 1\nspan = 3\n") == "day.toml:2: 'span' is a key that no day has");
     CHECK(fault_of("[fleet]\nnodes = 0\n") == "day.toml:2: 'fleet.nodes' is not from 1 to 4096");
     CHECK(fault_of("[fleet]\nnodes = 4097\n") == "day.toml:2: 'fleet.nodes' is not from 1 to 4096");
@@ -104,7 +104,7 @@
     CHECK(play_file("restart_between_setup_and_answer").tally.orphaned > 0);
 }
 
-TEST_CASE("what all nodes send a cold host stays within its budget, whatever they hear of each other") {
+TEST_CASE("all nodes together keep to a slow-start budget, whatever they hear of each other") {
     for (const char* day :
          {"cold_hosts", "cold_hosts_deaf", "deaf_then_heard", "heard_one_way", "zone_cut_off_cold",
           "stopped_and_woken", "half_restarted", "lossy_and_doubled", "one_cut_from_all_hosts"}) {
@@ -116,7 +116,7 @@
     }
 }
 
-TEST_CASE("nodes that are cut off from all hosts bring no other node to set a sound one aside") {
+TEST_CASE("nodes cut off from all hosts make no other node eject a healthy one") {
     for (const char* day : {"cut_off_accuses", "rack_cut_off_accuses"}) {
         INFO(day);
         std::string trace;
@@ -126,20 +126,22 @@
     }
 }
 
-TEST_CASE("a host that dies is set aside by all soon after two nodes found it dead") {
+TEST_CASE("a host that dies is ejected by all soon after two nodes found it dead") {
     std::string trace;
     CHECK(play_file("host_dies_agreed", &trace).broken.empty());
     CHECK(count(trace, "found dead by others") >= 12);
 }
 
-TEST_CASE("where half of the nodes reach only half of the hosts, few believe the others") {
+TEST_CASE("where half of the nodes reach only half of the hosts, few accept the others' observations") {
     std::string trace;
     CHECK(play_file("two_sides_see_other_hosts", &trace).broken.empty());
     CHECK(count(trace, "found dead by others") <=
           24);  // 96 could: 12 nodes of each side, 4 hosts of the other
 }
 
-TEST_CASE("a drain notice races a placement") { CHECK(play_file("drain_races_placement").tally.raced > 0); }
+TEST_CASE("a drain notice races with a placement") {
+    CHECK(play_file("drain_races_placement").tally.raced > 0);
+}
 
 TEST_CASE("a host vanishes with half the line written") {
     std::string trace;
@@ -153,7 +155,7 @@
     CHECK(v.tally.declined > 0);
 }
 
-TEST_CASE("SIGHUP while a node leaves, and one with half a file") {
+TEST_CASE("SIGHUP in a graceful shutdown, and one with half a file") {
     std::string trace;
     const Verdict v = play_file("reload_while_leaving", &trace);
     CHECK(count(trace, "new configuration not taken") == 2);
@@ -174,7 +176,7 @@
     CHECK(v.tally.not_held < v.tally.resumed);
 }
 
-TEST_CASE("a datagram of an earlier life of a node") {
+TEST_CASE("a datagram of an earlier incarnation of a node") {
     std::string trace;
     const Verdict v = play_file("datagrams_of_an_earlier_life", &trace);
     CHECK(count(trace, "datagrams_old") == 1);
@@ -197,11 +199,11 @@
     CHECK(v.longest_spin < 20);
 }
 
-TEST_CASE("a crowd at nodes with few descriptors is answered in its time") {
+TEST_CASE("a crowd at nodes with few descriptors is answered in time") {
     CHECK(play_file("crowd_with_few_descriptors").tally.declined > 200);
 }
 
-TEST_CASE("a new version takes a node over while a crowd comes: nobody notices") {
+TEST_CASE("a hot restart during a crowd of connects goes unnoticed") {
     Scenario day;
     day.operated = true;
     day.packet_passthrough = false;  // a connection that is cut off would not go on through another node
@@ -223,7 +225,7 @@
     CHECK(v.tally.opened > 80);
 }
 
-TEST_CASE("the same day with operators gives the same trace, and its TOML gives it again") {
+TEST_CASE("the same operated scenario gives the same trace, and so does its TOML") {
     const Scenario day = simulation::draw_operated_day(7);
     const Verdict a = simulation::play(day), b = simulation::play(day);
     CHECK(a.hash == b.hash);
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -5,7 +5,7 @@
 
 using namespace fake;
 
-TEST_CASE("a cold ep gets no burst") {
+TEST_CASE("an endpoint in slow start gets no burst") {
     BalancerFixture n;
     n.set_endpoints({7});
     n.advance(6 * s);
@@ -16,7 +16,7 @@
                         [](const Attempt& x) { return x.endpoint == 8; }) <= 7);
 }
 
-TEST_CASE("a wave of returning clients does not push a cold ep over") {
+TEST_CASE("a wave of reconnecting clients does not overload an endpoint in slow start") {
     BalancerFixture n;
     n.set_endpoints({7});
     std::uint64_t t = 1;
@@ -37,7 +37,8 @@
                         [](const Attempt& x) { return x.endpoint == 8; }) <= 7);
 }
 
-TEST_CASE("an ep that fell silent and answers again is taken as cold before the list tells") {
+TEST_CASE(
+    "an endpoint that answers again after failed health checks is in slow start before the list says so") {
     BalancerFixture n;
     n.set_endpoints({7, 8});
     std::uint64_t t = 1;
@@ -66,7 +67,7 @@
     CHECK(to_7 <= 2);
 }
 
-TEST_CASE("many nodes keep a cold ep's budget together, though none has ever sent it anything") {
+TEST_CASE("many nodes together keep to a slow-start budget, though none has used the endpoint before") {
     constexpr std::uint32_t nodes = 120;
     std::vector<std::unique_ptr<BalancerFixture>> all;
     for (std::uint32_t n = 0; n < nodes; ++n) {
@@ -93,7 +94,7 @@
 }
 
 TEST_CASE(
-    "a zone comes back cold: all nodes together keep to each host's budget, and use a good part of it") {
+    "when a zone restarts all nodes together keep to each slow-start budget and use a good part of it") {
     constexpr std::uint32_t nodes = 80;
     const auto all = start_nodes(nodes, {1, 2});
     for (std::uint32_t n = 0; n < nodes; ++n) {
--- a/tests/system_fault_test.cpp
+++ b/tests/system_fault_test.cpp
@@ -64,7 +64,7 @@
     }
 }
 
-TEST_CASE("what the kernel of the node refuses for want of its own is held against no host") {
+TEST_CASE("a connect that the node's own kernel refuses is held against no host") {
     for (const int error : {ENETUNREACH, EADDRNOTAVAIL, ENOBUFS}) {
         NodeFixture fixture({.admin = true});
         fixture.kernel.connection_error = [&](int fd) {
@@ -84,7 +84,7 @@
     }
 }
 
-TEST_CASE("a node starts though its socket to listen on cannot be had for a moment") {
+TEST_CASE("a node starts though its listening socket fails for a moment") {
     for (const int error : {ENOBUFS, ENFILE}) {
         std::unique_ptr<NodeFixture> fixture;
         CHECK_NOTHROW(fixture = std::make_unique<NodeFixture>(NodeFixture::Options{}, 0,
