--- a/tests/fault_injection.h
+++ b/tests/fault_injection.h
@@ -1,5 +1,5 @@
-// Nodes with a wilful fault, for the one purpose of showing that the lab's rules find it: what they take from
-// the system, or what decides for them, is tampered with. None of this is linked into anything but the tests.
+// Fault injection for the simulation's tests: nodes whose net::System or Balancer misbehaves in one way, to
+// show that the invariants find it. Linked into the tests only.
 #pragma once
 
 #include <algorithm>
@@ -14,94 +14,94 @@
 #include "peer/codec.h"
 #include "simulation/simulation.h"
 
-namespace spoilt {
+namespace fault_injection {
 
 using namespace lemonstair;
 
 enum class Fault {
     answer_dropped,
-    second_setup,
-    drained_host_used,
-    cold_host_flooded,
-    answer_after_the_last,
-    tunnel_leaked,
-    old_record_believed,
-    line_overtaken,
-    move_forgotten,
-    descriptors_hoarded,
-    // of days with operators
-    figures_untrue,
-    pong_while_drained,
-    handed_tunnel_lost,
-    readiness_unsaid,
-    call_unanswered
+    second_attempt,
+    draining_endpoint_used,
+    slow_start_budget_exceeded,
+    answer_after_final,
+    connection_leaked,
+    stale_record_used,
+    line_reordered,
+    move_omitted,
+    descriptors_leaked,
+    // of operated scenarios
+    metrics_wrong,
+    ready_while_draining,
+    transferred_tunnel_lost,
+    ready_packet_lost,
+    admin_request_unanswered
 };
 
-// All that a node takes from the system, passed on, but for the fault.
-class Between final : public net::System {
+// A net::System that forwards every call, but for the fault.
+class FaultySystem final : public net::System {
   public:
-    Between(net::System& real, Fault fault) : real_(real), fault_(fault) {}
+    FaultySystem(net::System& real, Fault fault) : real_(real), fault_(fault) {}
     Ticks now() override { return real_.now(); }
     Ticks clock_base() override { return real_.clock_base(); }
     std::uint64_t processor_us() override { return real_.processor_us(); }
     int poll(std::span<pollfd> set, Ticks longest) override {
-        for (auto& [fd, line] : doubles_)
+        for (auto& [fd, line] : second_lines_)
             if (!line.empty()) line.erase(0, real_.write_some(fd, line).bytes);
         return real_.poll(set, longest);
     }
     void close(int fd) override {
-        said_.erase(fd);
-        held_.erase(fd);
+        final_answers_.erase(fd);
+        held_lines_.erase(fd);
         const bool client = clients_.erase(fd) > 0;
-        if (fault_ == Fault::tunnel_leaked && client && ++count_ % 5 == 0) return;
-        if (fault_ == Fault::descriptors_hoarded && !client) return;
+        if (fault_ == Fault::connection_leaked && client && ++count_ % 5 == 0) return;
+        if (fault_ == Fault::descriptors_leaked && !client) return;
         real_.close(fd);
     }
     std::size_t descriptor_limit(std::size_t asked) override { return real_.descriptor_limit(asked); }
-    net::Fd listen_on(const net::Address& at) override { return mine(real_.listen_on(at)); }
+    net::Fd listen_on(const net::Address& at) override { return owned(real_.listen_on(at)); }
     void defer_accept(int listener) override { real_.defer_accept(listener); }
-    net::Fd bind_datagrams(const net::Address& at) override { return mine(real_.bind_datagrams(at)); }
+    net::Fd bind_datagrams(const net::Address& at) override { return owned(real_.bind_datagrams(at)); }
     net::Fd connect_to(const net::Address& to) override {
-        net::Fd fd = mine(real_.connect_to(to));
-        if (fd.open()) called_[fd.get()] = to;
+        net::Fd fd = owned(real_.connect_to(to));
+        if (fd.open()) connect_addresses_[fd.get()] = to;
         return fd;
     }
     net::Fd accept(int listener) override {
-        net::Fd fd = mine(real_.accept(listener));
+        net::Fd fd = owned(real_.accept(listener));
         if (fd.open()) clients_[fd.get()] = true;
         return fd;
     }
-    net::Fd spare() override { return mine(real_.spare()); }
+    net::Fd spare() override { return owned(real_.spare()); }
     int connected(int fd) override { return real_.connected(fd); }
     bool peer_closed(int fd) override { return real_.peer_closed(fd); }
     net::IoResult read_some(int fd, std::span<char> into) override { return real_.read_some(fd, into); }
     net::IoResult peek(int fd, std::span<char> into) override { return real_.peek(fd, into); }
     net::IoResult discard_some(int fd) override { return real_.discard_some(fd); }
     net::IoResult write_some(int fd, std::string_view text) override {
-        if (fault_ == Fault::figures_untrue && text.find("\"operations\"") != std::string_view::npos) {
-            std::string untrue(text);  // no tunnel was ever opened
+        if (fault_ == Fault::metrics_wrong && text.find("\"operations\"") != std::string_view::npos) {
+            std::string untrue(text);  // as if no tunnel was ever opened
             for (auto at = untrue.find("fulfilled"); at != std::string::npos;
                  at = untrue.find("fulfilled", at + 1))
                 for (auto digit = at + 11; untrue[digit] >= '0' && untrue[digit] <= '9'; ++digit)
                     untrue[digit] = '0';
             return real_.write_some(fd, untrue);
         }
-        if (fault_ == Fault::call_unanswered && text.substr(0, 5) == "HTTP/" && ++count_ % 5 == 0)
+        if (fault_ == Fault::admin_request_unanswered && text.substr(0, 5) == "HTTP/" && ++count_ % 5 == 0)
             return {.bytes = text.size()};
-        if (fault_ == Fault::pong_while_drained && text.substr(0, 12) == "HTTP/1.1 503")
+        if (fault_ == Fault::ready_while_draining && text.substr(0, 12) == "HTTP/1.1 503")
             return real_.write_some(fd, std::string("HTTP/1.1 200").append(text.substr(12)));
         const bool client = clients_.count(fd) > 0;
         const bool last = text.substr(0, 4) == "BUSY" || text.substr(0, 3) == "ERR";
-        if (client && last) said_[fd] = true;
+        if (client && last) final_answers_[fd] = true;
         if (fault_ == Fault::answer_dropped && client && last) return {.bytes = text.size()};
-        if (fault_ == Fault::move_forgotten && client && text == "MOVE\r\n") return {.bytes = text.size()};
-        if (fault_ == Fault::second_setup && !client && text.substr(0, 5) == "OPEN " && ++count_ % 3 == 0) {
-            net::Fd twin = real_.connect_to(called_[fd]);
-            if (twin.open()) doubles_[twin.let_go()] = std::string(text);
+        if (fault_ == Fault::move_omitted && client && text == "MOVE\r\n") return {.bytes = text.size()};
+        if (fault_ == Fault::second_attempt && !client && text.substr(0, 5) == "OPEN " && ++count_ % 3 == 0) {
+            net::Fd twin = real_.connect_to(connect_addresses_[fd]);
+            if (twin.open()) second_lines_[twin.let_go()] = std::string(text);
         }
         // Whole lines only: one waits until the next has gone.
-        if (fault_ == Fault::line_overtaken && client && text.substr(0, 2) == "e " && text.back() == '\n') {
-            std::string& held = held_[fd];
+        if (fault_ == Fault::line_reordered && client && text.substr(0, 2) == "e " && text.back() == '\n') {
+            std::string& held = held_lines_[fd];
             if (held.empty() && ++count_ % 10 == 0) return held = text, net::IoResult{.bytes = text.size()};
             if (!held.empty()) {
                 const auto sent = real_.write_some(fd, text);
@@ -112,7 +112,8 @@
         return real_.write_some(fd, text);
     }
     void shutdown_write(int fd) override {
-        if (fault_ == Fault::answer_after_the_last && said_.count(fd) > 0) real_.write_some(fd, "BUSY\r\n");
+        if (fault_ == Fault::answer_after_final && final_answers_.count(fd) > 0)
+            real_.write_some(fd, "BUSY\r\n");
         real_.shutdown_write(fd);
     }
     void reset_on_close(int fd) override { real_.reset_on_close(fd); }
@@ -122,17 +123,17 @@
     std::ptrdiff_t receive(int fd, net::Address& from, std::span<std::uint8_t> into) override {
         return real_.receive(fd, from, into);
     }
-    net::Fd inherited_listener(int fd) override { return mine(real_.inherited_listener(fd)); }
-    net::Fd listen_local(const std::string& name) override { return mine(real_.listen_local(name)); }
-    net::Fd connect_local(const std::string& name) override { return mine(real_.connect_local(name)); }
-    net::Fd accept_local(int listener) override { return mine(real_.accept_local(listener)); }
+    net::Fd inherited_listener(int fd) override { return owned(real_.inherited_listener(fd)); }
+    net::Fd listen_local(const std::string& name) override { return owned(real_.listen_local(name)); }
+    net::Fd connect_local(const std::string& name) override { return owned(real_.connect_local(name)); }
+    net::Fd accept_local(int listener) override { return owned(real_.accept_local(listener)); }
     net::IoResult send_packet(int fd, std::string_view bytes, std::span<const int> descriptors) override {
         constexpr std::size_t kind_at = 5;  // behind the mark and the version
         const bool ready =
             bytes.size() > kind_at && bytes[kind_at] == static_cast<char>(hot_restart::Kind::ready);
         const bool lost =
-            (fault_ == Fault::handed_tunnel_lost && !descriptors.empty() && ++count_ % 3 == 0) ||
-            (fault_ == Fault::readiness_unsaid && ready);
+            (fault_ == Fault::transferred_tunnel_lost && !descriptors.empty() && ++count_ % 3 == 0) ||
+            (fault_ == Fault::ready_packet_lost && ready);
         if (lost) return {.bytes = bytes.size()};
         return real_.send_packet(fd, bytes, descriptors);
     }
@@ -143,80 +144,86 @@
             descriptors[i] = net::Fd(descriptors[i].let_go(), this);
         return got;
     }
-    net::Fd signals() override { return mine(real_.signals()); }
+    net::Fd signals() override { return owned(real_.signals()); }
     int next_signal(int fd) override { return real_.next_signal(fd); }
     const char* read_file(const std::string& path, std::size_t longest, std::string& into) override {
         return real_.read_file(path, longest, into);
     }
 
   private:
-    net::Fd mine(net::Fd fd) { return fd.open() ? net::Fd(fd.let_go(), this) : net::Fd(); }
+    net::Fd owned(net::Fd fd) { return fd.open() ? net::Fd(fd.let_go(), this) : net::Fd(); }
     net::System& real_;
     Fault fault_;
-    std::map<int, bool> clients_, said_;
-    std::map<int, net::Address> called_;
-    std::map<int, std::string> doubles_, held_;
+    std::map<int, bool> clients_, final_answers_;
+    std::map<int, net::Address> connect_addresses_;
+    std::map<int, std::string> second_lines_, held_lines_;
     int count_ = 0;
 };
 
-// The module with a wrong view of the hosts, or whose setups go elsewhere.
-class Decider final : public Balancer, BalancerDelegate, peer::MessageHandler {
+// A Balancer with a wrong view of the endpoints, or whose attempts go to another endpoint than it chose.
+class FaultyBalancer final : public Balancer, BalancerDelegate, peer::MessageHandler {
   public:
-    Decider(BalancerConfig terms, BalancerDelegate& host, Ticks now, Fault fault)
-        : host_(host), fault_(fault), cold_(terms.rules.slow_start_duration), now_(now) {
-        real_ = Balancer::start(std::move(terms), *this, now);
+    FaultyBalancer(BalancerConfig config, BalancerDelegate& delegate, Ticks now, Fault fault)
+        : delegate_(delegate),
+          fault_(fault),
+          slow_start_duration_(config.rules.slow_start_duration),
+          now_(now) {
+        real_ = Balancer::start(std::move(config), *this, now);
     }
-    // ---- to the module
+    // ---- calls to the Balancer
     void set_time(Ticks now) override { real_->set_time(now_ = now); }
-    void update_config(BalancerConfig terms) override { real_->update_config(std::move(terms)); }
+    void update_config(BalancerConfig config) override { real_->update_config(std::move(config)); }
     void begin_endpoint_list(EndpointListKind kind) override { real_->begin_endpoint_list(kind); }
-    void add_endpoint(std::uint32_t ep, std::uint32_t zone, std::uint32_t cell, EndpointState life,
+    void add_endpoint(std::uint32_t endpoint, std::uint32_t zone, std::uint32_t cell, EndpointState life,
                       double size, Ticks started) override {
-        if (fault_ == Fault::drained_host_used && life == EndpointState::draining)
+        if (fault_ == Fault::draining_endpoint_used && life == EndpointState::draining)
             life = EndpointState::active;
-        if (fault_ == Fault::cold_host_flooded) {
-            if (started > youngest_started_) youngest_ = ep, youngest_started_ = started;
+        if (fault_ == Fault::slow_start_budget_exceeded) {
+            if (started > newest_started_) newest_endpoint_ = endpoint, newest_started_ = started;
             started = 0;
         }
-        real_->add_endpoint(ep, zone, cell, life, size, started);
+        real_->add_endpoint(endpoint, zone, cell, life, size, started);
     }
     void end_endpoint_list() override { real_->end_endpoint_list(); }
-    void on_request(std::uint64_t tun, const TunnelRequest& a) override {
-        if (fault_ == Fault::old_record_believed && a.mid_flow) {
+    void on_request(std::uint64_t tunnel, const TunnelRequest& a) override {
+        if (fault_ == Fault::stale_record_used && a.mid_flow) {
             const auto it = records_.find(hash_text(a.key));
             if (it != records_.end()) {
-                real_->on_request(tun, a);
-                misled_[tun] = it->second;
+                real_->on_request(tunnel, a);
+                redirected_[tunnel] = it->second;
                 return;
             }
         }
-        real_->on_request(tun, a);
+        real_->on_request(tunnel, a);
     }
-    void adopt_open_tunnel(std::uint64_t tun, const TunnelRequest& a, std::uint32_t ep) override {
-        real_->adopt_open_tunnel(tun, a, ep);
+    void adopt_open_tunnel(std::uint64_t tunnel, const TunnelRequest& a, std::uint32_t endpoint) override {
+        real_->adopt_open_tunnel(tunnel, a, endpoint);
     }
-    void on_opened(std::uint64_t tun, int setup, std::uint32_t ep, Ticks took) override {
-        real_->on_opened(tun, setup, own(tun, ep), took);
+    void on_opened(std::uint64_t tunnel, int attempt, std::uint32_t endpoint, Ticks took) override {
+        real_->on_opened(tunnel, attempt, chosen_endpoint(tunnel, endpoint), took);
     }
-    void on_ended(std::uint64_t tun, int setup, std::uint32_t ep, Outcome ending, Ticks took,
+    void on_ended(std::uint64_t tunnel, int attempt, std::uint32_t endpoint, Outcome outcome, Ticks took,
                   bool settled) override {
-        real_->on_ended(tun, setup, own(tun, ep), ending, took, settled);
+        real_->on_ended(tunnel, attempt, chosen_endpoint(tunnel, endpoint), outcome, took, settled);
     }
-    void on_client_disconnected(std::uint64_t tun) override { real_->on_client_disconnected(tun); }
-    Reason may_write(std::uint64_t tun, Ticks reserve) const override {
-        return real_->may_write(tun, reserve);
+    void on_client_disconnected(std::uint64_t tunnel) override { real_->on_client_disconnected(tunnel); }
+    Reason may_write(std::uint64_t tunnel, Ticks reserve) const override {
+        return real_->may_write(tunnel, reserve);
     }
     void set_answer_deadline(Ticks when) override { real_->set_answer_deadline(when); }
-    void on_load_changed(std::uint64_t tun, double load) override { real_->on_load_changed(tun, load); }
-    void on_slow_messages(std::uint64_t tun, std::uint32_t ep, Ticks takes) override {
-        real_->on_slow_messages(tun, own(tun, ep), takes);
+    void on_load_changed(std::uint64_t tunnel, double load) override { real_->on_load_changed(tunnel, load); }
+    void on_slow_messages(std::uint64_t tunnel, std::uint32_t endpoint, Ticks takes) override {
+        real_->on_slow_messages(tunnel, chosen_endpoint(tunnel, endpoint), takes);
     }
-    void on_unresponsive(std::uint32_t ep, Ticks span) override { real_->on_unresponsive(ep, span); }
-    void on_health_check(std::uint32_t ep, Outcome ending, Ticks took, const LoadReport& report) override {
-        real_->on_health_check(ep, ending, took, report);
+    void on_unresponsive(std::uint32_t endpoint, Ticks span) override {
+        real_->on_unresponsive(endpoint, span);
+    }
+    void on_health_check(std::uint32_t endpoint, Outcome outcome, Ticks took,
+                         const LoadReport& report) override {
+        real_->on_health_check(endpoint, outcome, took, report);
     }
     void on_gossip(std::uint32_t node, std::span<const std::uint8_t> bytes) override {
-        if (fault_ == Fault::old_record_believed) peer::decode(bytes, *this);
+        if (fault_ == Fault::stale_record_used) peer::decode(bytes, *this);
         real_->on_gossip(node, bytes);
     }
     void on_timer(std::uint64_t label) override { real_->on_timer(label); }
@@ -226,36 +233,37 @@
         return real_->restore_state(told, clock_shift);
     }
     void resume_ownership() override { real_->resume_ownership(); }
-    bool serialize_tunnel(std::uint64_t tun, std::string& into) const override {
-        return real_->serialize_tunnel(tun, into);
+    bool serialize_tunnel(std::uint64_t tunnel, std::string& into) const override {
+        return real_->serialize_tunnel(tunnel, into);
     }
-    bool restore_tunnel(std::uint64_t tun, std::string_view told, Ticks clock_shift) override {
-        return real_->restore_tunnel(tun, told, clock_shift);
+    bool restore_tunnel(std::uint64_t tunnel, std::string_view told, Ticks clock_shift) override {
+        return real_->restore_tunnel(tunnel, told, clock_shift);
     }
 
-    // ---- from the module
-    void start_attempt(std::uint64_t tun, std::uint32_t ep, Ticks max_wait) override {
-        chosen_[tun] = ep;
-        if (fault_ == Fault::cold_host_flooded && youngest_started_ != 0 && now_ - youngest_started_ < cold_)
-            ep = youngest_;
-        if (const auto it = misled_.find(tun); it != misled_.end()) ep = it->second;
-        host_.start_attempt(tun, ep, max_wait);
-    }
-    void reject(std::uint64_t tun, Ticks after) override { host_.reject(tun, after); }
-    void fail(std::uint64_t tun) override { host_.fail(tun); }
-    void migrate(std::uint64_t tun) override { host_.migrate(tun); }
-    void check_health(std::uint32_t ep) override { host_.check_health(ep); }
-    void request_endpoint_list() override { host_.request_endpoint_list(); }
-    void set_timer(Ticks at, std::uint64_t label) override { host_.set_timer(at, label); }
+    // ---- calls of the Balancer
+    void start_attempt(std::uint64_t tunnel, std::uint32_t endpoint, Ticks max_wait) override {
+        chosen_[tunnel] = endpoint;
+        if (fault_ == Fault::slow_start_budget_exceeded && newest_started_ != 0 &&
+            now_ - newest_started_ < slow_start_duration_)
+            endpoint = newest_endpoint_;
+        if (const auto it = redirected_.find(tunnel); it != redirected_.end()) endpoint = it->second;
+        delegate_.start_attempt(tunnel, endpoint, max_wait);
+    }
+    void reject(std::uint64_t tunnel, Ticks after) override { delegate_.reject(tunnel, after); }
+    void fail(std::uint64_t tunnel) override { delegate_.fail(tunnel); }
+    void migrate(std::uint64_t tunnel) override { delegate_.migrate(tunnel); }
+    void check_health(std::uint32_t endpoint) override { delegate_.check_health(endpoint); }
+    void request_endpoint_list() override { delegate_.request_endpoint_list(); }
+    void set_timer(Ticks at, std::uint64_t label) override { delegate_.set_timer(at, label); }
     void send_gossip(std::uint32_t node, std::span<const std::uint8_t> bytes) override {
-        host_.send_gossip(node, bytes);
+        delegate_.send_gossip(node, bytes);
     }
-    void broadcast_gossip(std::span<const std::uint8_t> bytes) override { host_.broadcast_gossip(bytes); }
-    void log(std::string_view line) override { host_.log(line); }
+    void broadcast_gossip(std::span<const std::uint8_t> bytes) override { delegate_.broadcast_gossip(bytes); }
+    void log(std::string_view line) override { delegate_.log(line); }
 
-    // ---- records as nodes tell them; the first that was heard of a key is believed for ever
-    void record(std::uint64_t key, std::uint32_t ep, std::int64_t, std::uint32_t, double) override {
-        records_.emplace(key, ep);
+    // ---- records in gossip; the first that was received of a key is used for ever
+    void record(std::uint64_t key, std::uint32_t endpoint, std::int64_t, std::uint32_t, double) override {
+        records_.emplace(key, endpoint);
     }
     void ask(std::uint64_t) override {}
     void answer(std::uint64_t, bool, std::uint32_t, std::int64_t) override {}
@@ -271,37 +279,37 @@
     void dead(std::uint32_t, std::uint32_t, std::uint32_t, std::uint32_t) override {}
 
   private:
-    std::uint32_t own(std::uint64_t tun, std::uint32_t ep) const {
-        const auto it = chosen_.find(tun);
-        return it == chosen_.end() ? ep : it->second;
+    std::uint32_t chosen_endpoint(std::uint64_t tunnel, std::uint32_t endpoint) const {
+        const auto it = chosen_.find(tunnel);
+        return it == chosen_.end() ? endpoint : it->second;
     }
-    BalancerDelegate& host_;
+    BalancerDelegate& delegate_;
     Fault fault_;
-    Ticks cold_, now_;
+    Ticks slow_start_duration_, now_;
     std::unique_ptr<Balancer> real_;
-    std::unordered_map<std::uint64_t, std::uint32_t> chosen_, misled_;
+    std::unordered_map<std::uint64_t, std::uint32_t> chosen_, redirected_;
     std::unordered_map<std::uint64_t, std::uint32_t> records_;
-    std::uint32_t youngest_ = 0;
-    Ticks youngest_started_ = 0;
+    std::uint32_t newest_endpoint_ = 0;
+    Ticks newest_started_ = 0;
 };
 
-class Spoiler final : public simulation::Tamper {
+class FaultInjector final : public simulation::Tamper {
   public:
-    explicit Spoiler(Fault fault) : fault_(fault) {}
+    explicit FaultInjector(Fault fault) : fault_(fault) {}
     std::unique_ptr<net::System> between(net::System& real) override {
-        return decides_wrong() ? nullptr : std::make_unique<Between>(real, fault_);
+        return is_balancer_fault() ? nullptr : std::make_unique<FaultySystem>(real, fault_);
     }
-    std::unique_ptr<Balancer> decides(BalancerConfig terms, BalancerDelegate& host, Ticks now) override {
-        if (!decides_wrong()) return nullptr;
-        return std::make_unique<Decider>(std::move(terms), host, now, fault_);
+    std::unique_ptr<Balancer> decides(BalancerConfig config, BalancerDelegate& delegate, Ticks now) override {
+        if (!is_balancer_fault()) return nullptr;
+        return std::make_unique<FaultyBalancer>(std::move(config), delegate, now, fault_);
     }
 
   private:
-    bool decides_wrong() const {
-        return fault_ == Fault::drained_host_used || fault_ == Fault::cold_host_flooded ||
-               fault_ == Fault::old_record_believed;
+    bool is_balancer_fault() const {
+        return fault_ == Fault::draining_endpoint_used || fault_ == Fault::slow_start_budget_exceeded ||
+               fault_ == Fault::stale_record_used;
     }
     Fault fault_;
 };
 
-}  // namespace spoilt
+}  // namespace fault_injection
--- a/tests/simulation_faults_test.cpp
+++ b/tests/simulation_faults_test.cpp
@@ -15,7 +15,7 @@
 
 TEST_CASE("each injected fault of a node is found within 500 seeds and shrunk to a short scenario") {
     struct Row {
-        spoilt::Fault fault;
+        fault_injection::Fault fault;
         std::string name;
         std::vector<std::string> rules;  // any of them
         std::uint64_t from = 1;          // where the search begins, to spare the sanitized run
@@ -25,43 +25,57 @@
         bool operated = false;
     };
     const Row rows[] = {
-        {spoilt::Fault::answer_dropped, "an answer is dropped", {"answer"}},
-        {spoilt::Fault::second_setup, "a second setup while one is out", {"at_once", "effect"}},
-        {spoilt::Fault::drained_host_used, "a drained host is used", {"drain"}},
-        {spoilt::Fault::cold_host_flooded, "a cold host is flooded", {"cold"}, 300},
-        {spoilt::Fault::answer_after_the_last, "an answer after the final one", {"twice"}},
-        {spoilt::Fault::tunnel_leaked, "a connection is leaked", {"left_over", "answer", "silent"}},
-        {spoilt::Fault::old_record_believed, "an old record is believed", {"astray"}, 5500, 3, 5600},
-        {spoilt::Fault::line_overtaken, "a line is overtaken", {"line"}},
-        {spoilt::Fault::move_forgotten, "a client is cut off without MOVE", {"cut_off", "leave"}},
-        {spoilt::Fault::descriptors_hoarded,
+        {fault_injection::Fault::answer_dropped, "an answer is dropped", {"answer"}},
+        {fault_injection::Fault::second_attempt, "a second setup while one is out", {"at_once", "effect"}},
+        {fault_injection::Fault::draining_endpoint_used, "a drained host is used", {"drain"}},
+        {fault_injection::Fault::slow_start_budget_exceeded, "a cold host is flooded", {"cold"}, 300},
+        {fault_injection::Fault::answer_after_final, "an answer after the final one", {"twice"}},
+        {fault_injection::Fault::connection_leaked,
+         "a connection is leaked",
+         {"left_over", "answer", "silent"}},
+        {fault_injection::Fault::stale_record_used, "an old record is believed", {"astray"}, 5500, 3, 5600},
+        {fault_injection::Fault::line_reordered, "a line is overtaken", {"line"}},
+        {fault_injection::Fault::move_omitted, "a client is cut off without MOVE", {"cut_off", "leave"}},
+        {fault_injection::Fault::descriptors_leaked,
          "descriptors are hoarded",
          {"left_over", "answer", "bad_client"}},
-        {spoilt::Fault::figures_untrue, "figures are untrue", {"figures"}, 1, 2, 500, true},
-        {spoilt::Fault::pong_while_drained, "a drained node says yes", {"drained"}, 1, 2, 500, true},
-        {spoilt::Fault::handed_tunnel_lost,
+        {fault_injection::Fault::metrics_wrong, "figures are untrue", {"figures"}, 1, 2, 500, true},
+        {fault_injection::Fault::ready_while_draining,
+         "a drained node says yes",
+         {"drained"},
+         1,
+         2,
+         500,
+         true},
+        {fault_injection::Fault::transferred_tunnel_lost,
          "a tunnel is lost in the hand-over",
          {"silent", "cut_off", "line", "left_over"},
          1,
          2,
          500,
          true},
-        {spoilt::Fault::readiness_unsaid,
+        {fault_injection::Fault::ready_packet_lost,
          "two processes are the node",
          {"cut_off", "leave", "answer", "astray", "descriptors"},
          1,
          2,
          500,
          true},
-        {spoilt::Fault::call_unanswered, "a call is not answered", {"call"}, 1, 2, 500, true},
+        {fault_injection::Fault::admin_request_unanswered,
+         "a call is not answered",
+         {"call"},
+         1,
+         2,
+         500,
+         true},
     };
     for (const Row& row : rows) {
         const auto draw = [&](std::uint64_t seed) {
             return row.operated ? simulation::draw_operated_day(seed) : simulation::draw_day(seed);
         };
         const auto player = [&](const Scenario& day) {
-            spoilt::Spoiler spoiler(row.fault);
-            return simulation::play(day, nullptr, &spoiler);
+            fault_injection::FaultInjector injector(row.fault);
+            return simulation::play(day, nullptr, &injector);
         };
         const auto is_meant = [&](const Verdict& v) {
             return std::find(row.rules.begin(), row.rules.end(), v.rule()) != row.rules.end();
