--- a/src/balance/attempt_policy.h
+++ b/src/balance/attempt_policy.h
@@ -1,4 +1,4 @@
-// Attempt policy: the one place that decides whether an attempt may be sent, repeated, or declined with the
+/// Attempt policy: the one place that decides whether an attempt may be sent, repeated, or declined with the
 // promise that it had no effect, and whether a connection or the process may be closed now. Pure functions of
 // what the caller knows; the clock is an argument. The decision module asks them when it chooses, the network
 // code asks again in the instant in which the first byte would be written: between the two lie the time that
--- a/src/balance/balance.h
+++ b/src/balance/balance.h
@@ -1,6 +1,6 @@
-// The interface of the decision module. A front (a node's own loop, a sidecar, the bench's adapter) owns one
-// Balancer per node, turns what it sees into the calls below and carries out what the Balancer asks of its
-// Host. Times are whole tenths of a millisecond of the front's clock, which only goes forward.
+/// The interface of the decision engine. A host program (a node's event loop, the simulator adapter) owns one
+/// Balancer per node, turns what it sees into the calls below and carries out what the Balancer asks of its
+/// delegate. Times are whole tenths of a millisecond of the host's monotonic clock.
 #pragma once
 #include <cstdint>
 #include <limits>
@@ -21,9 +21,9 @@
     all,
     zone,
     cell
-};  // which eps drop the repeats of a referenced tunnel
+};  // which endpoints drop the repeats of a tunnel with a key
 enum class EndpointState : std::uint8_t { active, draining, removed };
-// elsewhere: it is kept by another service now, from which nothing was heard yet.
+// moved: another service holds the list now, and has not sent it yet.
 enum class EndpointListKind : std::uint8_t { changes, complete, cached, failed, moved };
 // withdrawn: it was never written, since its time, its endpoint or its client had gone; the endpoint is not
 // to blame.
@@ -40,20 +40,22 @@
 };
 constexpr std::size_t outcome_count = static_cast<std::size_t>(Outcome::withdrawn) + 1;
 
-// Whether an ending proves that the setup never ran.
-constexpr bool never_executed(Outcome e) {
-    return e == Outcome::overloaded || e == Outcome::unreachable || e == Outcome::not_sent ||
-           e == Outcome::withdrawn;
+/// Whether an outcome proves that the attempt never ran.
+constexpr bool never_executed(Outcome outcome) {
+    return outcome == Outcome::overloaded || outcome == Outcome::unreachable ||
+           outcome == Outcome::not_sent || outcome == Outcome::withdrawn;
 }
 
-// Whether an ending tells nothing of the endpoint: the trouble was this process's, or the client's.
-constexpr bool unrelated_to_endpoint(Outcome e) { return e == Outcome::not_sent || e == Outcome::withdrawn; }
+// Whether an outcome says nothing about the endpoint: the fault was this process's, or the client's.
+constexpr bool unrelated_to_endpoint(Outcome outcome) {
+    return outcome == Outcome::not_sent || outcome == Outcome::withdrawn;
+}
 
 struct TrafficClass {
     Ticks latency_objective = 0;
     Ticks client_timeout = 0;
     Ticks deduplication_window = 0;       // how long a referenced tunnel's mark is remembered
-    Ticks message_latency_objective = 0;  // 0: none told
+    Ticks message_latency_objective = 0;  // 0: none
     double priority_weight = 1;
     Idempotency idempotency = Idempotency::non_idempotent;
     DeduplicationScope deduplication_scope = DeduplicationScope::cell;
@@ -72,7 +74,7 @@
 struct CostModel {
     double cross_zone = 0;
     double health_check = 0;
-    double gossip_message = 0;  // for a full message that one node hears
+    double gossip_message = 0;  // for a full message to one node
 };
 
 struct AttemptLimits {
@@ -95,37 +97,37 @@
     std::uint32_t seed = 1;
     bool must_poll = false;  // discovery speaks only when asked
     bool groups_enabled = false;
-    bool endpoint_sizes_differ = false;  // the listed size compares eps
+    bool endpoint_sizes_differ = false;  // the listed size compares endpoints
     bool packet_passthrough = false;     // tunnels go on through other nodes, mid-flow
-    bool reports_message_delay = false;  // the front tells how long messages take at each ep, answered or not
+    bool reports_message_delay = false;  // the host measures message delays at endpoints, answered or not
 };
 
-// One load report; what did not come is not a number.
+/// One load report of an endpoint; what it did not contain is NaN.
 struct LoadReport {
     static constexpr double unknown = std::numeric_limits<double>::quiet_NaN();
     double inflight = unknown, queue = unknown, utilization = unknown, load = unknown,
            backlog_seconds = unknown;
 };
 
-// Eps in the list, and those of them that nothing new is placed on now.
+/// Listed endpoints, and those of them that nothing new is placed on now.
 struct EndpointCounts {
     std::uint32_t listed = 0, excluded = 0;
 };
 
-// What a Balancer asks of the node that it decides for.
+/// What a Balancer asks of the node that it decides for.
 class BalancerDelegate {
   public:
     BalancerDelegate() = default;
     BalancerDelegate(const BalancerDelegate&) = delete;
     BalancerDelegate& operator=(const BalancerDelegate&) = delete;
     virtual ~BalancerDelegate() = default;
-    virtual void start_attempt(std::uint64_t tun, std::uint32_t ep, Ticks max_wait) = 0;
-    virtual void reject(std::uint64_t tun, Ticks come_back_after) = 0;
-    virtual void fail(std::uint64_t tun) = 0;
+    virtual void start_attempt(std::uint64_t tunnel_id, std::uint32_t endpoint_id, Ticks max_wait) = 0;
+    virtual void reject(std::uint64_t tunnel_id, Ticks retry_after) = 0;
+    virtual void fail(std::uint64_t tunnel_id) = 0;
     // Why the tunnel is tried again, or has the final answer that follows: for logs and counters.
     virtual void report_reason(std::uint64_t, Reason) {}
-    virtual void migrate(std::uint64_t tun) = 0;
-    virtual void check_health(std::uint32_t ep) = 0;
+    virtual void migrate(std::uint64_t tunnel_id) = 0;
+    virtual void check_health(std::uint32_t endpoint_id) = 0;
     virtual void request_endpoint_list() = 0;
     virtual void set_timer(Ticks at, std::uint64_t label) = 0;
     virtual void send_gossip(std::uint32_t node, std::span<const std::uint8_t> bytes) = 0;
@@ -133,65 +135,66 @@
     virtual void log(std::string_view line) = 0;
 };
 
-// How a tunnel arrives.
+/// How a tunnel arrives.
 struct TunnelRequest {
     std::string_view key;    // empty: none
     std::string_view group;  // empty: none
     Ticks deadline = 0;
-    double expected_load = 0;  // expected, as a share of a standard core; 0: not told
+    double expected_load = 0;  // in standard cores; 0: unknown
     std::uint32_t traffic_class = 0;
     bool mid_flow = false;
-    bool reconnect = false;  // its client comes back after a break or a move
+    bool reconnect = false;  // its client reconnects after a break or a migration
 };
 
 class Balancer {
   public:
-    static std::unique_ptr<Balancer> start(BalancerConfig terms, BalancerDelegate& delegate, Ticks now);
+    static std::unique_ptr<Balancer> start(BalancerConfig config, BalancerDelegate& delegate, Ticks now);
     Balancer() = default;
     Balancer(const Balancer&) = delete;
     Balancer& operator=(const Balancer&) = delete;
     virtual ~Balancer() = default;
 
-    // The clock; every other call happens at the time last told.
+    /// Sets the clock; every other call happens at the time last set.
     virtual void set_time(Ticks now) = 0;
-    // Other terms from now on: as many nodes and profiles as before, and this node's number among them.
-    virtual void update_config(BalancerConfig terms) = 0;
-    // The list of eps: begin, an entry a call, end.
+    /// Replaces the configuration: as many nodes and traffic classes, and the same own node.
+    virtual void update_config(BalancerConfig config) = 0;
+    /// The endpoint list: begin, an entry a call, end.
     virtual void begin_endpoint_list(EndpointListKind kind) = 0;
-    virtual void add_endpoint(std::uint32_t ep, std::uint32_t zone, std::uint32_t cell, EndpointState life,
-                              double size, Ticks started) = 0;
+    virtual void add_endpoint(std::uint32_t endpoint_id, std::uint32_t zone, std::uint32_t cell,
+                              EndpointState state, double size, Ticks started) = 0;
     virtual void end_endpoint_list() = 0;
-    // Tunnels.
-    virtual void on_request(std::uint64_t tun, const TunnelRequest& arrival) = 0;
-    virtual void adopt_open_tunnel(std::uint64_t tun, const TunnelRequest& arrival, std::uint32_t ep) = 0;
-    virtual void on_opened(std::uint64_t tun, int setup, std::uint32_t ep, Ticks took) = 0;
-    virtual void on_ended(std::uint64_t tun, int setup, std::uint32_t ep, Outcome outcome, Ticks took,
-                          bool settled) = 0;
-    virtual void on_client_disconnected(std::uint64_t tun) = 0;
-    // Whether the attempt that is out for a tunnel may still be written, where that may take until `reserve`
-    // from now. Asked before its first byte; and after it, without reserve, to check that no rule was broken.
-    virtual Reason may_write(std::uint64_t tun, Ticks reserve) const = 0;
-    // The node will not be there for longer: no tunnel that waits now may wait past this.
+    /// Tunnels. `attempt` counts from 0.
+    virtual void on_request(std::uint64_t tunnel_id, const TunnelRequest& request) = 0;
+    virtual void adopt_open_tunnel(std::uint64_t tunnel_id, const TunnelRequest& request,
+                                   std::uint32_t endpoint_id) = 0;
+    virtual void on_opened(std::uint64_t tunnel_id, int attempt, std::uint32_t endpoint_id, Ticks took) = 0;
+    virtual void on_ended(std::uint64_t tunnel_id, int attempt, std::uint32_t endpoint_id, Outcome outcome,
+                          Ticks took, bool settled) = 0;
+    virtual void on_client_disconnected(std::uint64_t tunnel_id) = 0;
+    /// Whether the pending attempt of a tunnel may still be written, where that may take until `reserve` from
+    /// now. Asked before its first byte; and after it, without reserve, to check that no rule was broken.
+    virtual Reason may_write(std::uint64_t tunnel_id, Ticks reserve) const = 0;
+    /// The node shuts down: no tunnel that waits now may wait past this time.
     virtual void set_answer_deadline(Ticks when) = 0;
-    virtual void on_load_changed(std::uint64_t tun, double load) = 0;  // a share of a standard core
-    virtual void on_slow_messages(std::uint64_t tun, std::uint32_t ep, Ticks takes) = 0;
-    // No line has come from an ep for this long, though some are owed.
-    virtual void on_unresponsive(std::uint32_t ep, Ticks span) = 0;
-    // The rest.
-    virtual void on_health_check(std::uint32_t ep, Outcome outcome, Ticks took, const LoadReport& report) = 0;
+    virtual void on_load_changed(std::uint64_t tunnel_id, double load) = 0;  // in standard cores
+    virtual void on_slow_messages(std::uint64_t tunnel_id, std::uint32_t endpoint_id, Ticks delay) = 0;
+    /// An endpoint has sent no line for this long, though some are owed.
+    virtual void on_unresponsive(std::uint32_t endpoint_id, Ticks span) = 0;
+    virtual void on_health_check(std::uint32_t endpoint_id, Outcome outcome, Ticks took,
+                                 const LoadReport& report) = 0;
     virtual void on_gossip(std::uint32_t node, std::span<const std::uint8_t> bytes) = 0;
     virtual void on_timer(std::uint64_t label) = 0;
     virtual EndpointCounts endpoint_counts() const = 0;
-    // Another process takes the node's place: what it is to remember, as bytes; and what it heard so, before
-    // anything else happens. False where the bytes cannot be read: then it has to begin anew.
+    /// Hot restart: the state for the process that takes over, as bytes; restored before any other call.
+    /// False where the bytes cannot be used: then a new Balancer is needed.
     virtual void serialize_state(std::string& into) const = 0;
-    // clock_shift: what this process's clock is ahead of that of the one that told.
-    virtual bool restore_state(std::string_view told, Ticks clock_shift) = 0;
-    // This process is the node again, after another one was it for a while.
+    /// clock_shift: how far this process's clock is ahead of the writer's.
+    virtual bool restore_state(std::string_view bytes, Ticks clock_shift) = 0;
+    /// This process is the node again, after another one had taken over for a while.
     virtual void resume_ownership() = 0;
-    // An open tunnel goes over too: what is known of it (false where that is nothing), and what was heard.
-    virtual bool serialize_tunnel(std::uint64_t tun, std::string& into) const = 0;
-    virtual bool restore_tunnel(std::uint64_t tun, std::string_view told, Ticks clock_shift) = 0;
+    /// An open tunnel of a hot restart. False where it is not open, or the bytes cannot be used.
+    virtual bool serialize_tunnel(std::uint64_t tunnel_id, std::string& into) const = 0;
+    virtual bool restore_tunnel(std::uint64_t tunnel_id, std::string_view bytes, Ticks clock_shift) = 0;
 };
 
 }  // namespace lemonstair
--- a/src/balance/group_table.h
+++ b/src/balance/group_table.h
@@ -1,4 +1,4 @@
-// GroupTable: where the tunnels of each group are known to be, and how many groups an endpoint_id holds.
+/// GroupTable: where the tunnels of each group are known to be, and how many groups an endpoint_id holds.
 #pragma once
 #include <algorithm>
 #include <cstdint>
--- a/src/balance/id_index.h
+++ b/src/balance/id_index.h
@@ -1,4 +1,4 @@
-// IdIndex: 64-bit id -> small index, open addressing with backward-shift deletion. It is never iterated.
+/// IdIndex: 64-bit id -> small index, open addressing with backward-shift deletion. It is never iterated.
 #pragma once
 #include <cstdint>
 #include <string_view>
--- a/src/balance/outbox.h
+++ b/src/balance/outbox.h
@@ -1,4 +1,4 @@
-// Outbox: items gathered into one message for each node until they are sent.
+/// Outbox: items gathered into one message for each node until they are sent.
 #pragma once
 #include <cstdint>
 #include <vector>
--- a/src/balance/outlier_detector.h
+++ b/src/balance/outlier_detector.h
@@ -23,12 +23,12 @@
     void decay_outcomes() { recent_outcomes_.fade(failure_detector::outcome_decay); }
     /// Ends the ejections by gossip that no node has renewed.
     void readmit_expired(Endpoint& endpoint);
-    /// Records an outcome observed by node `by` and ejects or readmits by it. What fails everywhere (a
+    /// Records an outcome observed by node `observer` and ejects or readmits by it. What fails everywhere (a
     /// store that all setups need, a burst past its rate) is no endpoint's fault, and ejecting endpoints
     /// for it would feed the congestion: the test compares an endpoint with the others. Only a node's own
     /// outcomes show that an endpoint is unreachable.
     void record_outcome(Endpoint& endpoint, Outcome outcome, bool by_health_check, std::uint32_t observer);
-    /// Records an outcome of this node and passes it to the endpoint's report owner, reason judges for all: a
+    /// Records an outcome of this node and passes it to the endpoint's report owner, who judges for all: a
     /// node with few tunnels of its own learns too little.
     void record_own_outcome(Endpoint& endpoint, Outcome outcome);
     /// An unreachable endpoint that responds again may have restarted, which the list says only seconds
--- a/src/balance/reason.h
+++ b/src/balance/reason.h
@@ -1,4 +1,4 @@
-// Reason: why something may not be sent, repeated or closed now, and why a tunnel had the final answer that
+/// Reason: why something may not be sent, repeated or closed now, and why a tunnel had the final answer that
 // it had. One list for decisions, log lines and counters.
 #pragma once
 
--- a/src/balance/rebalancer.h
+++ b/src/balance/rebalancer.h
@@ -1,4 +1,4 @@
-/// Migrates open tunnels source endpoints that are overloaded or do not respond.
+/// Migrates open tunnels off endpoints that are overloaded or do not respond.
 #pragma once
 
 #include "balance/endpoint.h"
@@ -27,9 +27,9 @@
     Rebalancer& operator=(const Rebalancer&) = delete;
 
     void refill_tokens();
-    /// The tunnels whose moves win the best_gain go first; the weights place them when they are back. A node
-    /// moves its part of the excess, by chance where that is less than one tunnel, so that not all move at
-    /// once.
+    /// Migrates this node's part of an endpoint's excess load, the tunnels that gain most first; where that
+    /// is less than a tunnel, by chance, so that not all nodes migrate at once. Placement chooses anew when
+    /// the client reconnects.
     void migrate_excess(std::uint32_t index);
 
   private:
--- a/src/balance/record_table.h
+++ b/src/balance/record_table.h
@@ -1,4 +1,4 @@
-// RecordTable: the newest record of each key, and what these records add up to. Of equal stamps the larger
+/// RecordTable: the newest record of each key, and what these records add up to. Of equal stamps the larger
 // endpoint_id id stays, so that every node settles on the same.
 #pragma once
 #include <cstdint>
--- a/src/balance/ring.h
+++ b/src/balance/ring.h
@@ -1,4 +1,4 @@
-// Ring: nodes on a consistent hash ring, and the chain of a key on it.
+/// Ring: nodes on a consistent hash ring, and the chain of a key on it.
 #pragma once
 #include <algorithm>
 #include <array>
--- a/src/balance/slab.h
+++ b/src/balance/slab.h
@@ -1,4 +1,4 @@
-// Slab: values in numbered places that are reused; a place's serial tells one use of it from the next.
+/// Slab: values in numbered places that are reused; a place's serial tells one use of it from the next.
 #pragma once
 #include <cstdint>
 #include <vector>
