--- a/tools/upgrades.py
+++ b/tools/upgrades.py
@@ -21,7 +21,7 @@
 import time
 
 LISTENER_FD = 5
-MEAN_LIFE = 3.5  # of a client, in seconds
+MEAN_TUNNEL_SECONDS = 3.5  # how long a client keeps its tunnel
 
 
 class Ports:
@@ -44,11 +44,11 @@
 
 
 class Platform:
-    def __init__(self, build, folder, wish_rate):
+    def __init__(self, build, folder, rate):
         self.build, self.folder = build, folder
-        # Discovery and so many hosts that the toys' load (a tenth for each tunnel) gives no reason to move or decline.
+        # Discovery and so many hosts that the servers' load (a tenth for each tunnel) gives no reason to move or decline.
         self.ports = Ports()
-        self.toy_ports = [self.ports.free() for _ in range(1 + max(2, int(wish_rate * MEAN_LIFE * 0.1 / 0.4)))]
+        self.server_ports = [self.ports.free() for _ in range(1 + max(2, int(rate * MEAN_TUNNEL_SECONDS * 0.1 / 0.4)))]
         self.started = []
         self.listener = socket.socket()
         self.listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -58,7 +58,7 @@
         with open(os.path.join(os.path.dirname(__file__), "..", "example", "node.json"), encoding="utf-8") as f:
             config = json.load(f)
         config["listen"] = f"127.0.0.1:{self.port}"
-        config["discovery"] = f"{self.ports.host}:{self.toy_ports[0]}"
+        config["discovery"] = f"{self.ports.host}:{self.server_ports[0]}"
         self.config = os.path.join(folder, "node.json")
         with open(self.config, "w", encoding="utf-8") as f:
             json.dump(config, f)
@@ -69,16 +69,16 @@
         self.started.append(process)
         return process
 
-    def start_toy(self):
-        addresses = [f"{self.ports.host}:{p}" for p in self.toy_ports]
-        toy = self.run([os.path.join(self.build, "lemonstair_example_server")] + addresses)
+    def start_example_server(self):
+        addresses = [f"{self.ports.host}:{p}" for p in self.server_ports]
+        server = self.run([os.path.join(self.build, "lemonstair_example_server")] + addresses)
         begun = time.monotonic()
         while True:
             try:
-                socket.create_connection((self.ports.host, self.toy_ports[-1]), 1).close()
+                socket.create_connection((self.ports.host, self.server_ports[-1]), 1).close()
                 return
             except OSError:
-                if toy.poll() is not None or time.monotonic() - begun > 6:
+                if server.poll() is not None or time.monotonic() - begun > 6:
                     sys.exit("lemonstair_example_server does not listen; its log is above")
                 time.sleep(0.01)
 
@@ -93,7 +93,7 @@
         return self.run([os.path.join(self.build, "lemonstair")], env=environment, pass_fds=[LISTENER_FD],
                         close_fds=True, preexec_fn=hand_down), admin
 
-    def end(self):
+    def stop_all(self):
         for process in self.started:
             if process.poll() is None:
                 process.kill()
@@ -116,10 +116,10 @@
 
 class Load:
     def __init__(self, port):
-        self.port, self.number, self.over = port, 0, False
+        self.port, self.number, self.stopped = port, 0, False
         self.counts = dict(opened=0, declined=0, refused=0, reset=0, unread=0, moved=0, lines=0, lines_lost=0)
 
-    async def client(self, life):
+    async def client(self, seconds):
         self.number += 1
         line = f"OPEN c{self.number} k{self.number % 500} c=chat,d=2000\r\n".encode()
         try:
@@ -134,22 +134,22 @@
                 self.counts["declined" if answer.startswith(b"BUSY") else "unread"] += 1
                 return
             self.counts["opened"] += 1
-            until = time.monotonic() + life
-            while time.monotonic() < until and not self.over:
-                said = f"m {time.monotonic_ns()}\r\n".encode()
-                writer.write(said)
+            until = time.monotonic() + seconds
+            while time.monotonic() < until and not self.stopped:
+                sent = f"m {time.monotonic_ns()}\r\n".encode()
+                writer.write(sent)
                 while True:
-                    back = await asyncio.wait_for(reader.readline(), 2)
-                    if back == b"MOVE\r\n":
+                    answer_line = await asyncio.wait_for(reader.readline(), 2)
+                    if answer_line == b"MOVE\r\n":
                         self.counts["moved"] += 1
                         return
-                    if back == b"":
+                    if answer_line == b"":
                         self.counts["reset"] += 1
                         return
-                    if not back.startswith(b"LOAD"):
+                    if not answer_line.startswith(b"LOAD"):
                         break
                 self.counts["lines"] += 1
-                self.counts["lines_lost"] += 0 if said.strip() in back else 1
+                self.counts["lines_lost"] += 0 if sent.strip() in answer_line else 1
                 await asyncio.sleep(0.2)
         except asyncio.TimeoutError:
             self.counts["unread"] += 1
@@ -158,20 +158,20 @@
         finally:
             writer.close()
 
-    async def come(self, rate):
+    async def connect_clients(self, rate):
         """Arrivals by the clock, whatever becomes of those before."""
-        clients, began, came = [], time.monotonic(), 0
-        while not self.over:
-            while came < (time.monotonic() - began) * rate:
-                came += 1
-                clients.append(asyncio.ensure_future(self.client(0.5 + came % 7)))
+        clients, started, arrived = [], time.monotonic(), 0
+        while not self.stopped:
+            while arrived < (time.monotonic() - started) * rate:
+                arrived += 1
+                clients.append(asyncio.ensure_future(self.client(0.5 + arrived % 7)))
             await asyncio.sleep(0.002)
         await asyncio.gather(*clients)
 
 
-async def play(platform, wish):
+async def run_upgrades(platform, options):
     host = platform.ports.host
-    platform.start_toy()
+    platform.start_example_server()
     old, admin = platform.start_node()
     load = Load(platform.port)
     begun = time.monotonic()
@@ -179,10 +179,10 @@
         if time.monotonic() - begun > 6:
             sys.exit("the node does not say yes; its log is above")
         await asyncio.sleep(0.02)
-    coming = asyncio.ensure_future(load.come(wish.rate))
+    arrivals = asyncio.ensure_future(load.connect_clients(options.rate))
     await asyncio.sleep(1)
-    readies, late_calls = [], 0
-    for _ in range(wish.upgrades):
+    readies, unanswered_calls = [], 0
+    for _ in range(options.upgrades):
         new, new_admin = platform.start_node()
         started = time.monotonic()
         while (await call(host, new_admin, "GET", "/healthcheck"))[0] != 200:
@@ -191,21 +191,21 @@
             await asyncio.sleep(0.01)
         readies.append(time.monotonic() - started)
         old.send_signal(signal.SIGTERM)
-        told = time.monotonic()
-        while old.poll() is None and time.monotonic() - told < 3.7:
+        signalled = time.monotonic()
+        while old.poll() is None and time.monotonic() - signalled < 3.7:
             await asyncio.sleep(0.02)
         if old.poll() is None:
             old.kill()
         old, admin = new, new_admin
-        late_calls += (await call(host, admin, "GET", "/stats"))[0] != 200
-        await asyncio.sleep(wish.pause)
-    load.over = True
-    await coming
+        unanswered_calls += (await call(host, admin, "GET", "/stats"))[0] != 200
+        await asyncio.sleep(options.pause)
+    load.stopped = True
+    await arrivals
     counts = load.counts
-    noticed = sum(counts[n] for n in ("refused", "reset", "unread", "moved", "lines_lost")) + late_calls
-    print(f"{wish.upgrades} upgrades at {wish.rate:g} clients a second: ready after "
+    noticed = sum(counts[n] for n in ("refused", "reset", "unread", "moved", "lines_lost")) + unanswered_calls
+    print(f"{options.upgrades} upgrades at {options.rate:g} clients a second: ready after "
           f"{max(readies) * 1000:.0f} ms at most; " + ", ".join(f"{n} {v}" for n, v in counts.items()) +
-          f", calls unanswered {late_calls}")
+          f", calls unanswered {unanswered_calls}")
     print(f"{noticed} connections or calls noticed an upgrade")
     return 0 if noticed == 0 and counts["opened"] > 0 else 1
 
@@ -216,13 +216,13 @@
     parser.add_argument("--upgrades", type=int, default=10)
     parser.add_argument("--rate", type=float, default=100, help="clients a second")
     parser.add_argument("--pause", type=float, default=0.3, help="seconds between upgrades")
-    wish = parser.parse_args()
+    options = parser.parse_args()
     with tempfile.TemporaryDirectory(prefix="lemonstair-upgrades-") as folder:
-        platform = Platform(wish.build, folder, wish.rate)
+        platform = Platform(options.build, folder, options.rate)
         try:
-            return asyncio.run(asyncio.wait_for(play(platform, wish), 60 + 8 * wish.upgrades))
+            return asyncio.run(asyncio.wait_for(run_upgrades(platform, options), 60 + 8 * options.upgrades))
         finally:
-            platform.end()
+            platform.stop_all()
             if sys.exc_info()[0] is not None:
                 with open(os.path.join(folder, "log"), encoding="utf-8", errors="replace") as f:
                     sys.stderr.write(f.read()[-4000:])
