--- a/src/balance/failure_gossip.cpp
+++ b/src/balance/failure_gossip.cpp
@@ -107,8 +107,7 @@
         endpoint.gossip_ejection_until = node_.now() + failure_detector::observation_lifetime;
     if (endpoint.ejected || node_.now() - endpoint.succeeded_at <= second) return;
     if (endpoint_table_.gossip_may_eject(endpoint))
-        return outliers_.eject(endpoint, "unresponsive to other nodes", failure_detector::quorum,
-                               true);
+        return outliers_.eject(endpoint, "unresponsive to other nodes", failure_detector::quorum, true);
     raise_suspicion(endpoint);
 }
 
--- a/src/metrics/resource_counters.h
+++ b/src/metrics/resource_counters.h
@@ -15,7 +15,7 @@
 
 struct ResourceCounters {
     std::uint64_t gossip_datagrams = 0;  // one for each receiver
-    peer::BytesByKind gossip_bytes{};          // by kind of item, counted for each receiver
+    peer::BytesByKind gossip_bytes{};    // by kind of item, counted for each receiver
     std::uint64_t health_checks = 0, health_check_connections = 0;  // sent; connections opened for them
     std::uint64_t discovery_requests = 0, discovery_failures = 0;
     std::uint64_t discovery_wait_ms = 0;                  // from request to answer
--- a/src/node/balancer_runner.cpp
+++ b/src/node/balancer_runner.cpp
@@ -17,11 +17,12 @@
     actions_.set_balancer(*balancer_);
     registry.balancer = balancer_.get();
     if (initial_endpoints_.type() == json::Type::object)
-        registry.endpoints.apply(initial_endpoints_, registry.balancer_now(), discovery::ListSource::cache, now);
+        registry.endpoints.apply(initial_endpoints_, registry.balancer_now(), discovery::ListSource::cache,
+                                 now);
     json::Document document;
     if (!endpoint_list.empty() && document.parse(endpoint_list))
-        registry.endpoints.apply_inherited(document.root().with_context("inherited list"), registry.balancer_now(),
-                                     stages_.transfer.clock_shift(), now);
+        registry.endpoints.apply_inherited(document.root().with_context("inherited list"),
+                                           registry.balancer_now(), stages_.transfer.clock_shift(), now);
 }
 
 void BalancerRunner::start(std::string_view endpoint_list, std::string_view state) {
--- a/src/node/endpoint_list_client.cpp
+++ b/src/node/endpoint_list_client.cpp
@@ -41,7 +41,8 @@
 }
 
 bool EndpointListClient::on_list(const json::Value& list) {
-    const bool taken = registry_.endpoints.apply(list, registry_.balancer_now(), discovery::ListSource::discovery, registry_.loop.now());
+    const bool taken = registry_.endpoints.apply(list, registry_.balancer_now(),
+                                                 discovery::ListSource::discovery, registry_.loop.now());
     if (taken) backoff_.on_success();
     return taken;
 }
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -82,11 +82,13 @@
 void Node::open_listeners() {
     net::System& system = loop_.system();
     if (config_.inherited_listener)
-        open_with_retry(system, "NODE_INHERITED_FD", [&] { stages_.acceptor.listen_on(*config_.inherited_listener); });
+        open_with_retry(system, "NODE_INHERITED_FD",
+                        [&] { stages_.acceptor.listen_on(*config_.inherited_listener); });
     else
         open_with_retry(system, "listen", [&] { stages_.acceptor.listen_on(config_.listen); });
     if (config_.admin)
-        open_with_retry(system, "admin_addr", [&] { admin_server_.open(*config_.admin, config_.max_admin_connections); });
+        open_with_retry(system, "admin_addr",
+                        [&] { admin_server_.open(*config_.admin, config_.max_admin_connections); });
 }
 
 void Node::run() {
@@ -262,10 +264,10 @@
 std::string Node::metrics_page() const {
     const EndpointCounts endpoints = balancer_.endpoint_counts();
     return admin::write_metrics_page({.traffic_class_names = config_.traffic_class_names,
-                                 .tunnels = stages_.registry.tunnel_counters,
-                                 .open_tunnels = stages_.registry.admitted_count(),
-                                 .endpoints_listed = endpoints.listed,
-                                 .endpoints_excluded = endpoints.excluded});
+                                      .tunnels = stages_.registry.tunnel_counters,
+                                      .open_tunnels = stages_.registry.admitted_count(),
+                                      .endpoints_listed = endpoints.listed,
+                                      .endpoints_excluded = endpoints.excluded});
 }
 
 // True also for a node that shuts down: it sends its clients away already.
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -75,12 +75,16 @@
     void begin(std::string_view list, std::string_view memory) override;
     void on_role_changed(hot_restart::Role from, hot_restart::Role to) override;
     net::Ticks clock_base() override { return loop_.system().clock_base(); }
-    void on_peer_clock_base(net::Ticks base) override { stages_.transfer.set_clock_shift(clock_base() - base); }
+    void on_peer_clock_base(net::Ticks base) override {
+        stages_.transfer.set_clock_shift(clock_base() - base);
+    }
     bool next_tunnel(hot_restart::TransferredTunnel& into) override;
     void on_transfer_result(std::uint64_t number, bool taken) override;
     bool receive_tunnel(std::string_view bytes, net::Fd client, net::Fd endpoint) override;
     bool has_tunnels() const override { return stages_.registry.tunnel_count() > 0; }
-    std::size_t descriptors_held() const override { return loop_.in_use() + tunnel::DescriptorBudget::outside_loop; }
+    std::size_t descriptors_held() const override {
+        return loop_.in_use() + tunnel::DescriptorBudget::outside_loop;
+    }
     std::size_t descriptor_limit() const override { return config_.max_descriptors; }
     void on_peer_descriptors(std::size_t descriptors) override {
         stages_.registry.descriptors.set_sibling_held(descriptors);
--- a/src/node/peer_link.cpp
+++ b/src/node/peer_link.cpp
@@ -32,7 +32,8 @@
 }
 
 void PeerLink::send_to(std::uint32_t node, std::span<const std::uint8_t> bytes) {
-    if (node < config_.peer_addresses.size() && node != config_.balancer.own_node) send(config_.peer_addresses[node], bytes, 1);
+    if (node < config_.peer_addresses.size() && node != config_.balancer.own_node)
+        send(config_.peer_addresses[node], bytes, 1);
 }
 
 void PeerLink::broadcast(std::span<const std::uint8_t> bytes) {
--- a/src/peer/codec.cpp
+++ b/src/peer/codec.cpp
@@ -144,66 +144,75 @@
 
 std::string_view kind_name(std::size_t kind) { return names[kind]; }
 
-bool decode(std::span<const std::uint8_t> bytes, MessageHandler& handler) {
+namespace {
+
+// A message is checked as a whole before any item is handled: a malformed one has no effect.
+bool is_well_formed(std::span<const std::uint8_t> bytes) {
     if (bytes.empty() || bytes.size() > max_bytes || bytes[0] != version) return false;
-    for (std::size_t at = 1;
-         at < bytes.size();) {  // checked as a whole first: a malformed message has no effect
+    for (std::size_t at = 1; at < bytes.size();) {
         const std::uint8_t kind = bytes[at];
         if (kind == 0 || kind >= kinds_end || at + 1 + body_bytes[kind] > bytes.size()) return false;
         at += 1 + body_bytes[kind];
     }
-    for (std::size_t at = 1; at < bytes.size();) {
-        const std::uint8_t kind = bytes[at];
-        const std::uint8_t* item = bytes.data() + at + 1;
-        const auto read_u32 = [&](int i) { return static_cast<std::uint32_t>(read_integer(item + i, 4)); };
-        const auto read_time = [&](int i) { return static_cast<std::int64_t>(read_integer(item + i, 6)); };
-        switch (kind) {
-            case record_kind:
-                handler.on_record(read_integer(item, 8), read_u32(8), read_time(12), read_u32(18),
-                                  load_at(item + 22));
-                break;
-            case lookup_kind:
-                handler.on_lookup(read_integer(item, 8));
-                break;
-            case lookup_reply_kind:
-                handler.on_lookup_reply(read_integer(item, 8), item[8] != 0, read_u32(9), read_time(13));
-                break;
-            case node_started_kind:
-                handler.on_node_started();
-                break;
-            case peer_down_kind:
-                handler.on_peer_down(read_u32(0));
-                break;
-            case outcome_kind:
-                handler.on_outcome(read_u32(0), item[4]);
-                break;
-            case load_report_kind:
-                handler.on_load_report(read_u32(0), item[4] != 0, load_at(item + 5));
-                break;
-            case affinity_target_kind:
-                handler.on_affinity_target(read_u32(0), read_u32(4));
-                break;
-            case cross_zone_kind:
-                handler.on_cross_zone(read_u32(0), read_u32(4));
-                break;
-            case claim_kind:
-                break;
-            case lease_request_kind:
-                handler.on_lease_request(read_u32(0), read_u32(4));
-                break;
-            case lease_grant_kind:
-                handler.on_lease_grant(read_u32(0), read_u32(4));
-                break;
-            case endpoint_failure_kind:
-                handler.on_endpoint_failure(read_u32(0), read_u32(4),
-                                            static_cast<std::uint32_t>(read_integer(item + 8, 2)),
-                                            static_cast<std::uint32_t>(read_integer(item + 10, 2)));
-                break;
-            default:
-                handler.on_load_total(read_u32(0), item[4] != 0, load_at(item + 5));
-        }
-        at += 1 + body_bytes[kind];
+    return true;
+}
+
+void dispatch_item(std::uint8_t kind, const std::uint8_t* item, MessageHandler& handler) {
+    const auto read_u32 = [&](int i) { return static_cast<std::uint32_t>(read_integer(item + i, 4)); };
+    const auto read_time = [&](int i) { return static_cast<std::int64_t>(read_integer(item + i, 6)); };
+    switch (kind) {
+        case record_kind:
+            handler.on_record(read_integer(item, 8), read_u32(8), read_time(12), read_u32(18),
+                              load_at(item + 22));
+            break;
+        case lookup_kind:
+            handler.on_lookup(read_integer(item, 8));
+            break;
+        case lookup_reply_kind:
+            handler.on_lookup_reply(read_integer(item, 8), item[8] != 0, read_u32(9), read_time(13));
+            break;
+        case node_started_kind:
+            handler.on_node_started();
+            break;
+        case peer_down_kind:
+            handler.on_peer_down(read_u32(0));
+            break;
+        case outcome_kind:
+            handler.on_outcome(read_u32(0), item[4]);
+            break;
+        case load_report_kind:
+            handler.on_load_report(read_u32(0), item[4] != 0, load_at(item + 5));
+            break;
+        case affinity_target_kind:
+            handler.on_affinity_target(read_u32(0), read_u32(4));
+            break;
+        case cross_zone_kind:
+            handler.on_cross_zone(read_u32(0), read_u32(4));
+            break;
+        case claim_kind:
+            break;
+        case lease_request_kind:
+            handler.on_lease_request(read_u32(0), read_u32(4));
+            break;
+        case lease_grant_kind:
+            handler.on_lease_grant(read_u32(0), read_u32(4));
+            break;
+        case endpoint_failure_kind:
+            handler.on_endpoint_failure(read_u32(0), read_u32(4),
+                                        static_cast<std::uint32_t>(read_integer(item + 8, 2)),
+                                        static_cast<std::uint32_t>(read_integer(item + 10, 2)));
+            break;
+        default:
+            handler.on_load_total(read_u32(0), item[4] != 0, load_at(item + 5));
     }
+}
+
+}  // namespace
+
+bool decode(std::span<const std::uint8_t> bytes, MessageHandler& handler) {
+    if (!is_well_formed(bytes)) return false;
+    for (std::size_t at = 1; at < bytes.size(); at += 1 + body_bytes[bytes[at]])
+        dispatch_item(bytes[at], bytes.data() + at + 1, handler);
     return true;
 }
 
--- a/src/simulation/simulated_nodes.cpp
+++ b/src/simulation/simulated_nodes.cpp
@@ -115,8 +115,8 @@
         return other != nullptr ? std::move(other) : Balancer::start(std::move(config), delegate, now);
     };
     return std::make_unique<node::Node>(
-        system, std::move(launch), source->known_endpoints(), *running.log, [source] { return source->read(); },
-        decides);
+        system, std::move(launch), source->known_endpoints(), *running.log,
+        [source] { return source->read(); }, decides);
 }
 
 // False where it does not start.
--- a/src/tunnel/acceptor.cpp
+++ b/src/tunnel/acceptor.cpp
@@ -210,9 +210,10 @@
 
 Acceptor::LineResult Acceptor::handle_request(TunnelId id, std::string_view line) {
     Tunnel& tunnel = *registry_.find(id);
-    const auto parsed = line.size() <= wire::longest_line
-                            ? parse_request_line(line, registry_.config.traffic_class_names, registry_.loop.now())
-                            : std::nullopt;
+    const auto parsed =
+        line.size() <= wire::longest_line
+            ? parse_request_line(line, registry_.config.traffic_class_names, registry_.loop.now())
+            : std::nullopt;
     const auto input = tunnel.request_buffer.view();
     if (!parsed || begins_command(input.substr(input.find('\n') + 1)) ||
         !claim_id(tunnel, parsed->id, parsed->request.mid_flow)) {
--- a/src/tunnel/admission.cpp
+++ b/src/tunnel/admission.cpp
@@ -13,7 +13,8 @@
     // A sixteenth for connections that have yet to send their request.
     const std::size_t reserved = DescriptorBudget::reserved + registry_.config.max_admin_connections +
                                  registry_.descriptors.sibling_reserve() +
-                                 health_check::max_connections(registry_.endpoints.size(), granted) + granted / 16;
+                                 health_check::max_connections(registry_.endpoints.size(), granted) +
+                                 granted / 16;
     return granted > reserved ? (granted - reserved) / 2 : 1;
 }
 
--- a/src/tunnel/attempt.cpp
+++ b/src/tunnel/attempt.cpp
@@ -44,8 +44,8 @@
 
 RequestLine AttemptRunner::request_of(const Tunnel& tunnel) const {
     // It was parsed when it was accepted, so it cannot fail here.
-    return parse_request_line(net::first_line(tunnel.request_buffer.view()), registry_.config.traffic_class_names,
-                              registry_.loop.now())
+    return parse_request_line(net::first_line(tunnel.request_buffer.view()),
+                              registry_.config.traffic_class_names, registry_.loop.now())
         .value_or(RequestLine{});
 }
 
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -26,7 +26,9 @@
     http::Request request;
     request.feed(bytes);
     Answers node;
-    return request.is_complete() || request.error() != http::RequestError::none ? admin::respond(request, node) : "";
+    return request.is_complete() || request.error() != http::RequestError::none
+               ? admin::respond(request, node)
+               : "";
 }
 
 int status_of(std::string_view answer) {
--- a/tests/failure_detector_test.cpp
+++ b/tests/failure_detector_test.cpp
@@ -146,7 +146,7 @@
     h.hear(3, 7, 3, no_observer);
     h.n.advance(100 * ms);
     h.hear(4, 7, 3, no_observer);  // passed on by another
-    h.hear(4, 7, 3, 3);       // and named twice
+    h.hear(4, 7, 3, 3);            // and named twice
     CHECK(h.excluded() == 0);
     h.hear(4, 7, 4, 3);
     CHECK(h.excluded() == 1);
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -54,7 +54,8 @@
                     over = over || got.ended || got.error != 0;
                     if (got.bytes == 0) break;
                     hot_restart::Packet packet;
-                    if (hot_restart::decode({room.data(), got.bytes}, packet) == hot_restart::DecodeResult::ok)
+                    if (hot_restart::decode({room.data(), got.bytes}, packet) ==
+                        hot_restart::DecodeResult::ok)
                         heard.push_back(packet.kind);
                 }
                 return enough();
@@ -69,20 +70,26 @@
 }  // namespace
 
 TEST_CASE("in every pair of states of two processes exactly one is the node") {
-    const std::pair<Role, Role> together[] = {
-        {Role::offering_state, Role::requesting_state}, {Role::transferring, Role::receiving}, {Role::transferred, Role::receiving}};
-    for (const auto& [old, fresh] : together) CHECK(hot_restart::is_active(old) != hot_restart::is_active(fresh));
+    const std::pair<Role, Role> together[] = {{Role::offering_state, Role::requesting_state},
+                                              {Role::transferring, Role::receiving},
+                                              {Role::transferred, Role::receiving}};
+    for (const auto& [old, fresh] : together)
+        CHECK(hot_restart::is_active(old) != hot_restart::is_active(fresh));
     CHECK(next(Role::standalone, Event::request_received) == Role::offering_state);
     CHECK(next(Role::offering_state, Event::peer_ready) == Role::transferring);
     CHECK(!next(Role::standalone, Event::peer_ready));
     CHECK(!next(Role::receiving, Event::peer_ready));
-    for (const Role s : {Role::requesting_state, Role::offering_state, Role::transferring, Role::transferred, Role::receiving})
+    for (const Role s : {Role::requesting_state, Role::offering_state, Role::transferring, Role::transferred,
+                         Role::receiving})
         CHECK(next(s, Event::disconnected) == Role::standalone);
 }
 
 TEST_CASE("a packet cut at any byte, or with one more, is torn; one of another version is told from it") {
-    const hot_restart::Packet said{
-        .kind = hot_restart::PacketKind::tunnel, .flag = true, .descriptors_held = 7, .number = 1ULL << 40, .payload = "abc"};
+    const hot_restart::Packet said{.kind = hot_restart::PacketKind::tunnel,
+                                   .flag = true,
+                                   .descriptors_held = 7,
+                                   .number = 1ULL << 40,
+                                   .payload = "abc"};
     const std::string whole = hot_restart::encode(said);
     hot_restart::Packet read;
     REQUIRE(hot_restart::decode(whole, read) == hot_restart::DecodeResult::ok);
@@ -254,8 +261,8 @@
     NodeFixture fixture(upgraded());
     OpenTunnel tunnel = fixture.open_tunnel();
     Stranger stranger(fixture);
-    const std::string hello =
-        hot_restart::encode({.kind = hot_restart::PacketKind::request_state, .descriptors_held = 10, .payload = "n0"});
+    const std::string hello = hot_restart::encode(
+        {.kind = hot_restart::PacketKind::request_state, .descriptors_held = 10, .payload = "n0"});
     std::vector<std::string> words{
         "",
         "GET / HTTP/1.1\r\n\r\n",
--- a/tests/load_estimator_test.cpp
+++ b/tests/load_estimator_test.cpp
@@ -1,8 +1,9 @@
 // Stories of what a node takes hosts to carry where reports are few and old.
+#include "balance/load_estimator.h"
+
 #include <doctest/doctest.h>
 
 #include "balance/endpoint_table.h"
-#include "balance/load_estimator.h"
 #include "balance/node_context.h"
 #include "balance/peer_table.h"
 #include "balance/slow_start.h"
--- a/tests/parsers_test.cpp
+++ b/tests/parsers_test.cpp
@@ -142,7 +142,8 @@
         const std::string text = R"({"revision":)" + std::to_string(revision) + R"(,"complete":)" +
                                  (whole ? "true" : "false") + R"(,"members":[)" + members + "]}";
         REQUIRE(d.parse(text));
-        return hosts.apply(d.root(), *n.balancer, known ? discovery::ListSource::cache : discovery::ListSource::discovery, n.now);
+        return hosts.apply(d.root(), *n.balancer,
+                           known ? discovery::ListSource::cache : discovery::ListSource::discovery, n.now);
     };
     const auto goes_to = [&](std::uint64_t tun) {
         n.on_request(tun);
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -97,8 +97,9 @@
     CHECK(lender.grant_lease(all[0], budget, n, rate, now));
     CHECK(lender.available(all[0], budget, rate, now) == had - 1);
     CHECK(!lender.grant_lease(all[0], budget, n, rate, now));
-    CHECK(!lender.grant_lease(all[0], budget, n - 1, rate, now));                    // of another's slot
-    CHECK(!lender.grant_lease(all[0], budget, n, rate, now + Ticks{3600} * 10000));  // asked again an hour later
+    CHECK(!lender.grant_lease(all[0], budget, n - 1, rate, now));  // of another's slot
+    CHECK(!lender.grant_lease(all[0], budget, n, rate,
+                              now + Ticks{3600} * 10000));  // asked again an hour later
     const int own = taker.available(all[1], budget, rate, now);
     CHECK(taker.accept_lease(all[1], budget, n, 0, now));
     CHECK(taker.available(all[1], budget, rate, now) == own + 1);
--- a/tests/simulation_test.cpp
+++ b/tests/simulation_test.cpp
@@ -229,5 +229,6 @@
     const Scenario day = simulation::draw_operated_scenario(7);
     const Verdict a = simulation::play(day), b = simulation::play(day);
     CHECK(a.hash == b.hash);
-    CHECK(simulation::play(simulation::parse_scenario(simulation::write_scenario(day), "day")).hash == a.hash);
+    CHECK(simulation::play(simulation::parse_scenario(simulation::write_scenario(day), "day")).hash ==
+          a.hash);
 }
