--- a/src/discovery/endpoint_directory.cpp
+++ b/src/discovery/endpoint_directory.cpp
@@ -127,7 +127,7 @@
     DiscoveredEndpoint& endpoint = endpoints_[index];
     if (address) endpoint.address = *address;
     if (endpoint.state != state || endpoint.started_unix_ms != started)
-        log_.debug() << "endpoint " << id << ", ep " << endpoint.ep << ", listed as " << phase
+        log_.debug() << "endpoint " << id << ", number " << endpoint.number << ", listed as " << phase
                      << ", up since " << started;
     if (endpoint.started_unix_ms != started)
         endpoint.started_at = start_of(endpoint, net::tenths_of_unix_ms(started), now);
@@ -142,16 +142,16 @@
 std::uint32_t EndpointDirectory::add(const json::Value& entry, const std::string& id,
                                      const std::optional<net::Address>& address) {
     if (!address) entry.fail("host_port", "is not an address and a port");
-    const auto ep = static_cast<std::uint32_t>(hash_text(id) & 0x7fffffff);
-    if (index_by_ep_.find(ep) != none) entry.fail("id", "has the same number as another's");
+    const auto number = static_cast<std::uint32_t>(hash_text(id) & 0x7fffffff);
+    if (index_by_number_.find(number) != none) entry.fail("id", "has the same number as another's");
     const auto index = static_cast<std::uint32_t>(endpoints_.size());
     DiscoveredEndpoint& endpoint = endpoints_.emplace_back();
-    endpoint.ep = ep;
+    endpoint.number = number;
     endpoint.address = *address;
     endpoint.id = id;
     index_by_id_.emplace(id, index);
-    index_by_ep_.put(ep, index);
-    log_.info() << "endpoint " << id << " at " << entry.text("host_port") << " is ep " << ep;
+    index_by_number_.put(number, index);
+    log_.info() << "endpoint " << id << " at " << entry.text("host_port") << " is endpoint " << number;
     return index;
 }
 
@@ -168,8 +168,8 @@
 
 void EndpointDirectory::publish(const DiscoveredEndpoint& endpoint, Balancer& balancer) const {
     const auto zone = std::find(zone_names_.begin(), zone_names_.end(), endpoint.zone);
-    balancer.add_endpoint(endpoint.ep, static_cast<std::uint32_t>(zone - zone_names_.begin()), endpoint.cell,
-                          endpoint.state, endpoint.size, endpoint.started_at);
+    balancer.add_endpoint(endpoint.number, static_cast<std::uint32_t>(zone - zone_names_.begin()),
+                          endpoint.cell, endpoint.state, endpoint.size, endpoint.started_at);
 }
 
 // Endpoints that were listed when this process began may have been taken for old by a clock that has turned
--- a/src/discovery/endpoint_directory.h
+++ b/src/discovery/endpoint_directory.h
@@ -26,7 +26,7 @@
   public:
     static constexpr std::uint32_t none = IdIndex::none;
     struct DiscoveredEndpoint {
-        std::uint32_t ep = 0;  // its number in the balancer, at other nodes and in log lines
+        std::uint32_t number = 0;  // its number in the balancer, at other nodes and in log lines
         net::Address address;
         EndpointState state = EndpointState::active;
         std::int64_t started_unix_ms = 0;  // as listed
@@ -63,7 +63,7 @@
         highest_revision_ = 0;
     }
     // An index stays valid while the directory lives; `none` for an endpoint that is not known.
-    std::uint32_t index_of(std::uint32_t ep) const { return index_by_ep_.find(ep); }
+    std::uint32_t index_of(std::uint32_t number) const { return index_by_number_.find(number); }
     std::uint32_t index_of(std::string_view id) const;
     const DiscoveredEndpoint& operator[](std::uint32_t index) const { return endpoints_[index]; }
     std::size_t size() const { return endpoints_.size(); }
@@ -79,7 +79,7 @@
     log::Log& log_;
     std::vector<DiscoveredEndpoint> endpoints_;
     std::unordered_map<std::string, std::uint32_t> index_by_id_;
-    IdIndex index_by_ep_;
+    IdIndex index_by_number_;
     std::optional<std::uint64_t> revision_;  // of the last list
     std::uint64_t highest_revision_ = 0;
     StartTimes start_times_;
--- a/src/health_check/health_checker.cpp
+++ b/src/health_check/health_checker.cpp
@@ -52,8 +52,8 @@
     return true;
 }
 
-void HealthChecker::check(std::uint32_t ep) {
-    const std::uint32_t index = endpoints_.index_of(ep);
+void HealthChecker::check(std::uint32_t number) {
+    const std::uint32_t index = endpoints_.index_of(number);
     if (index == discovery::EndpointDirectory::none) return;
     if (connections_.size() <= index) connections_.resize(endpoints_.size());
     Connection& connection = connections_[index];
@@ -224,7 +224,7 @@
 
 void HealthChecker::report(std::uint32_t index, Outcome outcome, const LoadReport& load) {
     const Ticks duration = loop_.now() - connections_[index].started_at;
-    listener_.on_health_check(endpoints_[index].ep, outcome, duration, load);
+    listener_.on_health_check(endpoints_[index].number, outcome, duration, load);
     start_waiting();
 }
 
--- a/src/health_check/health_checker.h
+++ b/src/health_check/health_checker.h
@@ -24,7 +24,7 @@
     Listener& operator=(const Listener&) = delete;
     virtual ~Listener() = default;
     // Called once for each check. `report` holds what the endpoint reported; NaN: it did not.
-    virtual void on_health_check(std::uint32_t ep, Outcome outcome, Ticks duration,
+    virtual void on_health_check(std::uint32_t number, Outcome outcome, Ticks duration,
                                  const LoadReport& report) = 0;
 };
 
@@ -40,7 +40,7 @@
           counters_(counters) {}
     std::size_t open_connections() const { return open_connections_; }
     // Starts a check. Does nothing where the endpoint is unknown or a check of it is under way.
-    void check(std::uint32_t ep);
+    void check(std::uint32_t number);
     // Another process of this node checks from now on: closes idle connections and ends the checks that have
     // not begun with Outcome::not_sent.
     void stop();
--- a/src/simnet/trace.cpp
+++ b/src/simnet/trace.cpp
@@ -4,6 +4,16 @@
 
 namespace lemonstair::simnet {
 
+std::uint64_t Trace::hash() {
+    hash_buffered();
+    return XXH3_64bits_digest(&state_);
+}
+
+void Trace::hash_buffered() {
+    XXH3_64bits_update(&state_, waiting_.data(), waiting_.size());
+    waiting_.clear();
+}
+
 void Trace::write(net::Ticks at, std::string_view what, std::uint64_t a, std::uint64_t b,
                   std::string_view text) {
     *out_ << std::setw(4) << at / 10000 << '.' << std::setfill('0') << std::setw(4) << at % 10000
--- a/src/simnet/trace.h
+++ b/src/simnet/trace.h
@@ -30,21 +30,15 @@
         waiting_.insert(waiting_.end(), bytes, bytes + sizeof head);
         waiting_.insert(waiting_.end(), what.begin(), what.end());
         waiting_.insert(waiting_.end(), text.begin(), text.end());
-        if (waiting_.size() >= chunk) take_in();
+        if (waiting_.size() >= chunk) hash_buffered();
         if (out_ != nullptr) write(at, what, a, b, text);
     }
-    std::uint64_t hash() {
-        take_in();
-        return XXH3_64bits_digest(&state_);
-    }
+    std::uint64_t hash();
     bool written() const { return out_ != nullptr; }
 
   private:
     static constexpr std::size_t chunk = 1 << 15;
-    void take_in() {
-        XXH3_64bits_update(&state_, waiting_.data(), waiting_.size());
-        waiting_.clear();
-    }
+    void hash_buffered();
     void write(net::Ticks at, std::string_view what, std::uint64_t a, std::uint64_t b, std::string_view text);
     XXH3_state_t state_;
     std::vector<char> waiting_;
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -84,18 +84,18 @@
 class Instance final : public lemonstair::BalancerDelegate {
   public:
     Instance(std::uint64_t who, Reply& out) : who_(who), out_(out) {}
-    void start_attempt(std::uint64_t tun, std::uint32_t ep, Ticks max_wait) override {
-        begin_action("CallOut").raw(",\"ticket\":").whole(tun).raw(",\"host\":").whole(ep);
+    void start_attempt(std::uint64_t tunnel, std::uint32_t endpoint, Ticks max_wait) override {
+        begin_action("CallOut").raw(",\"ticket\":").whole(tunnel).raw(",\"host\":").whole(endpoint);
         out_.raw(",\"max_wait\":").seconds(max_wait).raw("}}\n");
     }
-    void reject(std::uint64_t tun, Ticks come_back_after) override {
-        begin_action("SayNo").raw(",\"ticket\":").whole(tun);
-        if (come_back_after > 0) out_.raw(",\"not_before_for\":").seconds(come_back_after);
+    void reject(std::uint64_t tunnel, Ticks retry_after) override {
+        begin_action("SayNo").raw(",\"ticket\":").whole(tunnel);
+        if (retry_after > 0) out_.raw(",\"not_before_for\":").seconds(retry_after);
         out_.raw("}}\n");
     }
-    void fail(std::uint64_t tun) override { write_action("Surrender", "ticket", tun); }
-    void migrate(std::uint64_t tun) override { write_action("Reassign", "ticket", tun); }
-    void check_health(std::uint32_t ep) override { write_action("Touch", "host", ep); }
+    void fail(std::uint64_t tunnel) override { write_action("Surrender", "ticket", tunnel); }
+    void migrate(std::uint64_t tunnel) override { write_action("Reassign", "ticket", tunnel); }
+    void check_health(std::uint32_t endpoint) override { write_action("Touch", "host", endpoint); }
     void request_endpoint_list() override { begin_action("StreamChanges").raw(",\"active\":true}}\n"); }
     void set_timer(Ticks at, std::uint64_t label) override {
         begin_action("WakeMe").raw(",\"at\":").seconds(at).raw(",\"label\":\"").whole(label).raw("\"}}\n");
--- a/src/tunnel/attempt.cpp
+++ b/src/tunnel/attempt.cpp
@@ -67,7 +67,7 @@
     const auto& endpoint = registry_.endpoints[tunnel.endpoint_index];
     ++registry_.resource_counters.setups;
     registry_.log.debug() << "tunnel " << static_cast<std::uint32_t>(id) << " attempt " << tunnel.attempts
-                          << " at endpoint " << endpoint.ep;
+                          << " at endpoint " << endpoint.number;
     registry_.transition_to(id, TunnelState::connecting);
     if (registry_.descriptors.is_low(min_descriptors_left) && !completion_.evict_idle_connection())
         return on_failed(id, Outcome::not_sent);
@@ -202,7 +202,7 @@
 
 void AttemptRunner::on_opened(TunnelId id) {
     Tunnel& tunnel = *registry_.find(id);
-    const std::uint32_t endpoint = registry_.endpoints[tunnel.endpoint_index].ep;
+    const std::uint32_t endpoint = registry_.endpoints[tunnel.endpoint_index].number;
     ++registry_.totals.opened;
     registry_.resource_counters.count_attempt(Outcome::ok);
     if (wire::read_answer(net::first_line(tunnel.downstream.buffer.view())) == wire::Answer::finished)
@@ -234,8 +234,9 @@
         return registry_.set_state_deadline(id, tunnel, std::min(tunnel.deadline, next_attempt));
     }
     tunnel.state_deadline = 0;
-    registry_.balancer_now().on_ended(id, tunnel.attempts - 1, registry_.endpoints[tunnel.endpoint_index].ep,
-                                      outcome, registry_.loop.now() - tunnel.attempt_started, false);
+    registry_.balancer_now().on_ended(id, tunnel.attempts - 1,
+                                      registry_.endpoints[tunnel.endpoint_index].number, outcome,
+                                      registry_.loop.now() - tunnel.attempt_started, false);
 }
 
 void AttemptRunner::set_answer_deadline(Ticks deadline) {
--- a/src/tunnel/completion.cpp
+++ b/src/tunnel/completion.cpp
@@ -134,7 +134,7 @@
     Tunnel& tunnel = *registry_.find(id);
     if (!tunnel.tracked) return;
     tunnel.tracked = false;
-    const std::uint32_t endpoint = registry_.endpoints[tunnel.endpoint_index].ep;
+    const std::uint32_t endpoint = registry_.endpoints[tunnel.endpoint_index].number;
     registry_.log.debug() << "tunnel " << static_cast<std::uint32_t>(id) << " at endpoint " << endpoint
                           << " ended, outcome " << static_cast<int>(outcome) << ", unanswered lines "
                           << tunnel.unanswered_lines;
--- a/src/tunnel/endpoint_monitor.cpp
+++ b/src/tunnel/endpoint_monitor.cpp
@@ -49,7 +49,7 @@
     if (!slow && !activity.reported_slow) return;
     activity.slow_reported_at = now;
     activity.reported_slow = slow;
-    const std::uint32_t endpoint = registry_.endpoints[endpoint_index].ep;
+    const std::uint32_t endpoint = registry_.endpoints[endpoint_index].number;
     registry_.log.debug() << "a message takes " << took / ticks_per_ms << " ms at endpoint " << endpoint;
     registry_.balancer_now().on_slow_messages(id, endpoint, took);
 }
@@ -73,7 +73,7 @@
         const Waits& waits = waits_[index];
         const Ticks silent_for = waits.open_tunnels == 1 ? waits.longest : waits.second_longest;
         if (silent_for >= unresponsive_after)
-            registry_.balancer_now().on_unresponsive(registry_.endpoints[index].ep, silent_for);
+            registry_.balancer_now().on_unresponsive(registry_.endpoints[index].number, silent_for);
     }
 }
 
--- a/tests/failure_detector_test.cpp
+++ b/tests/failure_detector_test.cpp
@@ -74,8 +74,7 @@
 }
 
 TEST_CASE(
-    "a word of long ago, of a time to come, or of no_observer has no effect, also an hour and five days "
-    "later") {
+    "a word of long ago, of a time to come, or of nobody has no effect, also an hour and five days later") {
     Observations w;
     CHECK(!w.add(3, at - failure_detector::observation_lifetime, at));
     CHECK(!w.add(3, at + failure_detector::max_clock_skew + 1, at));
@@ -168,7 +167,7 @@
     CHECK(h.excluded() == 0);
 }
 
-TEST_CASE("an endpoint ejected on gossip alone is readmitted once no_observer repeats it") {
+TEST_CASE("an endpoint ejected on gossip alone is readmitted once nobody repeats it") {
     Hearer h({7, 8, 9, 10});
     h.hear(3, 7, 3, 4);
     h.n.advance(8 * s);
@@ -255,7 +254,7 @@
     h.n.advance(1 * s);
     h.n.answer_health_checks(0.2);
     CHECK(says("answer this node again") == 1);
-    h.n.advance(3 * s);  // and what it found meanwhile is told to no_observer
+    h.n.advance(3 * s);  // and what it found meanwhile is told to nobody
     CHECK(accusations(h.n) == 0);
 }
 
@@ -273,7 +272,7 @@
     CHECK(half.excluded() == 2);  // half of the zone is out by hearsay
 }
 
-TEST_CASE("an ejection on gossip is still one after a hot restart: it ends when no_observer renews it") {
+TEST_CASE("an ejection on gossip is still one after a hot restart: it ends when nobody renews it") {
     Hearer h;
     h.hear(3, 7, 3, 4);
     std::string told;
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -250,7 +250,7 @@
         if (w.now + 1 < first + slots) {
             World later = w;
             ++later.now;
-            come_back(later);
+            restart(later);
             seen(later);
         }
     }
@@ -272,7 +272,7 @@
             post(w, {l.to, l.from, static_cast<std::uint8_t>(l.what | 128U), l.n});
     }
     // Whatever was lost: what a new slot has is there for its owner.
-    void come_back(const World& w) {
+    void restart(const World& w) {
         for (std::uint32_t n = 0; n < nodes; ++n)
             for (std::uint32_t b = 0; b < budgets; ++b) {
                 const QuotaSchedule d = w.dealing(n);
--- a/tests/tunnel_ledger_test.py
+++ b/tests/tunnel_ledger_test.py
@@ -5,14 +5,14 @@
 import tempfile
 
 TOOL = pathlib.Path(__file__).resolve().parent.parent / "tools" / "tunnel_ledger.py"
-FIRST = """0.100 endpoint h1 at 127.0.0.1:1 is ep 11
+FIRST = """0.100 endpoint h1 at 127.0.0.1:1 is endpoint 11
 0.500 debug tunnel 0: free -> reading request
 0.500 debug tunnel 0 accepted: OPEN id1 key1 c=x,d=100,g=g1
 0.510 debug tunnel 0 attempt 1 at endpoint 11
 0.520 debug tunnel 0 attempt 1 failed, outcome 2
 0.530 debug tunnel 0 attempt 2 at endpoint 12
 0.540 debug tunnel 0: awaiting answer -> open
-1.000 debug endpoint h2, ep 12, listed as terminating, up since 0
+1.000 debug endpoint h2, number 12, listed as terminating, up since 0
 1.900 debug tunnel 0 at endpoint 12 ended, outcome 5, unanswered lines 0
 1.910 debug tunnel 0: open -> free
 """
--- a/tools/tunnel_ledger.py
+++ b/tools/tunnel_ledger.py
@@ -19,7 +19,7 @@
 FAILED = re.compile(r"tunnel (\d+) attempt (\d+) failed, outcome (\d)")
 STATE = re.compile(r"tunnel (\d+): (.+) -> (.+)")
 OVER = re.compile(r"tunnel (\d+) at endpoint (\d+) ended, outcome (\d)")
-HOST = re.compile(r"endpoint (\S+), ep (\d+), listed as (\w+), up since (\d+)")
+HOST = re.compile(r"endpoint (\S+), number (\d+), listed as (\w+), up since (\d+)")
 ENDINGS = ["served", "error", "full", "timed out", "unreachable", "broken", "called off", "not sent"]
 AGES = {"in_service": "young", "terminating": "draining", "terminated": "gone"}
 
