--- a/src/balance/endpoint_list_poller.h
+++ b/src/balance/endpoint_list_poller.h
@@ -29,8 +29,6 @@
     void end_endpoint_list();
 
   private:
-    friend class StateCodec;
-
     // Before any traffic is seen, an endpoint is taken to get a tunnel in three seconds.
     void initialise_load_estimates();
 
--- a/src/balance/failure_gossip.h
+++ b/src/balance/failure_gossip.h
@@ -37,8 +37,6 @@
     bool isolated() const { return isolated_; }
 
   private:
-    friend class StateCodec;
-
     // Many nodes may agree and all be wrong: a node that just had a success does not accept the gossip, and
     // for most of a zone or cell it needs evidence of its own.
     void accept_gossip(Endpoint& endpoint);
--- a/src/balance/gossip_sender.h
+++ b/src/balance/gossip_sender.h
@@ -22,8 +22,6 @@
     peer::Outbox& outbox() { return outbox_; }
 
   private:
-    friend class StateCodec;
-
     NodeContext& node_;
     peer::Outbox outbox_;
 };
--- a/src/balance/group_affinity.h
+++ b/src/balance/group_affinity.h
@@ -38,8 +38,6 @@
     const std::vector<char>& holds_group() const { return holds_group_; }
 
   private:
-    friend class StateCodec;
-
     // The first fitting endpoint in the group's own order, the same at all nodes (rendezvous hashing).
     // Without load totals hardly a node knows which endpoints hold a group: its leader, at the group's
     // place on the ring, receives all its records and publishes its affinity targets, one more when those
--- a/src/balance/health_check_schedule.h
+++ b/src/balance/health_check_schedule.h
@@ -25,8 +25,6 @@
     void on_health_check(std::uint32_t endpoint_id, Outcome outcome, const LoadReport& report);
 
   private:
-    friend class StateCodec;
-
     NodeContext& node_;
     EndpointTable& endpoint_table_;
     GossipBudget& gossip_budget_;
--- a/src/balance/load_cost.h
+++ b/src/balance/load_cost.h
@@ -33,8 +33,6 @@
     double priced_utilization(const Endpoint& endpoint) const;
 
   private:
-    friend class StateCodec;
-
     NodeContext& node_;
     LoadEstimator& load_;
     std::vector<double> late_cost_slope_;  // by utilization, in steps
--- a/src/balance/placement.h
+++ b/src/balance/placement.h
@@ -35,8 +35,6 @@
     bool too_costly() const { return too_costly_; }
 
   private:
-    friend class StateCodec;
-
     double weight(const Endpoint& endpoint, double cost) const;
     // Without gossip no record reaches the node that meets a tunnel mid-flow. Then the random number of the
     // draw follows from the key (rendezvous hashing) and is the same at all nodes: with similar weights
--- a/src/balance/record_lookup.h
+++ b/src/balance/record_lookup.h
@@ -29,8 +29,6 @@
     void wait_for_answer(std::uint32_t index);
 
   private:
-    friend class StateCodec;
-
     NodeContext& node_;
     PeerTable& peer_table_;
     GossipSender& gossip_;
--- a/src/balance/record_replicator.h
+++ b/src/balance/record_replicator.h
@@ -42,8 +42,6 @@
     void on_lookup(std::uint32_t sender, std::uint64_t key);
 
   private:
-    friend class StateCodec;
-
     // Down the chain from its head, each member towards the tail.
     void forward_record(std::uint64_t key, std::uint32_t endpoint_id, Ticks stamp, std::uint32_t group,
                         double load, bool first);
--- a/src/balance/slow_start.h
+++ b/src/balance/slow_start.h
@@ -17,8 +17,6 @@
     bool is_warming_up(const Endpoint& endpoint) const;
 
   private:
-    friend class StateCodec;
-
     NodeContext& node_;
 };
 
--- a/src/balance/slow_start_quota.h
+++ b/src/balance/slow_start_quota.h
@@ -38,8 +38,6 @@
     const quota::QuotaSchedule& quota_schedule() const { return quota_schedule_; }
 
   private:
-    friend class StateCodec;
-
     // The time, in s, over which new tunnels fill an endpoint: its slow start, or the lifetime of tunnels
     // where that is shorter.
     double fill_duration() const;
--- a/src/balance/tunnel_lifecycle.h
+++ b/src/balance/tunnel_lifecycle.h
@@ -61,8 +61,6 @@
     bool restore_tunnel(std::uint64_t id, std::string_view bytes, Ticks clock_shift);
 
   private:
-    friend class StateCodec;
-
     void place(std::uint32_t index);
     // Starts an attempt. `is_sticky`: the endpoint holds the tunnel already, so no slow-start quota is spent.
     void send(std::uint32_t index, std::uint32_t endpoint_index, bool is_sticky = false);
--- a/src/balance/tunnel_table.h
+++ b/src/balance/tunnel_table.h
@@ -24,8 +24,6 @@
     int pending_attempts() const { return pending_attempts_; }
 
   private:
-    friend class StateCodec;
-
     EndpointTable& endpoint_table_;
     Slab<TrackedTunnel> tunnels_;
     IdIndex tunnel_by_id_;
