--- a/src/balance/endpoint.h
+++ b/src/balance/endpoint.h
@@ -66,9 +66,9 @@
     Ticks ejected_at = 0, probation_at = 0;                    // from probation_at a first attempt may try it
     Ticks succeeded_at = -never;                               // a setup of this node's
     Ticks failed_at = -never;                                  // this node last got no answer
-    Ticks failure_reported_at = -never;                        // this node told the report owners of that
+    Ticks failure_reported_at = -never;                        // this node reported that to the report owners
     Ticks gossip_ejection_until = 0;                           // 0: not ejected by gossip alone
-    Ticks failure_published_at = -never;                       // this node told all, as report owner
+    Ticks failure_published_at = -never;                       // this node broadcast that, as report owner
     bool failure_published = false;
     std::uint32_t failed_health_checks = 0;  // in a row
 
--- a/src/net/system.h
+++ b/src/net/system.h
@@ -1,6 +1,7 @@
 // The operating system as a node sees it: the clock, poll, streams, datagrams, signals, descriptors and the
 // configuration file. `Kernel` implements it for a real process, `simnet::Process` for one on a simulated
-// machine; docs/lab.md says why it is a virtual class. A call that fails sets errno as the system call does.
+// machine; docs/simulation.md says why it is a virtual class. A call that fails sets errno as the system call
+// does.
 #pragma once
 
 #include <poll.h>
--- a/src/node/balancer_runner.cpp
+++ b/src/node/balancer_runner.cpp
@@ -30,7 +30,7 @@
     if (state.empty()) return;
     if (stages_.registry.balancer_now().restore_state(state, stages_.transfer.clock_shift())) return;
     stages_.registry.log.error()
-        << "hand-over: the state of the old process cannot be read, the balancer begins anew";
+        << "hot restart: the state of the old process cannot be read, the balancer begins anew";
     make_balancer(endpoint_list);
 }
 
