--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -1,4 +1,4 @@
-// Stories of those who operate a node: their calls whole, in pieces, wrong and by thousands; the figures;
+// The admin server and the metrics page: calls whole, in pieces, wrong and by thousands; the figures;
 // clients sent away.
 #include <doctest/doctest.h>
 
--- a/tests/backoff_test.cpp
+++ b/tests/backoff_test.cpp
@@ -1,4 +1,4 @@
-// Stories of the calls to discovery: how soon after a failure, and the bound that all phases share.
+// Calls to discovery: how soon after a failure, and the bound that all phases share.
 #include "backoff/backoff.h"
 
 #include <doctest/doctest.h>
--- a/tests/failure_detector_test.cpp
+++ b/tests/failure_detector_test.cpp
@@ -22,7 +22,7 @@
     config.costs.gossip_message = 0.01;
     return config;
 }
-// A node of sixty that has been among these eps for a while, and what it hears of them.
+// A node of sixty that has been among these endpoints for a while, and what it hears of them.
 struct Hearer {
     BalancerFixture n{priced(0)};
     explicit Hearer(const std::vector<std::uint32_t>& endpoints = {7, 8, 9}) {
@@ -203,7 +203,7 @@
     h.hear(3, 5, 3, 4);
     h.hear(3, 6, 3, 4);  // in the other zone, of another cell than the next two
     CHECK(h.excluded() == 3);
-    h.n.balancer->on_unresponsive(1, 2 * s);  // set aside by hearsay before, now by its own sight
+    h.n.balancer->on_unresponsive(1, 2 * s);  // ejected on gossip before, now on its own observation
     CHECK(h.excluded() == 3);
     h.hear(5, 3, 5, 6);
     CHECK(h.excluded() == 4);
@@ -269,7 +269,7 @@
     Hearer half({7, 8, 9, 10});
     for (const std::uint32_t ep : {8, 9}) half.hear(3, ep, 3, 4);
     half.fail_elsewhere(7, {1, 2});
-    CHECK(half.excluded() == 2);  // half of the zone is out by hearsay
+    CHECK(half.excluded() == 2);  // half of the zone is ejected on gossip
 }
 
 TEST_CASE("an ejection on gossip is still one after a hot restart: it ends when nobody renews it") {
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -1,4 +1,4 @@
-// Stories of a new version that takes a node over under load: who takes clients, who answers, what goes over,
+// A new version takes over a node under load: who takes clients, who answers, what goes over,
 // and what happens where one of the two is stuck, foreign, or dies half way.
 #include <doctest/doctest.h>
 
@@ -29,7 +29,7 @@
     return fixture.next->holds().tunnels > 0 && fixture.node->holds().tunnels == 0;
 }
 
-// A process at the other end of the line, played by a story.
+// A process at the other end of the line, played by the test.
 struct Stranger {
     net::Kernel kernel;
     net::Fd fd;
@@ -382,7 +382,7 @@
     }));
     CHECK(fixture.next->holds().tunnels == open.size());
     CHECK(most + 12 <=
-          64 + 8);  // twice what both have outside their loops, and the desk's, which are set aside
+          64 + 8);  // twice what both have outside their loops, and the admin server's, which are reserved
     for (OpenTunnel& tunnel : open) {
         tunnel.host.send("on\r\n");
         CHECK(fixture.run_until([&] { return tunnel.client.has_received("on\r\n"); }));
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -1,4 +1,4 @@
-// Stories of fleets past 1,024 processes and 1,024 hosts.
+// Fleets past 1,024 processes and 1,024 hosts.
 #include <doctest/doctest.h>
 
 #include <set>
@@ -56,7 +56,8 @@
     std::vector<std::uint32_t> endpoints;
     for (std::uint32_t i = 0; i < many; ++i) endpoints.push_back(ep_number(i));
     for (auto* n : {&first, &last}) n->set_endpoints(endpoints);
-    const auto tell = [&](BalancerFixture& to, auto&& add) {  // all eps, in as many messages as it takes
+    const auto tell = [&](BalancerFixture& to,
+                          auto&& add) {  // all endpoints, in as many messages as it takes
         peer::Message m;
         for (const auto ep : endpoints) {
             if (add(m, ep)) continue;
--- a/tests/load_estimator_test.cpp
+++ b/tests/load_estimator_test.cpp
@@ -1,4 +1,4 @@
-// Stories of what a node takes hosts to carry where reports are few and old.
+// What load a node attributes to endpoints while load reports are few and old.
 #include "balance/load_estimator.h"
 
 #include <doctest/doctest.h>
@@ -14,7 +14,7 @@
 
 namespace {
 
-// One of a hundred nodes whose words are dear, with ten eps.
+// One of a hundred nodes for which gossip is expensive, with ten endpoints.
 struct Far {
     Far() : n(terms()) { n.set_endpoints({1, 2, 3, 4, 5, 6, 7, 8, 9, 10}); }
     static BalancerConfig terms() {
@@ -28,7 +28,7 @@
         for (std::uint32_t ep = first; ep <= last; ++ep) m.load_report(ep, true, load);
         n.balancer->on_gossip(1, m.bytes());
     }
-    // Two tunnels a second, that stay; how many went to the eps from first to last.
+    // Two tunnels a second, that stay; how many went to the endpoints from first to last.
     long come(int tunnels, std::uint32_t first, std::uint32_t last) {
         const auto before = static_cast<std::ptrdiff_t>(n.attempts.size());
         for (int i = 0; i < tunnels; ++i) {
@@ -45,7 +45,7 @@
     std::uint64_t t = 0;
 };
 
-// What eps can do and carry, without any decision.
+// The load estimator alone, without any decision.
 struct Known {
     Known(BalancerConfig given, BalancerDelegate& host) : node(std::move(given), host, 100 * s) {
         for (std::uint32_t id = 0; id < 10; ++id) table.add_endpoint(id, 0, 0, EndpointState::active, 1, 0);
@@ -85,7 +85,7 @@
     CHECK(reported <= 48);
 }
 
-TEST_CASE("what an ep can do is reckoned for all eps, also while only few were reported") {
+TEST_CASE("capacity is estimated for all endpoints while only few are reported") {
     BalancerFixture host;
     Known known(BalancerFixture::default_config(0, 3), host);
     for (std::uint32_t i = 0; i < 2; ++i) known.table.endpoints()[i].on_load_report(0.5, known.node.now());
@@ -94,7 +94,7 @@
     CHECK(known.room_after(300) == doctest::Approx(2).epsilon(0.05));
 }
 
-TEST_CASE("a node that has just started does not take the few records it has for all") {
+TEST_CASE("a node that has just started does not take its few records for all of the load") {
     BalancerFixture host;
     Known known(BalancerFixture::default_config(0, 3), host);
     for (auto& e : known.table.endpoints()) e.on_load_report(0.5, known.node.now());
@@ -107,7 +107,7 @@
     CHECK(known.room_after(300) == doctest::Approx(first / 4).epsilon(0.05));
 }
 
-TEST_CASE("where nodes may not talk, each sees its own tunnels alone of all") {
+TEST_CASE("without gossip a node knows of its own tunnels only") {
     BalancerFixture host;
     auto config = BalancerFixture::default_config(0, 30);
     Known heard(config, host);
@@ -178,7 +178,7 @@
         }
         return probes;
     };
-    static_cast<void>(probes_of_1(40, Outcome::timed_out));  // until it is set aside
+    static_cast<void>(probes_of_1(40, Outcome::timed_out));  // until it is ejected
     CHECK(probes_of_1(20, Outcome::timed_out) >= 18);
     CHECK(probes_of_1(32, Outcome::ok) <= 6);
 }
--- a/tests/load_reports_test.cpp
+++ b/tests/load_reports_test.cpp
@@ -38,7 +38,7 @@
         dead.push_back(told.back());
     }
     CHECK(!play(30 * s, 0.7).empty());
-    CHECK(bytes < 89 * 65 * 10);  // eight eps in a message, ten times in 80 s
+    CHECK(bytes < 89 * 65 * 10);  // eight endpoints in a message, ten times in 80 s
 }
 
 TEST_CASE("nodes with the same endpoint list elect the same reporters, however they learned the list") {
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -182,7 +182,7 @@
         file.parse(config_text);
         if (options.inherits_listener) {
             listener = net::listen_on(*net::parse_address(address));
-            std::array<char, 32> made{"/tmp/lemonstair-story-XXXXXX"};
+            std::array<char, 32> made{"/tmp/lemonstair-test-XXXXXX"};
             folder = ::mkdtemp(made.data());
         }
         node = start(kernel);
--- a/tests/placement_without_gossip_test.cpp
+++ b/tests/placement_without_gossip_test.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-// Another customer's fleet: nodes may not talk, eps tell nothing of their load.
+// Another customer's fleet: gossip is off, endpoints report no load.
 BalancerConfig mute(std::uint32_t me) {
     auto config = BalancerFixture::default_config(me, 3);
     config.limits.gossip_enabled = config.limits.health_checks_enabled = false;
@@ -131,7 +131,7 @@
     n.set_endpoints(endpoints);
     n.advance(30 * s);
     std::uint64_t t = 0;
-    // Ten tunnels a second; what is sent to the old eps lives for 0.2 s.
+    // Ten tunnels a second; what is sent to the old endpoints lives for 0.2 s.
     const auto come = [&](int tunnels, bool cut) {
         const auto sent_before = n.attempts.size(), declined_before = n.rejected.size();
         for (int i = 0; i < tunnels; ++i) {
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -1,4 +1,4 @@
-// Budgets dealt out in slots: stories of one share, and a checker that explores the dealing whole.
+// Quotas: tests of one quota, and a checker that explores the whole schedule.
 #include "quota/quota_schedule.h"
 
 #define XXH_INLINE_ALL
--- a/tests/simulation_faults_test.cpp
+++ b/tests/simulation_faults_test.cpp
@@ -48,7 +48,7 @@
          500,
          true},
         {fault_injection::Fault::transferred_tunnel_lost,
-         "a tunnel is lost in the hand-over",
+         "a tunnel is lost in a hot restart",
          {"silent", "cut_off", "line", "left_over"},
          1,
          2,
