--- a/tests/deadline_race_test.cpp
+++ b/tests/deadline_race_test.cpp
@@ -36,13 +36,14 @@
             node.balancer->on_ended(tunnel, 0, node.last_attempt().endpoint, ending, 5 * ms, false);
         }
         CHECK(node.balancer->endpoint_counts().excluded == 0);
-        // One that answers after it was out of reach is taken as cold until the list tells of it.
+        // One that answers after it was out of reach is treated as warming up until the list tells of it.
         for (std::uint64_t tunnel = 101; tunnel <= 110; ++tunnel) {
             node.on_request(tunnel);
             REQUIRE(node.attempts_of(tunnel) == 1);
             node.open(tunnel);
         }
-        for (const std::string& line : node.log_lines) CHECK(line.find("taken as cold") == std::string::npos);
+        for (const std::string& line : node.log_lines)
+            CHECK(line.find("treated as warming up") == std::string::npos);
     }
 }
 
--- a/tests/failure_detector_test.cpp
+++ b/tests/failure_detector_test.cpp
@@ -249,11 +249,11 @@
         return std::count_if(h.n.log_lines.begin(), h.n.log_lines.end(),
                              [&](const auto& l) { return l.find(what) != std::string::npos; });
     };
-    CHECK(says("the trouble is here") == 1);
-    CHECK(says("answer this node again") == 0);
+    CHECK(says("failures are not reported") == 1);
+    CHECK(says("respond to this node again") == 0);
     h.n.advance(1 * s);
     h.n.answer_health_checks(0.2);
-    CHECK(says("answer this node again") == 1);
+    CHECK(says("respond to this node again") == 1);
     h.n.advance(3 * s);  // and what it found meanwhile is told to nobody
     CHECK(accusations(h.n) == 0);
 }
--- a/tests/peer_codec_test.cpp
+++ b/tests/peer_codec_test.cpp
@@ -100,5 +100,5 @@
     CHECK(costs.gossip_datagrams == 9);
     std::ostringstream line;
     lemonstair::metrics::write_added(line, costs, before);
-    CHECK(line.str() == " full=1 datagrams=9 sign=9 hello=9 lost=45");
+    CHECK(line.str() == " overloaded=1 datagrams=9 sign=9 hello=9 lost=45");
 }
--- a/tests/simulation_test.cpp
+++ b/tests/simulation_test.cpp
@@ -121,21 +121,21 @@
         INFO(day);
         std::string trace;
         CHECK(play_file(day, &trace).broken.empty());
-        CHECK(count(trace, "the trouble is here") >= 1);
-        CHECK(count(trace, "found dead by others") == 0);
+        CHECK(count(trace, "failures are not reported") >= 1);
+        CHECK(count(trace, "unresponsive to other nodes") == 0);
     }
 }
 
 TEST_CASE("a host that dies is ejected by all soon after two nodes found it dead") {
     std::string trace;
     CHECK(play_file("host_dies_agreed", &trace).broken.empty());
-    CHECK(count(trace, "found dead by others") >= 12);
+    CHECK(count(trace, "unresponsive to other nodes") >= 12);
 }
 
 TEST_CASE("where half of the nodes reach only half of the hosts, few accept the others' observations") {
     std::string trace;
     CHECK(play_file("two_sides_see_other_hosts", &trace).broken.empty());
-    CHECK(count(trace, "found dead by others") <=
+    CHECK(count(trace, "unresponsive to other nodes") <=
           24);  // 96 could: 12 nodes of each side, 4 hosts of the other
 }
 
