--- a/src/balance/attempt_policy.cpp
+++ b/src/balance/attempt_policy.cpp
@@ -7,10 +7,10 @@
 // With less time than this an attempt could not end before its client gives up.
 constexpr Ticks min_remaining_resolutions = 4;
 
-Reason deduplication_holds(const Allowance& allowance, const History& history, Ticks now, Ticks reserve) {
-    if (!history.may_have_run || allowance.idempotency == Idempotency::idempotent) return Reason::allowed;
-    if (allowance.idempotency == Idempotency::non_idempotent) return Reason::may_have_run;
-    const bool known = now + reserve < history.may_have_run_since + allowance.deduplication_window;
+Reason deduplication_holds(const TunnelLimits& limits, const History& history, Ticks now, Ticks reserve) {
+    if (!history.may_have_run || limits.idempotency == Idempotency::idempotent) return Reason::allowed;
+    if (limits.idempotency == Idempotency::non_idempotent) return Reason::may_have_run;
+    const bool known = now + reserve < history.may_have_run_since + limits.deduplication_window;
     return known ? Reason::allowed : Reason::window_over;
 }
 
@@ -22,27 +22,27 @@
     return in_grace ? Reason::allowed : Reason::endpoint_draining;
 }
 
-Reason may_retry(const Allowance& allowance, const History& history, Outcome last, Ticks now) {
-    if (history.attempts >= allowance.max_attempts) return Reason::attempts_used;
-    if (allowance.deadline - now <= min_remaining_resolutions * allowance.clock_resolution)
+Reason may_retry(const TunnelLimits& limits, const History& history, Outcome last, Ticks now) {
+    if (history.attempts >= limits.max_attempts) return Reason::attempts_used;
+    if (limits.deadline - now <= min_remaining_resolutions * limits.clock_resolution)
         return Reason::no_time_left;
     if (last == Outcome::not_sent) return Reason::local_failure;
-    return deduplication_holds(allowance, history, now, allowance.clock_resolution);
+    return deduplication_holds(limits, history, now, limits.clock_resolution);
 }
 
-Reason may_write(const Allowance& allowance, const History& before, const EndpointPhase& endpoint,
+Reason may_write(const TunnelLimits& limits, const History& before, const EndpointPhase& endpoint,
                  Ticks drain_grace, Ticks now, Ticks reserve) {
-    if (now >= allowance.deadline) return Reason::no_time_left;
+    if (now >= limits.deadline) return Reason::no_time_left;
     const Reason phase = may_send(endpoint, drain_grace, now, reserve);
     if (phase != Reason::allowed) return phase;
-    return deduplication_holds(allowance, before, now, reserve);
+    return deduplication_holds(limits, before, now, reserve);
 }
 
-bool may_promise_no_effect(const Allowance& allowance, const History& history, Ticks now) {
-    if (!history.may_have_run || allowance.idempotency == Idempotency::idempotent) return true;
-    return allowance.idempotency == Idempotency::idempotent_with_key &&
-           allowance.deduplication_scope == DeduplicationScope::all &&
-           now < history.may_have_run_since + allowance.deduplication_window;
+bool may_promise_no_effect(const TunnelLimits& limits, const History& history, Ticks now) {
+    if (!history.may_have_run || limits.idempotency == Idempotency::idempotent) return true;
+    return limits.idempotency == Idempotency::idempotent_with_key &&
+           limits.deduplication_scope == DeduplicationScope::all &&
+           now < history.may_have_run_since + limits.deduplication_window;
 }
 
 Reason may_close_unanswered(const PendingInput& input) {
--- a/src/balance/attempt_policy.h
+++ b/src/balance/attempt_policy.h
@@ -31,7 +31,7 @@
 };
 
 // What the tunnel's settings allow.
-struct Allowance {
+struct TunnelLimits {
     Idempotency idempotency = Idempotency::non_idempotent;
     DeduplicationScope deduplication_scope = DeduplicationScope::cell;
     Ticks deduplication_window = 0;  // how long endpoints remember the mark of a referenced tunnel
@@ -41,17 +41,17 @@
 };
 
 // Whether a further attempt may be chosen after one that ended so.
-Reason may_retry(const Allowance& allowance, const History& history, Outcome last, Ticks now);
+Reason may_retry(const TunnelLimits& limits, const History& history, Outcome last, Ticks now);
 
 // An endpoint that was given less than this before its time was up is not judged by it.
-constexpr Ticks fair_wait(Ticks latency_objective) { return latency_objective / 2; }
+constexpr Ticks min_conclusive_wait(Ticks latency_objective) { return latency_objective / 2; }
 
 // Whether the line of an attempt that was chosen may still be written.
-Reason may_write(const Allowance& allowance, const History& before, const EndpointPhase& endpoint,
+Reason may_write(const TunnelLimits& limits, const History& before, const EndpointPhase& endpoint,
                  Ticks drain_grace, Ticks now, Ticks reserve = max_write_delay);
 
 // Whether the client of a tunnel that is given up may be told that a retry is harmless.
-bool may_promise_no_effect(const Allowance& allowance, const History& history, Ticks now);
+bool may_promise_no_effect(const TunnelLimits& limits, const History& history, Ticks now);
 
 // What a connection that awaits its first line holds when it would be closed without an answer.
 struct PendingInput {
--- a/src/balance/decision_engine.cpp
+++ b/src/balance/decision_engine.cpp
@@ -127,7 +127,7 @@
 
 bool DecisionEngine::restore_state(std::string_view bytes, Ticks clock_shift) {
     const bool read = state_codec_.read(bytes, clock_shift);
-    records_.each([this](const Record& record) { replicator_.observe_stamp(record.stamp); });
+    records_.for_each([this](const Record& record) { replicator_.observe_stamp(record.stamp); });
     slow_start_quota_.restart_quota_schedule();
     return read;
 }
--- a/src/balance/endpoint_list_poller.cpp
+++ b/src/balance/endpoint_list_poller.cpp
@@ -37,8 +37,9 @@
     if (list_kind_ == EndpointListKind::failed || list_kind_ == EndpointListKind::moved) {
         list_is_live_ = false;  // what the old place failed is not held against the new one
         if (list_kind_ == EndpointListKind::moved) list_backoff_.on_success();
-        poll_list_at_ = node_.now() +
-                        (list_kind_ == EndpointListKind::failed ? list_backoff_.on_failure(node_.draw()) : 0);
+        poll_list_at_ =
+            node_.now() +
+            (list_kind_ == EndpointListKind::failed ? list_backoff_.on_failure(node_.random_fraction()) : 0);
         node_.log_line("endpoint list lost, %d failures", list_backoff_.failures());
         return poll_endpoint_list();
     }
@@ -61,7 +62,7 @@
     for (auto& endpoint : endpoint_table_.endpoints())
         if (!node_.gossip_enabled())
             endpoint.health_checked_at =
-                node_.now() - node_.draw_delay(health_checks_.health_check_interval());
+                node_.now() - node_.random_delay(health_checks_.health_check_interval());
     if (node_.gossip_enabled() && gossip_budget_.load_totals_interval() < 4 * report_period)
         for (auto& p : peer_table_.peers()) p.load_totals_at = node_.now();
     load_.update_fleet_estimates();
@@ -73,7 +74,7 @@
 }
 
 void EndpointListPoller::start_polling() {
-    poll_list_at_ = node_.now() + node_.draw_delay(backoff::first_call_spread(node_.node_slots()));
+    poll_list_at_ = node_.now() + node_.random_delay(backoff::first_call_spread(node_.node_slots()));
     list_backoff_ = backoff::Backoff(std::max(second / 4, backoff::first_call_spread(node_.node_slots())));
 }
 
--- a/src/balance/endpoint_table.cpp
+++ b/src/balance/endpoint_table.cpp
@@ -26,7 +26,7 @@
         endpoint_ids_.push_back(id);
         endpoints_[index].id = id;
         endpoints_[index].load_by_node.assign(node_.node_slots(), 0);
-        endpoints_[index].health_checked_at = node_.now() - node_.draw_delay(health_check_period);
+        endpoints_[index].health_checked_at = node_.now() - node_.random_delay(health_check_period);
     }
     Endpoint& endpoint = endpoints_[index];
     if (started > endpoint.listed_start) endpoint.start_incarnation(started);
--- a/src/balance/id_index.h
+++ b/src/balance/id_index.h
@@ -38,7 +38,7 @@
         if (cells_[i].second == none) ++count_;
         cells_[i] = {id, index};
     }
-    void drop(std::uint64_t id) {
+    void erase(std::uint64_t id) {
         std::size_t i = home(id);
         while (cells_[i].second != none && cells_[i].first != id) i = next(i);
         if (cells_[i].second == none) return;
--- a/src/balance/load_estimator.h
+++ b/src/balance/load_estimator.h
@@ -27,7 +27,7 @@
     void learn_tunnel_load(std::uint32_t traffic_class, double measured);
     /// The usual load of a tunnel of a class.
     double usual_load(std::uint32_t traffic_class) const;
-    void set_record_sample(RecordTable::Sampled sample) { record_sample_ = sample; }
+    void set_record_sample(RecordTable::SampledLoad sample) { record_sample_ = sample; }
     /// Fades what is remembered only for seconds.
     void decay_recent_loads();
     double mean_load() const;
@@ -89,7 +89,7 @@
     std::vector<RecentPlacement> recent_placements_;
     std::vector<RunningMean> traffic_class_load_;
     RunningMean overall_load_;
-    RecordTable::Sampled record_sample_;  // as of the last scan of the records
+    RecordTable::SampledLoad record_sample_;  // as of the last scan of the records
     double capacity_per_size_ = 2.5;
     double fleet_utilization_ = 0;
     double recent_open_ = 0;          // tunnels opened lately
--- a/src/balance/load_reporter.cpp
+++ b/src/balance/load_reporter.cpp
@@ -127,6 +127,8 @@
     last_published_at_ = node_.now();
 }
 
-void LoadReporter::start_publishing() { last_published_at_ = node_.now() - node_.draw_delay(report_period); }
+void LoadReporter::start_publishing() {
+    last_published_at_ = node_.now() - node_.random_delay(report_period);
+}
 
 }  // namespace lemonstair
--- a/src/balance/node_context.cpp
+++ b/src/balance/node_context.cpp
@@ -14,12 +14,14 @@
     update_traffic_class_totals();
 }
 
-double NodeContext::draw() {
+double NodeContext::random_fraction() {
     return static_cast<double>(rng_() - std::minstd_rand::min()) /
            (static_cast<double>(std::minstd_rand::max() - std::minstd_rand::min()) + 1.0);
 }
 
-Ticks NodeContext::draw_delay(Ticks below) { return static_cast<Ticks>(draw() * static_cast<double>(below)); }
+Ticks NodeContext::random_delay(Ticks below) {
+    return static_cast<Ticks>(random_fraction() * static_cast<double>(below));
+}
 
 bool NodeContext::gossip_enabled() const { return config_.limits.gossip_enabled && node_slots() > 1; }
 
--- a/src/balance/node_context.h
+++ b/src/balance/node_context.h
@@ -27,8 +27,8 @@
     std::uint32_t count_tick() { return ++tick_count_value_; }
     /// 0 is the periodic tick's.
     static constexpr std::uint64_t tick_timer = 0;
-    double draw();
-    Ticks draw_delay(Ticks below);
+    double random_fraction();
+    Ticks random_delay(Ticks below);
     template <class... Figures>
     void log_line(const char* format, Figures... figures) {
         std::array<char, 160> line{};
--- a/src/balance/placement.cpp
+++ b/src/balance/placement.cpp
@@ -65,7 +65,7 @@
     if (total <= 0 || too_costly_ || (waits_for_lease(tunnel) && least - quota_short_cost_ > lease_min_gain))
         return none;
     if (uses_key_hash(tunnel)) return draw_by_key(tunnel.key);
-    double remaining = node_.draw() * total;
+    double remaining = node_.random_fraction() * total;
     std::uint32_t last = none;
     for (std::uint32_t i = 0; i < endpoint_table_.endpoints().size(); ++i) {
         if (weights_[i] <= 0) continue;
--- a/src/balance/reason.h
+++ b/src/balance/reason.h
@@ -33,10 +33,10 @@
     count
 };
 
-constexpr std::size_t reasons = static_cast<std::size_t>(Reason::count);
+constexpr std::size_t reason_count = static_cast<std::size_t>(Reason::count);
 
 constexpr std::string_view name_of(Reason reason) {
-    constexpr std::array<std::string_view, reasons> names{
+    constexpr std::array<std::string_view, reason_count> names{
         "allowed",     "client_gone",       "no_time_left",       "attempts_used", "may_have_run",
         "window_over", "endpoint_draining", "failing_everywhere", "local_failure", "admission_closed",
         "too_costly",  "no_endpoint",       "node_full",          "bad_client",    "input_unread",
--- a/src/balance/rebalancer.cpp
+++ b/src/balance/rebalancer.cpp
@@ -54,7 +54,8 @@
                                : (utilization - migrate_above) / utilization * endpoint.own_load;
     while (left > 0 && migration_tokens_ >= 1) {
         const std::uint32_t candidate = best_migration(endpoint, utilization, unresponsive);
-        if (candidate == none || node_.draw() * tunnel_table_.tunnels()[candidate].load > left) return;
+        if (candidate == none || node_.random_fraction() * tunnel_table_.tunnels()[candidate].load > left)
+            return;
         left -= tunnel_table_.tunnels()[candidate].load;
         migration_tokens_ -= 1;
         tunnel_table_.transition_to(candidate, TunnelState::migrating);
@@ -65,9 +66,9 @@
 std::uint32_t Rebalancer::best_migration(const Endpoint& source, double utilization, bool unresponsive) {
     std::uint32_t best = none;
     double best_gain = migration_min_gain;
-    for (std::uint32_t index = 0; index < tunnel_table_.tunnels().places(); ++index) {
+    for (std::uint32_t index = 0; index < tunnel_table_.tunnels().slot_count(); ++index) {
         const TrackedTunnel& tunnel = tunnel_table_.tunnels()[index];
-        if (!tunnel_table_.tunnels().used(index) || tunnel.state != TunnelState::open ||
+        if (!tunnel_table_.tunnels().in_use(index) || tunnel.state != TunnelState::open ||
             &endpoint_table_.endpoints()[tunnel.endpoint_index] != &source)
             continue;
         // A group's copy leaves with its last member: each member counts for its part of the copy.
--- a/src/balance/record_replicator.cpp
+++ b/src/balance/record_replicator.cpp
@@ -55,8 +55,8 @@
 void RecordReplicator::rereplicate_records(std::uint32_t node, bool alive) {
     peer_table_.peers()[node].alive = true;
     std::vector<std::uint32_t> through;
-    for (std::uint32_t i = 0; i < tunnel_table_.tunnels().places(); ++i)
-        if (tunnel_table_.tunnels().used(i) && tunnel_table_.tunnels()[i].state == TunnelState::open &&
+    for (std::uint32_t i = 0; i < tunnel_table_.tunnels().slot_count(); ++i)
+        if (tunnel_table_.tunnels().in_use(i) && tunnel_table_.tunnels()[i].state == TunnelState::open &&
             peer_table_.on_chain(tunnel_table_.tunnels()[i].key, node))
             through.push_back(i);
     peer_table_.peers()[node].alive = alive;
@@ -122,8 +122,8 @@
 void RecordReplicator::refresh() {
     if (node_.now() - records_scanned_at_ < second) return;
     records_scanned_at_ = node_.now();
-    for (std::uint32_t i = 0; i < tunnel_table_.tunnels().places(); ++i)
-        if (tunnel_table_.tunnels().used(i) && tunnel_table_.tunnels()[i].state == TunnelState::open &&
+    for (std::uint32_t i = 0; i < tunnel_table_.tunnels().slot_count(); ++i)
+        if (tunnel_table_.tunnels().in_use(i) && tunnel_table_.tunnels()[i].state == TunnelState::open &&
             tunnel_table_.tunnels()[i].has_key &&
             node_.now() >= tunnel_table_.tunnels()[i].refresh_records_at)
             publish(tunnel_table_.tunnels()[i]);
--- a/src/balance/record_table.h
+++ b/src/balance/record_table.h
@@ -28,7 +28,7 @@
     bool put(const Record& record) {
         std::uint32_t index = index_.find(record.key);
         if (index == IdIndex::none) {
-            index = records_.take();
+            index = records_.allocate();
             ++size_;
             index_.put(record.key, index);
         } else {
@@ -46,30 +46,30 @@
         const std::uint32_t index = index_.find(key);
         if (index == IdIndex::none) return;
         count(records_[index], -1);
-        index_.drop(key);
-        records_.give_back(index);
+        index_.erase(key);
+        records_.release(index);
         --size_;
     }
     void erase_older_than(Ticks when) {
-        for (std::uint32_t i = 0; i < records_.places(); ++i)
-            if (records_.used(i) && records_[i].heard_at < when) erase(records_[i].key);
+        for (std::uint32_t i = 0; i < records_.slot_count(); ++i)
+            if (records_.in_use(i) && records_[i].heard_at < when) erase(records_[i].key);
     }
     std::size_t size() const { return size_; }
-    template <class Each>
-    void each(Each&& each) const {
-        for (std::uint32_t i = 0; i < records_.places(); ++i)
-            if (records_.used(i)) each(records_[i]);
+    template <class Visit>
+    void for_each(Visit&& visit) const {
+        for (std::uint32_t i = 0; i < records_.slot_count(); ++i)
+            if (records_.in_use(i)) visit(records_[i]);
     }
     GroupTable& groups() { return groups_; }
     const GroupTable& groups() const { return groups_; }
     // Loads of the tunnels whose records are held as their carrier or on their chain, and the part placed
     // before `born`. Records of ended tunnels stay, so only those refreshed since count.
-    struct Sampled {
+    struct SampledLoad {
         double load = 0, older = 0;
     };
-    Sampled sampled(Ticks since, Ticks born) const {
-        Sampled sum;
-        each([&](const Record& record) {
+    SampledLoad sampled(Ticks since, Ticks born) const {
+        SampledLoad sum;
+        for_each([&](const Record& record) {
             if (!record.sampled || record.heard_at < since) return;
             sum.load += record.load;
             sum.older += record.stamp < born ? record.load : 0;
--- a/src/balance/slab.h
+++ b/src/balance/slab.h
@@ -1,4 +1,4 @@
-/// Slab: values in numbered places that are reused; a place's serial tells one use of it from the next.
+/// Slab: values in numbered places that are reused; a place's generation tells one use of it from the next.
 #pragma once
 #include <cstdint>
 #include <vector>
@@ -8,35 +8,35 @@
 template <class T>
 class Slab {
   public:
-    std::uint32_t take() {
+    std::uint32_t allocate() {
         if (free_.empty()) {
-            places_.emplace_back();
-            return static_cast<std::uint32_t>(places_.size() - 1);
+            slots_.emplace_back();
+            return static_cast<std::uint32_t>(slots_.size() - 1);
         }
-        const std::uint32_t at = free_.back();
+        const std::uint32_t index = free_.back();
         free_.pop_back();
-        places_[at].used = true;
-        return at;
+        slots_[index].used = true;
+        return index;
     }
-    void give_back(std::uint32_t at) {
-        places_[at].value = T{};
-        places_[at].used = false;
-        ++places_[at].serial;
-        free_.push_back(at);
+    void release(std::uint32_t index) {
+        slots_[index].value = T{};
+        slots_[index].used = false;
+        ++slots_[index].generation;
+        free_.push_back(index);
     }
-    T& operator[](std::uint32_t at) { return places_[at].value; }
-    const T& operator[](std::uint32_t at) const { return places_[at].value; }
-    bool used(std::uint32_t at) const { return at < places_.size() && places_[at].used; }
-    std::uint32_t serial(std::uint32_t at) const { return places_[at].serial; }
-    std::uint32_t places() const { return static_cast<std::uint32_t>(places_.size()); }
+    T& operator[](std::uint32_t index) { return slots_[index].value; }
+    const T& operator[](std::uint32_t index) const { return slots_[index].value; }
+    bool in_use(std::uint32_t index) const { return index < slots_.size() && slots_[index].used; }
+    std::uint32_t generation(std::uint32_t index) const { return slots_[index].generation; }
+    std::uint32_t slot_count() const { return static_cast<std::uint32_t>(slots_.size()); }
 
   private:
-    struct Place {
+    struct Slot {
         T value{};
-        std::uint32_t serial = 0;
+        std::uint32_t generation = 0;
         bool used = true;
     };
-    std::vector<Place> places_;
+    std::vector<Slot> slots_;
     std::vector<std::uint32_t> free_;
 };
 
--- a/src/balance/state_codec.cpp
+++ b/src/balance/state_codec.cpp
@@ -119,7 +119,7 @@
     for (const RecentPlacement& placement : load_.recent_placements_)
         transfer(out, endpoints[placement.endpoint_index].id, placement.placed_at, placement.load);
     out.value(static_cast<std::uint32_t>(records_.size()));
-    records_.each([&](const Record& record) {
+    records_.for_each([&](const Record& record) {
         transfer(out, record.key, record.stamp, record.heard_at, record.endpoint_id, record.group,
                  record.load, record.sampled);
     });
--- a/src/balance/tunnel_lifecycle.cpp
+++ b/src/balance/tunnel_lifecycle.cpp
@@ -67,7 +67,7 @@
 
 void TunnelLifecycle::on_tunnel_timer(std::uint64_t label) {
     const auto index = static_cast<std::uint32_t>((label - 1) & 0xffffffffU);
-    if (!tunnel_table_.tunnels().used(index) || tunnel_table_.timer_label(index) != label) return;
+    if (!tunnel_table_.tunnels().in_use(index) || tunnel_table_.timer_label(index) != label) return;
     TrackedTunnel& tunnel = tunnel_table_.tunnels()[index];
     if (tunnel.state == TunnelState::waiting && tunnel.lease_wait_until != 0) return retry(index);
     if (tunnel.state != TunnelState::looking_up || node_.now() < tunnel.wait_until) return;
@@ -107,8 +107,8 @@
     if (index == none || attempt + 1 != tunnel_table_.tunnels()[index].attempts) return;
     TrackedTunnel& tunnel = tunnel_table_.tunnels()[index];
     if (tunnel.state == TunnelState::setting_up) {
-        const Ticks fair_wait =
-            attempt_policy::fair_wait(node_.config().traffic_classes[tunnel.traffic_class].latency_objective);
+        const Ticks fair_wait = attempt_policy::min_conclusive_wait(
+            node_.config().traffic_classes[tunnel.traffic_class].latency_objective);
         const bool too_short = outcome == Outcome::timed_out && took < fair_wait;
         if (!too_short)
             outliers_.record_own_outcome(endpoint_table_.endpoints()[tunnel.endpoint_index], outcome);
@@ -139,14 +139,14 @@
         return Reason::client_gone;
     const TrackedTunnel& tunnel = tunnel_table_.tunnels()[index];
     const Endpoint& endpoint = endpoint_table_.endpoints()[tunnel.endpoint_index];
-    return attempt_policy::may_write(allowance_of(tunnel), history_of(tunnel),
+    return attempt_policy::may_write(limits_of(tunnel), history_of(tunnel),
                                      {endpoint.state, endpoint.drain_notified_at},
                                      node_.config().rules.drain_grace, node_.now(), reserve);
 }
 
 void TunnelLifecycle::set_answer_deadline(Ticks when) {
-    for (std::uint32_t i = 0; i < tunnel_table_.tunnels().places(); ++i)
-        if (tunnel_table_.tunnels().used(i))
+    for (std::uint32_t i = 0; i < tunnel_table_.tunnels().slot_count(); ++i)
+        if (tunnel_table_.tunnels().in_use(i))
             tunnel_table_.tunnels()[i].deadline = std::min(tunnel_table_.tunnels()[i].deadline, when);
     for (const auto i : tunnel_table_.waiting_tunnels())
         tunnel_table_.tunnels()[i].wait_until =
@@ -207,7 +207,7 @@
         endpoint_table_.endpoint_by_id().find(StateCodec::read_tunnel(bytes, tunnel, clock_shift));
     if (tunnel.endpoint_index == none || tunnel.traffic_class >= node_.config().traffic_classes.size())
         return false;
-    const std::uint32_t index = tunnel_table_.tunnels().take();
+    const std::uint32_t index = tunnel_table_.tunnels().allocate();
     tunnel_table_.tunnels()[index] = tunnel;
     tunnel_table_.tunnel_by_id().put(id, index);
     tunnel_table_.transition_to(index, TunnelState::open);
@@ -259,7 +259,7 @@
 void TunnelLifecycle::finish(std::uint32_t index, Reason reason) {
     TrackedTunnel& tunnel = tunnel_table_.tunnels()[index];
     node_.delegate().report_reason(tunnel.id, reason);
-    if (attempt_policy::may_promise_no_effect(allowance_of(tunnel), history_of(tunnel), node_.now()))
+    if (attempt_policy::may_promise_no_effect(limits_of(tunnel), history_of(tunnel), node_.now()))
         node_.delegate().reject(
             tunnel.id, std::min(node_.config().limits.max_retry_after,
                                 node_.config().traffic_classes[tunnel.traffic_class].latency_objective));
@@ -275,12 +275,12 @@
     if (record != nullptr && record->stamp == tunnel.stamp && tunnel.endpoint_index != none &&
         record->endpoint_id == endpoint_table_.endpoints()[tunnel.endpoint_index].id)
         records_.erase(tunnel.key);
-    tunnel_table_.tunnel_by_id().drop(tunnel.id);
-    tunnel_table_.tunnels().give_back(index);
+    tunnel_table_.tunnel_by_id().erase(tunnel.id);
+    tunnel_table_.tunnels().release(index);
 }
 
 std::uint32_t TunnelLifecycle::track_tunnel(std::uint64_t id, const TunnelRequest& request) {
-    const std::uint32_t index = tunnel_table_.tunnels().take();
+    const std::uint32_t index = tunnel_table_.tunnels().allocate();
     TrackedTunnel& tunnel = tunnel_table_.tunnels()[index];
     tunnel = {.id = id,
               .deadline = request.deadline,
@@ -318,7 +318,7 @@
                                     2 * node_.config().clock_resolution) == Reason::allowed;
 }
 
-attempt_policy::Allowance TunnelLifecycle::allowance_of(const TrackedTunnel& tunnel) const {
+attempt_policy::TunnelLimits TunnelLifecycle::limits_of(const TrackedTunnel& tunnel) const {
     const TrafficClass& traffic_class = node_.config().traffic_classes[tunnel.traffic_class];
     return {traffic_class.idempotency,
             traffic_class.deduplication_scope,
@@ -334,7 +334,7 @@
 
 Reason TunnelLifecycle::may_retry(const TrackedTunnel& tunnel, Outcome outcome) {
     const Reason reason =
-        attempt_policy::may_retry(allowance_of(tunnel), history_of(tunnel), outcome, node_.now());
+        attempt_policy::may_retry(limits_of(tunnel), history_of(tunnel), outcome, node_.now());
     if (reason != Reason::allowed) return reason;
     // Where most setups fail everywhere, a retry would only add load.
     if (outcome == Outcome::timed_out &&
--- a/src/balance/tunnel_lifecycle.h
+++ b/src/balance/tunnel_lifecycle.h
@@ -71,7 +71,7 @@
     void retry(std::uint32_t index);
     // Whether the endpoint that holds a tunnel may be sent it: until the grace of a drain is over.
     bool may_send_sticky(const Endpoint& endpoint) const;
-    attempt_policy::Allowance allowance_of(const TrackedTunnel& tunnel) const;
+    attempt_policy::TunnelLimits limits_of(const TrackedTunnel& tunnel) const;
     static attempt_policy::History history_of(const TrackedTunnel& tunnel);
     // The one place that decides whether a retry may begin.
     Reason may_retry(const TrackedTunnel& tunnel, Outcome outcome);
--- a/src/balance/tunnel_table.cpp
+++ b/src/balance/tunnel_table.cpp
@@ -13,7 +13,7 @@
 
 void TunnelTable::transition_to(std::uint32_t index, TunnelState next) {
     TrackedTunnel& tunnel = tunnels_[index];
-    if (tunnel.state == TunnelState::looking_up && tunnel.has_key) lookups_.drop(tunnel.key);
+    if (tunnel.state == TunnelState::looking_up && tunnel.has_key) lookups_.erase(tunnel.key);
     const auto carries = [](TunnelState s) { return s == TunnelState::setting_up || s == TunnelState::open; };
     if (carries(tunnel.state) && !carries(next))
         --endpoint_table_.endpoints()[tunnel.endpoint_index].open_tunnels,
@@ -30,7 +30,7 @@
 }
 
 std::uint64_t TunnelTable::timer_label(std::uint32_t index) const {
-    return (std::uint64_t{tunnels_.serial(index)} << 32 | index) + 1;
+    return (std::uint64_t{tunnels_.generation(index)} << 32 | index) + 1;
 }
 
 }  // namespace lemonstair
--- a/src/metrics/resource_counters.cpp
+++ b/src/metrics/resource_counters.cpp
@@ -20,7 +20,7 @@
     write("setups", now.setups, before.setups);
     for (std::size_t i = 0; i < outcome_count; ++i)
         write(outcome_names[i], now.attempts[i], before.attempts[i]);
-    for (std::size_t i = 0; i < reasons; ++i)
+    for (std::size_t i = 0; i < reason_count; ++i)
         write("reason_" + std::string(name_of(static_cast<Reason>(i))), now.by_reason[i],
               before.by_reason[i]);
     for (std::size_t i = 0; i < invariant_count; ++i)
--- a/src/metrics/resource_counters.h
+++ b/src/metrics/resource_counters.h
@@ -22,7 +22,7 @@
     std::uint64_t setups = 0;                             // attempts begun
     std::array<std::uint64_t, outcome_count> attempts{};  // ended, by Outcome
     // By Reason: final answers that open nothing, and attempts withdrawn before they were written.
-    std::array<std::uint64_t, reasons> by_reason{};
+    std::array<std::uint64_t, reason_count> by_reason{};
     Violations violations{};
     std::uint64_t processor_us = 0;
 
--- a/src/tunnel/acceptor.cpp
+++ b/src/tunnel/acceptor.cpp
@@ -126,8 +126,8 @@
 
 // Also where the first bytes are still with the system.
 bool Acceptor::any_request_begun() {
-    for (std::uint32_t index = 0; index < registry_.tunnels.places(); ++index) {
-        if (!registry_.tunnels.used(index)) continue;
+    for (std::uint32_t index = 0; index < registry_.tunnels.slot_count(); ++index) {
+        if (!registry_.tunnels.in_use(index)) continue;
         const Tunnel& tunnel = registry_.tunnels[index];
         if (tunnel.state != TunnelState::reading_request) continue;
         std::array<char, 1> next{};
--- a/src/tunnel/attempt.cpp
+++ b/src/tunnel/attempt.cpp
@@ -264,7 +264,8 @@
     if (tunnel.state == TunnelState::awaiting_answer) return on_failed(id, Outcome::timed_out);
     // An endpoint that had next to no time to accept, since the client had none left, is not to blame.
     const Ticks objective = registry_.config.balancer.traffic_classes[tunnel.traffic_class].latency_objective;
-    const Ticks fair = std::min(registry_.config.connect_timeout, attempt_policy::fair_wait(objective));
+    const Ticks fair =
+        std::min(registry_.config.connect_timeout, attempt_policy::min_conclusive_wait(objective));
     const bool had_time = now - tunnel.attempt_started >= fair;
     on_failed(id, had_time ? Outcome::unreachable : Outcome::withdrawn);
 }
--- a/src/tunnel/transfer.cpp
+++ b/src/tunnel/transfer.cpp
@@ -52,10 +52,10 @@
 }
 
 bool Transfer::next_transferable(TunnelId& id, std::string& bytes) {
-    for (std::uint32_t searched = 0; searched < registry_.tunnels.places(); ++searched) {
-        if (next_index_ >= registry_.tunnels.places()) next_index_ = 0;
+    for (std::uint32_t searched = 0; searched < registry_.tunnels.slot_count(); ++searched) {
+        if (next_index_ >= registry_.tunnels.slot_count()) next_index_ = 0;
         const std::uint32_t index = next_index_++;
-        if (!registry_.tunnels.used(index) || !is_transferable(registry_.tunnels[index])) continue;
+        if (!registry_.tunnels.in_use(index) || !is_transferable(registry_.tunnels[index])) continue;
         id = registry_.id_of(index);
         Tunnel& tunnel = registry_.tunnels[index];
         serialize(id, tunnel, bytes);
--- a/src/tunnel/tunnel_registry.cpp
+++ b/src/tunnel/tunnel_registry.cpp
@@ -43,7 +43,7 @@
 
 TunnelId TunnelRegistry::add(net::Fd client, AcceptedFor purpose) {
     const bool reject_only = purpose == AcceptedFor::rejection;
-    const std::uint32_t index = tunnels.take();
+    const std::uint32_t index = tunnels.allocate();
     tunnels[index].reject_only = reject_only;
     reject_only_count_ += reject_only ? 1 : 0;
     tunnels[index].client = make_socket(id_of(index), Side::client, std::move(client), POLLIN);
@@ -55,12 +55,12 @@
 // opened twice.
 void TunnelRegistry::release_id(const Tunnel& tunnel, std::uint32_t index) {
     if (by_id_hash.find(tunnel.id_hash) != index) return;
-    by_id_hash.drop(tunnel.id_hash);
+    by_id_hash.erase(tunnel.id_hash);
     if (tunnel.state != TunnelState::open && tunnel.state != TunnelState::migrating &&
         tunnel.state != TunnelState::transferring)
         return;
     std::uint64_t& oldest = recent_id_hashes_[next_recent_++ % recent_id_hashes_.size()];
-    if (oldest != 0 && by_id_hash.find(oldest) == recently_closed) by_id_hash.drop(oldest);
+    if (oldest != 0 && by_id_hash.find(oldest) == recently_closed) by_id_hash.erase(oldest);
     oldest = tunnel.id_hash;
     by_id_hash.put(tunnel.id_hash, recently_closed);
 }
@@ -119,7 +119,7 @@
     --tunnel_count_;
     const bool was_reject_only = tunnel.reject_only;
     reject_only_count_ -= was_reject_only ? 1 : 0;
-    tunnels.give_back(static_cast<std::uint32_t>(id));
+    tunnels.release(static_cast<std::uint32_t>(id));
     // The descriptor that it gave back came from the spares.
     if (was_reject_only) descriptors.refill_spares();
 }
--- a/src/tunnel/tunnel_registry.h
+++ b/src/tunnel/tunnel_registry.h
@@ -62,20 +62,20 @@
           tunnel_counters(node_config.traffic_class_names.size()) {}
 
     TunnelId id_of(std::uint32_t index) const {
-        return TunnelId{tunnels.serial(index) & 0x7fffffffU} << 32 | index;
+        return TunnelId{tunnels.generation(index) & 0x7fffffffU} << 32 | index;
     }
     // Null where the tunnel is gone.
     Tunnel* find(TunnelId id) {
         const auto index = static_cast<std::uint32_t>(id);
-        return tunnels.used(index) && id_of(index) == id ? &tunnels[index] : nullptr;
+        return tunnels.in_use(index) && id_of(index) == id ? &tunnels[index] : nullptr;
     }
     // A tunnel for an accepted client, in no state yet: a transition must follow.
     TunnelId add(net::Fd client, AcceptedFor purpose);
     // Calls visit(index, tunnel) for each tunnel in use, in the order of slots.
     template <class Visit>
     void for_each(Visit&& visit) {
-        for (std::uint32_t index = 0; index < tunnels.places(); ++index)
-            if (tunnels.used(index)) visit(index, tunnels[index]);
+        for (std::uint32_t index = 0; index < tunnels.slot_count(); ++index)
+            if (tunnels.in_use(index)) visit(index, tunnels[index]);
     }
     // A socket of a tunnel, whose events go to the stage that the tunnel's state names.
     net::Socket make_socket(TunnelId id, Side side, net::Fd fd, short events) {
--- a/tests/clock_skew_test.cpp
+++ b/tests/clock_skew_test.cpp
@@ -34,14 +34,14 @@
         NodeFixture fixture({.slow_start = R"(,"cold":2,"cold_from":0.1,"fall":1.0,"tip_multiple":1)"},
                             ahead);
         Watch watch(fixture);
-        watch.tell(NodeFixture::member("a", fixture.host_a) + "," + NodeFixture::member("b", fixture.host_b),
-                   true);
+        watch.send_list(
+            NodeFixture::member("a", fixture.host_a) + "," + NodeFixture::member("b", fixture.host_b), true);
         fixture.run_for(20);
         const auto unix_now = std::chrono::system_clock::now().time_since_epoch();
         const auto started = std::chrono::duration_cast<std::chrono::milliseconds>(unix_now).count();
         std::string member = NodeFixture::member("a", fixture.host_a);
         member.replace(member.find("\"up_since_ms\":0"), 15, "\"up_since_ms\":" + std::to_string(started));
-        watch.tell(member, false);
+        watch.send_list(member, false);
         fixture.run_for(30);
         CHECK(opened_at_first(fixture, 30) <= 5);
         fixture.run_for(2600);
--- a/tests/deadline_race_test.cpp
+++ b/tests/deadline_race_test.cpp
@@ -62,9 +62,9 @@
             if (TestConnection e = d->accept(); e.fd.open()) hosts.push_back(std::move(e));
         return !hosts.empty();
     }));
-    watch.tell(NodeFixture::member("a", fixture.host_a, "terminating") + "," +
-                   NodeFixture::member("b", fixture.host_b, "terminating"),
-               true);
+    watch.send_list(NodeFixture::member("a", fixture.host_a, "terminating") + "," +
+                        NodeFixture::member("b", fixture.host_b, "terminating"),
+                    true);
     fixture.run_for(500);
     for (TestConnection& host : hosts) CHECK(!host.has_received("OPEN"));
     CHECK(fixture.run_until([&] { return client.has_received("\r\n"); }));
--- a/tests/watch_fixture.h
+++ b/tests/watch_fixture.h
@@ -20,7 +20,7 @@
         connection_.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         fixture.run_for(20);
     }
-    void tell(const std::string& members, bool complete) {
+    void send_list(const std::string& members, bool complete) {
         const std::string list = R"({"revision":)" + std::to_string(++revision_) + R"(,"complete":)" +
                                  (complete ? "true" : "false") + R"(,"members":[)" + members + "]}\n";
         std::array<char, 16> size{};
