--- a/src/balance/attempt_policy.cpp
+++ b/src/balance/attempt_policy.cpp
@@ -4,14 +4,15 @@
 
 namespace {
 
-// With less time than this an attempt could not end before its client gives up.
+// With less time left, in units of the clock resolution, an attempt could not end before its client gives up.
 constexpr Ticks min_remaining_resolutions = 4;
 
+// Whether another attempt, written within `reserve`, can have no second effect.
 Reason deduplication_holds(const TunnelLimits& limits, const History& history, Ticks now, Ticks reserve) {
     if (!history.may_have_run || limits.idempotency == Idempotency::idempotent) return Reason::allowed;
     if (limits.idempotency == Idempotency::non_idempotent) return Reason::may_have_run;
-    const bool known = now + reserve < history.may_have_run_since + limits.deduplication_window;
-    return known ? Reason::allowed : Reason::window_over;
+    const bool key_remembered = now + reserve < history.may_have_run_since + limits.deduplication_window;
+    return key_remembered ? Reason::allowed : Reason::window_over;
 }
 
 }  // namespace
--- a/src/balance/attempt_policy.h
+++ b/src/balance/attempt_policy.h
@@ -1,8 +1,8 @@
-/// Attempt policy: the one place that decides whether an attempt may be sent, repeated, or declined with the
-// promise that it had no effect, and whether a connection or the process may be closed now. Pure functions of
-// what the caller knows; the clock is an argument. The decision module asks them when it chooses, the network
-// code asks again in the instant in which the first byte would be written: between the two lie the time that
-// a connection takes to come up and whatever has held the process up.
+/// Attempt policy: the rules for sending and repeating attempts, for rejecting a tunnel with the promise that
+/// it had no effect, and for closing a connection or the process. All are pure functions; the time is an
+/// argument. The decision engine applies them when it chooses an endpoint. The network code applies them
+/// again immediately before it writes the first byte, because connecting takes time and the process may have
+/// been stalled in between.
 #pragma once
 
 #include <cstddef>
@@ -12,60 +12,65 @@
 
 namespace lemonstair::attempt_policy {
 
-// For so long at most a process may be held up between reading its clock and writing (STANDING).
+/// The longest stall of the process, between reading its clock and writing, that the rules must tolerate.
 constexpr Ticks max_write_delay = 1500;
 
-// An attempt at an endpoint that leaves service is allowed until the grace of its drain is over.
+/// The part of an endpoint's state that decides whether it may be sent to.
 struct EndpointPhase {
     EndpointState state = EndpointState::active;
     Ticks drain_notified_at = 0;
 };
-// `reserve`: the time that may pass until it is written.
+/// Whether an attempt may be sent to the endpoint within `reserve`: always while it is active, otherwise
+/// until its drain grace ends.
 Reason may_send(const EndpointPhase& endpoint, Ticks drain_grace, Ticks now, Ticks reserve = max_write_delay);
 
-// What has been tried for one tunnel.
+/// The attempts made so far for one tunnel.
 struct History {
     int attempts = 0;
-    bool may_have_run = false;
+    bool may_have_run = false;     // an endpoint may have executed one of them
     Ticks may_have_run_since = 0;  // when the first attempt that may have run was sent
 };
 
-// What the tunnel's settings allow.
+/// The limits for one tunnel, from its traffic class and its request.
 struct TunnelLimits {
     Idempotency idempotency = Idempotency::non_idempotent;
     DeduplicationScope deduplication_scope = DeduplicationScope::cell;
-    Ticks deduplication_window = 0;  // how long endpoints remember the mark of a referenced tunnel
+    Ticks deduplication_window = 0;  // how long endpoints remember an idempotency key
     int max_attempts = 1;
     Ticks deadline = 0;
     Ticks clock_resolution = 0;
 };
 
-// Whether a further attempt may be chosen after one that ended so.
+/// Whether another attempt may be made after one that ended with the outcome `last`.
 Reason may_retry(const TunnelLimits& limits, const History& history, Outcome last, Ticks now);
 
-// An endpoint that was given less than this before its time was up is not judged by it.
+/// The shortest wait after which a timeout counts against the endpoint: a shorter one proves nothing about
+/// it.
 constexpr Ticks min_conclusive_wait(Ticks latency_objective) { return latency_objective / 2; }
 
-// Whether the line of an attempt that was chosen may still be written.
+/// Whether a chosen attempt may still be written within `reserve`. `before`: the attempts before this one.
 Reason may_write(const TunnelLimits& limits, const History& before, const EndpointPhase& endpoint,
                  Ticks drain_grace, Ticks now, Ticks reserve = max_write_delay);
 
-// Whether the client of a tunnel that is given up may be told that a retry is harmless.
+/// Whether the client of a tunnel that is given up may be told that a retry is harmless.
 bool may_promise_no_effect(const TunnelLimits& limits, const History& history, Ticks now);
 
-// What a connection that awaits its first line holds when it would be closed without an answer.
+/// The input of a connection that may be closed before its first line was answered.
 struct PendingInput {
-    std::size_t unread = 0;      // bytes that the system holds
-    bool complete_line = false;  // a line has been read and not been answered
+    std::size_t unread = 0;      // bytes in the kernel's receive buffer
+    bool complete_line = false;  // a line has been read but not answered
 };
+/// Whether the connection may be closed without an answer: only if none of its input
+/// is unanswered.
 Reason may_close_unanswered(const PendingInput& input);
 
-// What a process that would exit still owes.
+/// The work that must be finished before the process may exit.
 struct Obligations {
-    std::size_t tunnels = 0;        // without a final answer, or with last words on their way
-    bool clients_mid_line = false;  // their first line has begun
-    bool listener_empty = true;     // the system said so, in this pass
+    std::size_t tunnels = 0;        // without a final answer, or with one not sent completely
+    bool clients_mid_line = false;  // some client has sent a part of its first line
+    bool listener_empty = true;  // the kernel reported no pending connection in this pass of the event loop
 };
+/// Whether the process may exit now.
 Reason may_exit(const Obligations& obligations);
 
 }  // namespace lemonstair::attempt_policy
--- a/src/balance/balance.h
+++ b/src/balance/balance.h
@@ -1,6 +1,6 @@
-/// The interface of the decision engine. A host program (a node's event loop, the simulator adapter) owns one
-/// Balancer per node, turns what it sees into the calls below and carries out what the Balancer asks of its
-/// delegate. Times are whole tenths of a millisecond of the host's monotonic clock.
+/// The interface of the decision engine. A host program (a node's event loop or the simulator adapter) owns
+/// one Balancer per node, translates its events into the calls below, and carries out what the Balancer
+/// requests through its delegate. The Balancer does no I/O and reads no clock of its own.
 #pragma once
 #include <cstdint>
 #include <limits>
@@ -14,19 +14,24 @@
 
 namespace lemonstair {
 
+/// A point in time or a duration, in tenths of a millisecond. Points in time are on the host's monotonic
+/// clock.
 using Ticks = std::int64_t;
 
 enum class Idempotency : std::uint8_t { idempotent, idempotent_with_key, non_idempotent };
-enum class DeduplicationScope : std::uint8_t {
-    all,
-    zone,
-    cell
-};  // which endpoints drop the repeats of a tunnel with a key
+/// Which endpoints recognize a repeated attempt by its idempotency key: all of them, or only those in the
+/// zone or the cell of the endpoint that received the first one.
+enum class DeduplicationScope : std::uint8_t { all, zone, cell };
 enum class EndpointState : std::uint8_t { active, draining, removed };
-// moved: another service holds the list now, and has not sent it yet.
-enum class EndpointListKind : std::uint8_t { changes, complete, cached, failed, moved };
-// withdrawn: it was never written, since its time, its endpoint or its client had gone; the endpoint is not
-// to blame.
+/// What an endpoint list contains.
+enum class EndpointListKind : std::uint8_t {
+    changes,   // only the entries that changed
+    complete,  // all entries; what it omits has been removed
+    cached,    // an older complete list, used until discovery answers
+    failed,    // no entries: the request to discovery failed
+    moved      // no entries: another discovery service is responsible now and has not sent its list yet
+};
+/// How an attempt, an open tunnel or a health check ended.
 enum class Outcome : std::uint8_t {
     ok,
     error,
@@ -35,117 +40,130 @@
     unreachable,
     connection_lost,
     cancelled,
-    not_sent,
-    withdrawn
+    not_sent,  // a fault of this process kept it from being sent
+    withdrawn  // never written, because it was too late, the endpoint was draining or the client was gone
 };
 constexpr std::size_t outcome_count = static_cast<std::size_t>(Outcome::withdrawn) + 1;
 
-/// Whether an outcome proves that the attempt never ran.
+/// Whether an outcome proves that the endpoint never executed the attempt.
 constexpr bool never_executed(Outcome outcome) {
     return outcome == Outcome::overloaded || outcome == Outcome::unreachable ||
            outcome == Outcome::not_sent || outcome == Outcome::withdrawn;
 }
 
-// Whether an outcome says nothing about the endpoint: the fault was this process's, or the client's.
+/// Whether an outcome says nothing about the endpoint's health, because the cause lay in this process or in
+/// the client.
 constexpr bool unrelated_to_endpoint(Outcome outcome) {
     return outcome == Outcome::not_sent || outcome == Outcome::withdrawn;
 }
 
+/// The settings of one class of tunnels.
 struct TrafficClass {
-    Ticks latency_objective = 0;
+    Ticks latency_objective = 0;  // for a setup, from the request to the open tunnel
     Ticks client_timeout = 0;
-    Ticks deduplication_window = 0;       // how long a referenced tunnel's mark is remembered
+    Ticks deduplication_window = 0;       // how long endpoints remember an idempotency key
     Ticks message_latency_objective = 0;  // 0: none
-    double priority_weight = 1;
+    double priority_weight = 1;           // what a tunnel of this class is worth, relative to the others
     Idempotency idempotency = Idempotency::non_idempotent;
     DeduplicationScope deduplication_scope = DeduplicationScope::cell;
     bool stream = false;
 };
 
+/// What the operators require of every node, and how endpoints react to load.
 struct ServiceRules {
-    Ticks poll_interval = 0;  // 0: no such limit
-    Ticks drain_grace = 0;
+    Ticks poll_interval = 0;  // the longest time between two requests for the endpoint list; 0: no limit
+    Ticks drain_grace = 0;    // how long a draining endpoint may still be sent the tunnels that it holds
     Ticks slow_start_duration = 0;
-    Ticks overload_window = 0;
-    double slow_start_initial_factor = 1;
-    double overload_multiple = 1;
+    Ticks overload_window = 0;             // an endpoint fails when it is overloaded for this long
+    double slow_start_initial_factor = 1;  // the part of its capacity that an endpoint starts with
+    double overload_multiple = 1;          // an endpoint is overloaded above this multiple of its capacity
 };
 
+/// Costs, in connections served late.
 struct CostModel {
-    double cross_zone = 0;
+    double cross_zone = 0;  // of a tunnel to an endpoint in another zone
     double health_check = 0;
-    double gossip_message = 0;  // for a full message to one node
+    double gossip_message = 0;  // of a message of full size to one node
 };
 
+/// Limits for attempts, and the kinds of traffic that the operators permit.
 struct AttemptLimits {
-    Ticks max_retry_after = 0;  // 0: clients are given no advice when to come back
+    Ticks max_retry_after = 0;  // 0: clients are not told when to retry
     int max_attempts = 1;
     bool gossip_enabled = false;
     bool health_checks_enabled = false;
 };
 
-// What a node is handed at its start.
+/// The configuration of one node's Balancer.
 struct BalancerConfig {
     std::vector<TrafficClass> traffic_classes;
     ServiceRules rules;
     CostModel costs;
     AttemptLimits limits;
     Ticks clock_resolution = 0;
-    std::uint32_t own_node = 0;
+    std::uint32_t own_node = 0;  // the number of this node, below node_count
     std::uint32_t node_count = 1;
     std::uint32_t zone = 0;
     std::uint32_t seed = 1;
-    bool must_poll = false;  // discovery speaks only when asked
+    bool must_poll = false;  // discovery does not push the endpoint list; it must be requested
     bool groups_enabled = false;
-    bool endpoint_sizes_differ = false;  // the listed size compares endpoints
-    bool packet_passthrough = false;     // tunnels go on through other nodes, mid-flow
-    bool reports_message_delay = false;  // the host measures message delays at endpoints, answered or not
+    bool endpoint_sizes_differ = false;  // the sizes in the endpoint list are relative capacities
+    bool packet_passthrough = false;     // tunnels may continue through another node, mid-flow
+    bool reports_message_delay = false;  // the host reports message delays, also of messages not answered yet
 };
 
-/// One load report of an endpoint; what it did not contain is NaN.
+/// One load report of an endpoint. A value that the report did not contain is NaN.
 struct LoadReport {
     static constexpr double unknown = std::numeric_limits<double>::quiet_NaN();
     double inflight = unknown, queue = unknown, utilization = unknown, load = unknown,
            backlog_seconds = unknown;
 };
 
-/// Listed endpoints, and those of them that nothing new is placed on now.
+/// The number of listed endpoints, and how many of them get no new tunnels at present.
 struct EndpointCounts {
     std::uint32_t listed = 0, excluded = 0;
 };
 
-/// What a Balancer asks of the node that it decides for.
+/// The requests of a Balancer to the node that it decides for. They are made from within calls to the
+/// Balancer.
 class BalancerDelegate {
   public:
     BalancerDelegate() = default;
     BalancerDelegate(const BalancerDelegate&) = delete;
     BalancerDelegate& operator=(const BalancerDelegate&) = delete;
     virtual ~BalancerDelegate() = default;
+    /// Starts an attempt, which times out after `max_wait`; on_opened or on_ended follows.
     virtual void start_attempt(std::uint64_t tunnel_id, std::uint32_t endpoint_id, Ticks max_wait) = 0;
+    /// Gives the client the final answer that a retry is harmless; `retry_after` 0: without advice when.
     virtual void reject(std::uint64_t tunnel_id, Ticks retry_after) = 0;
+    /// Gives the client the final answer that the tunnel failed and may have had an effect.
     virtual void fail(std::uint64_t tunnel_id) = 0;
-    // Why the tunnel is tried again, or has the final answer that follows: for logs and counters.
+    /// Why the tunnel gets the final answer that follows; for logs and counters.
     virtual void report_reason(std::uint64_t, Reason) {}
+    /// Tells the client of an open tunnel to reconnect.
     virtual void migrate(std::uint64_t tunnel_id) = 0;
     virtual void check_health(std::uint32_t endpoint_id) = 0;
     virtual void request_endpoint_list() = 0;
+    /// Requests a call of on_timer with `label` at the given time. Timers are not cancelled.
     virtual void set_timer(Ticks at, std::uint64_t label) = 0;
     virtual void send_gossip(std::uint32_t node, std::span<const std::uint8_t> bytes) = 0;
     virtual void broadcast_gossip(std::span<const std::uint8_t> bytes) = 0;
     virtual void log(std::string_view line) = 0;
 };
 
-/// How a tunnel arrives.
+/// A client's request for a tunnel.
 struct TunnelRequest {
     std::string_view key;    // empty: none
     std::string_view group;  // empty: none
     Ticks deadline = 0;
     double expected_load = 0;  // in standard cores; 0: unknown
     std::uint32_t traffic_class = 0;
-    bool mid_flow = false;
-    bool reconnect = false;  // its client reconnects after a break or a migration
+    bool mid_flow = false;   // the tunnel is open already, but through another node
+    bool reconnect = false;  // the client reconnects after a lost connection or a migration
 };
 
+/// Decides for one node where tunnels go, when they are retried, rejected or migrated, and what the node
+/// tells the other nodes. Not thread-safe.
 class Balancer {
   public:
     static std::unique_ptr<Balancer> start(BalancerConfig config, BalancerDelegate& delegate, Ticks now);
@@ -154,45 +172,52 @@
     Balancer& operator=(const Balancer&) = delete;
     virtual ~Balancer() = default;
 
-    /// Sets the clock; every other call happens at the time last set.
+    /// Sets the clock. Every other call happens at the time last set.
     virtual void set_time(Ticks now) = 0;
-    /// Replaces the configuration: as many nodes and traffic classes, and the same own node.
+    /// Replaces the configuration. The number of nodes and of traffic classes and the own node must not
+    /// change.
     virtual void update_config(BalancerConfig config) = 0;
-    /// The endpoint list: begin, an entry a call, end.
+    /// The endpoint list arrives as a call to begin, one call for each entry, and a call to end.
     virtual void begin_endpoint_list(EndpointListKind kind) = 0;
     virtual void add_endpoint(std::uint32_t endpoint_id, std::uint32_t zone, std::uint32_t cell,
                               EndpointState state, double size, Ticks started) = 0;
     virtual void end_endpoint_list() = 0;
-    /// Tunnels. `attempt` counts from 0.
+    /// Tunnels. Attempts of a tunnel are numbered from 0.
     virtual void on_request(std::uint64_t tunnel_id, const TunnelRequest& request) = 0;
+    /// Registers a tunnel that is already open to an endpoint.
     virtual void adopt_open_tunnel(std::uint64_t tunnel_id, const TunnelRequest& request,
                                    std::uint32_t endpoint_id) = 0;
     virtual void on_opened(std::uint64_t tunnel_id, int attempt, std::uint32_t endpoint_id, Ticks took) = 0;
+    /// An attempt or an open tunnel has ended. `settled`: its client has the final answer already.
     virtual void on_ended(std::uint64_t tunnel_id, int attempt, std::uint32_t endpoint_id, Outcome outcome,
                           Ticks took, bool settled) = 0;
     virtual void on_client_disconnected(std::uint64_t tunnel_id) = 0;
-    /// Whether the pending attempt of a tunnel may still be written, where that may take until `reserve` from
-    /// now. Asked before its first byte; and after it, without reserve, to check that no rule was broken.
+    /// Whether the pending attempt of a tunnel may still be written, if writing it takes at most `reserve`.
+    /// The host asks before the first byte, and again after it with a reserve of 0 to detect a broken rule.
     virtual Reason may_write(std::uint64_t tunnel_id, Ticks reserve) const = 0;
-    /// The node shuts down: no tunnel that waits now may wait past this time.
+    /// The node shuts down: every tunnel without a final answer must have one by this time.
     virtual void set_answer_deadline(Ticks when) = 0;
     virtual void on_load_changed(std::uint64_t tunnel_id, double load) = 0;  // in standard cores
+    /// Messages of an open tunnel are delayed by `delay` at its endpoint.
     virtual void on_slow_messages(std::uint64_t tunnel_id, std::uint32_t endpoint_id, Ticks delay) = 0;
-    /// An endpoint has sent no line for this long, though some are owed.
+    /// An endpoint has sent no line for the duration `span`, although answers to earlier lines are due.
     virtual void on_unresponsive(std::uint32_t endpoint_id, Ticks span) = 0;
     virtual void on_health_check(std::uint32_t endpoint_id, Outcome outcome, Ticks took,
                                  const LoadReport& report) = 0;
     virtual void on_gossip(std::uint32_t node, std::span<const std::uint8_t> bytes) = 0;
     virtual void on_timer(std::uint64_t label) = 0;
     virtual EndpointCounts endpoint_counts() const = 0;
-    /// Hot restart: the state for the process that takes over, as bytes; restored before any other call.
-    /// False where the bytes cannot be used: then a new Balancer is needed.
+    /// Hot restart: appends the state for the process that takes over.
     virtual void serialize_state(std::string& into) const = 0;
-    /// clock_shift: how far this process's clock is ahead of the writer's.
+    /// Restores that state. To be called after the endpoint list and before any other call: endpoints that
+    /// are not listed are skipped. `clock_shift` is how far this process's clock is ahead of the writer's.
+    /// Returns false if the bytes cannot be used; the Balancer must then be replaced by a new one.
     virtual bool restore_state(std::string_view bytes, Ticks clock_shift) = 0;
-    /// This process is the node again, after another one had taken over for a while.
+    /// This process serves as the node again after another process had taken over, for example in an upgrade
+    /// that failed.
     virtual void resume_ownership() = 0;
-    /// An open tunnel of a hot restart. False where it is not open, or the bytes cannot be used.
+    /// Hot restart of one open tunnel. Both return false, without effect, if the tunnel is not open or the
+    /// bytes cannot be used.
     virtual bool serialize_tunnel(std::uint64_t tunnel_id, std::string& into) const = 0;
     virtual bool restore_tunnel(std::uint64_t tunnel_id, std::string_view bytes, Ticks clock_shift) = 0;
 };
--- a/src/balance/placement.h
+++ b/src/balance/placement.h
@@ -1,4 +1,5 @@
-/// Placement: chooses an endpoint for a tunnel, at random by weights that fall steeply with marginal cost.
+/// Placement: chooses the endpoint for a tunnel at random, by weights that fall steeply with the marginal
+/// cost.
 #pragma once
 #include <vector>
 
@@ -23,24 +24,32 @@
     Placement(const Placement&) = delete;
     Placement& operator=(const Placement&) = delete;
 
+    /// The index of the chosen endpoint; `none` if none may be sent to or the tunnel should wait for a lease,
+    /// or if it would cost too much (too_costly).
     std::uint32_t choose(const TrackedTunnel& tunnel);
-    /// The cheapest endpoint lacks only a unit of quota that another node may lease.
+    /// Whether the tunnel of the last choice should wait: all that the cheapest endpoint lacks is a unit of
+    /// slow-start quota, which another node may lease to this one.
     bool waits_for_lease(const TrackedTunnel& tunnel) const;
-    /// The marginal cost of a load of this group on an endpoint.
+    /// The cost that the load of a tunnel of this group would add on an endpoint, in connections served late.
     double marginal_cost(std::uint32_t index, double load, std::uint32_t group) const;
-    /// Estimates the placements by other nodes that this node sees nothing of, spread as it would spread
-    /// them itself.
+    /// Estimates the load of placements by other nodes that this node does not see, on the assumption that
+    /// they are spread over the endpoints as this node would spread them.
     void estimate_unseen_load();
+    /// The cheapest endpoint that the last choice passed over because its slow-start quota was spent, or
+    /// `none`.
     std::uint32_t quota_short_endpoint() const { return quota_short_endpoint_; }
+    /// Whether the last choice found no endpoint within the cost that the tunnel may cause.
     bool too_costly() const { return too_costly_; }
 
   private:
+    // The weight of an endpoint for the draw, at a marginal cost of `cost`.
     double weight(const Endpoint& endpoint, double cost) const;
-    // Without gossip no record reaches the node that meets a tunnel mid-flow. Then the random number of the
-    // draw follows from the key (rendezvous hashing) and is the same at all nodes: with similar weights
-    // they find the endpoint that the tunnel was placed on. A reconnecting client gets a new draw.
+    // Without gossip, no record reaches a node that gets a tunnel mid-flow. The draw then uses numbers
+    // derived from the key (rendezvous hashing), which are the same on all nodes: with similar weights they
+    // choose the endpoint that the tunnel was placed on. A client that reconnects gets an independent draw.
     bool uses_key_hash(const TrackedTunnel& tunnel) const;
     std::uint32_t draw_by_key(std::uint64_t key) const;
+    // Whether the endpoint would recognize a repeat of the tunnel's attempt that may have run.
     bool in_deduplication_scope(const TrackedTunnel& tunnel, const Endpoint& endpoint) const;
 
     NodeContext& node_;
@@ -51,10 +60,11 @@
     LoadCost& load_cost_model_;
     GroupAffinity& affinity_;
     SlowStartQuota& slow_start_quota_;
-    std::vector<double> weights_;                // by endpoint index, of the last choice
-    std::uint32_t quota_short_endpoint_ = none;  // in slow start, passed over for want of a unit of quota
-    double quota_short_cost_ = 0;                // what the tunnel would cost there
-    bool too_costly_ = false;                    // the last choice cost more than the tunnel may
+    // Of the last choice.
+    std::vector<double> weights_;  // by endpoint index
+    std::uint32_t quota_short_endpoint_ = none;
+    double quota_short_cost_ = 0;  // the tunnel's marginal cost on that endpoint
+    bool too_costly_ = false;
 };
 
 }  // namespace lemonstair
--- a/src/balance/reason.h
+++ b/src/balance/reason.h
@@ -1,5 +1,5 @@
-/// Reason: why something may not be sent, repeated or closed now, and why a tunnel had the final answer that
-// it had. One list for decisions, log lines and counters.
+/// Reason: why something may not be sent, repeated or closed now, and why a tunnel got its final answer.
+/// Decisions, log lines and counters share this list.
 #pragma once
 
 #include <array>
@@ -11,7 +11,7 @@
 
 enum class Reason : std::uint8_t {
     allowed,
-    // An attempt may not begin, or not begin again.
+    // An attempt may not be sent, or not be repeated.
     client_gone,
     no_time_left,
     attempts_used,
--- a/src/balance/tunnel_lifecycle.cpp
+++ b/src/balance/tunnel_lifecycle.cpp
@@ -61,7 +61,7 @@
     if (nodes[0] == node_.config().own_node && record != nullptr) return resume(index, record->endpoint_id);
     if (!node_.gossip_enabled()) return resume(index, record != nullptr ? record->endpoint_id : none);
     if (nodes[0] == node_.config().own_node) return lookup_.query_neighbours(index);
-    gossip_.post(nodes[0], [&](peer::Message& m) { return m.lookup(tunnel.key); });
+    gossip_.post(nodes[0], [&](peer::Message& message) { return message.lookup(tunnel.key); });
     lookup_.wait_for_answer(index);
 }
 
@@ -107,12 +107,12 @@
     if (index == none || attempt + 1 != tunnel_table_.tunnels()[index].attempts) return;
     TrackedTunnel& tunnel = tunnel_table_.tunnels()[index];
     if (tunnel.state == TunnelState::setting_up) {
-        const Ticks fair_wait = attempt_policy::min_conclusive_wait(
+        const Ticks min_wait = attempt_policy::min_conclusive_wait(
             node_.config().traffic_classes[tunnel.traffic_class].latency_objective);
-        const bool too_short = outcome == Outcome::timed_out && took < fair_wait;
+        const bool too_short = outcome == Outcome::timed_out && took < min_wait;
         if (!too_short)
             outliers_.record_own_outcome(endpoint_table_.endpoints()[tunnel.endpoint_index], outcome);
-        // Setups that ended before reaching the endpoint say nothing about congestion.
+        // Setups that ended before they reached the endpoint say nothing about congestion.
         if (outcome != Outcome::unreachable && outcome != Outcome::withdrawn && !too_short)
             admission_.on_setup_ended();
         if (outcome == Outcome::ok) admission_.on_setup_succeeded();
@@ -182,7 +182,7 @@
         return place(index);
     if (replicator_.predates_incarnation(tunnel_table_.tunnels()[index].key,
                                          endpoint_table_.endpoints()[endpoint_index]))
-        return place(index);  // it has restarted since and holds it no more
+        return place(index);  // the endpoint has restarted since and no longer holds the tunnel
     send(index, endpoint_index, true);
 }
 
@@ -218,8 +218,8 @@
     TrackedTunnel& tunnel = tunnel_table_.tunnels()[index];
     const std::uint32_t endpoint_index = placement_.choose(tunnel);
     if (endpoint_index != none) return send(index, endpoint_index);
-    // No endpoint may be sent to now (all in slow start, or no list yet): wait within the latency
-    // objective.
+    // No endpoint may be sent to now: all are in slow start, or there is no endpoint list yet. The tunnel
+    // waits within its latency objective.
     tunnel.wait_until =
         std::min(tunnel.arrived_at + node_.config().traffic_classes[tunnel.traffic_class].latency_objective,
                  tunnel.deadline - 4 * node_.config().clock_resolution);
@@ -336,7 +336,7 @@
     const Reason reason =
         attempt_policy::may_retry(limits_of(tunnel), history_of(tunnel), outcome, node_.now());
     if (reason != Reason::allowed) return reason;
-    // Where most setups fail everywhere, a retry would only add load.
+    // If setups fail on most endpoints, a retry would only add load.
     if (outcome == Outcome::timed_out &&
         endpoint_table_.endpoints()[tunnel.endpoint_index].failure_likelihood.failure_rate_elsewhere(
             outliers_.recent_outcomes(), node_.now()) > failure_detector::outlier_failure_rate / 2)
--- a/src/balance/tunnel_lifecycle.h
+++ b/src/balance/tunnel_lifecycle.h
@@ -1,4 +1,5 @@
-/// Drives each tunnel from its request to its end: attempts, retries, waiting and final answers.
+/// TunnelLifecycle drives each tunnel from its request to its end: attempts, retries, waiting and final
+/// answers.
 #pragma once
 #include <string>
 #include <string_view>
@@ -38,42 +39,49 @@
     TunnelLifecycle(const TunnelLifecycle&) = delete;
     TunnelLifecycle& operator=(const TunnelLifecycle&) = delete;
 
-    /// A new tunnel, or one met mid-flow: rejects it, looks its record up, or places it.
+    /// Rejects or places a new tunnel; looks up the record of one that arrives mid-flow.
     void on_request(std::uint64_t id, const TunnelRequest& request);
-    /// A lookup or a wait for a lease has timed out.
+    /// A lookup or a wait for a lease may have timed out. Timers of tunnels that have ended are ignored.
     void on_tunnel_timer(std::uint64_t label);
-    /// A tunnel that is already open to an endpoint.
+    /// Registers a tunnel that is already open; without effect if its endpoint is not listed.
     void adopt_open_tunnel(std::uint64_t id, const TunnelRequest& request, std::uint32_t endpoint_id);
     void on_opened(std::uint64_t id, int attempt);
     /// An attempt or an open tunnel has ended; `settled`: its client has the final answer already.
     void on_ended(std::uint64_t id, int attempt, Outcome outcome, Ticks took, bool settled);
-    /// Whether the attempt that is out may still be written within `reserve` (see attempt_policy).
+    /// Whether the pending attempt may still be written within `reserve` (see attempt_policy.h).
     Reason may_write(std::uint64_t id, Ticks reserve) const;
+    /// Shortens the deadlines of all tunnels so that each has its final answer by this time.
     void set_answer_deadline(Ticks when);
     void on_client_disconnected(std::uint64_t id);
+    /// `load` in standard cores.
     void on_load_changed(std::uint64_t id, double load);
-    /// Sends a tunnel to the endpoint that its record names (an id, or none), if that still holds it.
+    /// Sends a tunnel to the endpoint that its record names, if that endpoint still holds it; otherwise
+    /// places it anew. `endpoint_id`: `none` if no record was found.
     void resume(std::uint32_t index, std::uint32_t endpoint_id);
-    /// Chooses again for each waiting tunnel.
+    /// Tries again to place each waiting tunnel.
     void retry_waiting();
-    /// Hot restart. False where the tunnel is not open, or the bytes cannot be used.
+    /// Hot restart. Both return false, without effect, if the tunnel is not open or the bytes cannot be used.
     bool serialize_tunnel(std::uint64_t id, std::string& into) const;
     bool restore_tunnel(std::uint64_t id, std::string_view bytes, Ticks clock_shift);
 
   private:
+    // Chooses an endpoint and sends; waits, or gives the final answer, where none can be chosen.
     void place(std::uint32_t index);
-    // Starts an attempt. `is_sticky`: the endpoint holds the tunnel already, so no slow-start quota is spent.
+    // Starts an attempt. `is_sticky`: the endpoint already holds the tunnel, so no slow-start quota is spent.
     void send(std::uint32_t index, std::uint32_t endpoint_index, bool is_sticky = false);
-    // Gives the final answer: a rejection wherever a retry is certainly harmless, else a failure.
+    // Gives the final answer and forgets the tunnel: a rejection if a retry by the client is certainly
+    // harmless, otherwise a failure.
     void finish(std::uint32_t index, Reason reason);
+    // Forgets the tunnel, and its record if that is the tunnel's latest.
     void release(std::uint32_t index);
     std::uint32_t track_tunnel(std::uint64_t id, const TunnelRequest& request);
+    // Tries again to place a waiting tunnel; gives the final answer when its wait is over.
     void retry(std::uint32_t index);
-    // Whether the endpoint that holds a tunnel may be sent it: until the grace of a drain is over.
+    // Whether a tunnel may be sent to the endpoint that holds it: always until its drain grace ends.
     bool may_send_sticky(const Endpoint& endpoint) const;
     attempt_policy::TunnelLimits limits_of(const TrackedTunnel& tunnel) const;
     static attempt_policy::History history_of(const TrackedTunnel& tunnel);
-    // The one place that decides whether a retry may begin.
+    // Whether a tunnel may be retried after an attempt with this outcome; the only place that decides this.
     Reason may_retry(const TrackedTunnel& tunnel, Outcome outcome);
 
     NodeContext& node_;
@@ -92,7 +100,7 @@
     Placement& placement_;
     RecordLookup& lookup_;
     RecordTable& records_;
-    std::vector<std::uint32_t> retried_tunnels_;
+    std::vector<std::uint32_t> retried_tunnels_;  // a copy: retries change the list of waiting tunnels
 };
 
 }  // namespace lemonstair
--- a/src/balance/tunnel_table.cpp
+++ b/src/balance/tunnel_table.cpp
@@ -14,11 +14,13 @@
 void TunnelTable::transition_to(std::uint32_t index, TunnelState next) {
     TrackedTunnel& tunnel = tunnels_[index];
     if (tunnel.state == TunnelState::looking_up && tunnel.has_key) lookups_.erase(tunnel.key);
-    const auto carries = [](TunnelState s) { return s == TunnelState::setting_up || s == TunnelState::open; };
-    if (carries(tunnel.state) && !carries(next))
+    const auto has_load = [](TunnelState state) {
+        return state == TunnelState::setting_up || state == TunnelState::open;
+    };
+    if (has_load(tunnel.state) && !has_load(next))
         --endpoint_table_.endpoints()[tunnel.endpoint_index].open_tunnels,
             endpoint_table_.endpoints()[tunnel.endpoint_index].own_load -= tunnel.load;
-    if (!carries(tunnel.state) && carries(next))
+    if (!has_load(tunnel.state) && has_load(next))
         ++endpoint_table_.endpoints()[tunnel.endpoint_index].open_tunnels,
             endpoint_table_.endpoints()[tunnel.endpoint_index].own_load += tunnel.load;
     pending_attempts_ +=
--- a/src/balance/tunnel_table.h
+++ b/src/balance/tunnel_table.h
@@ -1,4 +1,5 @@
-/// The tunnels of this node and the state machine of each. Counts by state are kept in the transitions.
+/// TunnelTable: the tunnels of this node and their states. Every change of state goes through transition_to,
+/// which also keeps the counts and indexes that depend on states.
 #pragma once
 #include <vector>
 
@@ -16,18 +17,22 @@
     TunnelTable& operator=(const TunnelTable&) = delete;
 
     void transition_to(std::uint32_t index, TunnelState next);
+    /// The label of the tunnel's timers. It differs from those of earlier tunnels in the same slot, and from
+    /// 0.
     std::uint64_t timer_label(std::uint32_t index) const;
     Slab<TrackedTunnel>& tunnels() { return tunnels_; }
     IdIndex& tunnel_by_id() { return tunnel_by_id_; }
+    /// The tunnel whose record is being looked up, by key.
     const IdIndex& lookups() const { return lookups_; }
     const std::vector<std::uint32_t>& waiting_tunnels() const { return waiting_tunnels_; }
+    /// The number of tunnels in the state setting_up.
     int pending_attempts() const { return pending_attempts_; }
 
   private:
     EndpointTable& endpoint_table_;
     Slab<TrackedTunnel> tunnels_;
     IdIndex tunnel_by_id_;
-    IdIndex lookups_;  // by key: the tunnel whose record is being looked up
+    IdIndex lookups_;
     std::vector<std::uint32_t> waiting_tunnels_;
     int pending_attempts_ = 0;
 };
