--- a/src/balance/decision_engine.cpp
+++ b/src/balance/decision_engine.cpp
@@ -157,7 +157,7 @@
     turnover_.update_turnover(age_seconds);
     gossip_budget_.update_placement_rate(age_seconds);
     rebalancer_.refill_tokens();
-    // All endpoints are reviewed the less often the more there are.
+    // In a large fleet the endpoints are reviewed less often, because a review takes time for each of them.
     if (node_.count_tick() % (1 + endpoint_table_.endpoints().size() / 64) == 0) review_endpoints();
     peer_monitor_.check_heartbeats();
     reporter_.publish_load_totals_when_due();
--- a/src/balance/decision_engine.h
+++ b/src/balance/decision_engine.h
@@ -1,5 +1,6 @@
-/// The decision engine: owns the decision modules, wires them to each other, passes each call of the Balancer
-/// interface to the module that it concerns, and runs the periodic tick. One engine decides for one node.
+/// DecisionEngine implements the Balancer interface: it owns the decision modules, connects them to each
+/// other, passes each call to the module that handles it, and runs the periodic tick. One engine decides for
+/// one node.
 #pragma once
 #include <cstdint>
 #include <span>
@@ -72,6 +73,7 @@
 
   private:
     void tick();
+    // Health checks, migrations, and reports on each endpoint.
     void review_endpoints();
 
     NodeContext node_;
--- a/src/balance/gossip_budget.h
+++ b/src/balance/gossip_budget.h
@@ -1,5 +1,5 @@
-/// How often periodic gossip and health checks are affordable: their cost is bounded by a share of the credit
-/// of the tunnels placed in the fleet, estimated from the placements that this node sees.
+/// GossipBudget: how often periodic gossip and health checks may be sent. Their cost is limited to a share of
+/// the value of the tunnels placed in the fleet, which is estimated from the placements that this node sees.
 #pragma once
 
 #include "balance/endpoint.h"
@@ -15,17 +15,20 @@
     GossipBudget(const GossipBudget&) = delete;
     GossipBudget& operator=(const GossipBudget&) = delete;
 
+    /// Counts a placement of this node, or one of another node whose record arrived.
     void count_placement() { ++placed_since_tick_; }
     void set_placement_rate(double rate) { placement_rate_ = rate; }
+    /// In each tick. `age_seconds`: how long the node has been running.
     void update_placement_rate(double age_seconds);
-    /// The interval at which something periodic is affordable: its price, that of a round of all nodes, is
-    /// paid by a share of the credit of the tunnels that all nodes place. Never below `wanted`, nor above
-    /// `longest` times it.
-    Ticks affordable_interval(Ticks wanted, double price, int longest) const;
-    /// Whether starts and failures of nodes may be broadcast: if all nodes did so, the tunnels placed in
-    /// one refresh period would pay for it. Bounds the gossip when many nodes start or end at once; without
-    /// it, refreshes repair the records.
-    bool gossip_worthwhile(int times = 1) const;
+    /// The interval at which all nodes can do something whose cost is `cost` for a round of all of them,
+    /// within the share of the value of the tunnels placed in that interval. At least `min_interval`, and at
+    /// most `max_factor` times that.
+    Ticks affordable_interval(Ticks min_interval, double cost, int max_factor) const;
+    /// Whether starts and failures of nodes may be broadcast: only if the budget of one refresh period pays
+    /// for a broadcast by every node. This limits gossip when many nodes start or stop at once; the refreshes
+    /// then repair the records. `cost_divisor`: the cost is divided by this.
+    bool gossip_worthwhile(int cost_divisor = 1) const;
+    /// Sets the two intervals below, for the current number of endpoints and rate of placements.
     void update_gossip_intervals();
     double placement_rate() const { return placement_rate_; }
     Ticks load_totals_interval() const { return load_totals_interval_; }
@@ -36,7 +39,7 @@
 
     NodeContext& node_;
     EndpointTable& endpoint_table_;
-    double placement_rate_ = 0;  // tunnels seen placed here and by gossip, in 10 s
+    double placement_rate_ = 0;  // placements seen in 10 s, of this node and in gossip
     std::uint32_t placed_since_tick_ = 0;
     Ticks load_totals_interval_ = second;
     Ticks report_interval_ = second;
--- a/src/balance/gossip_handler.cpp
+++ b/src/balance/gossip_handler.cpp
@@ -38,9 +38,9 @@
     sender_ = node;
     peer_table_.peers()[node].heard_at = node_.now();
     if (!peer_table_.peers()[node].alive) {
-        node_.log_line("node %u is up again", node);
+        node_.log_line("node %u is up again, publishing the records that it should hold", node);
         replicator_.rereplicate_records(node, true);
-        // Told that it was taken to be down, it announces itself to all.
+        // The node learns that it was taken to be down, and announces itself to all nodes.
         gossip_.post(node, [&](peer::Message& message) { return message.peer_down(node); });
     }
     peer::decode(bytes, *this);
--- a/src/balance/gossip_handler.h
+++ b/src/balance/gossip_handler.h
@@ -1,4 +1,5 @@
-/// Receives gossip: decodes each message and hands each item to the module that it concerns.
+/// GossipHandler decodes the gossip messages of other nodes and passes each item to the module that handles
+/// it.
 #pragma once
 #include <cstdint>
 #include <span>
@@ -29,7 +30,8 @@
     GossipHandler(const GossipHandler&) = delete;
     GossipHandler& operator=(const GossipHandler&) = delete;
 
-    /// A message of another node. Malformed messages have no effect but to show that the node is alive.
+    /// Handles a message of another node. A malformed message has no effect except that the sender counts as
+    /// alive.
     void receive(std::uint32_t node, std::span<const std::uint8_t> bytes);
 
   private:
--- a/src/balance/node_context.cpp
+++ b/src/balance/node_context.cpp
@@ -19,8 +19,8 @@
            (static_cast<double>(std::minstd_rand::max() - std::minstd_rand::min()) + 1.0);
 }
 
-Ticks NodeContext::random_delay(Ticks below) {
-    return static_cast<Ticks>(random_fraction() * static_cast<double>(below));
+Ticks NodeContext::random_delay(Ticks limit) {
+    return static_cast<Ticks>(random_fraction() * static_cast<double>(limit));
 }
 
 bool NodeContext::gossip_enabled() const { return config_.limits.gossip_enabled && node_slots() > 1; }
@@ -31,7 +31,7 @@
     return node_count() / (gossip_enabled() ? std::min(3.0, node_count()) : 1.0);
 }
 
-double NodeContext::broadcast_cost(double bytes) const {  // of a message that all other nodes hear
+double NodeContext::broadcast_cost(double bytes) const {
     return config_.costs.gossip_message * (bytes + peer::message_overhead_bytes) / peer::max_bytes *
            (node_count() - 1);
 }
@@ -40,17 +40,19 @@
     mean_priority_weight_ = 0;
     longest_client_timeout_ = 0;
     shortest_message_objective_ = never;
-    for (const auto& p : config_.traffic_classes) {
-        mean_priority_weight_ += p.priority_weight / static_cast<double>(config_.traffic_classes.size());
-        longest_client_timeout_ = std::max(longest_client_timeout_, p.client_timeout);
-        if (p.message_latency_objective > 0)
-            shortest_message_objective_ = std::min(shortest_message_objective_, p.message_latency_objective);
+    for (const auto& traffic_class : config_.traffic_classes) {
+        mean_priority_weight_ +=
+            traffic_class.priority_weight / static_cast<double>(config_.traffic_classes.size());
+        longest_client_timeout_ = std::max(longest_client_timeout_, traffic_class.client_timeout);
+        if (traffic_class.message_latency_objective > 0)
+            shortest_message_objective_ =
+                std::min(shortest_message_objective_, traffic_class.message_latency_objective);
     }
     if (mean_priority_weight_ <= 0) mean_priority_weight_ = 1;
 }
 
-void NodeContext::set_config(BalancerConfig given) {
-    config_ = std::move(given);
+void NodeContext::set_config(BalancerConfig config) {
+    config_ = std::move(config);
     update_traffic_class_totals();
 }
 
--- a/src/balance/outbox.h
+++ b/src/balance/outbox.h
@@ -1,4 +1,4 @@
-/// Outbox: items gathered into one message for each node until they are sent.
+/// Outbox: collects items into one message for each node until they are sent.
 #pragma once
 #include <cstdint>
 #include <vector>
@@ -10,7 +10,10 @@
 
 class Outbox {
   public:
+    /// For the nodes numbered 0 to nodes - 1.
     Outbox(BalancerDelegate& delegate, std::size_t nodes) : delegate_(delegate), pending_(nodes) {}
+    /// Adds an item for one node; a message that has no room for it is sent first. `add(message)` adds the
+    /// item and returns whether it fits.
     template <class Add>
     void post(std::uint32_t node, Add&& add) {
         has_pending_ = true;
@@ -18,28 +21,31 @@
         send(node);
         add(pending_[node]);
     }
+    /// Sends all collected messages.
     void flush() {
-        for (std::uint32_t n = 0; has_pending_ && n < pending_.size(); ++n)
-            if (!pending_[n].empty()) send(n);
+        for (std::uint32_t node = 0; has_pending_ && node < pending_.size(); ++node)
+            if (!pending_[node].empty()) send(node);
         has_pending_ = false;
     }
+    /// Sends a message with one item to all nodes at once.
     template <class Add>
     void broadcast(Add&& add) {
-        Message m;
-        add(m);
-        delegate_.broadcast_gossip(m.bytes());
+        Message message;
+        add(message);
+        delegate_.broadcast_gossip(message.bytes());
     }
-    // One message, and as many more as its items need, to all nodes.
+    /// Sends items to all nodes at once, in as many messages as they need, but at least one. `fill(post)`
+    /// calls `post(add)` for each item.
     template <class Fill>
     void broadcast_items(Fill&& fill) {
-        Message m;
+        Message message;
         fill([&](auto&& add) {
-            if (add(m)) return;
-            delegate_.broadcast_gossip(m.bytes());
-            m.clear();
-            add(m);
+            if (add(message)) return;
+            delegate_.broadcast_gossip(message.bytes());
+            message.clear();
+            add(message);
         });
-        delegate_.broadcast_gossip(m.bytes());
+        delegate_.broadcast_gossip(message.bytes());
     }
 
   private:
@@ -48,11 +54,11 @@
         pending_[node].clear();
     }
     BalancerDelegate& delegate_;
-    std::vector<Message> pending_;
+    std::vector<Message> pending_;  // by node
     bool has_pending_ = false;
 };
 
-// Sends what is gathered when a call into the Balancer is over.
+/// Flushes an outbox at the end of its scope, which is a call into the Balancer.
 class FlushOnExit {
   public:
     explicit FlushOnExit(Outbox& outbox) : outbox_(outbox) {}
--- a/src/balance/rebalancer.cpp
+++ b/src/balance/rebalancer.cpp
@@ -43,11 +43,10 @@
         return;
     const double utilization =
         load_.utilization_at(endpoint, load_.total_load(endpoint) - endpoint.pending_load);
-    const bool seen =
-        load_.load_totals_known() ||
-        endpoint.utilization_at > endpoint.migrated_at + placement_visible_after;  // the last migrations show
+    const bool last_migration_visible =
+        load_.load_totals_known() || endpoint.utilization_at > endpoint.migrated_at + placement_visible_after;
     if (!unresponsive && (load_.has_no_load_data(endpoint) || utilization < migrate_above ||
-                          utilization < 1.2 * load_.fleet_utilization() || !seen))
+                          utilization < 1.2 * load_.fleet_utilization() || !last_migration_visible))
         return;
     endpoint.migrated_at = node_.now();
     double left = unresponsive ? endpoint.own_load / 2
@@ -71,7 +70,8 @@
         if (!tunnel_table_.tunnels().in_use(index) || tunnel.state != TunnelState::open ||
             &endpoint_table_.endpoints()[tunnel.endpoint_index] != &source)
             continue;
-        // A group's copy leaves with its last member: each member counts for its part of the copy.
+        // The copy of a group is freed when its last member leaves, so each member counts for a part of the
+        // copy.
         const int members = records_.groups().members(tunnel.group, source.id);
         const double load =
             tunnel.load / load_.mean_load() + (members > 0 ? group_copy_tunnels / members : 0);
@@ -81,8 +81,8 @@
                 : load_cost_model_.late_cost(utilization - tunnel.load / load_.capacity(source) / 2, load);
         if (cost_here < best_gain) continue;
         affinity_.mark_affinity_targets(tunnel);
-        double cost_elsewhere =
-            load_cost_model_.max_cost_of(tunnel.traffic_class);  // in a full fleet it is better shed
+        // At most this: a tunnel that would cost more everywhere is rejected when its client reconnects.
+        double cost_elsewhere = load_cost_model_.max_cost_of(tunnel.traffic_class);
         const double new_copy_cost = load_cost_model_.group_copy_cost(tunnel.group);
         for (std::uint32_t other = 0; other < endpoint_table_.endpoints().size(); ++other)
             if ((affinity_.holds_group()[other] != 0 || new_copy_cost < cost_elsewhere) &&
@@ -98,7 +98,8 @@
     return best;
 }
 
-// Migrated clients reconnect through a shared store: their rate is bounded by a multiple of the turnover.
+// Migrated clients reconnect through a shared store, so the rate of migrations is limited to a multiple of
+// the rate at which tunnels end.
 void Rebalancer::refill_tokens() {
     const double migration_rate =
         migrations_per_tunnel *
--- a/src/balance/rebalancer.h
+++ b/src/balance/rebalancer.h
@@ -1,4 +1,5 @@
-/// Migrates open tunnels off endpoints that are overloaded or do not respond.
+/// Rebalancer migrates open tunnels away from endpoints that are overloaded or do not respond. The client of
+/// a migrated tunnel reconnects, and placement then chooses an endpoint anew.
 #pragma once
 
 #include "balance/endpoint.h"
@@ -26,15 +27,17 @@
     Rebalancer(const Rebalancer&) = delete;
     Rebalancer& operator=(const Rebalancer&) = delete;
 
+    /// In each tick: adds to the tokens that bound the rate of migrations.
     void refill_tokens();
-    /// Migrates this node's part of an endpoint's excess load, the tunnels that gain most first; where that
-    /// is less than a tunnel, by chance, so that not all nodes migrate at once. Placement chooses anew when
-    /// the client reconnects.
+    /// Migrates this node's share of an endpoint's excess load, those tunnels first whose migration gains
+    /// most. If the excess that is left is less than the load of the next tunnel, chance decides, so that not
+    /// all nodes migrate one at the same time.
     void migrate_excess(std::uint32_t index);
 
   private:
     friend class StateCodec;
 
+    // The tunnel on `source` whose migration reduces the cost most; `none` if no gain is large enough.
     std::uint32_t best_migration(const Endpoint& source, double utilization, bool unresponsive);
 
     NodeContext& node_;
@@ -48,7 +51,7 @@
     SlowStartQuota& slow_start_quota_;
     Placement& placement_;
     RecordTable& records_;
-    double migration_tokens_ = 2;
+    double migration_tokens_ = 2;  // migrations that may be made now
 };
 
 }  // namespace lemonstair
--- a/src/balance/record_lookup.cpp
+++ b/src/balance/record_lookup.cpp
@@ -46,12 +46,13 @@
     if (record != nullptr) return lifecycle_.resume(index, record->endpoint_id);
     tunnel.queried_all = true;
     tunnel.negative_answers = tunnel.queried_nodes = 0;
-    Ring::Chain near{};
-    const std::size_t n = peer_table_.ring().chain(
-        tunnel.key, lookup_fanout, [this](std::uint32_t k) { return peer_table_.is_alive(k); }, near);
-    for (std::size_t i = 0; i < n; ++i) {
-        if (near[i] == node_.config().own_node) continue;
-        gossip_.post(near[i], [&](peer::Message& m) { return m.lookup(tunnel.key); });
+    Ring::Chain neighbours{};
+    const std::size_t count = peer_table_.ring().chain(
+        tunnel.key, lookup_fanout, [this](std::uint32_t node) { return peer_table_.is_alive(node); },
+        neighbours);
+    for (std::size_t i = 0; i < count; ++i) {
+        if (neighbours[i] == node_.config().own_node) continue;
+        gossip_.post(neighbours[i], [&](peer::Message& message) { return message.lookup(tunnel.key); });
         ++tunnel.queried_nodes;
     }
     if (tunnel.queried_nodes == 0) return lifecycle_.resume(index, none);
--- a/src/balance/record_replicator.cpp
+++ b/src/balance/record_replicator.cpp
@@ -43,25 +43,26 @@
     if (crosses_zone && leader == node_.config().own_node)
         affinity_.on_cross_zone(tunnel.group, node_.config().zone);
     if (crosses_zone)
-        gossip_.post(leader,
-                     [&](peer::Message& m) { return m.cross_zone(tunnel.group, node_.config().zone); });
+        gossip_.post(leader, [&](peer::Message& message) {
+            return message.cross_zone(tunnel.group, node_.config().zone);
+        });
     if (leader == node_.config().own_node || peer_table_.on_chain(tunnel.key, leader))
         return affinity_.maintain_affinity_targets(tunnel.group);
-    gossip_.post(leader, [&](peer::Message& m) {
-        return m.record(tunnel.key, endpoint_id, tunnel.stamp, tunnel.group, tunnel.load);
+    gossip_.post(leader, [&](peer::Message& message) {
+        return message.record(tunnel.key, endpoint_id, tunnel.stamp, tunnel.group, tunnel.load);
     });
 }
 
 void RecordReplicator::rereplicate_records(std::uint32_t node, bool alive) {
     peer_table_.peers()[node].alive = true;
-    std::vector<std::uint32_t> through;
+    std::vector<std::uint32_t> affected;
     for (std::uint32_t i = 0; i < tunnel_table_.tunnels().slot_count(); ++i)
         if (tunnel_table_.tunnels().in_use(i) && tunnel_table_.tunnels()[i].state == TunnelState::open &&
             peer_table_.on_chain(tunnel_table_.tunnels()[i].key, node))
-            through.push_back(i);
+            affected.push_back(i);
     peer_table_.peers()[node].alive = alive;
     peer_table_.mark_ring_changed();
-    for (const auto i : through) publish(tunnel_table_.tunnels()[i]);
+    for (const auto i : affected) publish(tunnel_table_.tunnels()[i]);
 }
 
 Ticks RecordReplicator::next_stamp() {
@@ -90,19 +91,20 @@
         return;  // the newest stamp wins
     forward_record(key, endpoint_id, stamp, group, load, false);
     const std::uint32_t index = endpoint_table_.endpoint_by_id().find(endpoint_id);
-    // Placements by other nodes are in no load total yet; counting them keeps nodes from crowding one
-    // endpoint together.
+    // A placement by another node is in no load total yet. It is counted as pending load, so that nodes do
+    // not all choose the same endpoint at once.
     if (index == none || !fresh || node_.now() - stamp > second) return;
     load_.add_pending_load(index, load);
-    if (on_own_chain && known == nullptr) gossip_budget_.count_placement();  // a known one was counted before
+    if (on_own_chain && known == nullptr)
+        gossip_budget_.count_placement();  // a known record was counted before
     affinity_.maintain_affinity_targets(group);
 }
 
 void RecordReplicator::on_lookup(std::uint32_t sender, std::uint64_t key) {
     const Record* record = records_.find(key);
     const Record known = record != nullptr ? *record : Record{};
-    gossip_.post(sender, [&](peer::Message& m) {
-        return m.lookup_reply(key, record != nullptr, known.endpoint_id, known.stamp);
+    gossip_.post(sender, [&](peer::Message& message) {
+        return message.lookup_reply(key, record != nullptr, known.endpoint_id, known.stamp);
     });
 }
 
@@ -115,8 +117,9 @@
     if (!first && own_position == length) return;
     const std::size_t next_position = first && own_position + 1 != length ? length : own_position;
     if (next_position == 0) return;
-    gossip_.post(nodes[next_position - 1],
-                 [&](peer::Message& m) { return m.record(key, endpoint_id, stamp, group, load); });
+    gossip_.post(nodes[next_position - 1], [&](peer::Message& message) {
+        return message.record(key, endpoint_id, stamp, group, load);
+    });
 }
 
 void RecordReplicator::refresh() {
--- a/src/balance/record_replicator.h
+++ b/src/balance/record_replicator.h
@@ -1,5 +1,6 @@
-/// Chain replication of placement records (key -> endpoint) over the ring. A record's carrier publishes it to
-/// the head of its chain; each member forwards it towards the tail, which answers lookups.
+/// RecordReplicator: chain replication of placement records (key -> endpoint) over the consistent hash ring.
+/// The node that carries a tunnel publishes its record to the head of the key's chain; each member of the
+/// chain forwards it towards the tail, which answers lookups.
 #pragma once
 
 #include "balance/endpoint.h"
@@ -24,25 +25,33 @@
     RecordReplicator(const RecordReplicator&) = delete;
     RecordReplicator& operator=(const RecordReplicator&) = delete;
 
-    /// Once a second: publishes the records that are due and drops those not refreshed.
+    /// In each tick; once a second it publishes the records that are due and drops those that were not
+    /// refreshed.
     void refresh();
+    /// Publishes the record of a tunnel that this node carries. `first`: the tunnel has just been placed.
     void publish(TrackedTunnel& tunnel, bool first = false);
-    /// Publishes again the records whose chains hold the node; all records would be too much gossip.
+    /// A node has come up or gone down: publishes again the records that have it on their chain. To publish
+    /// all records would take too much gossip.
     void rereplicate_records(std::uint32_t node, bool alive);
-    /// A hybrid logical clock: the wall clock, but never behind a stamp seen. A node whose clock is behind
-    /// would otherwise lose its placements to older ones.
+    /// The stamp for a new placement, from a hybrid logical clock: the node's clock, but always later than
+    /// the stamps seen so far. Otherwise the placements of a node whose clock is behind would lose to older
+    /// ones.
     Ticks next_stamp();
+    /// Advances that clock to a stamp from another node. A stamp too far ahead is ignored.
     void observe_stamp(Ticks stamp);
-    /// The tunnel was placed in an earlier incarnation of the endpoint, by at least half a second: clocks
-    /// differ. They may differ by hours: a record refreshed long after the incarnation began belongs to it,
-    /// whatever its stamp.
+    /// Whether the tunnel was placed in an earlier incarnation of the endpoint. The stamp must be earlier by
+    /// half a second, because clocks differ. They may differ by hours, so a record that was refreshed long
+    /// after the incarnation began belongs to it, whatever its stamp.
     bool predates_incarnation(std::uint64_t key, const Endpoint& endpoint) const;
+    /// A record from another node: stored and forwarded along the chain if it is the newest.
     void on_record(std::uint64_t key, std::uint32_t endpoint_id, std::int64_t stamp, std::uint32_t group,
                    double load);
+    /// Answers another node's lookup, also if there is no record.
     void on_lookup(std::uint32_t sender, std::uint64_t key);
 
   private:
-    // Down the chain from its head, each member towards the tail.
+    // Sends a record to the next member of its chain: to the head if this node publishes it from outside the
+    // chain, else to the next member towards the tail. `first`: this node publishes it.
     void forward_record(std::uint64_t key, std::uint32_t endpoint_id, Ticks stamp, std::uint32_t group,
                         double load, bool first);
 
--- a/src/balance/record_table.h
+++ b/src/balance/record_table.h
@@ -1,5 +1,5 @@
-/// RecordTable: the newest record of each key, and what these records add up to. Of equal stamps the larger
-// endpoint_id id stays, so that every node settles on the same.
+/// RecordTable: the newest record of each key, and totals over these records. Of two records with equal
+/// stamps the one with the larger endpoint id is kept, so that all nodes agree.
 #pragma once
 #include <cstdint>
 
@@ -10,12 +10,16 @@
 
 namespace lemonstair {
 
+/// Which endpoint holds the tunnel with a key. Nodes replicate records to each other.
 struct Record {
     std::uint64_t key = 0;
+    // When the tunnel was placed, by RecordReplicator::next_stamp; and when the record last arrived here, on
+    // this node's clock.
     Ticks stamp = 0, heard_at = 0;
     std::uint32_t endpoint_id = 0, group = 0;
-    double load = 0;
-    bool sampled = false;  // held as the carrier or on the chain, not for the group
+    double load = 0;  // of the tunnel, in standard cores
+    bool sampled =
+        false;  // this node carries the tunnel or is on the key's chain; false: held only as group leader
 };
 
 class RecordTable {
@@ -24,7 +28,7 @@
         const std::uint32_t index = index_.find(key);
         return index == IdIndex::none ? nullptr : &records_[index];
     }
-    // False where a newer record stands.
+    /// Returns false, without effect, if the table has a newer record of the key.
     bool put(const Record& record) {
         std::uint32_t index = index_.find(record.key);
         if (index == IdIndex::none) {
@@ -62,17 +66,18 @@
     }
     GroupTable& groups() { return groups_; }
     const GroupTable& groups() const { return groups_; }
-    // Loads of the tunnels whose records are held as their carrier or on their chain, and the part placed
-    // before `born`. Records of ended tunnels stay, so only those refreshed since count.
+    /// The load of the tunnels with `sampled` records, and the part of it that was placed before a given
+    /// time.
     struct SampledLoad {
         double load = 0, older = 0;
     };
-    SampledLoad sampled(Ticks since, Ticks born) const {
+    /// Only records heard since `since` count, because those of ended tunnels stay until they expire.
+    SampledLoad sampled(Ticks since, Ticks placed_before) const {
         SampledLoad sum;
         for_each([&](const Record& record) {
             if (!record.sampled || record.heard_at < since) return;
             sum.load += record.load;
-            sum.older += record.stamp < born ? record.load : 0;
+            sum.older += record.stamp < placed_before ? record.load : 0;
         });
         return sum;
     }
