--- a/src/balance/id_index.h
+++ b/src/balance/id_index.h
@@ -1,4 +1,5 @@
-/// IdIndex: 64-bit id -> small index, open addressing with backward-shift deletion. It is never iterated.
+/// IdIndex: a hash map from 64-bit ids to small indexes, with open addressing and backward-shift deletion. It
+/// cannot be iterated, so no decision depends on the order of its entries.
 #pragma once
 #include <cstdint>
 #include <string_view>
@@ -7,30 +8,34 @@
 
 namespace lemonstair {
 
-constexpr std::uint64_t mix(std::uint64_t v) {
-    v ^= v >> 30;
-    v *= 0xbf58476d1ce4e5b9ULL;
-    v ^= v >> 27;
-    v *= 0x94d049bb133111ebULL;
-    return v ^ (v >> 31);
+/// Mixes the bits of a value (the finalizer of SplitMix64).
+constexpr std::uint64_t mix(std::uint64_t value) {
+    value ^= value >> 30;
+    value *= 0xbf58476d1ce4e5b9ULL;
+    value ^= value >> 27;
+    value *= 0x94d049bb133111ebULL;
+    return value ^ (value >> 31);
 }
 
+/// The hash of a text, the same on all nodes (FNV-1a, then mix).
 inline std::uint64_t hash_text(std::string_view text) {
-    std::uint64_t h = 0xcbf29ce484222325ULL;
-    for (const char c : text) h = (h ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
-    return mix(h);
+    std::uint64_t hash = 0xcbf29ce484222325ULL;
+    for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3ULL;
+    return mix(hash);
 }
 
 class IdIndex {
   public:
-    static constexpr std::uint32_t none = 0xffffffffU;
+    static constexpr std::uint32_t none = 0xffffffffU;  // no index; it cannot be stored
 
+    /// The index of an id; `none` if it has none.
     std::uint32_t find(std::uint64_t id) const {
         for (std::size_t i = home(id);; i = next(i)) {
             if (cells_[i].second == none) return none;
             if (cells_[i].first == id) return cells_[i].second;
         }
     }
+    /// Sets the index of an id, which replaces an earlier one.
     void put(std::uint64_t id, std::uint32_t index) {
         if ((count_ + 1) * 2 > cells_.size()) grow();
         std::size_t i = home(id);
@@ -38,14 +43,15 @@
         if (cells_[i].second == none) ++count_;
         cells_[i] = {id, index};
     }
+    /// Without effect if the id has no index.
     void erase(std::uint64_t id) {
         std::size_t i = home(id);
         while (cells_[i].second != none && cells_[i].first != id) i = next(i);
         if (cells_[i].second == none) return;
         --count_;
         for (std::size_t j = next(i); cells_[j].second != none; j = next(j)) {
-            const std::size_t h = home(cells_[j].first);
-            if (((j - h) & (cells_.size() - 1)) >= ((j - i) & (cells_.size() - 1))) {
+            const std::size_t at_home = home(cells_[j].first);
+            if (((j - at_home) & (cells_.size() - 1)) >= ((j - i) & (cells_.size() - 1))) {
                 cells_[i] = cells_[j];
                 i = j;
             }
--- a/src/balance/peer_monitor.cpp
+++ b/src/balance/peer_monitor.cpp
@@ -34,23 +34,25 @@
 
 void PeerMonitor::check_heartbeats() {
     if (!node_.gossip_enabled()) return;
-    // Heartbeats stop later than monitoring does: nodes estimate the cost of gossip slightly differently.
+    // Heartbeats continue up to four times the cost at which monitoring stops: nodes estimate the cost of
+    // gossip slightly differently, and a node that is monitored must still send heartbeats.
     if (node_.now() - heartbeat_sent_at_ >= second && gossip_budget_.gossip_worthwhile(4)) {
         heartbeat_sent_at_ = node_.now();
-        for (const auto n : peer_table_.next_alive(1))
-            if (n != none) node_.delegate().send_gossip(n, peer::Message().bytes());
+        for (const auto node : peer_table_.next_alive(1))
+            if (node != none) node_.delegate().send_gossip(node, peer::Message().bytes());
     }
-    const NodePair before = peer_table_.next_alive(peer_table_.peers().size() - 1);
-    for (const auto n : before) {
-        if (n == none) continue;
-        if (std::find(monitored_peers_.begin(), monitored_peers_.end(), n) == monitored_peers_.end() ||
+    const NodePair previous = peer_table_.next_alive(peer_table_.peers().size() - 1);
+    for (const auto node : previous) {
+        if (node == none) continue;
+        // A peer that was not monitored until now may have sent this node nothing yet.
+        if (std::find(monitored_peers_.begin(), monitored_peers_.end(), node) == monitored_peers_.end() ||
             !gossip_budget_.gossip_worthwhile())
-            peer_table_.peers()[n].heard_at = node_.now();
-        if (node_.now() - peer_table_.peers()[n].heard_at <= peer_timeout) continue;
-        gossip_.outbox().broadcast([&](peer::Message& m) { m.peer_down(n); });
-        mark_peer_down(n);
+            peer_table_.peers()[node].heard_at = node_.now();
+        if (node_.now() - peer_table_.peers()[node].heard_at <= peer_timeout) continue;
+        gossip_.outbox().broadcast([&](peer::Message& message) { message.peer_down(node); });
+        mark_peer_down(node);
     }
-    monitored_peers_ = before;
+    monitored_peers_ = previous;
 }
 
 void PeerMonitor::on_peer_down(std::uint32_t node) {
@@ -67,14 +69,15 @@
 
 void PeerMonitor::send_hello() {
     hello_sent_at_ = node_.now();
-    if (node_.gossip_enabled()) gossip_.outbox().broadcast([](peer::Message& m) { m.node_started(); });
+    if (node_.gossip_enabled())
+        gossip_.outbox().broadcast([](peer::Message& message) { message.node_started(); });
 }
 
-void PeerMonitor::mark_peer_down(std::uint32_t n) {
-    node_.log_line("node %u is down: silent for %lld ms", n,
-                   static_cast<long long>((node_.now() - peer_table_.peers()[n].heard_at) / 10));
-    for (auto& endpoint : endpoint_table_.endpoints()) endpoint.set_load_of_node(n, 0);
-    replicator_.rereplicate_records(n, false);
+void PeerMonitor::mark_peer_down(std::uint32_t node) {
+    node_.log_line("node %u is down: silent for %lld ms", node,
+                   static_cast<long long>((node_.now() - peer_table_.peers()[node].heard_at) / 10));
+    for (auto& endpoint : endpoint_table_.endpoints()) endpoint.set_load_of_node(node, 0);
+    replicator_.rereplicate_records(node, false);
 }
 
 }  // namespace lemonstair
--- a/src/balance/peer_monitor.h
+++ b/src/balance/peer_monitor.h
@@ -1,5 +1,4 @@
-/// Heartbeats: each node sends them to the next two live nodes and monitors the previous two; announces of
-/// nodes that start and of peers that went down.
+/// PeerMonitor detects nodes that go down, by heartbeats, and tells the other nodes of starts and failures.
 #pragma once
 
 #include "balance/endpoint.h"
@@ -22,20 +21,23 @@
     PeerMonitor(const PeerMonitor&) = delete;
     PeerMonitor& operator=(const PeerMonitor&) = delete;
 
-    /// A node that has just started holds no records: the others send those that it should hold.
+    /// In each tick, takes effect once: announces this node to the others, which send it the records that it
+    /// should hold.
     void announce_start();
-    /// Sends heartbeats to the next two live nodes and monitors the previous two; a node that falls silent
-    /// is broadcast as down. Heartbeats between all nodes would grow with the square of their number.
+    /// Sends heartbeats to the next two live nodes and monitors the previous two; one that is silent for too
+    /// long is marked and broadcast as down. Heartbeats between all nodes would grow with the square of their
+    /// number.
     void check_heartbeats();
-    /// A monitoring node found `node` silent. A node that is reported down but runs announces itself.
+    /// Another node reports that `node` is down. If that is this node, it announces itself instead.
     void on_peer_down(std::uint32_t node);
+    /// The sender has started: its earlier loads are void, and it is sent the records that it should hold.
     void on_node_started(std::uint32_t sender);
 
   private:
     friend class StateCodec;
 
     void send_hello();
-    void mark_peer_down(std::uint32_t n);
+    void mark_peer_down(std::uint32_t node);
 
     NodeContext& node_;
     EndpointTable& endpoint_table_;
@@ -44,10 +46,10 @@
     GossipBudget& gossip_budget_;
     LoadEstimator& load_;
     RecordReplicator& replicator_;
-    NodePair monitored_peers_{none, none};
+    NodePair monitored_peers_{none, none};  // as of the last check
     Ticks heartbeat_sent_at_ = 0;
     Ticks hello_sent_at_ = -never;
-    bool hello_sent_ = false;
+    bool hello_sent_ = false;  // or left out for its cost
 };
 
 }  // namespace lemonstair
--- a/src/balance/peer_state.h
+++ b/src/balance/peer_state.h
@@ -1,4 +1,4 @@
-/// What a node knows of another node.
+/// Peer: what a node knows about another node.
 #pragma once
 #include <array>
 #include <cstdint>
@@ -8,11 +8,12 @@
 namespace lemonstair {
 
 struct Peer {
-    Ticks heard_at = 0;
+    Ticks heard_at = 0;             // when its last message arrived
     Ticks load_totals_at = -never;  // when it last published its load totals
     bool alive = true;
 };
 
+/// Two node numbers; `none` where there is no such node.
 using NodePair = std::array<std::uint32_t, 2>;
 
 }  // namespace lemonstair
--- a/src/balance/peer_table.cpp
+++ b/src/balance/peer_table.cpp
@@ -16,10 +16,10 @@
 
 NodePair PeerTable::next_alive(std::size_t step) const {
     NodePair out{none, none};
-    std::size_t n = node_.config().own_node;
+    std::size_t node = node_.config().own_node;
     for (std::size_t i = 1, found = 0; i < peers_.size() && found < out.size(); ++i) {
-        n = (n + step) % peers_.size();
-        if (peers_[n].alive) out[found++] = static_cast<std::uint32_t>(n);
+        node = (node + step) % peers_.size();
+        if (peers_[node].alive) out[found++] = static_cast<std::uint32_t>(node);
     }
     return out;
 }
@@ -28,19 +28,19 @@
     return node == node_.config().own_node || peers_[node].alive;
 }
 
-std::size_t PeerTable::chain(std::uint64_t key, Ring::Chain& out) const {  // the tail first
+std::size_t PeerTable::chain(std::uint64_t key, Ring::Chain& out) const {
     return ring_.chain(
-        key, chain_length, [this](std::uint32_t n) { return is_alive(n); }, out);
+        key, chain_length, [this](std::uint32_t node) { return is_alive(node); }, out);
 }
 
 bool PeerTable::on_chain(std::uint64_t key, std::uint32_t node) const {
     Ring::Chain nodes{};
-    const std::size_t n = chain(key, nodes);
-    return std::find(nodes.begin(), nodes.begin() + n, node) != nodes.begin() + n;
+    const std::size_t length = chain(key, nodes);
+    return std::find(nodes.begin(), nodes.begin() + length, node) != nodes.begin() + length;
 }
 
-std::uint32_t PeerTable::first_alive(std::uint64_t place) const {
-    return ring_.first(place, [this](std::uint32_t n) { return is_alive(n); });
+std::uint32_t PeerTable::first_alive(std::uint64_t key) const {
+    return ring_.first(key, [this](std::uint32_t node) { return is_alive(node); });
 }
 
 }  // namespace lemonstair
--- a/src/balance/record_table.h
+++ b/src/balance/record_table.h
@@ -18,8 +18,9 @@
     Ticks stamp = 0, heard_at = 0;
     std::uint32_t endpoint_id = 0, group = 0;
     double load = 0;  // of the tunnel, in standard cores
-    bool sampled =
-        false;  // this node carries the tunnel or is on the key's chain; false: held only as group leader
+    // Whether this node carries the tunnel or is on the chain of the key; otherwise it holds the record only
+    // as the leader of the group.
+    bool sampled = false;
 };
 
 class RecordTable {
--- a/src/balance/slab.h
+++ b/src/balance/slab.h
@@ -1,4 +1,5 @@
-/// Slab: values in numbered places that are reused; a place's generation tells one use of it from the next.
+/// Slab: a container of values in numbered slots. Slots are reused; the generation of a slot distinguishes
+/// one use from the next.
 #pragma once
 #include <cstdint>
 #include <vector>
@@ -8,6 +9,7 @@
 template <class T>
 class Slab {
   public:
+    /// Returns the index of a slot with a value-initialized value. References to values become invalid.
     std::uint32_t allocate() {
         if (free_.empty()) {
             slots_.emplace_back();
@@ -18,6 +20,7 @@
         slots_[index].used = true;
         return index;
     }
+    /// Resets the value of a slot in use and frees the slot.
     void release(std::uint32_t index) {
         slots_[index].value = T{};
         slots_[index].used = false;
@@ -28,6 +31,7 @@
     const T& operator[](std::uint32_t index) const { return slots_[index].value; }
     bool in_use(std::uint32_t index) const { return index < slots_.size() && slots_[index].used; }
     std::uint32_t generation(std::uint32_t index) const { return slots_[index].generation; }
+    /// The number of slots, in use or free: all indexes are below it.
     std::uint32_t slot_count() const { return static_cast<std::uint32_t>(slots_.size()); }
 
   private:
--- a/src/balance/state_codec.cpp
+++ b/src/balance/state_codec.cpp
@@ -21,15 +21,16 @@
 
 namespace {
 
-constexpr std::uint32_t max_count = 1U << 20;  // of any list: a larger count is malformed
+constexpr std::uint32_t max_count = 1U << 20;  // elements of any list; a larger count is malformed
 
-// The count of what follows, at most `max_count`.
+// Reads the number of elements of a list. More than `max_count` makes the reader fail.
 std::uint32_t count(serialization::Reader& source) {
-    const auto n = source.next<std::uint32_t>();
-    if (n > max_count) source.fail();
-    return n <= max_count ? n : 0;
+    const auto elements = source.next<std::uint32_t>();
+    if (elements > max_count) source.fail();
+    return elements <= max_count ? elements : 0;
 }
 
+// Writes or reads the values in this order, depending on whether `io` is a Writer or a Reader.
 template <class Io, class... Values>
 void transfer(Io& io, Values&... values) {
     (io.value(values), ...);
@@ -51,7 +52,8 @@
              endpoint.contact_lost, endpoint.failure_published);
 }
 
-// Converts a time to this process's clock; 0 and far values (never, long ago) are markers and stay.
+// Converts a time to this process's clock. 0 and far values such as `never` and -`never` mark special cases
+// and stay as they are.
 void shift(Ticks clock_shift, Ticks& time) {
     if (time != 0 && std::abs(time) < never / 4) time += clock_shift;
 }
@@ -88,9 +90,9 @@
       peer_monitor_(peer_monitor),
       rebalancer_(rebalancer) {}
 
-// The order and the width of each field are part of the format.
+// The order and the width of the fields are part of the format.
 template <class Io>
-void StateCodec::transfer_figures(Io& io) const {
+void StateCodec::transfer_scalars(Io& io) const {
     transfer(io, node_.started_at_, reporter_.last_published_at_, peer_monitor_.hello_sent_at_,
              gossip_budget_.load_totals_interval_, gossip_budget_.report_interval_);
     transfer(io, admission_.recent_opened_, admission_.recent_ended_, outliers_.recent_outcomes_.tried,
@@ -103,7 +105,7 @@
 
 void StateCodec::write(std::string& into) const {
     serialization::Writer out(into);
-    transfer_figures(out);
+    transfer_scalars(out);
     out.value(static_cast<std::uint32_t>(load_.traffic_class_load_.size()));
     for (const RunningMean& mean : load_.traffic_class_load_) transfer(out, mean.value, mean.count);
     out.value(static_cast<std::uint32_t>(peer_table_.peers_.size()));
@@ -133,7 +135,7 @@
 
 bool StateCodec::read(std::string_view bytes, Ticks clock_shift) {
     serialization::Reader in(bytes);
-    transfer_figures(in);
+    transfer_scalars(in);
     shift_all(clock_shift, node_.started_at_, reporter_.last_published_at_, peer_monitor_.hello_sent_at_);
     if (count(in) != load_.traffic_class_load_.size()) in.fail();
     for (RunningMean& mean : load_.traffic_class_load_) transfer(in, mean.value, mean.count);
@@ -152,7 +154,7 @@
 void StateCodec::read_endpoints(serialization::Reader& in, Ticks clock_shift) {
     for (std::uint32_t left = count(in); left > 0 && in.good(); --left) {
         Endpoint* known = endpoint_table_.find_endpoint(in.next<std::uint32_t>());
-        Endpoint unknown;  // read, and dropped
+        Endpoint unknown;  // of an endpoint that is no longer listed: read, then dropped
         Endpoint& endpoint = known != nullptr ? *known : unknown;
         transfer_endpoint(in, endpoint);
         shift_times(endpoint, clock_shift);
--- a/src/balance/state_codec.h
+++ b/src/balance/state_codec.h
@@ -1,6 +1,7 @@
-/// The state that outlives the process, as bytes for the process that takes its place (hot restart): one
-/// description serves writing and reading. Endpoints go by their ids, since the other process numbers them by
-/// itself; what it learns anew at once (the watch, timers, the ring) is left out.
+/// StateCodec: the state of the decision modules as bytes, for the process that takes over in a hot restart.
+/// Writing and reading share one description of the fields. Endpoints are named by their ids, because the
+/// other process assigns its own indexes. State that the other process gets at once in any case (the endpoint
+/// list, timers, the ring) is left out.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -37,18 +38,21 @@
     StateCodec& operator=(const StateCodec&) = delete;
 
     void write(std::string& into) const;
-    /// False where the bytes are malformed or of another fleet; then what was read must not be used. Times
-    /// are on the writer's clock, which is `clock_shift` behind this process's; stamps belong to no clock.
+    /// Returns false if the bytes are malformed or do not fit this node's fleet or settings; the modules must
+    /// then not be used. Times in the bytes are on the writer's clock, which is `clock_shift` behind this
+    /// process's, and are converted; the stamps of records are not, since they do not belong to the clock of
+    /// one process.
     bool read(std::string_view bytes, Ticks clock_shift);
 
-    /// An open tunnel.
+    /// Appends the state of an open tunnel.
     static void write_tunnel(std::string& into, const TrackedTunnel& tunnel, std::uint32_t endpoint_id);
-    /// Returns the id of the tunnel's endpoint; `none` where the bytes are malformed.
+    /// Reads that state into `tunnel` and returns the id of its endpoint; `none` if the bytes are malformed.
     static std::uint32_t read_tunnel(std::string_view bytes, TrackedTunnel& tunnel, Ticks clock_shift);
 
   private:
+    // Writes or reads the values that stand alone, outside of any list.
     template <class Io>
-    void transfer_figures(Io& io) const;
+    void transfer_scalars(Io& io) const;
     void read_endpoints(serialization::Reader& in, Ticks clock_shift);
     void read_placements(serialization::Reader& in, Ticks clock_shift);
     void read_records(serialization::Reader& in, Ticks clock_shift);
