--- a/tests/balancer_fixture.h
+++ b/tests/balancer_fixture.h
@@ -1,6 +1,5 @@
-// A fake BalancerDelegate for the tests of the Balancer: it records what the Balancer asks for, and a test
-// plays the rest (time, messages between nodes, the answers of endpoints). Nothing here waits: time is
-// simulated.
+/// BalancerFixture: a Balancer with a fake delegate that records its requests. The test supplies the rest:
+/// the time, the messages between nodes, the answers of endpoints. Time is simulated, so nothing here waits.
 #pragma once
 #include <algorithm>
 #include <cstdint>
@@ -16,8 +15,9 @@
 namespace fake {
 
 using namespace lemonstair;
-constexpr Ticks ms = 10, s = 10000;
+constexpr Ticks ms = 10, s = 10000;  // a millisecond, a second
 
+/// A requested attempt, and when it was requested.
 struct Attempt {
     std::uint64_t tunnel;
     std::uint32_t endpoint;
@@ -27,7 +27,7 @@
 struct BalancerFixture : BalancerDelegate {
     std::vector<Attempt> attempts;
     std::vector<std::uint64_t> rejected, failed, migrated, health_checks;
-    std::vector<std::pair<std::uint32_t, std::vector<std::uint8_t>>> gossip;  // 99: broadcast
+    std::vector<std::pair<std::uint32_t, std::vector<std::uint8_t>>> gossip;  // by receiver; 99: broadcast
     std::vector<std::pair<Ticks, std::uint64_t>> timers;
     std::vector<std::string> log_lines;
     int list_requests = 0;
@@ -69,8 +69,8 @@
         config.node_count = nodes;
         return config;
     }
-    void start_attempt(std::uint64_t tunnel, std::uint32_t endpoint, Ticks wait) override {
-        attempts.push_back({tunnel, endpoint, wait, now});
+    void start_attempt(std::uint64_t tunnel, std::uint32_t endpoint, Ticks max_wait) override {
+        attempts.push_back({tunnel, endpoint, max_wait, now});
     }
     void reject(std::uint64_t tunnel, Ticks) override { rejected.push_back(tunnel); }
     void fail(std::uint64_t tunnel) override { failed.push_back(tunnel); }
@@ -78,13 +78,13 @@
     void check_health(std::uint32_t endpoint) override { health_checks.push_back(endpoint); }
     void request_endpoint_list() override { ++list_requests; }
     void set_timer(Ticks at, std::uint64_t label) override { timers.emplace_back(at, label); }
-    void send_gossip(std::uint32_t n, std::span<const std::uint8_t> m) override {
-        gossip.emplace_back(n, std::vector(m.begin(), m.end()));
+    void send_gossip(std::uint32_t node, std::span<const std::uint8_t> bytes) override {
+        gossip.emplace_back(node, std::vector(bytes.begin(), bytes.end()));
     }
-    void broadcast_gossip(std::span<const std::uint8_t> m) override { send_gossip(99, m); }
+    void broadcast_gossip(std::span<const std::uint8_t> bytes) override { send_gossip(99, bytes); }
     void log(std::string_view line) override { log_lines.emplace_back(line); }
 
-    // Advances the time; timers that are due fire on the way, earliest first.
+    /// Advances the time. Timers that become due fire at their times, the earliest first.
     void advance(Ticks span) {
         const Ticks until = now + span;
         for (;;) {
@@ -99,11 +99,12 @@
         now = until;
         balancer->set_time(now);
     }
+    /// Sends a list of these endpoints, all in zone 0 and cell 0.
     void set_endpoints(const std::vector<std::uint32_t>& endpoints,
                        EndpointListKind kind = EndpointListKind::complete,
-                       EndpointState life = EndpointState::active, Ticks started = 0) {
+                       EndpointState state = EndpointState::active, Ticks started = 0) {
         balancer->begin_endpoint_list(kind);
-        for (const auto endpoint : endpoints) balancer->add_endpoint(endpoint, 0, 0, life, 1, started);
+        for (const auto endpoint : endpoints) balancer->add_endpoint(endpoint, 0, 0, state, 1, started);
         balancer->end_endpoint_list();
     }
     void on_request(std::uint64_t tunnel, std::string_view key = "", bool mid_flow = false,
@@ -113,9 +114,11 @@
     }
     const Attempt& last_attempt() const { return attempts.back(); }
     int attempts_of(std::uint64_t tunnel) const {
-        return static_cast<int>(std::count_if(attempts.begin(), attempts.end(),
-                                              [&](const Attempt& x) { return x.tunnel == tunnel; }));
+        return static_cast<int>(std::count_if(attempts.begin(), attempts.end(), [&](const Attempt& attempt) {
+            return attempt.tunnel == tunnel;
+        }));
     }
+    /// Opens or ends a tunnel whose attempt is the last one that was requested.
     void open(std::uint64_t tunnel) {
         balancer->on_opened(tunnel, attempts_of(tunnel) - 1, last_attempt().endpoint, 10 * ms);
     }
@@ -123,42 +126,45 @@
         balancer->on_ended(tunnel, attempts_of(tunnel) - 1, last_attempt().endpoint, outcome, 10 * ms,
                            settled);
     }
+    /// Answers all pending health checks with the same load, in standard cores.
     void answer_health_checks(double load) {
-        for (const auto p : std::exchange(health_checks, {})) {
-            LoadReport r;
-            r.load = load;
-            balancer->on_health_check(static_cast<std::uint32_t>(p), Outcome::ok, ms, r);
+        for (const auto endpoint : std::exchange(health_checks, {})) {
+            LoadReport report;
+            report.load = load;
+            balancer->on_health_check(static_cast<std::uint32_t>(endpoint), Outcome::ok, ms, report);
         }
     }
 };
 
-// (Not "k" + to_string(n): GCC 12 warns there of a copy that overlaps, bug 105651, where it inlines enough.)
+// Not "k" + std::to_string(n): GCC 12 then warns of an overlapping copy where it inlines enough (GCC bug
+// 105651).
 inline std::string key_of(std::uint64_t n) { return std::string("k").append(std::to_string(n)); }
 inline std::string group_of(std::uint64_t n) { return std::string("g").append(std::to_string(n)); }
 
-// Delivers all queued gossip, and what is sent in answer, until none is left.
+/// Delivers all queued gossip, and the gossip sent in response, until none is left. A null node receives
+/// nothing.
 inline void deliver_gossip(std::vector<BalancerFixture*> nodes) {
-    for (bool any = true; any;) {
-        any = false;
+    for (bool delivered = true; delivered;) {
+        delivered = false;
         for (std::uint32_t from = 0; from < nodes.size(); ++from) {
             for (const auto& [to, bytes] : std::exchange(nodes[from]->gossip, {}))
-                for (std::uint32_t n = 0; n < nodes.size(); ++n)
-                    if (n != from && nodes[n] != nullptr && (to == 99 || to == n)) {
-                        nodes[n]->balancer->on_gossip(from, bytes);
-                        any = true;
+                for (std::uint32_t node = 0; node < nodes.size(); ++node)
+                    if (node != from && nodes[node] != nullptr && (to == 99 || to == node)) {
+                        nodes[node]->balancer->on_gossip(from, bytes);
+                        delivered = true;
                     }
         }
     }
 }
 
-// Starts nodes of one tier with a cached endpoint list, for which gossip has a cost.
+/// Starts the nodes of one fleet with a cached endpoint list. Their gossip has a cost.
 inline std::vector<std::unique_ptr<BalancerFixture>> start_nodes(
     std::uint32_t nodes, const std::vector<std::uint32_t>& endpoints) {
     std::vector<std::unique_ptr<BalancerFixture>> all;
-    for (std::uint32_t n = 0; n < nodes; ++n) {
-        auto config = BalancerFixture::default_config(n, nodes);
+    for (std::uint32_t node = 0; node < nodes; ++node) {
+        auto config = BalancerFixture::default_config(node, nodes);
         config.costs.gossip_message = 0.01;
-        config.seed = 31 * n + 1;
+        config.seed = 31 * node + 1;
         all.push_back(std::make_unique<BalancerFixture>(config));
         all.back()->set_endpoints(endpoints, EndpointListKind::cached);
     }
--- a/tests/clock_skew_test.cpp
+++ b/tests/clock_skew_test.cpp
@@ -1,4 +1,6 @@
-// Wall clocks that differ between hosts, nodes and two processes of one node.
+// Wall clocks that differ between servers, nodes, and two processes of one node. A node that compares times
+// of two clocks would end a slow start too early or too late, or treat transferred tunnels as silent for an
+// hour.
 #include <doctest/doctest.h>
 
 #include <chrono>
@@ -12,23 +14,23 @@
 
 namespace {
 
-// Opens so many tunnels one after the other; says how many went to the first host.
+// Opens tunnels one after the other and returns how many of them went to the first server.
 int opened_at_first(NodeFixture& fixture, int tunnels) {
     int at_first = 0;
     for (int i = 0; i < tunnels; ++i) {
-        const TestListener* at = nullptr;
+        const TestListener* listener = nullptr;
         TestConnection client = fixture.connect_client(fixture.open_line()),
-                       host = fixture.accept_attempt(&at);
-        if (host.fd.open()) host.send("UP r\r\n");
+                       server = fixture.accept_attempt(&listener);
+        if (server.fd.open()) server.send("UP r\r\n");
         fixture.run_until([&] { return client.has_received("\r\n"); });
-        at_first += at == &fixture.host_a ? 1 : 0;
+        at_first += listener == &fixture.host_a ? 1 : 0;
     }
     return at_first;
 }
 
 }  // namespace
 
-TEST_CASE("a host that has just started is in slow start for its duration, whatever the node's wall clock") {
+TEST_CASE("an endpoint that has just started is in slow start as configured, whatever the node's clock") {
     constexpr Ticks hour = 3600 * s;
     for (const Ticks ahead : {Ticks{0}, hour, -hour, 5 * s}) {
         NodeFixture fixture({.slow_start = R"(,"cold":2,"cold_from":0.1,"fall":1.0,"tip_multiple":1)"},
@@ -49,7 +51,7 @@
     }
 }
 
-TEST_CASE("a tunnel transferred to a process with another wall clock is neither unresponsive nor forgotten") {
+TEST_CASE("a transferred tunnel is neither moved at once nor forgotten, whatever the new process's clock") {
     constexpr Ticks hour = 3600 * s;
     for (const Ticks ahead : {hour, -hour}) {
         NodeFixture fixture({.mode = "proxy", .admin = true, .inherits_listener = true});
@@ -60,11 +62,11 @@
         fixture.upgrade();
         REQUIRE(fixture.run_until(
             [&] { return fixture.get("/healthcheck").find(" 200 ") != std::string::npos; }));
-        const auto over = std::chrono::steady_clock::now();
+        const auto transferred_at = std::chrono::steady_clock::now();
         fixture.run_for(1500);
         CHECK(!tunnel.client.has_received("MOVE"));
-        // It stays silent, and is moved within 7 s.
+        // The server stays silent, so the client is told to move within 7 s.
         CHECK(fixture.run_until([&] { return tunnel.client.has_received("MOVE"); }, 7000));
-        CHECK(std::chrono::steady_clock::now() - over > 2s);
+        CHECK(std::chrono::steady_clock::now() - transferred_at > 2s);
     }
 }
--- a/tests/deadline_race_test.cpp
+++ b/tests/deadline_race_test.cpp
@@ -1,4 +1,6 @@
-// Events that come in the pass in which a wait or a grace ends.
+// Events that arrive in the same pass of the event loop in which a timeout or a drain grace ends. A stalled
+// process sees both at once, and must neither drop an answered line, blame an endpoint that had no time to
+// answer, nor write to an endpoint whose grace is over.
 #include <doctest/doctest.h>
 
 #include <chrono>
@@ -11,32 +13,33 @@
 
 using namespace fake;
 
-TEST_CASE("a line that arrives as its timeout ends is answered") {
+TEST_CASE("a line that arrives just as its timeout expires is answered") {
     NodeFixture fixture;
     TestConnection client = fixture.connect_client();
     fixture.run_for(2300);
-    stall(300);  // the wait is over in the next pass, and behind its back the line comes
+    stall(300);  // the timeout has expired by the next pass, and the line arrives during that pass
     const std::string line = fixture.open_line();
     fixture.kernel.after_poll = [&] { client.send(line); };
     fixture.running = fixture.node->turn();
-    TestConnection host = fixture.accept_attempt();
-    host.send("UP r\r\n");
+    TestConnection server = fixture.accept_attempt();
+    server.send("UP r\r\n");
     CHECK(fixture.run_until([&] { return client.has_received("\r\n"); }));
     CHECK(!client.reset);
 }
 
-TEST_CASE("attempts with almost no time left say nothing about their endpoint") {
-    for (const Outcome ending : {Outcome::timed_out, Outcome::withdrawn}) {
+TEST_CASE("attempts with almost no time left do not count against their endpoint") {
+    for (const Outcome outcome : {Outcome::timed_out, Outcome::withdrawn}) {
         fake::BalancerFixture node;
         node.set_endpoints({1, 2});
         for (std::uint64_t tunnel = 1; tunnel <= 40; ++tunnel) {
             node.on_request(tunnel, "", false, 5 * ms);
             if (node.attempts_of(tunnel) == 0) continue;
             node.advance(5 * ms);
-            node.balancer->on_ended(tunnel, 0, node.last_attempt().endpoint, ending, 5 * ms, false);
+            node.balancer->on_ended(tunnel, 0, node.last_attempt().endpoint, outcome, 5 * ms, false);
         }
         CHECK(node.balancer->endpoint_counts().excluded == 0);
-        // One that answers after it was out of reach is treated as warming up until the list tells of it.
+        // An endpoint that answers after it was unreachable is treated as warming up until it is listed
+        // again. These endpoints were never unreachable.
         for (std::uint64_t tunnel = 101; tunnel <= 110; ++tunnel) {
             node.on_request(tunnel);
             REQUIRE(node.attempts_of(tunnel) == 1);
@@ -47,7 +50,7 @@
     }
 }
 
-TEST_CASE("nothing is written to an endpoint whose grace ended while the node was held up") {
+TEST_CASE("nothing is written to an endpoint whose drain grace ended while the node was stalled") {
     NodeFixture fixture({.drain_grace = "0.1"});
     Watch watch(fixture);
     TestConnection client = fixture.connect_client(fixture.open_line());
@@ -55,17 +58,18 @@
         stall(150);
         return fixture.kernel.Kernel::connected(fd);
     };
-    // The drain and the connection that is up are both ready before the next pass.
-    std::vector<TestConnection> hosts;
+    // The drain and the established connection are both ready before the next pass.
+    std::vector<TestConnection> servers;
     REQUIRE(fixture.run_until([&] {
-        for (const TestListener* d : {&fixture.host_a, &fixture.host_b})
-            if (TestConnection e = d->accept(); e.fd.open()) hosts.push_back(std::move(e));
-        return !hosts.empty();
+        for (const TestListener* listener : {&fixture.host_a, &fixture.host_b})
+            if (TestConnection accepted = listener->accept(); accepted.fd.open())
+                servers.push_back(std::move(accepted));
+        return !servers.empty();
     }));
     watch.send_list(NodeFixture::member("a", fixture.host_a, "terminating") + "," +
                         NodeFixture::member("b", fixture.host_b, "terminating"),
                     true);
     fixture.run_for(500);
-    for (TestConnection& host : hosts) CHECK(!host.has_received("OPEN"));
+    for (TestConnection& server : servers) CHECK(!server.has_received("OPEN"));
     CHECK(fixture.run_until([&] { return client.has_received("\r\n"); }));
 }
--- a/tests/watch_fixture.h
+++ b/tests/watch_fixture.h
@@ -1,4 +1,5 @@
-// The watch that a node under test keeps at its discovery, and the endpoint lists on it.
+/// Watch: the fake discovery's end of the watch (a streamed HTTP response) on which the node under test
+/// receives its endpoint lists.
 #pragma once
 #include <doctest/doctest.h>
 
@@ -10,8 +11,8 @@
 
 namespace fake {
 
-// A watch that the node keeps, and lists on it.
 struct Watch {
+    /// Waits until the node has requested the list, and begins the response.
     explicit Watch(NodeFixture& fixture) : fixture_(fixture) {
         REQUIRE(fixture.run_until([&] {
             if (!connection_.fd.open()) connection_ = fixture.discovery.accept();
@@ -20,6 +21,7 @@
         connection_.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
         fixture.run_for(20);
     }
+    /// Sends a list of entries made by NodeFixture::member, separated by commas, as one chunk.
     void send_list(const std::string& members, bool complete) {
         const std::string list = R"({"revision":)" + std::to_string(++revision_) + R"(,"complete":)" +
                                  (complete ? "true" : "false") + R"(,"members":[)" + members + "]}\n";
