--- a/src/balance/attempt_policy.h
+++ b/src/balance/attempt_policy.h
@@ -44,8 +44,7 @@
 /// Whether another attempt may be made after one that ended with the outcome `last`.
 Reason may_retry(const TunnelLimits& limits, const History& history, Outcome last, Ticks now);
 
-/// The shortest wait after which a timeout counts against the endpoint: a shorter one proves nothing about
-/// it.
+/// The shortest wait after which a timeout counts against the endpoint; a shorter one proves nothing.
 constexpr Ticks min_conclusive_wait(Ticks latency_objective) { return latency_objective / 2; }
 
 /// Whether a chosen attempt may still be written within `reserve`. `before`: the attempts before this one.
@@ -60,8 +59,7 @@
     std::size_t unread = 0;      // bytes in the kernel's receive buffer
     bool complete_line = false;  // a line has been read but not answered
 };
-/// Whether the connection may be closed without an answer: only if none of its input
-/// is unanswered.
+/// Whether the connection may be closed without an answer: only if no input of its client is unanswered.
 Reason may_close_unanswered(const PendingInput& input);
 
 /// The work that must be finished before the process may exit.
--- a/src/balance/balance.h
+++ b/src/balance/balance.h
@@ -18,6 +18,8 @@
 /// clock.
 using Ticks = std::int64_t;
 
+/// Whether a tunnel may be executed more than once: without harm, without harm if the endpoint recognizes its
+/// key, or not at all.
 enum class Idempotency : std::uint8_t { idempotent, idempotent_with_key, non_idempotent };
 /// Which endpoints recognize a repeated attempt by its idempotency key: all of them, or only those in the
 /// zone or the cell of the endpoint that received the first one.
@@ -101,7 +103,7 @@
     CostModel costs;
     AttemptLimits limits;
     Ticks clock_resolution = 0;
-    std::uint32_t own_node = 0;  // the number of this node, below node_count
+    std::uint32_t own_node = 0;  // the number of this node, from 0
     std::uint32_t node_count = 1;
     std::uint32_t zone = 0;
     std::uint32_t seed = 1;
@@ -177,7 +179,8 @@
     /// Replaces the configuration. The number of nodes and of traffic classes and the own node must not
     /// change.
     virtual void update_config(BalancerConfig config) = 0;
-    /// The endpoint list arrives as a call to begin, one call for each entry, and a call to end.
+    /// The endpoint list arrives as a call to begin, one call for each entry, and a call to end. `started` is
+    /// when the endpoint's present incarnation began.
     virtual void begin_endpoint_list(EndpointListKind kind) = 0;
     virtual void add_endpoint(std::uint32_t endpoint_id, std::uint32_t zone, std::uint32_t cell,
                               EndpointState state, double size, Ticks started) = 0;
--- a/src/balance/gossip_budget.h
+++ b/src/balance/gossip_budget.h
@@ -20,13 +20,12 @@
     void set_placement_rate(double rate) { placement_rate_ = rate; }
     /// In each tick. `age_seconds`: how long the node has been running.
     void update_placement_rate(double age_seconds);
-    /// The interval at which all nodes can do something whose cost is `cost` for a round of all of them,
-    /// within the share of the value of the tunnels placed in that interval. At least `min_interval`, and at
-    /// most `max_factor` times that.
+    /// The shortest interval at which a periodic activity stays within the budget, where one round of it by
+    /// all nodes costs `cost`. At least `min_interval`, and at most `max_factor` times that.
     Ticks affordable_interval(Ticks min_interval, double cost, int max_factor) const;
     /// Whether starts and failures of nodes may be broadcast: only if the budget of one refresh period pays
-    /// for a broadcast by every node. This limits gossip when many nodes start or stop at once; the refreshes
-    /// then repair the records. `cost_divisor`: the cost is divided by this.
+    /// for a broadcast by every node. This limits gossip when many nodes start or stop at once; without the
+    /// broadcasts, refreshes repair the records. `cost_divisor`: the cost is divided by this.
     bool gossip_worthwhile(int cost_divisor = 1) const;
     /// Sets the two intervals below, for the current number of endpoints and rate of placements.
     void update_gossip_intervals();
--- a/src/balance/node_context.h
+++ b/src/balance/node_context.h
@@ -21,7 +21,7 @@
     void set_time(Ticks now) { now_ = now; }
     /// Replaces the configuration. The number of nodes and of traffic classes must not change.
     void set_config(BalancerConfig config);
-    /// The number of node numbers in use, at least that of the own node plus one.
+    /// One more than the highest node number.
     std::size_t node_slots() const { return std::max<std::size_t>(config_.node_count, config_.own_node + 1); }
     std::uint32_t tick_count() const { return tick_count_; }
     std::uint32_t count_tick() { return ++tick_count_; }
--- a/src/balance/peer_monitor.h
+++ b/src/balance/peer_monitor.h
@@ -49,7 +49,7 @@
     NodePair monitored_peers_{none, none};  // as of the last check
     Ticks heartbeat_sent_at_ = 0;
     Ticks hello_sent_at_ = -never;
-    bool hello_sent_ = false;  // or left out for its cost
+    bool hello_sent_ = false;  // true also if the announcement was left out because of its cost
 };
 
 }  // namespace lemonstair
--- a/src/balance/placement.cpp
+++ b/src/balance/placement.cpp
@@ -33,7 +33,7 @@
     quota_short_endpoint_ = none;
     quota_short_cost_ = load_cost_model_.max_cost_of(tunnel.traffic_class);
     affinity_.mark_affinity_targets(tunnel);
-    double total = 0, least = std::numeric_limits<double>::max();
+    double total = 0, min_cost = std::numeric_limits<double>::max();
     const auto weigh = [&](std::uint32_t i, int pass) {
         Endpoint& endpoint = endpoint_table_.endpoints()[i];
         if (endpoint.state != EndpointState::active || !in_deduplication_scope(tunnel, endpoint)) return;
@@ -49,20 +49,22 @@
             if (cost < quota_short_cost_) quota_short_endpoint_ = i, quota_short_cost_ = cost;
             return;
         }
-        least = std::min(least, cost);
+        min_cost = std::min(min_cost, cost);
         total += weights_[i] = weight(endpoint, cost);
     };
     for (int pass = 0; pass < 2 && total <= 0; ++pass)
         for (const char in_group : {char{1}, char{0}}) {
-            // Another copy of the group would cost twice as much: the other endpoints need not be
-            // considered.
-            const bool copy_is_costly = load_cost_model_.group_copy_cost(tunnel.group) > 2 * least;
+            // The other endpoints need not be considered if another copy of the group would cost more than
+            // twice as much.
+            const bool copy_is_costly = load_cost_model_.group_copy_cost(tunnel.group) > 2 * min_cost;
             for (std::uint32_t i = 0;
                  i < endpoint_table_.endpoints().size() && !(copy_is_costly && total > 0); ++i)
                 if (affinity_.holds_group()[i] == in_group) weigh(i, pass);
         }
-    too_costly_ = total > 0 && !tunnel.mid_flow && least > load_cost_model_.max_cost_of(tunnel.traffic_class);
-    if (total <= 0 || too_costly_ || (waits_for_lease(tunnel) && least - quota_short_cost_ > lease_min_gain))
+    too_costly_ =
+        total > 0 && !tunnel.mid_flow && min_cost > load_cost_model_.max_cost_of(tunnel.traffic_class);
+    if (total <= 0 || too_costly_ ||
+        (waits_for_lease(tunnel) && min_cost - quota_short_cost_ > lease_min_gain))
         return none;
     if (uses_key_hash(tunnel)) return draw_by_key(tunnel.key);
     double remaining = node_.random_fraction() * total;
@@ -106,9 +108,8 @@
             weights_[i] =
                 weight(endpoint_table_.endpoints()[i],
                        load_cost_model_.load_cost(endpoint_table_.endpoints()[i], load_.mean_load()));
-    const double unheard_a_second =
-        gossip_budget_.placement_rate() / 10 * (node_.placements_per_sample() - 1);
-    load_.estimate_unseen_placements(unheard_a_second * load_.mean_load() * tick_interval / second, weights_);
+    const double unseen_rate = gossip_budget_.placement_rate() / 10 * (node_.placements_per_sample() - 1);
+    load_.estimate_unseen_placements(unseen_rate * load_.mean_load() * tick_interval / second, weights_);
 }
 
 double Placement::weight(const Endpoint& endpoint, double cost) const {
@@ -117,7 +118,7 @@
                                  !slow_start_.is_warming_up(endpoint)
                              ? load_cost_model_.uncertainty_cost()
                              : 0));
-    for (int k = 0; k < 3; ++k) value *= value;  // an endpoint of twice the cost gets a 256th of the weight
+    for (int k = 0; k < 3; ++k) value *= value;  // the 8th power: twice the cost gives 1/256 of the weight
     const double free =
         load_.misses_other_nodes(endpoint) ? std::max(1 - load_.utilization(endpoint), 0.05) : 1;
     return load_.capacity(endpoint) * free * value + weight_floor;
@@ -130,12 +131,12 @@
 
 std::uint32_t Placement::draw_by_key(std::uint64_t key) const {
     std::uint32_t best = none;
-    double most = 0;
+    double best_score = 0;
     for (std::uint32_t i = 0; i < endpoint_table_.endpoints().size(); ++i) {
         const double chance =
             (static_cast<double>(mix(key ^ mix(endpoint_table_.endpoint_ids()[i])) >> 11) + 0.5) * 0x1p-53;
-        const double drawn = weights_[i] / -std::log(chance);
-        if (drawn > most) best = i, most = drawn;
+        const double score = weights_[i] / -std::log(chance);
+        if (score > best_score) best = i, best_score = score;
     }
     return best;
 }
--- a/src/balance/rebalancer.h
+++ b/src/balance/rebalancer.h
@@ -31,7 +31,7 @@
     void refill_tokens();
     /// Migrates this node's share of an endpoint's excess load, those tunnels first whose migration gains
     /// most. If the excess that is left is less than the load of the next tunnel, chance decides, so that not
-    /// all nodes migrate one at the same time.
+    /// all nodes migrate a tunnel at the same time.
     void migrate_excess(std::uint32_t index);
 
   private:
--- a/src/balance/tunnel_table.h
+++ b/src/balance/tunnel_table.h
@@ -16,9 +16,10 @@
     TunnelTable(const TunnelTable&) = delete;
     TunnelTable& operator=(const TunnelTable&) = delete;
 
+    /// Changes the state of a tunnel. Its endpoint must be set before the states setting_up and open.
     void transition_to(std::uint32_t index, TunnelState next);
-    /// The label of the tunnel's timers. It differs from those of earlier tunnels in the same slot, and from
-    /// 0.
+    /// The label of the tunnel's timers. It differs from the labels of earlier tunnels in the same slot, and
+    /// from that of the periodic tick.
     std::uint64_t timer_label(std::uint32_t index) const;
     Slab<TrackedTunnel>& tunnels() { return tunnels_; }
     IdIndex& tunnel_by_id() { return tunnel_by_id_; }
