--- a/tests/balancer_fixture.h
+++ b/tests/balancer_fixture.h
@@ -39,14 +39,14 @@
     }
     BalancerFixture() : BalancerFixture(default_config(0, 1)) {}
 
-    static TrafficClass traffic_class(Idempotency effect = Idempotency::idempotent,
+    static TrafficClass traffic_class(Idempotency idempotency = Idempotency::idempotent,
                                       DeduplicationScope scope = DeduplicationScope::all) {
         return {.latency_objective = 500 * ms,
                 .client_timeout = 3 * s,
                 .deduplication_window = 5 * s,
                 .message_latency_objective = 100 * ms,
                 .priority_weight = 1,
-                .idempotency = effect,
+                .idempotency = idempotency,
                 .deduplication_scope = scope,
                 .stream = true};
     }
--- a/tests/deadline_race_test.cpp
+++ b/tests/deadline_race_test.cpp
@@ -1,6 +1,6 @@
 // Events that arrive in the same pass of the event loop in which a timeout or a drain grace ends. A stalled
-// process sees both at once, and must neither drop an answered line, blame an endpoint that had no time to
-// answer, nor write to an endpoint whose grace is over.
+// process sees both at once. It must not drop a line that has arrived, count a timeout against an endpoint
+// that had no time to answer, or write to an endpoint whose grace is over.
 #include <doctest/doctest.h>
 
 #include <chrono>
