--- a/src/balance/constants.h
+++ b/src/balance/constants.h
@@ -73,7 +73,7 @@
 constexpr double migrations_per_tunnel = 5;  // the rate of migrations over that of ending tunnels
 
 /// Moves an estimated rate a second towards what was counted in one tick, over a window in seconds.
-inline void approach_rate(double& per_second, double counted, double window) {
+inline void update_rate_estimate(double& per_second, double counted, double window) {
     per_second += (counted - per_second * tick_interval / second) / window;
 }
 
--- a/src/balance/gossip_budget.cpp
+++ b/src/balance/gossip_budget.cpp
@@ -34,8 +34,8 @@
 }
 
 void GossipBudget::update_placement_rate(double age_seconds) {
-    approach_rate(placement_rate_, 10.0 * std::exchange(placed_since_tick_, 0),
-                  std::clamp(age_seconds, 1.0, 10.0));
+    update_rate_estimate(placement_rate_, 10.0 * std::exchange(placed_since_tick_, 0),
+                         std::clamp(age_seconds, 1.0, 10.0));
 }
 
 }  // namespace lemonstair
--- a/src/balance/load_cost.cpp
+++ b/src/balance/load_cost.cpp
@@ -41,16 +41,16 @@
 }
 
 double LoadCost::load_cost(const Endpoint& endpoint, double load) const {
-    return late_cost(priced_utilization(endpoint) + load / load_.capacity(endpoint) / 2,
+    return late_cost(utilization_for_cost(endpoint) + load / load_.capacity(endpoint) / 2,
                      load / load_.mean_load());
 }
 
-double LoadCost::max_cost_of(std::uint32_t traffic_class) const {
+double LoadCost::cost_limit(std::uint32_t traffic_class) const {
     return shed_cost * node_.config().traffic_classes[traffic_class].priority_weight /
            node_.mean_priority_weight();
 }
 
-double LoadCost::priced_utilization(const Endpoint& endpoint) const {
+double LoadCost::utilization_for_cost(const Endpoint& endpoint) const {
     return load_.misses_other_nodes(endpoint)
                ? std::max(load_.utilization(endpoint), assumed_mean_utilization)
                : load_.utilization(endpoint);
--- a/src/balance/load_cost.h
+++ b/src/balance/load_cost.h
@@ -29,8 +29,8 @@
     double load_cost(const Endpoint& endpoint, double load) const;
     /// The cost to others above which a tunnel is rejected. In an overload this sheds the heavy tunnels and
     /// the classes of low priority weight first.
-    double max_cost_of(std::uint32_t traffic_class) const;
-    double priced_utilization(const Endpoint& endpoint) const;
+    double cost_limit(std::uint32_t traffic_class) const;
+    double utilization_for_cost(const Endpoint& endpoint) const;
 
   private:
     NodeContext& node_;
--- a/src/balance/load_estimator.cpp
+++ b/src/balance/load_estimator.cpp
@@ -222,7 +222,7 @@
     overall_load_.add(measured);
 }
 
-double LoadEstimator::usual_load(std::uint32_t traffic_class) const {
+double LoadEstimator::mean_load_of_class(std::uint32_t traffic_class) const {
     return traffic_class_load_[traffic_class].count > 0 ? traffic_class_load_[traffic_class].value
                                                         : mean_load();
 }
--- a/src/balance/load_estimator.h
+++ b/src/balance/load_estimator.h
@@ -26,7 +26,7 @@
     /// A tunnel's load was measured.
     void learn_tunnel_load(std::uint32_t traffic_class, double measured);
     /// The usual load of a tunnel of a class.
-    double usual_load(std::uint32_t traffic_class) const;
+    double mean_load_of_class(std::uint32_t traffic_class) const;
     void set_record_sample(RecordTable::Sampled sample) { record_sample_ = sample; }
     /// Fades what is remembered only for seconds.
     void decay_recent_loads();
--- a/src/balance/placement.cpp
+++ b/src/balance/placement.cpp
@@ -31,7 +31,7 @@
 std::uint32_t Placement::choose(const TrackedTunnel& tunnel) {
     weights_.assign(endpoint_table_.endpoints().size(), 0);
     quota_short_endpoint_ = none;
-    quota_short_cost_ = load_cost_model_.max_cost_of(tunnel.traffic_class);
+    quota_short_cost_ = load_cost_model_.cost_limit(tunnel.traffic_class);
     affinity_.mark_affinity_targets(tunnel);
     double total = 0, least = std::numeric_limits<double>::max();
     const auto weigh = [&](std::uint32_t i, int pass) {
@@ -61,7 +61,7 @@
                  i < endpoint_table_.endpoints().size() && !(copy_is_costly && total > 0); ++i)
                 if (affinity_.holds_group()[i] == in_group) weigh(i, pass);
         }
-    too_costly_ = total > 0 && !tunnel.mid_flow && least > load_cost_model_.max_cost_of(tunnel.traffic_class);
+    too_costly_ = total > 0 && !tunnel.mid_flow && least > load_cost_model_.cost_limit(tunnel.traffic_class);
     if (total <= 0 || too_costly_ || (waits_for_lease(tunnel) && least - quota_short_cost_ > lease_min_gain))
         return none;
     if (uses_key_hash(tunnel)) return draw_by_key(tunnel.key);
@@ -89,7 +89,7 @@
           !load_.load_totals_known())) {
         if (load_.load_totals_known()) load += group_copy_tunnels * load_.mean_load();
         if (!load_.load_totals_known())
-            copy = load_cost_model_.late_cost(std::max(load_cost_model_.priced_utilization(endpoint),
+            copy = load_cost_model_.late_cost(std::max(load_cost_model_.utilization_for_cost(endpoint),
                                                        load_cost_model_.group_copy_utilization()),
                                               group_copy_tunnels);
     }
--- a/src/balance/rebalancer.cpp
+++ b/src/balance/rebalancer.cpp
@@ -81,7 +81,7 @@
         if (cost_here < best_gain) continue;
         affinity_.mark_affinity_targets(tunnel);
         double cost_elsewhere =
-            load_cost_model_.max_cost_of(tunnel.traffic_class);  // in a full fleet it is better shed
+            load_cost_model_.cost_limit(tunnel.traffic_class);  // in a full fleet it is better shed
         const double new_copy_cost = load_cost_model_.group_copy_cost(tunnel.group);
         for (std::uint32_t other = 0; other < endpoint_table_.endpoints().size(); ++other)
             if ((affinity_.holds_group()[other] != 0 || new_copy_cost < cost_elsewhere) &&
--- a/src/balance/tunnel_lifecycle.cpp
+++ b/src/balance/tunnel_lifecycle.cpp
@@ -293,7 +293,8 @@
     if (node_.config().groups_enabled && !request.group.empty())
         tunnel.group = static_cast<std::uint32_t>(hash_text(request.group) | 1);
     const Record* record = tunnel.has_key ? records_.find(tunnel.key) : nullptr;
-    tunnel.load = request.expected_load > 0 ? request.expected_load : load_.usual_load(tunnel.traffic_class);
+    tunnel.load =
+        request.expected_load > 0 ? request.expected_load : load_.mean_load_of_class(tunnel.traffic_class);
     if (record != nullptr && record->load > 0) tunnel.load = record->load;
     tunnel_table_.tunnel_by_id().put(id, index);
     return index;
--- a/src/balance/tunnel_turnover.cpp
+++ b/src/balance/tunnel_turnover.cpp
@@ -16,7 +16,7 @@
 }
 
 void TunnelTurnover::update_turnover(double age_seconds) {
-    approach_rate(tunnel_end_rate_, ended_since_tick_, std::clamp(age_seconds, 1.0, 20.0));
+    update_rate_estimate(tunnel_end_rate_, ended_since_tick_, std::clamp(age_seconds, 1.0, 20.0));
     ended_tunnels_ += ended_since_tick_;
     for (const auto& endpoint : endpoint_table_.endpoints())
         total_open_seconds_ += endpoint.open_tunnels * static_cast<double>(tick_interval) / second;
