--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -92,10 +92,10 @@
 }
 
 void Node::run() {
-    while (turn()) continue;
+    while (run_once()) continue;
 }
 
-bool Node::turn() {
+bool Node::run_once() {
     loop_.run_once([this] {
         balancer_.run_actions([this](const DeferredActions::Action& action) { carry_out(action); });
     });
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -38,14 +38,14 @@
     // Until the node has stopped.
     void run();
     // One pass of the loop; false once the node has stopped.
-    bool turn();
+    bool run_once();
 
     // What the node holds now; an empty node holds nothing but its periodic timers.
-    struct Holds {
-        std::size_t tunnels, buffers, timers, callers, descriptors;
+    struct ResourceUsage {
+        std::size_t tunnels, buffers, timers, admin_connections, descriptors;
     };
-    const metrics::ResourceCounters& costs() const { return counters_; }
-    Holds holds() const {
+    const metrics::ResourceCounters& resource_counters() const { return counters_; }
+    ResourceUsage resource_usage() const {
         return {stages_.registry.tunnel_count(), stages_.registry.pool.out(), loop_.timers(),
                 admin_server_.open_connections(), loop_.descriptors()};
     }
--- a/src/simulation/simulated_nodes.cpp
+++ b/src/simulation/simulated_nodes.cpp
@@ -157,7 +157,7 @@
     ProcessSlot& slot = slots_[node];
     NodeProcess& running = slot.previous.process.get() == process ? slot.previous : slot.current;
     try {
-        const bool goes_on = running.node->turn();
+        const bool goes_on = running.node->run_once();
         check_descriptors(node);
         if (goes_on) return true;
         environment_->note("node left", node, slot.incarnation);
@@ -245,7 +245,7 @@
             continue;
         std::size_t clients = 0, calls = 0;
         slot.current.process->each_end([&](simnet::End end) { ++(end.side == 1 ? clients : calls); });
-        const auto holds = slot.current.node->holds();
+        const auto holds = slot.current.node->resource_usage();
         usage_.most_timers = std::max(usage_.most_timers, holds.timers);
         const auto check = [&](std::size_t held, std::size_t most, const char* what) {
             if (held > most)
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -42,7 +42,7 @@
     return call + "\r\n";
 }
 
-NodeFixture::Options operated(int sockets = 256) { return {.sockets = sockets, .admin = true}; }
+NodeFixture::Options operated(int sockets = 256) { return {.max_descriptors = sockets, .admin = true}; }
 
 // A figure behind its name in an answer; -1: there is none.
 long figure(const std::string& answer, const std::string& name) {
@@ -160,8 +160,8 @@
     for (int i = 0; i < 2; ++i) fixture.accept_attempt().send("BUSY\r\n");
     CHECK(fixture.run_until([&] { return waits.has_received("BUSY\r\n"); }));
     tunnel.client.shutdown_write();
-    CHECK(fixture.run_until([&] { return tunnel.host.is_closed(); }));
-    tunnel.host.shutdown_write();
+    CHECK(fixture.run_until([&] { return tunnel.server.is_closed(); }));
+    tunnel.server.shutdown_write();
     CHECK(fixture.run_until([&] { return tunnel.client.is_closed(); }));
     TestConnection bad = fixture.connect_client("OPEN 1 k c=nothing,d=2000\r\n");
     CHECK(fixture.run_until([&] { return bad.has_received("ERR\r\n"); }));
@@ -217,7 +217,7 @@
     char byte = 0;
     CHECK(::recv(reads_nothing.fd.get(), &byte, 1, MSG_PEEK) ==
           1);  // its answer is there, and the node is done
-    CHECK(fixture.node->holds().callers == 0);
+    CHECK(fixture.node->resource_usage().admin_connections == 0);
 }
 
 TEST_CASE(
@@ -229,7 +229,7 @@
         TestConnection c = fixture.connect_client(fixture.open_line());
         TestConnection h;
         fixture.run_until([&] {
-            for (const TestListener* d : {&fixture.host_a, &fixture.host_b})
+            for (const TestListener* d : {&fixture.server_a, &fixture.server_b})
                 if (!h.fd.open()) h = d->accept();
             return (h.fd.open() && h.has_received("\n")) || c.is_closed();
         });
@@ -265,8 +265,8 @@
     CHECK(config::parse_node_config(file.root(), {.admin_addr = "127.0.0.1:7"}).admin ==
           net::parse_address("127.0.0.1:7"));
     TestListener taken;
-    text.replace(text.find("nowhere"), 7, taken.name());
-    text.replace(text.find(fixture.address), fixture.address.size(), TestListener().name());
+    text.replace(text.find("nowhere"), 7, taken.host_port());
+    text.replace(text.find(fixture.address), fixture.address.size(), TestListener().host_port());
     REQUIRE(file.parse(text));
     CHECK_THROWS_WITH_AS(node::Node(fixture.kernel, config::parse_node_config(file.root()),
                                     file.root().inner("known"), fixture.log, {}),
@@ -275,17 +275,17 @@
 
 TEST_CASE("without an admin address there is no listener and no descriptor reserved") {
     NodeFixture with(operated()), without;
-    CHECK(config::parse_node_config(without.file.root()).max_admin_connections == 0);
-    CHECK(config::parse_node_config(with.file.root()).max_admin_connections > 0);
+    CHECK(config::parse_node_config(without.config_document.root()).max_admin_connections == 0);
+    CHECK(config::parse_node_config(with.config_document.root()).max_admin_connections > 0);
     CHECK(!without.connect_admin("GET /stats HTTP/1.1\r\n\r\n").has_received("HTTP"));
-    CHECK(without.node->holds().descriptors < with.node->holds().descriptors);
+    CHECK(without.node->resource_usage().descriptors < with.node->resource_usage().descriptors);
 }
 
 TEST_CASE("a draining node migrates its clients between lines, keeps running, and accepts clients again") {
     NodeFixture fixture({.mode = "proxy", .admin = true});
     OpenTunnel tunnel = fixture.open_tunnel();
     OpenTunnel second = fixture.open_tunnel();
-    second.host.send("half a li");  // its host is in the middle of a line, and then says nothing more
+    second.server.send("half a li");  // its host is in the middle of a line, and then says nothing more
     CHECK(fixture.run_until([&] { return second.client.has_received("half a li"); }));
     TestConnection waits = fixture.connect_client(fixture.open_line());
     TestConnection asked = fixture.accept_attempt();
@@ -300,7 +300,7 @@
     CHECK(tunnel.client.received == "MOVE\r\n");
     CHECK(waits.received == "UP r\r\nMOVE\r\n");
     CHECK(!tunnel.client.reset);
-    CHECK(tunnel.host.is_closed());
+    CHECK(tunnel.server.is_closed());
     fixture.run_for(1200);
     CHECK(fixture.running);
     CHECK(figure(fixture.get("/stats"), "open_requests") == 0);
@@ -319,7 +319,7 @@
     fixture.run_for(2000);
     CHECK(!tunnel.client.is_closed());
     tunnel.client.send("still here\r\n");
-    CHECK(fixture.run_until([&] { return tunnel.host.has_received("still here\r\n"); }));
+    CHECK(fixture.run_until([&] { return tunnel.server.has_received("still here\r\n"); }));
 }
 
 TEST_CASE("with packet passthrough a draining node keeps open tunnels") {
@@ -328,7 +328,7 @@
     fixture.post("/healthcheck/fail");
     fixture.run_for(2500);
     CHECK(!tunnel.client.is_closed());
-    tunnel.host.send("on\r\n");
+    tunnel.server.send("on\r\n");
     CHECK(fixture.run_until([&] { return tunnel.client.has_received("on\r\n"); }));
 }
 
--- a/tests/client_disconnect_test.cpp
+++ b/tests/client_disconnect_test.cpp
@@ -25,7 +25,7 @@
 std::string sent_on(NodeFixture& fixture, std::vector<TestConnection>& ends) {
     fixture.run_until(
         [&] {
-            for (const TestListener* d : {&fixture.host_a, &fixture.host_b})
+            for (const TestListener* d : {&fixture.server_a, &fixture.server_b})
                 for (TestConnection e = d->accept(); e.fd.open(); e = d->accept())
                     ends.push_back(std::move(e));
             return false;
@@ -62,7 +62,7 @@
             c.send(fixture.open_line());
             std::vector<TestConnection> ends;
             REQUIRE(fixture.run_until([&] {  // the connection has been asked for: the node is connecting
-                for (const TestListener* d : {&fixture.host_a, &fixture.host_b})
+                for (const TestListener* d : {&fixture.server_a, &fixture.server_b})
                     if (TestConnection e = d->accept(); e.fd.open()) ends.push_back(std::move(e));
                 return !ends.empty();
             }));
@@ -70,7 +70,7 @@
             leave(c, how);
             stall(350);
             CHECK(sent_on(fixture, ends) == "");
-            CHECK(fixture.node->holds().tunnels == 0);
+            CHECK(fixture.node->resource_usage().tunnels == 0);
         }
 }
 
@@ -85,7 +85,7 @@
             std::vector<TestConnection> ends;
             CHECK(sent_on(fixture, ends) == "");
             CHECK(ends.empty());  // no host is even called
-            CHECK(fixture.node->holds().tunnels == 0);
+            CHECK(fixture.node->resource_usage().tunnels == 0);
         }
 }
 
@@ -102,7 +102,7 @@
             stall(350);
             std::vector<TestConnection> ends;
             CHECK(sent_on(fixture, ends) == "");
-            CHECK(fixture.node->holds().tunnels == 0);
+            CHECK(fixture.node->resource_usage().tunnels == 0);
         }
 }
 
@@ -113,7 +113,7 @@
         TestConnection c = fixture.connect_client(fixture.open_line());
         TestConnection h;
         REQUIRE(fixture.run_until([&] {
-            for (const TestListener* d : {&fixture.host_a, &fixture.host_b})
+            for (const TestListener* d : {&fixture.server_a, &fixture.server_b})
                 if (!h.fd.open()) h = d->accept();
             if (!h.fd.open() || !h.has_received("OPEN ")) return false;
             leave(c, how);  // before the pass that writes the rest
@@ -139,8 +139,8 @@
         const auto tell = [&](const char* phase, int revision) {
             const std::string list = R"({"revision":)" + std::to_string(revision) +
                                      R"(,"complete":true,"members":[)" +
-                                     NodeFixture::member("a", fixture.host_a, phase) + "," +
-                                     NodeFixture::member("b", fixture.host_b, phase) + "]}\n";
+                                     NodeFixture::member("a", fixture.server_a, phase) + "," +
+                                     NodeFixture::member("b", fixture.server_b, phase) + "]}\n";
             std::array<char, 16> size{};
             std::snprintf(size.data(), size.size(), "%zx\r\n", list.size());
             watch.send(std::string(size.data()) + list + "\r\n");
@@ -149,12 +149,12 @@
         tell("terminating", 5);
         fixture.run_for(30);
         TestConnection c = fixture.connect_client(fixture.open_line());
-        REQUIRE(fixture.run_until([&] { return fixture.node->holds().tunnels == 1; }));
+        REQUIRE(fixture.run_until([&] { return fixture.node->resource_usage().tunnels == 1; }));
         fixture.run_for(20);
         leave(c, how);
         tell("in_service", 6);  // both are ready before the node's next pass
         std::vector<TestConnection> ends;
         CHECK(sent_on(fixture, ends) == "");
-        CHECK(fixture.node->holds().tunnels == 0);
+        CHECK(fixture.node->resource_usage().tunnels == 0);
     }
 }
--- a/tests/clock_skew_test.cpp
+++ b/tests/clock_skew_test.cpp
@@ -21,7 +21,7 @@
                        host = fixture.accept_attempt(&at);
         if (host.fd.open()) host.send("UP r\r\n");
         fixture.run_until([&] { return client.has_received("\r\n"); });
-        at_first += at == &fixture.host_a ? 1 : 0;
+        at_first += at == &fixture.server_a ? 1 : 0;
     }
     return at_first;
 }
@@ -34,12 +34,13 @@
         NodeFixture fixture({.slow_start = R"(,"cold":2,"cold_from":0.1,"fall":1.0,"tip_multiple":1)"},
                             ahead);
         Watch watch(fixture);
-        watch.tell(NodeFixture::member("a", fixture.host_a) + "," + NodeFixture::member("b", fixture.host_b),
-                   true);
+        watch.tell(
+            NodeFixture::member("a", fixture.server_a) + "," + NodeFixture::member("b", fixture.server_b),
+            true);
         fixture.run_for(20);
         const auto unix_now = std::chrono::system_clock::now().time_since_epoch();
         const auto started = std::chrono::duration_cast<std::chrono::milliseconds>(unix_now).count();
-        std::string member = NodeFixture::member("a", fixture.host_a);
+        std::string member = NodeFixture::member("a", fixture.server_a);
         member.replace(member.find("\"up_since_ms\":0"), 15, "\"up_since_ms\":" + std::to_string(started));
         watch.tell(member, false);
         fixture.run_for(30);
@@ -56,7 +57,7 @@
         fixture.next_kernel.clock_ahead = ahead;
         OpenTunnel tunnel = fixture.open_tunnel();
         tunnel.client.send("hello\r\n");
-        REQUIRE(fixture.run_until([&] { return tunnel.host.has_received("hello\r\n"); }));
+        REQUIRE(fixture.run_until([&] { return tunnel.server.has_received("hello\r\n"); }));
         fixture.upgrade();
         REQUIRE(fixture.run_until(
             [&] { return fixture.get("/healthcheck").find(" 200 ") != std::string::npos; }));
--- a/tests/deadline_race_test.cpp
+++ b/tests/deadline_race_test.cpp
@@ -18,7 +18,7 @@
     stall(300);  // the wait is over in the next pass, and behind its back the line comes
     const std::string line = fixture.open_line();
     fixture.kernel.after_poll = [&] { client.send(line); };
-    fixture.running = fixture.node->turn();
+    fixture.running = fixture.node->run_once();
     TestConnection host = fixture.accept_attempt();
     host.send("UP r\r\n");
     CHECK(fixture.run_until([&] { return client.has_received("\r\n"); }));
@@ -58,12 +58,12 @@
     // The drain and the connection that is up are both ready before the next pass.
     std::vector<TestConnection> hosts;
     REQUIRE(fixture.run_until([&] {
-        for (const TestListener* d : {&fixture.host_a, &fixture.host_b})
+        for (const TestListener* d : {&fixture.server_a, &fixture.server_b})
             if (TestConnection e = d->accept(); e.fd.open()) hosts.push_back(std::move(e));
         return !hosts.empty();
     }));
-    watch.tell(NodeFixture::member("a", fixture.host_a, "terminating") + "," +
-                   NodeFixture::member("b", fixture.host_b, "terminating"),
+    watch.tell(NodeFixture::member("a", fixture.server_a, "terminating") + "," +
+                   NodeFixture::member("b", fixture.server_b, "terminating"),
                true);
     fixture.run_for(500);
     for (TestConnection& host : hosts) CHECK(!host.has_received("OPEN"));
--- a/tests/graceful_shutdown_test.cpp
+++ b/tests/graceful_shutdown_test.cpp
@@ -27,7 +27,7 @@
     OpenTunnel tunnel = fixture.open_tunnel();
     OpenTunnel stuck = fixture.open_tunnel();
     stuck.client.send("half a line");
-    REQUIRE(fixture.run_until([&] { return stuck.host.has_received("half a line"); }));
+    REQUIRE(fixture.run_until([&] { return stuck.server.has_received("half a line"); }));
     const auto told = Clock::now();
     std::raise(SIGTERM);
     REQUIRE(fixture.run_until([&] { return ms_since(told) >= 380; }, 2000));
@@ -61,7 +61,7 @@
         std::vector<TestConnection> silent;
         fixture.run_until(
             [&] {
-                for (const TestListener* d : {&fixture.host_a, &fixture.host_b})
+                for (const TestListener* d : {&fixture.server_a, &fixture.server_b})
                     for (TestConnection e = d->accept(); e.fd.open(); e = d->accept())
                         silent.push_back(std::move(e));
                 return c.is_closed() && late.is_closed();
@@ -89,7 +89,7 @@
             if (!accepted) c = fixture.connect_client();
             c.send(line);
         };
-        fixture.running = fixture.node->turn();
+        fixture.running = fixture.node->run_once();
         REQUIRE(fixture.running);
         TestConnection h = fixture.accept_attempt();
         h.send("UP r\r\n");
--- a/tests/health_check_test.cpp
+++ b/tests/health_check_test.cpp
@@ -6,10 +6,10 @@
 using namespace fake;
 
 TEST_CASE("a health check uses a kept connection; one that died is reopened before the host is blamed") {
-    NodeFixture fixture({.mode = "pass", .sockets = 256, .probing = true});
+    NodeFixture fixture({.mode = "pass", .max_descriptors = 256, .health_checks = true});
     const auto asked = [&](TestConnection& e) {
         return fixture.run_until([&] {
-            if (!e.fd.open()) e = fixture.host_a.accept();
+            if (!e.fd.open()) e = fixture.server_a.accept();
             return e.fd.open() && e.has_received("STATS\r\n");
         });
     };
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 NodeFixture::Options upgraded(const std::string& mode = "pass", int sockets = 256) {
-    return {.mode = mode, .sockets = sockets, .admin = true, .inherits_listener = true};
+    return {.mode = mode, .max_descriptors = sockets, .admin = true, .inherits_listener = true};
 }
 
 std::string state_of(NodeFixture& fixture) {
@@ -26,7 +26,7 @@
 
 // What the old process has handed over entirely, the new one holds.
 bool all_over(NodeFixture& fixture) {
-    return fixture.next->holds().tunnels > 0 && fixture.node->holds().tunnels == 0;
+    return fixture.next->resource_usage().tunnels > 0 && fixture.node->resource_usage().tunnels == 0;
 }
 
 // A process at the other end of the line, played by the test.
@@ -111,27 +111,27 @@
     OpenTunnel tunnel = fixture.open_tunnel();
     OpenTunnel second = fixture.open_tunnel();
     tunnel.client.send("half a ");
-    second.host.send("LOAD 1");
+    second.server.send("LOAD 1");
     CHECK(fixture.run_until(
-        [&] { return tunnel.host.has_received("half a ") && second.client.has_received("LOAD 1"); }));
+        [&] { return tunnel.server.has_received("half a ") && second.client.has_received("LOAD 1"); }));
     fixture.upgrade();
     CHECK(fixture.run_until([&] { return all_over(fixture); }));
-    CHECK(fixture.next->holds().tunnels == 2);
+    CHECK(fixture.next->resource_usage().tunnels == 2);
     tunnel.client.send("line\r\n");
-    second.host.send("20\r\n");
+    second.server.send("20\r\n");
     CHECK(fixture.run_until([&] {
-        return tunnel.host.has_received("half a line\r\n") && second.client.has_received("LOAD 120\r\n");
+        return tunnel.server.has_received("half a line\r\n") && second.client.has_received("LOAD 120\r\n");
     }));
     // The old one leaves, and nothing of it is felt.
     std::raise(SIGTERM);
     CHECK(fixture.run_until([&] { return !fixture.running; }, 4000));
     fixture.retire_old_node();
-    tunnel.host.send("still\r\n");
+    tunnel.server.send("still\r\n");
     CHECK(fixture.run_until([&] { return tunnel.client.has_received("still\r\n"); }));
     CHECK(!tunnel.client.is_closed());
     tunnel.client.shutdown_write();
-    CHECK(fixture.run_until([&] { return tunnel.host.is_closed(); }));
-    CHECK(!tunnel.host.reset);
+    CHECK(fixture.run_until([&] { return tunnel.server.is_closed(); }));
+    CHECK(!tunnel.server.reset);
 }
 
 TEST_CASE("bytes that one side has not read are transferred too, none lost and none twice") {
@@ -140,7 +140,7 @@
     std::string sent;
     for (int i = 0; i < 30000; ++i) {
         const std::string line = std::to_string(i) + std::string(200, 'x') + "\r\n";
-        if (net::write_some(tunnel.host.fd.get(), line).bytes < line.size()) break;
+        if (net::write_some(tunnel.server.fd.get(), line).bytes < line.size()) break;
         sent += line;
         if (i % 1000 == 0) fixture.run_for(1);
     }
@@ -163,7 +163,7 @@
     TestConnection h = fixture.accept_attempt();
     fixture.upgrade();
     CHECK(fixture.run_until([&] { return state_of(fixture) == "serving"; }));
-    CHECK(fixture.node->holds().tunnels == 1);
+    CHECK(fixture.node->resource_usage().tunnels == 1);
     h.send("UP r\r\n");
     CHECK(fixture.run_until([&] { return c.has_received("UP r\r\n"); }));
     CHECK(fixture.run_until([&] { return all_over(fixture); }));
@@ -180,7 +180,7 @@
         const auto come = [&] {
             waiting.push_back(fixture.connect_client(fixture.open_line()));
             fixture.run_for(1);
-            for (const TestListener* d : {&fixture.host_a, &fixture.host_b})
+            for (const TestListener* d : {&fixture.server_a, &fixture.server_b})
                 for (TestConnection e = d->accept(); e.fd.open(); e = d->accept())
                     at_host.push_back(std::move(e));
             for (TestConnection& e : at_host)
@@ -193,7 +193,7 @@
         std::raise(SIGTERM);
         CHECK(fixture.run_until(
             [&] {
-                for (const TestListener* d : {&fixture.host_a, &fixture.host_b})
+                for (const TestListener* d : {&fixture.server_a, &fixture.server_b})
                     for (TestConnection e = d->accept(); e.fd.open(); e = d->accept())
                         at_host.push_back(std::move(e));
                 for (TestConnection& e : at_host)
@@ -209,10 +209,10 @@
             CHECK(!e.is_closed());
             ++answered;
         }
-        CHECK(fixture.run_until([&] { return fixture.node->holds().tunnels == waiting.size(); }));
+        CHECK(fixture.run_until([&] { return fixture.node->resource_usage().tunnels == waiting.size(); }));
         waiting.clear();
         at_host.clear();
-        CHECK(fixture.run_until([&] { return fixture.node->holds().tunnels == 0; }));
+        CHECK(fixture.run_until([&] { return fixture.node->resource_usage().tunnels == 0; }));
     }
     CHECK(answered == 45);
 }
@@ -238,7 +238,7 @@
     fixture.upgrade();
     CHECK(fixture.run_until([&] { return state_of(fixture) == "serving"; }, 4000));
     OpenTunnel tunnel = fixture.open_tunnel();
-    CHECK(fixture.next->holds().tunnels == 1);
+    CHECK(fixture.next->resource_usage().tunnels == 1);
     // When it goes on it finds that it was replaced, and leaves the clients to the other when it is told to
     // go.
     fixture.running = true;
@@ -281,7 +281,7 @@
         CAPTURE(word.substr(0, 20));
         CHECK(stranger.hear(fixture, [&] { return stranger.over; }));
     }
-    tunnel.host.send("on\r\n");
+    tunnel.server.send("on\r\n");
     CHECK(fixture.run_until([&] { return tunnel.client.has_received("on\r\n"); }));
     OpenTunnel second = fixture.open_tunnel();
     CHECK(state_of(fixture) == "serving");
@@ -308,7 +308,7 @@
     CHECK(third.hear(fixture, [&] { return third.has(hot_restart::PacketKind::tunnel); }));
     third.fd.close();  // before it has said that it has the tunnel
     CHECK(fixture.run_until([&] { return state_of(fixture) == "serving"; }));
-    tunnel.host.send("on\r\n");
+    tunnel.server.send("on\r\n");
     CHECK(fixture.run_until([&] { return tunnel.client.has_received("on\r\n"); }));
     CHECK(fixture.run_until([&] { return true; }));
 }
@@ -321,15 +321,16 @@
     auto second = std::move(fixture.next);
     fixture.upgrade();
     std::raise(SIGTERM);
-    fixture.running = fixture.node->turn();  // who reads it first is told
+    fixture.running = fixture.node->run_once();  // who reads it first is told
     CHECK(fixture.run_until(
         [&] {
-            second->turn();
+            second->run_once();
             if (!fixture.running) fixture.node.reset();
-            return !fixture.running && state_of(fixture) == "serving" && fixture.next->holds().tunnels == 1;
+            return !fixture.running && state_of(fixture) == "serving" &&
+                   fixture.next->resource_usage().tunnels == 1;
         },
         6000));
-    tunnel.host.send("on\r\n");
+    tunnel.server.send("on\r\n");
     CHECK(fixture.run_until([&] { return tunnel.client.has_received("on\r\n"); }));
 }
 
@@ -337,8 +338,8 @@
     NodeFixture fixture(upgraded());
     const auto with = [&](const char* fd) {
         return node::Node(fixture.kernel,
-                          config::parse_node_config(fixture.file.root(), {.inherited_fd = fd}),
-                          fixture.file.root().inner("known"), fixture.log, {});
+                          config::parse_node_config(fixture.config_document.root(), {.inherited_fd = fd}),
+                          fixture.config_document.root().inner("known"), fixture.log, {});
     };
     for (const char* fd : {"x", "-1", "5x"})
         CHECK_THROWS_WITH_AS(with(fd), doctest::Contains("NODE_INHERITED_FD"), json::Malformed);
@@ -352,7 +353,7 @@
 TEST_CASE("without an inherited listener there is no hot restart socket, and no descriptor reserved for it") {
     NodeFixture with(upgraded()), without(NodeFixture::Options{.admin = true});
     CHECK(without.parse_config().hot_restart_path.empty());
-    CHECK(without.node->holds().descriptors + 1 == with.node->holds().descriptors);
+    CHECK(without.node->resource_usage().descriptors + 1 == with.node->resource_usage().descriptors);
 }
 
 TEST_CASE("a hot restart while draining, in proxy mode, migrates nobody once clients are transferred") {
@@ -377,14 +378,15 @@
     fixture.upgrade();
     std::size_t most = 0;
     CHECK(fixture.run_until([&] {
-        most = std::max(most, fixture.node->holds().descriptors + fixture.next->holds().descriptors);
+        most = std::max(
+            most, fixture.node->resource_usage().descriptors + fixture.next->resource_usage().descriptors);
         return all_over(fixture);
     }));
-    CHECK(fixture.next->holds().tunnels == open.size());
+    CHECK(fixture.next->resource_usage().tunnels == open.size());
     CHECK(most + 12 <=
           64 + 8);  // twice what both have outside their loops, and the admin server's, which are reserved
     for (OpenTunnel& tunnel : open) {
-        tunnel.host.send("on\r\n");
+        tunnel.server.send("on\r\n");
         CHECK(fixture.run_until([&] { return tunnel.client.has_received("on\r\n"); }));
     }
 }
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -28,7 +28,7 @@
     for (std::uint32_t i = 0; i < many; ++i) {
         if (i > 0) list.push_back(',');
         list.append(NodeFixture::member(std::string("s-").append(std::to_string(i)),
-                                        i % 2 ? fixture.host_a : fixture.host_b));
+                                        i % 2 ? fixture.server_a : fixture.server_b));
     }
     list.append("]}\n");
     std::array<char, 16> size{};
--- a/tests/node_discovery_test.cpp
+++ b/tests/node_discovery_test.cpp
@@ -31,15 +31,15 @@
 TEST_CASE(
     "on SIGHUP a node polls the new discovery at once, accepts its revisions from the start and serves on") {
     for (const bool leaving : {false, true}) {
-        NodeFixture fixture({.mode = "pass", .sockets = 256, .probing = false});
+        NodeFixture fixture({.mode = "pass", .max_descriptors = 256, .health_checks = false});
         OpenTunnel tunnel = fixture.open_tunnel();
         for (int i = 0; i < 3; ++i)  // the old one fails again and again: the next call to it would be late
             called(fixture, fixture.discovery, "index=4 ").send("HTTP/1.1 503 Busy\r\n\r\n");
         if (leaving) std::raise(SIGTERM);
         const TestListener old = std::move(fixture.discovery);
         fixture.discovery = TestListener();
-        fixture.config_text.replace(fixture.config_text.find(old.name()), old.name().size(),
-                                    fixture.discovery.name());
+        fixture.config_text.replace(fixture.config_text.find(old.host_port()), old.host_port().size(),
+                                    fixture.discovery.host_port());
         std::raise(SIGHUP);
         std::raise(SIGHUP);
         TestConnection watch;
@@ -50,21 +50,21 @@
             },
             150));
         watch.send(good_answer + chunk(R"({"revision":0,"complete":true,"members":[)" +
-                                       NodeFixture::member("a", fixture.host_a, "terminating") + "," +
-                                       NodeFixture::member("b", fixture.host_b) + "]}"));
+                                       NodeFixture::member("a", fixture.server_a, "terminating") + "," +
+                                       NodeFixture::member("b", fixture.server_b) + "]}"));
         fixture.run_for(50);
         for (int i = 0; i < 8; ++i) {
             TestConnection c2 = fixture.connect_client("OPEN 1" + std::to_string(i) + " k c=chat,d=2000\r\n");
             const TestListener* at = nullptr;
             TestConnection h2 = fixture.accept_attempt(&at);
-            CHECK(at == &fixture.host_b);
+            CHECK(at == &fixture.server_b);
             h2.send("UP r\r\n");
             fixture.run_until([&] { return c2.has_received("UP r\r\n"); });
         }
         std::raise(SIGHUP);  // nothing has changed: the watch stands
         fixture.run_for(50);
         CHECK(!watch.is_closed());
-        tunnel.host.send("still here\r\n");
+        tunnel.server.send("still here\r\n");
         CHECK(fixture.run_until([&] { return tunnel.client.has_received("still here\r\n"); }));
     }
 }
@@ -73,7 +73,8 @@
     std::array<int, 2> p{};
     REQUIRE(::pipe(p.data()) == 0);
     const net::Fd in(p[0]), out(p[1]);
-    NodeFixture fixture({.mode = "pass", .sockets = 256, .probing = false, .log = out.get()});
+    NodeFixture fixture(
+        {.mode = "pass", .max_descriptors = 256, .health_checks = false, .log_descriptor = out.get()});
     TestConnection watch = called(fixture, fixture.discovery, "index=4 ");
     const std::string good = fixture.config_text;
     const auto reread = [&](std::string_view part, std::string_view by) {
@@ -105,13 +106,13 @@
     // passed over with no other taken for gone.
     watch.send(good_answer + chunk(R"({"revision":3,"complete":true,"members":[]})") +
                chunk(R"({"revision":6,"complete":true,"members":[{"id":7},)" +
-                     NodeFixture::member("a", fixture.host_a, "terminating") + "]}"));
+                     NodeFixture::member("a", fixture.server_a, "terminating") + "]}"));
     fixture.run_for(50);
     for (int i = 0; i < 8; ++i) {
         TestConnection c = fixture.connect_client(fixture.open_line());
         const TestListener* at = nullptr;
         TestConnection h = fixture.accept_attempt(&at);
-        CHECK(at == &fixture.host_b);
+        CHECK(at == &fixture.server_b);
         h.send("UP r\r\n");
         fixture.run_until([&] { return c.has_received("UP r\r\n"); });
     }
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -71,15 +71,15 @@
 // A listening socket on the loopback that a test accepts from: a host's or discovery's.
 struct TestListener {
     net::Fd fd;
-    net::Address at;
+    net::Address address;
     TestListener() {
-        at.at.sin_family = AF_INET;
-        at.at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-        fd = net::listen_on(at);
-        socklen_t size = sizeof at.at;
-        ::getsockname(fd.get(), reinterpret_cast<sockaddr*>(&at.at), &size);
+        address.at.sin_family = AF_INET;
+        address.at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+        fd = net::listen_on(address);
+        socklen_t size = sizeof address.at;
+        ::getsockname(fd.get(), reinterpret_cast<sockaddr*>(&address.at), &size);
     }
-    std::string name() const { return "127.0.0.1:" + std::to_string(ntohs(at.at.sin_port)); }
+    std::string host_port() const { return "127.0.0.1:" + std::to_string(ntohs(address.at.sin_port)); }
     TestConnection accept() const {
         return {net::Fd(::accept4(fd.get(), nullptr, nullptr, SOCK_NONBLOCK)), {}};
     }
@@ -93,31 +93,33 @@
         after_poll;  // runs once, after a poll has returned: the current pass does not see what it does
     std::size_t cut_lines_at = 0;  // the first write of an OPEN line takes so many bytes; 0: all
     // The next so many calls fail with this error.
-    struct Failing {
+    struct InjectedFailure {
         int calls = 0, error = 0;
-        bool strikes() {
+        bool fail_next() {
             if (calls == 0) return false;
             --calls;
             errno = error;
             return true;
         }
     };
-    Failing polls, accepts, connects, listens;
+    InjectedFailure poll_failures, accept_failures, connect_failures, listen_failures;
     net::Fd listen_on(const net::Address& at) override {
-        if (listens.strikes()) throw std::system_error(errno, std::generic_category(), "listen");
+        if (listen_failures.fail_next()) throw std::system_error(errno, std::generic_category(), "listen");
         return Kernel::listen_on(at);
     }
     std::function<int(int fd)> connection_error;  // replaces the outcome of a connect
     Ticks clock_ahead = 0;
     Ticks now() override { return Kernel::now() + clock_ahead; }
     Ticks clock_base() override { return Kernel::clock_base() + clock_ahead; }
-    net::Fd accept(int listener) override { return accepts.strikes() ? net::Fd() : Kernel::accept(listener); }
+    net::Fd accept(int listener) override {
+        return accept_failures.fail_next() ? net::Fd() : Kernel::accept(listener);
+    }
     net::Fd connect_to(const net::Address& to) override {
-        return connects.strikes() ? net::Fd() : Kernel::connect_to(to);
+        return connect_failures.fail_next() ? net::Fd() : Kernel::connect_to(to);
     }
     int connected(int fd) override { return connection_error ? connection_error(fd) : Kernel::connected(fd); }
     int poll(std::span<pollfd> set, Ticks longest) override {
-        if (!set.empty() && polls.strikes()) return -1;
+        if (!set.empty() && poll_failures.fail_next()) return -1;
         const int n = Kernel::poll(set, shared ? std::min<Ticks>(longest, 10) : longest);
         if (after_poll) std::exchange(after_poll, nullptr)();
         return n;
@@ -131,59 +133,60 @@
 
 // A client and its host's end, with the tunnel open between them.
 struct OpenTunnel {
-    TestConnection client, host;
+    TestConnection client, server;
 };
 
 struct NodeFixture {
     struct Options {
         std::string mode = "pass";
-        int sockets = 256;
-        bool probing = false;
-        int log = -1;
+        int max_descriptors = 256;
+        bool health_checks = false;
+        int log_descriptor = -1;
         bool admin = false;
         bool inherits_listener = false;    // the clients' listener is handed down to the process
         std::string client_timeout = "3";  // of clients, in s
         std::string drain_grace = "3";     // of a drain, in s
         std::string slow_start = "";       // further keys of the rules
     };
-    TestListener host_a, host_b, discovery;
-    std::string address = TestListener().name(), admin_address = TestListener().name();
+    TestListener server_a, server_b, discovery;
+    std::string address = TestListener().host_port(), admin_address = TestListener().host_port();
     FaultyKernel kernel, next_kernel;  // next_kernel: of the new version in a hot restart
-    log::Descriptor drain;
+    log::Descriptor log_sink;
     log::Log log;
-    json::Document file;
+    json::Document config_document;
     std::string config_text;
     net::Fd listener;  // the inherited one, if any
-    std::string folder;
+    std::string restart_folder;
     std::unique_ptr<node::Node> node, next;  // next: the new version, started beside it
     bool running = true, next_running = false;
-    int lines = 0;
+    int requests_made = 0;
     int failing_reads = 0;  // the next so many reloads of the configuration fail
 
     NodeFixture() : NodeFixture(Options{}) {}
-    explicit NodeFixture(const Options& options, Ticks clock_ahead = 0, FaultyKernel::Failing listens = {})
-        : drain(options.log), log(log::Level::error, drain) {
+    explicit NodeFixture(const Options& options, Ticks clock_ahead = 0,
+                         FaultyKernel::InjectedFailure listen_failures = {})
+        : log_sink(options.log_descriptor), log(log::Level::error, log_sink) {
         kernel.clock_ahead = clock_ahead;
-        kernel.listens = listens;
-        config_text = R"({"name":"n0","listen":")" + address + R"(","discovery":")" + discovery.name() +
+        kernel.listen_failures = listen_failures;
+        config_text = R"({"name":"n0","listen":")" + address + R"(","discovery":")" + discovery.host_port() +
                       (options.admin ? R"(","admin_addr":")" + admin_address : "") +
-                      R"(","seed":"8c1f","limits":{"sockets":)" + std::to_string(options.sockets) +
-                      R"(},"known":{"revision":4,"complete":true,"members":[)" + member("a", host_a) + "," +
-                      member("b", host_b) +
+                      R"(","seed":"8c1f","limits":{"sockets":)" + std::to_string(options.max_descriptors) +
+                      R"(},"known":{"revision":4,"complete":true,"members":[)" + member("a", server_a) + "," +
+                      member("b", server_b) +
                       R"(]},"settings":{"balancers":1,"me":0,"zone":0,"zones":["z"],"granularity":0.005,)" +
                       R"("membership_mode":"push","domain":{"mode":")" + options.mode +
                       R"("},"limits":{"max_setups":3,"connect_timeout":0.25,"probing":)" +
-                      (options.probing ? "true" : "false") +
+                      (options.health_checks ? "true" : "false") +
                       R"(},"report":{"via":"probe","columns":["x0"]},"rules":{"stop_sending_within":)" +
                       options.drain_grace + options.slow_start + R"(},)" +
                       R"("profiles":[{"name":"chat","setup_goal":0.3,"client_timeout":)" +
                       options.client_timeout + R"(,"credit":1,)" +
                       R"("effect":"read_like","stream":true}]}})";
-        file.parse(config_text);
+        config_document.parse(config_text);
         if (options.inherits_listener) {
             listener = net::listen_on(*net::parse_address(address));
             std::array<char, 32> made{"/tmp/lemonstair-test-XXXXXX"};
-            folder = ::mkdtemp(made.data());
+            restart_folder = ::mkdtemp(made.data());
         }
         node = start(kernel);
     }
@@ -192,26 +195,30 @@
     ~NodeFixture() {
         node.reset();
         next.reset();
-        if (!folder.empty()) std::filesystem::remove_all(folder);
+        if (!restart_folder.empty()) std::filesystem::remove_all(restart_folder);
     }
     config::NodeConfig parse_config() {
         const std::string fd = std::to_string(listener.open() ? ::dup(listener.get()) : -1);
-        return config::parse_node_config(file.root(), {.inherited_fd = listener.open() ? fd.c_str() : nullptr,
-                                                       .tmpdir = folder.empty() ? nullptr : folder.c_str()});
+        return config::parse_node_config(
+            config_document.root(), {.inherited_fd = listener.open() ? fd.c_str() : nullptr,
+                                     .tmpdir = restart_folder.empty() ? nullptr : restart_folder.c_str()});
     }
     std::unique_ptr<node::Node> start(net::System& system) {
-        return std::make_unique<node::Node>(system, parse_config(), file.root().inner("known"), log, [this] {
-            if (failing_reads > 0 && failing_reads-- > 0) throw json::Malformed("cannot be read");
-            if (!file.parse(config_text)) throw json::Malformed("not JSON");
-            return config::parse_node_config(file.root());
-        });
+        return std::make_unique<node::Node>(system, parse_config(), config_document.root().inner("known"),
+                                            log, [this] {
+                                                if (failing_reads > 0 && failing_reads-- > 0)
+                                                    throw json::Malformed("cannot be read");
+                                                if (!config_document.parse(config_text))
+                                                    throw json::Malformed("not JSON");
+                                                return config::parse_node_config(config_document.root());
+                                            });
     }
     // Starts a new version beside the old one, with an admin address of its own.
     void upgrade() {
-        const std::string old_address = std::exchange(admin_address, TestListener().name());
+        const std::string old_address = std::exchange(admin_address, TestListener().host_port());
         if (const auto at = config_text.find(old_address); at != std::string::npos)
             config_text.replace(at, old_address.size(), admin_address);
-        file.parse(config_text);
+        config_document.parse(config_text);
         next = start(next_kernel);
         next_running = kernel.shared = next_kernel.shared = true;
     }
@@ -222,7 +229,7 @@
     }
     static std::string member(std::string_view id, const TestListener& at,
                               std::string_view state = "in_service") {
-        return std::string(R"({"id":")").append(id).append(R"(","host_port":")").append(at.name()) +
+        return std::string(R"({"id":")").append(id).append(R"(","host_port":")").append(at.host_port()) +
                std::string(R"(","locality":"z","phase":")")
                    .append(state)
                    .append(R"(","size":1,"up_since_ms":0})");
@@ -233,8 +240,8 @@
         const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(ms);
         while (!holds()) {
             if (std::chrono::steady_clock::now() > end) return false;
-            if (running) running = node->turn();
-            if (next_running) next_running = next->turn();
+            if (running) running = node->run_once();
+            if (next_running) next_running = next->run_once();
         }
         return true;
     }
@@ -272,7 +279,7 @@
     TestConnection accept_attempt(const TestListener** at = nullptr) {
         TestConnection e;
         run_until([&] {
-            for (const TestListener* d : {&host_a, &host_b}) {
+            for (const TestListener* d : {&server_a, &server_b}) {
                 if (e.fd.open()) break;
                 e = d->accept();
                 if (at != nullptr) *at = d;
@@ -282,7 +289,7 @@
         return e;
     }
     // An OPEN line with a new id.
-    std::string open_line() { return "OPEN " + std::to_string(++lines) + " k c=chat,d=2000\r\n"; }
+    std::string open_line() { return "OPEN " + std::to_string(++requests_made) + " k c=chat,d=2000\r\n"; }
     OpenTunnel open_tunnel() {
         TestConnection c = connect_client(open_line()), h = accept_attempt();
         h.send("UP r\r\n");
--- a/tests/node_input_test.cpp
+++ b/tests/node_input_test.cpp
@@ -24,7 +24,7 @@
 }
 
 TEST_CASE("a client that sends on after its bad line, or reconnects with it, has its ERR and costs little") {
-    NodeFixture fixture({.mode = "pass", .sockets = 256, .probing = false});
+    NodeFixture fixture({.mode = "pass", .max_descriptors = 256, .health_checks = false});
     TestConnection rude = fixture.connect_client("frob\r\n");
     const std::string more(1 << 16, 'x');
     std::size_t sent = 0;
@@ -52,7 +52,7 @@
     h.send("UP r\r\n");
     REQUIRE(fixture.run_until([&] { return c.has_received("UP r\r\n"); }));
     const auto nothing_at_hosts = [&] {
-        return !fixture.host_a.accept().fd.open() && !fixture.host_b.accept().fd.open();
+        return !fixture.server_a.accept().fd.open() && !fixture.server_b.accept().fd.open();
     };
     TestConnection twin = fixture.connect_client(line),
                    many = fixture.connect_client(fixture.open_line() + fixture.open_line());
@@ -107,6 +107,6 @@
     CHECK(fixture.run_until([&] { return c2.has_received("UP r\r\n"); }));
     h2.send(endless);
     CHECK(fixture.run_until([&] { return c2.is_closed(); }));
-    tunnel.host.send("still here\r\n");
+    tunnel.server.send("still here\r\n");
     CHECK(fixture.run_until([&] { return tunnel.client.has_received("still here\r\n"); }));
 }
--- a/tests/node_overload_test.cpp
+++ b/tests/node_overload_test.cpp
@@ -13,7 +13,7 @@
 
 TEST_CASE(
     "without free descriptors the node answers BUSY, and serves clients again when some have disconnected") {
-    NodeFixture fixture({.mode = "pass", .sockets = 40, .probing = false});
+    NodeFixture fixture({.mode = "pass", .max_descriptors = 40, .health_checks = false});
     std::vector<std::pair<TestConnection, TestConnection>> open;
     TestConnection refused;
     for (int i = 0; i < 40 && !refused.has_received("BUSY\r\n"); ++i) {
@@ -31,7 +31,7 @@
 }
 
 TEST_CASE("idle clients give way to active ones and are closed within 3 s") {
-    NodeFixture fixture({.mode = "pass", .sockets = 40, .probing = false});
+    NodeFixture fixture({.mode = "pass", .max_descriptors = 40, .health_checks = false});
     std::vector<TestConnection> silent;
     for (int i = 0; i < 60; ++i) {
         silent.push_back(fixture.connect_client(i % 3 == 0 ? "PING\r\n" : i % 3 == 1 ? "OPEN 7" : ""));
@@ -48,7 +48,7 @@
 }
 
 TEST_CASE("a client whose line arrives in pieces is not taken for idle among hundreds that are") {
-    NodeFixture fixture(NodeFixture::Options{.sockets = 64});
+    NodeFixture fixture(NodeFixture::Options{.max_descriptors = 64});
     const std::string line = fixture.open_line();
     TestConnection slow = fixture.connect_client();
     std::vector<TestConnection> crowd;
@@ -62,12 +62,12 @@
     h.send("UP r\r\n");
     CHECK(fixture.run_until([&] { return slow.has_received("UP r\r\n"); }));
     // What all these connections hold is bounded: a buffer or none for each, whatever was written of lines.
-    CHECK(fixture.node->holds().buffers <= 64);
-    CHECK(fixture.node->holds().descriptors <= 64);
+    CHECK(fixture.node->resource_usage().buffers <= 64);
+    CHECK(fixture.node->resource_usage().descriptors <= 64);
 }
 
 TEST_CASE("idle clients hold a quarter of the descriptors at most, however many connect") {
-    NodeFixture fixture({.mode = "pass", .sockets = 200, .probing = false});
+    NodeFixture fixture({.mode = "pass", .max_descriptors = 200, .health_checks = false});
     std::vector<TestConnection> silent;
     for (int i = 0; i < 150; ++i) {
         silent.push_back(fixture.connect_client());
--- a/tests/node_tunnel_test.cpp
+++ b/tests/node_tunnel_test.cpp
@@ -25,7 +25,7 @@
 
 TEST_CASE("a host that refuses connections has run nothing: the tunnel is retried on the other") {
     NodeFixture fixture;
-    fixture.host_a.fd.close();
+    fixture.server_a.fd.close();
     for (int i = 0; i < 6; ++i) {
         TestConnection c = fixture.connect_client(fixture.open_line());
         TestConnection h = fixture.accept_attempt();
@@ -69,21 +69,21 @@
 TEST_CASE("an end is passed on as an end behind the last byte, a reset as a reset") {
     NodeFixture fixture;
     OpenTunnel tunnel = fixture.open_tunnel();
-    tunnel.host.send("last words\r\nBYE\r\n");
-    tunnel.host.shutdown_write();
+    tunnel.server.send("last words\r\nBYE\r\n");
+    tunnel.server.shutdown_write();
     CHECK(fixture.run_until([&] { return tunnel.client.is_closed(); }));
     CHECK(tunnel.client.received == "last words\r\nBYE\r\n");
     CHECK(!tunnel.client.reset);
     OpenTunnel second = fixture.open_tunnel();
-    second.host.abort();
+    second.server.abort();
     CHECK(fixture.run_until([&] { return second.client.is_closed(); }));
     CHECK(second.client.reset);
     OpenTunnel third = fixture.open_tunnel();
     third.client.send("bye\r\n");
     third.client.shutdown_write();
-    CHECK(fixture.run_until([&] { return third.host.is_closed(); }));
-    CHECK(third.host.received == "bye\r\n");
-    CHECK(!third.host.reset);
+    CHECK(fixture.run_until([&] { return third.server.is_closed(); }));
+    CHECK(third.server.received == "bye\r\n");
+    CHECK(!third.server.reset);
 }
 
 TEST_CASE("a side that does not read applies backpressure to the other, and nothing is lost") {
@@ -92,7 +92,7 @@
     const std::string line(1022, 'x');
     std::size_t sent = 0;
     for (int i = 0; i < 20000; ++i) {
-        const auto r = net::write_some(tunnel.host.fd.get(), line + "\r\n");
+        const auto r = net::write_some(tunnel.server.fd.get(), line + "\r\n");
         sent += r.bytes;
         if (r.bytes < 1024) fixture.run_for(1);
         if (r.bytes < 1024 && sent > 8000000) break;
@@ -109,11 +109,11 @@
     for (int i = 0; i < 2; ++i) {
         TestConnection h;
         CHECK(fixture.run_until([&] {
-            if (!h.fd.open()) h = fixture.host_b.accept();
+            if (!h.fd.open()) h = fixture.server_b.accept();
             return h.fd.open() && h.has_received("at=b\r\n");
         }));
         h.send(i == 0 ? "BUSY\r\n" : "UP r\r\n");
         if (i == 1) CHECK(fixture.run_until([&] { return c.has_received("UP r\r\n"); }));
     }
-    CHECK(!fixture.host_a.accept().fd.open());
+    CHECK(!fixture.server_a.accept().fd.open());
 }
--- a/tests/peer_link_test.cpp
+++ b/tests/peer_link_test.cpp
@@ -17,8 +17,8 @@
     config::NodeConfig launch;
     launch.balancer.limits.gossip_enabled = true;
     launch.balancer.own_node = 0;
-    launch.peer_listen = a.at;
-    launch.peer_addresses = {a.at, b.at};
+    launch.peer_listen = a.address;
+    launch.peer_addresses = {a.address, b.address};
     std::vector<std::size_t> sizes;
     metrics::ResourceCounters costs;
     node::PeerLink link(loop, launch, costs, [&](std::uint32_t node, std::span<const std::uint8_t> bytes) {
@@ -28,9 +28,11 @@
     link.open();
     const auto send = [&](const net::Fd& from, std::size_t n) {
         const std::string text(n, 'x');
-        ::sendto(from.get(), text.data(), n, 0, reinterpret_cast<const sockaddr*>(&a.at.at), sizeof a.at.at);
+        ::sendto(from.get(), text.data(), n, 0, reinterpret_cast<const sockaddr*>(&a.address.at),
+                 sizeof a.address.at);
     };
-    const net::Fd peer = net::bind_datagrams(b.at), stranger = net::bind_datagrams(TestListener().at);
+    const net::Fd peer = net::bind_datagrams(b.address),
+                  stranger = net::bind_datagrams(TestListener().address);
     send(stranger, 5), send(peer, 300), send(peer, 256), send(peer, 0);
     for (int i = 0; i < 4; ++i) {
         loop.schedule(loop.now() + 100, link, 0);
--- a/tests/system_fault_test.cpp
+++ b/tests/system_fault_test.cpp
@@ -15,10 +15,10 @@
 TEST_CASE("a poll that fails for want of memory does not end the node") {
     NodeFixture fixture;
     OpenTunnel tunnel = fixture.open_tunnel();
-    fixture.kernel.polls = {3, ENOMEM};
+    fixture.kernel.poll_failures = {3, ENOMEM};
     fixture.run_for(50);
     tunnel.client.send("hello\r\n");
-    CHECK(fixture.run_until([&] { return tunnel.host.has_received("hello\r\n"); }));
+    CHECK(fixture.run_until([&] { return tunnel.server.has_received("hello\r\n"); }));
 }
 
 TEST_CASE("a configuration that cannot be read in the moment of SIGHUP is read soon after") {
@@ -29,8 +29,8 @@
         return watch.fd.open();
     }));
     const TestListener moved;
-    fixture.config_text.replace(fixture.config_text.find(fixture.discovery.name()),
-                                fixture.discovery.name().size(), moved.name());
+    fixture.config_text.replace(fixture.config_text.find(fixture.discovery.host_port()),
+                                fixture.discovery.host_port().size(), moved.host_port());
     fixture.failing_reads = 2;
     std::raise(SIGHUP);
     TestConnection call;
@@ -53,9 +53,9 @@
         const std::string line = fixture.open_line();
         fixture.kernel.after_poll = [&] {
             client = fixture.connect_client(line);
-            fixture.kernel.accepts = {1, error};
+            fixture.kernel.accept_failures = {1, error};
         };
-        fixture.running = fixture.node->turn();
+        fixture.running = fixture.node->run_once();
         CHECK(fixture.running);
         if (!fixture.running) continue;
         TestConnection host = fixture.accept_attempt();
@@ -71,8 +71,8 @@
             sockaddr_in to{};
             socklen_t size = sizeof to;
             ::getpeername(fd, reinterpret_cast<sockaddr*>(&to), &size);
-            return to.sin_port == fixture.host_a.at.at.sin_port ? error
-                                                                : fixture.kernel.Kernel::connected(fd);
+            return to.sin_port == fixture.server_a.address.at.sin_port ? error
+                                                                       : fixture.kernel.Kernel::connected(fd);
         };
         for (int i = 0; i < 12; ++i) {
             TestConnection client = fixture.connect_client(fixture.open_line()),
@@ -88,7 +88,7 @@
     for (const int error : {ENOBUFS, ENFILE}) {
         std::unique_ptr<NodeFixture> fixture;
         CHECK_NOTHROW(fixture = std::make_unique<NodeFixture>(NodeFixture::Options{}, 0,
-                                                              FaultyKernel::Failing{3, error}));
+                                                              FaultyKernel::InjectedFailure{3, error}));
         if (!fixture) continue;
         TestConnection client = fixture->connect_client(fixture->open_line()),
                        host = fixture->accept_attempt();
