--- a/src/balance/node_context.cpp
+++ b/src/balance/node_context.cpp
@@ -30,7 +30,7 @@
 }
 
 double NodeContext::broadcast_cost(double bytes) const {  // of a message that all other nodes hear
-    return config_.costs.gossip_message * (bytes + peer::message_overhead_bytes) / peer::max_bytes *
+    return config_.costs.gossip_message * (bytes + peer::message_overhead_bytes) / peer::max_message_bytes *
            (node_count() - 1);
 }
 
--- a/src/config/node_config.cpp
+++ b/src/config/node_config.cpp
@@ -79,8 +79,8 @@
 
 void parse_peers(const json::Value& file, NodeConfig& config) {
     config.peer_listen = parse_optional_address(file, "peer_listen");
-    config.all_peers = parse_optional_address(file, "peers_all");
-    file.each("peers", [&](const json::Value& entry) {
+    config.peer_broadcast = parse_optional_address(file, "peers_all");
+    file.for_each("peers", [&](const json::Value& entry) {
         const auto address = net::parse_address(entry.type() == json::Type::text ? entry.raw() : "");
         if (!address) file.fail("peers", "holds what is not an address and a port");
         config.peer_addresses.push_back(*address);
@@ -91,10 +91,10 @@
 }
 
 void parse_names(const json::Value& settings, NodeConfig& config) {
-    settings.each("profiles", [&](const json::Value& profile) {
+    settings.for_each("profiles", [&](const json::Value& profile) {
         config.traffic_class_names.emplace_back(profile.text("name"));
     });
-    settings.each("zones", [&](const json::Value& zone) {
+    settings.for_each("zones", [&](const json::Value& zone) {
         if (zone.type() != json::Type::text) settings.fail("zones", "holds what is not a name");
         config.zone_names.emplace_back(zone.raw());
     });
@@ -105,8 +105,8 @@
 NodeConfig parse_node_config(const json::Value& file, const Environment& environment) {
     if (file.type() != json::Type::object) throw json::Malformed("the configuration is not an object");
     NodeConfig config;
-    const json::Value settings = file.inner("settings").with_context("settings");
-    const json::Value limits = file.inner("limits");
+    const json::Value settings = file.object("settings").with_context("settings");
+    const json::Value limits = file.object("limits");
     if (!file.has("settings")) file.fail("settings", "is missing");
     config.balancer = parse_settings(settings, parse_seed(file));
     check(settings, config.balancer);
@@ -118,11 +118,11 @@
     if (config.inherited_listener) config.hot_restart_path = hot_restart_path(file, environment);
     parse_peers(file, config);
     parse_names(settings, config);
-    const json::Value setting_limits = settings.inner("limits");
+    const json::Value setting_limits = settings.object("limits");
     config.connect_timeout =
         round_down_to_ticks(setting_limits.number("connect_timeout", default_connect_timeout_s));
     if (config.connect_timeout <= 0) setting_limits.fail("connect_timeout", "is not above 0");
-    config.max_descriptors = limits.whole("sockets", default_max_descriptors);
+    config.max_descriptors = limits.uint64("sockets", default_max_descriptors);
     if (config.max_descriptors < min_descriptors) limits.fail("sockets", "is under 32: too few to serve");
     if (config.admin)
         config.max_admin_connections =
@@ -131,7 +131,7 @@
     // A health check is answered at once whatever waits at its endpoint, so its answer says nothing about how
     // long messages take there.
     config.balancer.reports_message_delay = false;
-    config.load_reports_enabled = settings.inner("report").text("via", "none") != "none";
+    config.load_reports_enabled = settings.object("report").text("via", "none") != "none";
     return config;
 }
 
@@ -159,7 +159,7 @@
         reloaded.balancer.seed = current.balancer.seed;
         current.balancer = reloaded.balancer;
         current.peer_addresses = std::move(reloaded.peer_addresses);
-        current.all_peers = reloaded.all_peers;
+        current.peer_broadcast = reloaded.peer_broadcast;
         current.load_reports_enabled = reloaded.load_reports_enabled;
         current.connect_timeout = reloaded.connect_timeout;
     }
--- a/src/config/node_config.h
+++ b/src/config/node_config.h
@@ -24,16 +24,16 @@
     std::string name;
     std::vector<std::string> traffic_class_names, zone_names;  // in the order of the settings
     net::Address listen, discovery;
-    std::optional<net::Address> peer_listen;   // of gossip datagrams
-    std::optional<net::Address> all_peers;     // reaches all peers with one datagram
-    std::vector<net::Address> peer_addresses;  // by node number, this node's own included
-    std::optional<net::Address> admin;         // of the admin server
-    std::size_t max_admin_connections = 0;     // descriptors are reserved for them
-    std::optional<int> inherited_listener;     // the clients' listening socket, where the platform holds it
-    std::string hot_restart_path;              // of the local socket; empty: no hot restart
-    Ticks connect_timeout = 0;                 // to endpoints
-    std::size_t max_descriptors = 0;           // that the node may hold
-    bool load_reports_enabled = false;         // endpoints report their load to health checks
+    std::optional<net::Address> peer_listen;     // of gossip datagrams
+    std::optional<net::Address> peer_broadcast;  // reaches all peers with one datagram
+    std::vector<net::Address> peer_addresses;    // by node number, this node's own included
+    std::optional<net::Address> admin;           // of the admin server
+    std::size_t max_admin_connections = 0;       // descriptors are reserved for them
+    std::optional<int> inherited_listener;       // the clients' listening socket, where the platform holds it
+    std::string hot_restart_path;                // of the local socket; empty: no hot restart
+    Ticks connect_timeout = 0;                   // to endpoints
+    std::size_t max_descriptors = 0;             // that the node may hold
+    bool load_reports_enabled = false;           // endpoints report their load to health checks
 };
 
 // Environment variables; those that are set take precedence over the file.
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -29,13 +29,13 @@
 
 BalancerConfig parse_settings(const json::Value& settings, std::uint64_t seed) {
     BalancerConfig config;
-    settings.each("profiles", [&](const json::Value& entry) {
+    settings.for_each("profiles", [&](const json::Value& entry) {
         config.traffic_classes.push_back(parse_traffic_class(entry));
     });
-    const json::Value rules = settings.inner("rules"), costs = settings.inner("costs"),
-                      limits = settings.inner("limits"), domain = settings.inner("domain");
+    const json::Value rules = settings.object("rules"), costs = settings.object("costs"),
+                      limits = settings.object("limits"), domain = settings.object("domain");
     std::size_t traffic_class = 0;
-    domain.each("message_aim", [&](const json::Value& entry) {
+    domain.for_each("message_aim", [&](const json::Value& entry) {
         if (std::isnan(entry.as_number())) domain.fail("message_aim", "holds what is not a number");
         if (traffic_class < config.traffic_classes.size())
             config.traffic_classes[traffic_class++].message_latency_objective =
@@ -53,13 +53,13 @@
     config.limits = {.max_retry_after = limits.flag("retry_after")
                                             ? round_down_to_ticks(limits.number("max_retry_after", 0))
                                             : 0,
-                     .max_attempts = static_cast<int>(limits.small("max_setups", 1)),
+                     .max_attempts = static_cast<int>(limits.uint32("max_setups", 1)),
                      .gossip_enabled = limits.flag("peers"),
                      .health_checks_enabled = limits.flag("probing")};
     config.clock_resolution = round_up_to_ticks(settings.number("granularity", 0));
-    config.own_node = settings.small("me", 0);
-    config.node_count = settings.small("balancers", 1);
-    config.zone = settings.small("zone", 0);
+    config.own_node = settings.uint32("me", 0);
+    config.node_count = settings.uint32("balancers", 1);
+    config.zone = settings.uint32("zone", 0);
     config.seed = static_cast<std::uint32_t>(seed ^ (seed >> 32));
     config.must_poll = settings.text("membership_mode", "push") == "ask";
     config.groups_enabled = domain.flag("groups");
--- a/src/config/source.h
+++ b/src/config/source.h
@@ -21,7 +21,7 @@
     // Throws json::Malformed, which names the file or the faulty key, or TransientReadError.
     NodeConfig read();
     // The endpoint list in the file as last read, valid until the next read(); null where it has none.
-    json::Value known_endpoints() const { return file_.root().inner("known"); }
+    json::Value known_endpoints() const { return file_.root().object("known"); }
 
   private:
     net::System& system_;
--- a/src/discovery/endpoint_directory.cpp
+++ b/src/discovery/endpoint_directory.cpp
@@ -28,7 +28,7 @@
 
 bool all_entries_readable(const json::Value& list) {
     bool readable = true;
-    list.each("members", [&](const json::Value& entry) {
+    list.for_each("members", [&](const json::Value& entry) {
         readable = readable && entry.type() == json::Type::object && entry.has("id") && entry.has("phase");
     });
     return readable;
@@ -46,7 +46,7 @@
     std::uint64_t revision = 0;
     bool complete = false, outdated = false;
     try {
-        revision = list.whole("revision");
+        revision = list.uint64("revision");
         complete = list.flag("complete");
         if (!list.has("members")) list.fail("members", "is missing");
         const bool repeated = !cached && revision_ && revision == *revision_;
@@ -69,7 +69,7 @@
         return false;
     }
     const Ticks offset_before = start_times_.offset();
-    list.each("members", [&](const json::Value& entry) {
+    list.for_each("members", [&](const json::Value& entry) {
         try {
             apply_entry(entry, balancer, outdated, now);
         } catch (const json::Malformed& e) {
@@ -117,7 +117,7 @@
     const std::string id(entry.text("id"));
     const auto phase = entry.text("phase");
     const EndpointState state = decode_phase(phase);
-    const auto cell = entry.small("cell", 0);
+    const auto cell = entry.uint32("cell", 0);
     const auto size = entry.number("size", 1);
     const auto started = std::max<std::int64_t>(static_cast<std::int64_t>(entry.number("up_since_ms", 0)), 0);
     std::uint32_t index = index_of(id);
--- a/src/json/json.cpp
+++ b/src/json/json.cpp
@@ -175,23 +175,23 @@
     throw Malformed(std::string(context_).append(": field '").append(name).append("' ").append(what));
 }
 
-Value Value::need(std::string_view name, Type type, const char* what) const {
+Value Value::require(std::string_view name, Type type, const char* what) const {
     const Value v = find(name);
     if (v.type() == Type::null) fail(name, "is missing");
     if (v.type() != type) fail(name, std::string("is not ").append(what));
     return v;
 }
 
-std::uint64_t Value::whole(std::string_view name) const {
-    const auto raw = need(name, Type::number, "a whole number").raw();
+std::uint64_t Value::uint64(std::string_view name) const {
+    const auto raw = require(name, Type::number, "a whole number").raw();
     std::uint64_t n = 0;
     const auto [stop, error] = std::from_chars(raw.data(), raw.data() + raw.size(), n);
     if (error != std::errc{} || stop != raw.data() + raw.size()) fail(name, "is not a whole number");
     return n;
 }
 
-std::uint32_t Value::small(std::string_view name) const {
-    const std::uint64_t n = whole(name);
+std::uint32_t Value::uint32(std::string_view name) const {
+    const std::uint64_t n = uint64(name);
     if (n > 0xffffffffULL) fail(name, "is too large");
     return static_cast<std::uint32_t>(n);
 }
@@ -203,13 +203,13 @@
 }
 
 double Value::number(std::string_view name) const {
-    const double x = need(name, Type::number, "a number").as_number();
+    const double x = require(name, Type::number, "a number").as_number();
     if (!std::isfinite(x)) fail(name, "is not a number");
     return x;
 }
 
 bool Value::flag(std::string_view name) const {
-    return has(name) && need(name, Type::boolean, "true or false").raw() == "true";
+    return has(name) && require(name, Type::boolean, "true or false").raw() == "true";
 }
 
 }  // namespace lemonstair::json
--- a/src/json/json.h
+++ b/src/json/json.h
@@ -60,39 +60,39 @@
 
     bool has(std::string_view name) const { return find(name).type() != Type::null; }
     // Non-negative integers, of 64 and 32 bits.
-    std::uint64_t whole(std::string_view name) const;
-    std::uint64_t whole(std::string_view name, std::uint64_t fallback) const {
-        return has(name) ? whole(name) : fallback;
+    std::uint64_t uint64(std::string_view name) const;
+    std::uint64_t uint64(std::string_view name, std::uint64_t fallback) const {
+        return has(name) ? uint64(name) : fallback;
     }
-    std::uint32_t small(std::string_view name) const;
-    std::uint32_t small(std::string_view name, std::uint32_t fallback) const {
-        return has(name) ? small(name) : fallback;
+    std::uint32_t uint32(std::string_view name) const;
+    std::uint32_t uint32(std::string_view name, std::uint32_t fallback) const {
+        return has(name) ? uint32(name) : fallback;
     }
     double number(std::string_view name) const;
     double number(std::string_view name, double fallback) const {
         return has(name) ? number(name) : fallback;
     }
-    std::string_view text(std::string_view name) const { return need(name, Type::text, "a text").raw(); }
+    std::string_view text(std::string_view name) const { return require(name, Type::text, "a text").raw(); }
     std::string_view text(std::string_view name, std::string_view fallback) const {
         return has(name) ? text(name) : fallback;
     }
     // False where it is missing.
     bool flag(std::string_view name) const;
     // An object within; an empty one where it is missing.
-    Value inner(std::string_view name) const {
-        return has(name) ? need(name, Type::object, "an object") : Value(context_);
+    Value object(std::string_view name) const {
+        return has(name) ? require(name, Type::object, "an object") : Value(context_);
     }
     // Each member of a list within; none where it is missing.
     template <class Each>
-    void each(std::string_view name, Each&& each_one) const {
+    void for_each(std::string_view name, Each&& each_one) const {
         if (!has(name)) return;
-        const Value list = need(name, Type::list, "a list");
+        const Value list = require(name, Type::list, "a list");
         for (std::uint32_t i = list.index_ + 1; i < list.item().next; i = document_->items_[i].next)
             each_one(Value(*document_, i, context_));
     }
     // Each field of an object: its name and its value.
     template <class Each>
-    void fields(Each&& each_one) const {
+    void for_each_field(Each&& each_one) const {
         if (type() != Type::object) return;
         for (std::uint32_t i = index_ + 1; i < item().next; i = document_->items_[i + 1].next)
             each_one(document_->items_[i].raw, Value(*document_, i + 1, context_));
@@ -110,7 +110,7 @@
             if (document_->items_[i].raw == name) return Value(*document_, i + 1, context_);
         return Value(context_);
     }
-    Value need(std::string_view name, Type type, const char* what) const;
+    Value require(std::string_view name, Type type, const char* what) const;
     const Document* document_ = nullptr;
     std::uint32_t index_ = 0;
     const char* context_ = "";
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -15,17 +15,17 @@
     return std::nullopt;
 }
 
-Lines::int_type Lines::overflow(int_type c) {
+LineBuffer::int_type LineBuffer::overflow(int_type c) {
     if (c != traits_type::eof()) line_.push_back(static_cast<char>(c));
     return traits_type::not_eof(c);
 }
 
-std::streamsize Lines::xsputn(const char* text, std::streamsize n) {
+std::streamsize LineBuffer::xsputn(const char* text, std::streamsize n) {
     line_.append(text, static_cast<std::size_t>(n));
     return n;
 }
 
-void Lines::end_line() {
+void LineBuffer::end_line() {
     line_.push_back('\n');
     if (dropped_ > 0 && buffered_.size() + line_.size() < max_buffered_bytes / 2) {
         buffered_.append("log lines dropped: ").append(std::to_string(dropped_)).append("\n");
@@ -36,21 +36,21 @@
     else
         ++dropped_;
     line_.clear();
-    write_out();
+    flush();
 }
 
 // A pipe that poll reports as writable takes PIPE_BUF bytes without blocking, so no more are written at once.
-std::size_t Descriptor::take(std::string_view text) {
+std::size_t DescriptorSink::write(std::string_view text) {
     pollfd p{fd_, POLLOUT, 0};
     if (::poll(&p, 1, 0) <= 0 || (p.revents & POLLOUT) == 0) return 0;
     const ssize_t n = ::write(fd_, text.data(), std::min<std::size_t>(text.size(), PIPE_BUF));
     return n > 0 ? static_cast<std::size_t>(n) : 0;
 }
 
-void Lines::write_out() {
+void LineBuffer::flush() {
     std::size_t sent = 0;
     while (sent < buffered_.size()) {
-        const std::size_t n = drain_.take(std::string_view(buffered_).substr(sent));
+        const std::size_t n = sink_.write(std::string_view(buffered_).substr(sent));
         if (n == 0) break;
         sent += n;
     }
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -17,33 +17,33 @@
 std::optional<Level> parse_level(std::string_view name);
 
 // Where a log's lines go.
-class Drain {
+class Sink {
   public:
-    Drain() = default;
-    Drain(const Drain&) = delete;
-    Drain& operator=(const Drain&) = delete;
-    virtual ~Drain() = default;
+    Sink() = default;
+    Sink(const Sink&) = delete;
+    Sink& operator=(const Sink&) = delete;
+    virtual ~Sink() = default;
     // Writes a prefix of the text without blocking; the number of bytes written.
-    virtual std::size_t take(std::string_view text) = 0;
+    virtual std::size_t write(std::string_view text) = 0;
 };
 
 // A descriptor. It may be shared with other processes, so it is not made non-blocking: that would affect
 // them.
-class Descriptor final : public Drain {
+class DescriptorSink final : public Sink {
   public:
-    explicit Descriptor(int fd) : fd_(fd) {}
-    std::size_t take(std::string_view text) override;
+    explicit DescriptorSink(int fd) : fd_(fd) {}
+    std::size_t write(std::string_view text) override;
 
   private:
     int fd_;
 };
 
-// Collects one line at a time and queues complete lines for the drain.
-class Lines final : public std::streambuf {
+// Collects one line at a time and queues complete lines for the sink.
+class LineBuffer final : public std::streambuf {
   public:
-    explicit Lines(Drain& drain) : drain_(drain) {}
+    explicit LineBuffer(Sink& sink) : sink_(sink) {}
     void end_line();
-    void write_out();
+    void flush();
 
   protected:
     int_type overflow(int_type c) override;
@@ -51,14 +51,14 @@
 
   private:
     static constexpr std::size_t max_buffered_bytes = 1 << 16;
-    Drain& drain_;
+    Sink& sink_;
     std::string line_, buffered_;
     std::uint64_t dropped_ = 0;
 };
 
 class Log {
   public:
-    Log(Level max_level, Drain& drain) : max_level_(max_level), lines_(drain), out_(&lines_) {}
+    Log(Level max_level, Sink& sink) : max_level_(max_level), buffer_(sink), out_(&buffer_) {}
     // One line: ends when the object goes out of scope.
     class Line {
       public:
@@ -67,7 +67,7 @@
         Line(const Line&) = delete;
         Line& operator=(const Line&) = delete;
         ~Line() {
-            if (log_ != nullptr) log_->lines_.end_line();
+            if (log_ != nullptr) log_->buffer_.end_line();
         }
         template <class T>
         Line& operator<<(const T& value) {
@@ -81,7 +81,7 @@
     Line error() { return begin_line(Level::error, "error "); }
     Line info() { return begin_line(Level::info, ""); }
     Line debug() { return begin_line(Level::debug, "debug "); }
-    void write_out() { lines_.write_out(); }
+    void flush() { buffer_.flush(); }
 
   private:
     Line begin_line(Level level, std::string_view prefix) {
@@ -90,7 +90,7 @@
         return Line(this);
     }
     Level max_level_;
-    Lines lines_;
+    LineBuffer buffer_;
     std::ostream out_;
 };
 
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -49,7 +49,7 @@
         lemonstair::net::hold_signals();
         const char* path = argc > 1 ? argv[1] : std::getenv("NODE_CONFIG");
         if (path == nullptr) throw Malformed("NODE_CONFIG is not set and no file is named");
-        lemonstair::log::Descriptor errors(2);
+        lemonstair::log::DescriptorSink errors(2);
         lemonstair::log::Log log(log_level(), errors);
         lemonstair::net::Kernel kernel;
         lemonstair::config::ConfigSource source(kernel, path,
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -99,7 +99,7 @@
     loop_.run_once([this] {
         balancer_.run_actions([this](const DeferredActions::Action& action) { carry_out(action); });
     });
-    log_.write_out();
+    log_.flush();
     return phase_ != Phase::stopped;
 }
 
--- a/src/node/peer_link.cpp
+++ b/src/node/peer_link.cpp
@@ -37,7 +37,8 @@
 }
 
 void PeerLink::broadcast(std::span<const std::uint8_t> bytes) {
-    if (config_.all_peers) return send(*config_.all_peers, bytes, config_.peer_addresses.size() - 1);
+    if (config_.peer_broadcast)
+        return send(*config_.peer_broadcast, bytes, config_.peer_addresses.size() - 1);
     for (std::uint32_t node = 0; node < config_.peer_addresses.size(); ++node) send_to(node, bytes);
 }
 
--- a/src/peer/codec.cpp
+++ b/src/peer/codec.cpp
@@ -43,12 +43,12 @@
 }  // namespace
 
 void Message::clear() {
-    buffer_[0] = version;
+    buffer_[0] = protocol_version;
     size_ = 1;
 }
 
 bool Message::begin_item(std::size_t more, std::uint8_t kind) {
-    if (size_ + 1 + more > max_bytes) return false;
+    if (size_ + 1 + more > max_message_bytes) return false;
     buffer_[size_++] = kind;
     return true;
 }
@@ -148,7 +148,7 @@
 
 // A message is checked as a whole before any item is handled: a malformed one has no effect.
 bool is_well_formed(std::span<const std::uint8_t> bytes) {
-    if (bytes.empty() || bytes.size() > max_bytes || bytes[0] != version) return false;
+    if (bytes.empty() || bytes.size() > max_message_bytes || bytes[0] != protocol_version) return false;
     for (std::size_t at = 1; at < bytes.size();) {
         const std::uint8_t kind = bytes[at];
         if (kind == 0 || kind >= kinds_end || at + 1 + body_bytes[kind] > bytes.size()) return false;
--- a/src/peer/codec.h
+++ b/src/peer/codec.h
@@ -8,9 +8,9 @@
 
 namespace lemonstair::peer {
 
-inline constexpr std::size_t max_bytes = 256;
+inline constexpr std::size_t max_message_bytes = 256;
 inline constexpr std::size_t message_overhead_bytes = 17;  // charged for a message beside its items
-inline constexpr std::uint8_t version = 2;
+inline constexpr std::uint8_t protocol_version = 2;
 inline constexpr std::size_t load_total_bytes = 8;
 inline constexpr std::size_t affinity_target_bytes = 9;
 inline constexpr std::size_t load_report_bytes = 8;
@@ -47,7 +47,8 @@
                                      std::uint32_t observer, std::uint32_t second_observer) = 0;
 };
 
-/// Builds one message of at most `max_bytes`; an item that does not fit is refused: false, without effect.
+/// Builds one message of at most `max_message_bytes`; an item that does not fit is refused: false, without
+/// effect.
 class Message {
   public:
     Message() { clear(); }
@@ -73,7 +74,7 @@
   private:
     bool begin_item(std::size_t more, std::uint8_t kind);
     void append(std::uint64_t value, int width);
-    std::array<std::uint8_t, max_bytes> buffer_{};
+    std::array<std::uint8_t, max_message_bytes> buffer_{};
     std::size_t size_ = 0;
 };
 
--- a/src/simulation/simulated_nodes.cpp
+++ b/src/simulation/simulated_nodes.cpp
@@ -17,11 +17,11 @@
 const std::string file_name = "node.json";
 
 // Log lines of a node go into the trace; a violation that the node found itself breaks a rule.
-class TraceDrain final : public log::Drain {
+class TraceSink final : public log::Sink {
   public:
-    TraceDrain(fakes::TestEnvironment& environment, Invariants& invariants, std::uint32_t node)
+    TraceSink(fakes::TestEnvironment& environment, Invariants& invariants, std::uint32_t node)
         : environment_(environment), invariants_(invariants), node_(node) {}
-    std::size_t take(std::string_view text) override {
+    std::size_t write(std::string_view text) override {
         environment_.note("log", node_, 0, text.substr(0, text.size() - (text.empty() ? 0 : 1)));
         if (const auto at = text.find(metrics::violation_prefix); at != std::string_view::npos)
             invariants_.report("self_check",
@@ -86,8 +86,8 @@
     const Process::Traits traits{slot.clock_ahead, scenario_.loop_pass_time, scenario_.sockets};
     running.process = std::make_unique<Process>(events_, network_, slot.machine, traits);
     running.process->files()[file_name] = slot.file;
-    running.drain = std::make_unique<TraceDrain>(*environment_, invariants_, node);
-    running.log = std::make_unique<log::Log>(log::Level::info, *running.drain);
+    running.log_sink = std::make_unique<TraceSink>(*environment_, invariants_, node);
+    running.log = std::make_unique<log::Log>(log::Level::info, *running.log_sink);
     running.started_at = events_.now();
     running.shared_clients = slot.previous.process != nullptr;
 }
--- a/src/simulation/simulated_nodes.h
+++ b/src/simulation/simulated_nodes.h
@@ -19,7 +19,7 @@
 
 // One process of a node, and what it runs on.
 struct NodeProcess {
-    std::unique_ptr<log::Drain> drain;
+    std::unique_ptr<log::Sink> log_sink;
     std::unique_ptr<log::Log> log;
     std::unique_ptr<simnet::Process> process;
     std::unique_ptr<net::System> tampered;
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -126,7 +126,7 @@
 
 lemonstair::LoadReport decode_load_report(const Value& f) {
     lemonstair::LoadReport report;
-    f.inner("health_info").fields([&](std::string_view name, const Value& value) {
+    f.object("health_info").for_each_field([&](std::string_view name, const Value& value) {
         if (double* field = load_report_field(report, name)) *field = value.as_number();
     });
     return report;
@@ -152,7 +152,7 @@
         if (!message_.parse({text, length})) throw Malformed("not JSON");
         int keys = 0;
         Value body;
-        message_.root().fields([&](std::string_view name, const Value& value) {
+        message_.root().for_each_field([&](std::string_view name, const Value& value) {
             ++keys;
             name_.assign(name);
             body = value;
@@ -173,7 +173,7 @@
             out_.raw("{\"Eor\":{}}\n").flush();
             return;
         }
-        const std::uint64_t who = f.whole("who");
+        const std::uint64_t who = f.uint64("who");
         if (name == "Enlist") return enlist(who, f);
         if (who >= instances_.size() || !instances_[who])
             throw Malformed(name + ": instance " + std::to_string(who) + " was never enlisted");
@@ -193,24 +193,24 @@
         if (name == "Interim")
             on_interim(b, f);
         else if (name == "Reply")
-            b.on_ended(f.whole("ticket"), static_cast<int>(f.small("hop")), f.small("host"),
+            b.on_ended(f.uint64("ticket"), static_cast<int>(f.uint32("hop")), f.uint32("host"),
                        decode_outcome(f), round_up_to_ticks(f.number("duration", 0)), f.flag("settled"));
         else if (name == "Incoming")
-            b.on_request(f.whole("ticket"), decode_request(who, f));
+            b.on_request(f.uint64("ticket"), decode_request(who, f));
         else if (name == "Flowing")
-            b.on_opened(f.whole("ticket"), static_cast<int>(f.small("hop")), f.small("host"),
+            b.on_opened(f.uint64("ticket"), static_cast<int>(f.uint32("hop")), f.uint32("host"),
                         round_up_to_ticks(f.number("duration", 0)));
         else if (name == "ClientLeft")
-            b.on_client_disconnected(f.whole("ticket"));
+            b.on_client_disconnected(f.uint64("ticket"));
         else if (name == "Open")
-            b.adopt_open_tunnel(f.whole("ticket"), decode_request(who, f), f.small("host"));
+            b.adopt_open_tunnel(f.uint64("ticket"), decode_request(who, f), f.uint32("host"));
         else
             return false;
         return true;
     }
     static bool handle_node_event(Balancer& b, const std::string& name, const Value& f) {
         if (name == "CheckResult")
-            b.on_health_check(f.small("host"), decode_outcome(f), round_up_to_ticks(f.number("duration", 0)),
+            b.on_health_check(f.uint32("host"), decode_outcome(f), round_up_to_ticks(f.number("duration", 0)),
                               decode_load_report(f));
         else if (name == "TimeoutFired")
             on_timer(b, f.text("label"));
@@ -227,16 +227,16 @@
         if (who >= instances_.size()) instances_.resize(who + 1);
         auto instance = std::make_unique<Instance>(who, out_);
         if (!f.has("setup")) throw Malformed("Enlist: field 'setup' is missing");
-        auto config = lemonstair::config::parse_settings(f.inner("setup"), f.whole("salt"));
+        auto config = lemonstair::config::parse_settings(f.object("setup"), f.uint64("salt"));
         instance->traffic_classes = config.traffic_classes.size();
         instance->balancer = Balancer::start(std::move(config), *instance, now_);
         instances_[who] = std::move(instance);
     }
     static void on_interim(Balancer& b, const Value& f) {
-        const auto what = f.whole("what");
-        if (what == 1) b.on_load_changed(f.whole("ticket"), f.number("amount") / 1e6);
+        const auto what = f.uint64("what");
+        if (what == 1) b.on_load_changed(f.uint64("ticket"), f.number("amount") / 1e6);
         if (what == 2)
-            b.on_slow_messages(f.whole("ticket"), f.small("host"),
+            b.on_slow_messages(f.uint64("ticket"), f.uint32("host"),
                                round_up_to_ticks(f.number("amount") / 1e3));
     }
     static void on_timer(Balancer& b, std::string_view label) {
@@ -256,17 +256,17 @@
             if (std::from_chars(p, p + 2, bytes[i], 16).ptr != p + 2)
                 throw Malformed("Peer: field 'raw' is not hex digits");
         }
-        b.on_gossip(f.small("src"), {bytes.data(), n});
+        b.on_gossip(f.uint32("src"), {bytes.data(), n});
     }
     lemonstair::TunnelRequest decode_request(std::uint64_t who, const Value& f) {
-        if (f.whole("qos") >= instances_[who]->traffic_classes)
+        if (f.uint64("qos") >= instances_[who]->traffic_classes)
             throw Malformed("field 'qos' names no profile");
-        const auto bits = f.whole("bitmap", 0);
+        const auto bits = f.uint64("bitmap", 0);
         return {.key = f.text("path_key", ""),
                 .group = f.text("room", ""),
                 .deadline = round_down_to_ticks(f.number("valid_until")),
                 .expected_load = (bits & 1) != 0 ? f.number("expected", 0) : 0,
-                .traffic_class = f.small("qos"),
+                .traffic_class = f.uint32("qos"),
                 .mid_flow = (bits & 8) != 0,
                 .reconnect = (bits & 16) != 0};
     }
@@ -278,8 +278,8 @@
                                                              {"C", EndpointListKind::cached},
                                                              {"X", EndpointListKind::failed}},
                                                             "kind"));
-        f.each("members_list", [&](const Value& m) {
-            b.add_endpoint(m.small("host"), m.small("site", 0), m.small("cohort", 0),
+        f.for_each("members_list", [&](const Value& m) {
+            b.add_endpoint(m.uint32("host"), m.uint32("site", 0), m.uint32("cohort", 0),
                            decode_word<EndpointState>(m.text("lifecycle"),
                                                       {{"in_service", EndpointState::active},
                                                        {"terminating", EndpointState::draining},
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -269,7 +269,7 @@
     text.replace(text.find(fixture.address), fixture.address.size(), TestListener().name());
     REQUIRE(file.parse(text));
     CHECK_THROWS_WITH_AS(node::Node(fixture.kernel, config::parse_node_config(file.root()),
-                                    file.root().inner("known"), fixture.log, {}),
+                                    file.root().object("known"), fixture.log, {}),
                          doctest::Contains("admin_addr"), json::Malformed);
 }
 
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -338,7 +338,7 @@
     const auto with = [&](const char* fd) {
         return node::Node(fixture.kernel,
                           config::parse_node_config(fixture.file.root(), {.inherited_fd = fd}),
-                          fixture.file.root().inner("known"), fixture.log, {});
+                          fixture.file.root().object("known"), fixture.log, {});
     };
     for (const char* fd : {"x", "-1", "5x"})
         CHECK_THROWS_WITH_AS(with(fd), doctest::Contains("NODE_INHERITED_FD"), json::Malformed);
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -85,7 +85,7 @@
     CHECK(used.size() >= 200);
     for (auto* n : {&first, &last})
         for (const auto& [to, bytes] : n->gossip) {
-            CHECK(bytes.size() <= peer::max_bytes);
+            CHECK(bytes.size() <= peer::max_message_bytes);
             if (to != 99) heard_by.insert(to);  // 99: to all, and node 99 itself
         }
     CHECK(heard_by.size() >= 300);  // records and outcomes go to nodes all over the ring
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -13,8 +13,8 @@
     std::array<int, 2> p{};
     REQUIRE(::pipe(p.data()) == 0);
     const net::Fd in(p[0]), out(p[1]);
-    log::Descriptor drain(out.get());
-    log::Log log(log::Level::info, drain);
+    log::DescriptorSink sink(out.get());
+    log::Log log(log::Level::info, sink);
     for (int i = 0; i < 5000; ++i) log.info() << "line " << i << " of many that nobody reads";
     log.debug() << "not at this level";
     std::string all;
@@ -24,7 +24,7 @@
         const ssize_t n = ::read(in.get(), bytes.data(), bytes.size());
         if (n > 0) all.append(bytes.data(), static_cast<std::size_t>(n));
         quiet = n > 0 ? 0 : quiet + 1;
-        log.write_out();
+        log.flush();
     }
     log.info() << "last";
     const ssize_t n = ::read(in.get(), bytes.data(), bytes.size());
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -149,7 +149,7 @@
     TestListener host_a, host_b, discovery;
     std::string address = TestListener().name(), admin_address = TestListener().name();
     FaultyKernel kernel, next_kernel;  // next_kernel: of the new version in a hot restart
-    log::Descriptor drain;
+    log::DescriptorSink sink;
     log::Log log;
     json::Document file;
     std::string config_text;
@@ -162,7 +162,7 @@
 
     NodeFixture() : NodeFixture(Options{}) {}
     explicit NodeFixture(const Options& options, Ticks clock_ahead = 0, FaultyKernel::Failing listens = {})
-        : drain(options.log), log(log::Level::error, drain) {
+        : sink(options.log), log(log::Level::error, sink) {
         kernel.clock_ahead = clock_ahead;
         kernel.listens = listens;
         config_text = R"({"name":"n0","listen":")" + address + R"(","discovery":")" + discovery.name() +
@@ -200,7 +200,7 @@
                                                        .tmpdir = folder.empty() ? nullptr : folder.c_str()});
     }
     std::unique_ptr<node::Node> start(net::System& system) {
-        return std::make_unique<node::Node>(system, parse_config(), file.root().inner("known"), log, [this] {
+        return std::make_unique<node::Node>(system, parse_config(), file.root().object("known"), log, [this] {
             if (failing_reads > 0 && failing_reads-- > 0) throw json::Malformed("cannot be read");
             if (!file.parse(config_text)) throw json::Malformed("not JSON");
             return config::parse_node_config(file.root());
--- a/tests/parsers_test.cpp
+++ b/tests/parsers_test.cpp
@@ -18,12 +18,12 @@
     for (std::size_t n = 0; n + 1 < text.size(); ++n) CHECK(!d.parse(std::string_view(text).substr(0, n)));
     REQUIRE(d.parse(text));
     std::vector<double> seen;
-    d.root().each("a", [&](const json::Value& v) { seen.push_back(v.as_number()); });
+    d.root().for_each("a", [&](const json::Value& v) { seen.push_back(v.as_number()); });
     REQUIRE(seen.size() == 3);
     CHECK(seen[1] == -25);
     CHECK(d.root().text("t") == "x\n\xc3\xa9\xf0\x9f\x98\x80");
     CHECK(d.root().flag("yes"));
-    CHECK(d.root().inner("o").whole("n") == 12);
+    CHECK(d.root().object("o").uint64("n") == 12);
 }
 
 TEST_CASE("what is not JSON is refused") {
@@ -39,9 +39,9 @@
     json::Document d;
     REQUIRE(d.parse(R"({"n":"x","big":99999999999})"));
     const auto root = d.root().with_context("here");
-    CHECK_THROWS_WITH(root.whole("m"), "here: field 'm' is missing");
+    CHECK_THROWS_WITH(root.uint64("m"), "here: field 'm' is missing");
     CHECK_THROWS_WITH(root.number("n"), "here: field 'n' is not a number");
-    CHECK_THROWS_WITH(root.small("big"), "here: field 'big' is too large");
+    CHECK_THROWS_WITH(root.uint32("big"), "here: field 'big' is too large");
 }
 
 TEST_CASE("an invalid configuration is refused with the name of the key") {
@@ -132,7 +132,7 @@
 TEST_CASE(
     "lists: changes apply on top, an old or repeated one is passed over, an unknown phase gets nothing") {
     const std::vector<std::string> zones{"z"};
-    log::Descriptor nowhere(-1);
+    log::DescriptorSink nowhere(-1);
     log::Log log(log::Level::error, nowhere);
     discovery::EndpointDirectory hosts(zones, log);
     BalancerFixture n;
--- a/tests/peer_codec_test.cpp
+++ b/tests/peer_codec_test.cpp
@@ -69,7 +69,7 @@
           "4000000001;c77,2;w9,4000000000;b9,7;d9,4000000000,299,65535;s3+0.75;");
     while (m.record(1, 2, 3, 4, 5)) {
     }
-    CHECK(m.bytes().size() <= lemonstair::peer::max_bytes);
+    CHECK(m.bytes().size() <= lemonstair::peer::max_message_bytes);
 }
 
 TEST_CASE("malformed messages are ignored entirely") {
