--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -151,7 +151,7 @@
     TestListener server_a, server_b, discovery;
     std::string address = TestListener().host_port(), admin_address = TestListener().host_port();
     FaultyKernel kernel, next_kernel;  // next_kernel: of the new version in a hot restart
-    log::Descriptor log_sink;
+    log::DescriptorSink log_sink;
     log::Log log;
     json::Document config_document;
     std::string config_text;
@@ -204,7 +204,7 @@
                                      .tmpdir = restart_folder.empty() ? nullptr : restart_folder.c_str()});
     }
     std::unique_ptr<node::Node> start(net::System& system) {
-        return std::make_unique<node::Node>(system, parse_config(), config_document.root().inner("known"),
+        return std::make_unique<node::Node>(system, parse_config(), config_document.root().object("known"),
                                             log, [this] {
                                                 if (failing_reads > 0 && failing_reads-- > 0)
                                                     throw json::Malformed("cannot be read");
