--- a/src/discovery/endpoint_directory.cpp
+++ b/src/discovery/endpoint_directory.cpp
@@ -101,7 +101,7 @@
     const char* separator = "";
     for (const DiscoveredEndpoint& endpoint : endpoints_) {
         out << std::exchange(separator, ",") << R"({"id":)" << json::quoted(endpoint.id)
-            << R"(,"host_port":")" << net::address_text(endpoint.address) << R"(","locality":)"
+            << R"(,"host_port":")" << net::format_address(endpoint.address) << R"(","locality":)"
             << json::quoted(endpoint.zone) << R"(,"cell":)" << endpoint.cell << R"(,"phase":")"
             << encode_phase(endpoint.state) << R"(","size":)" << std::setprecision(17) << endpoint.size
             << R"(,"up_since_ms":)" << endpoint.started_unix_ms << '}';
@@ -130,7 +130,7 @@
         log_.debug() << "endpoint " << id << ", number " << endpoint.number << ", listed as " << phase
                      << ", up since " << started;
     if (endpoint.started_unix_ms != started)
-        endpoint.started_at = start_of(endpoint, net::tenths_of_unix_ms(started), now);
+        endpoint.started_at = start_of(endpoint, net::ticks_from_ms(started), now);
     endpoint.state = state;
     endpoint.started_unix_ms = started;
     endpoint.zone = entry.text("locality", "");
@@ -179,7 +179,7 @@
     log_.info() << "the clock of the list is " << start_times_.offset() / 10
                 << " ms behind: start times are corrected";
     for (DiscoveredEndpoint& endpoint : endpoints_) {
-        const Ticks start = start_times_.of_known(net::tenths_of_unix_ms(endpoint.started_unix_ms));
+        const Ticks start = start_times_.of_known(net::ticks_from_ms(endpoint.started_unix_ms));
         if (endpoint.state == EndpointState::removed || start <= endpoint.started_at) continue;
         endpoint.started_at = start;
         publish(endpoint, balancer);
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -50,7 +50,7 @@
 
 void Watch::on_ready(std::uint64_t, short) {
     if (phase_ == Phase::connecting) {
-        if (socket_.connected() != 0) return lose("unreachable");
+        if (socket_.connect_error() != 0) return lose("unreachable");
         transition_to(Phase::requesting, request_timeout);
     }
     if (!request_.empty()) return send_request();
@@ -65,8 +65,8 @@
 }
 
 void Watch::read() {
-    net::Buffer buffer = pool_.take();
-    const auto [data, capacity] = buffer.room();
+    net::Buffer buffer = pool_.acquire();
+    const auto [data, capacity] = buffer.free_space();
     for (int i = 0; i < reads_per_pass; ++i) {
         const auto received = socket_.read({data, capacity});
         if (received.error != 0) return lose("connection lost");
--- a/src/fakes/discovery.cpp
+++ b/src/fakes/discovery.cpp
@@ -29,7 +29,7 @@
     std::snprintf(text, sizeof text,
                   R"({"id":"%s","host_port":"%s","locality":"%s","cell":%u,"phase":"%.*s","size":%.2f,)"
                   R"("up_since_ms":%lld})",
-                  l.id.c_str(), net::address_text(at).c_str(), l.zone.c_str(), l.cell,
+                  l.id.c_str(), net::format_address(at).c_str(), l.zone.c_str(), l.cell,
                   static_cast<int>(name_of(l.phase).size()), name_of(l.phase).data(), l.size,
                   static_cast<long long>(l.up_since_ms));
     return text;
--- a/src/health_check/health_checker.cpp
+++ b/src/health_check/health_checker.cpp
@@ -154,7 +154,7 @@
     Connection& connection = connections_[index];
     if (connection.socket.open()) --open_connections_;
     connection.socket.close();
-    connection.response.give_back();
+    connection.response.release();
     ++connection.generation;
     connection.timer_set = false;
     connection.state = State::closed;
@@ -165,7 +165,7 @@
     if (index >= connections_.size() || token_of(index) != token) return;
     Connection& connection = connections_[index];
     if (connection.state == State::connecting) {
-        if (const int error = connection.socket.connected(); error != 0)
+        if (const int error = connection.socket.connect_error(); error != 0)
             return fail(index, outcome_of_connect(error));
         return send_request(index);
     }
@@ -180,11 +180,11 @@
 
 void HealthChecker::read(std::uint32_t index) {
     Connection& connection = connections_[index];
-    if (!connection.response.held()) connection.response = pool_.take();
-    const auto [data, capacity] = connection.response.room();
+    if (!connection.response.is_allocated()) connection.response = pool_.acquire();
+    const auto [data, capacity] = connection.response.free_space();
     const auto received = connection.socket.read({data, capacity});
     if (received.error != 0 || received.ended) return fail(index, Outcome::connection_lost);
-    connection.response.added(received.bytes);
+    connection.response.commit(received.bytes);
     const auto text = connection.response.view();
     if (text.find('\n') == std::string_view::npos) {
         if (received.bytes == capacity) fail(index, Outcome::error);
@@ -192,7 +192,7 @@
     }
     LoadReport load;
     const bool valid = decode_pong(net::first_line(text), load);
-    connection.response.give_back();
+    connection.response.release();
     connection.state = State::idle;
     set_deadline(index, loop_.now() + idle_timeout);
     report(index, valid ? Outcome::ok : Outcome::error, load);
--- a/src/metrics/resource_counters.cpp
+++ b/src/metrics/resource_counters.cpp
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-void write_added(std::ostream& out, const ResourceCounters& now, const ResourceCounters& before) {
+void write_difference(std::ostream& out, const ResourceCounters& now, const ResourceCounters& before) {
     const auto write = [&](std::string_view name, std::uint64_t current, std::uint64_t earlier) {
         if (current != earlier) out << ' ' << name << '=' << current - earlier;
     };
--- a/src/metrics/resource_counters.h
+++ b/src/metrics/resource_counters.h
@@ -37,6 +37,6 @@
 };
 
 // Writes " name=difference" for each counter that differs between `now` and the earlier `before`.
-void write_added(std::ostream& out, const ResourceCounters& now, const ResourceCounters& before);
+void write_difference(std::ostream& out, const ResourceCounters& now, const ResourceCounters& before);
 
 }  // namespace lemonstair::metrics
--- a/src/net/buffer_pool.h
+++ b/src/net/buffer_pool.h
@@ -23,21 +23,21 @@
     Buffer(Buffer&& other) noexcept { swap(other); }
     Buffer& operator=(Buffer&& other) noexcept {
         if (this != &other) {
-            give_back();
+            release();
             swap(other);
         }
         return *this;
     }
-    ~Buffer() { give_back(); }
-    inline void give_back();
-    bool held() const { return bytes_ != nullptr; }
+    ~Buffer() { release(); }
+    inline void release();
+    bool is_allocated() const { return bytes_ != nullptr; }
     bool empty() const { return begin_ == end_; }
     std::string_view view() const {
-        return held() ? std::string_view(bytes_->data() + begin_, end_ - begin_) : std::string_view{};
+        return is_allocated() ? std::string_view(bytes_->data() + begin_, end_ - begin_) : std::string_view{};
     }
-    void take(std::size_t n) { begin_ += n; }
+    void consume(std::size_t n) { begin_ += n; }
     // The free space at the end, after moving the contents to the front.
-    std::pair<char*, std::size_t> room() {
+    std::pair<char*, std::size_t> free_space() {
         if (begin_ > 0) {
             std::memmove(bytes_->data(), bytes_->data() + begin_, end_ - begin_);
             end_ -= begin_;
@@ -45,10 +45,10 @@
         }
         return {bytes_->data() + end_, bytes_->size() - end_};
     }
-    void added(std::size_t n) { end_ += n; }
-    void cut_end(std::size_t n) { end_ -= n; }
+    void commit(std::size_t n) { end_ += n; }
+    void remove_suffix(std::size_t n) { end_ -= n; }
     bool append(std::string_view text) {
-        const auto [at, left] = room();
+        const auto [at, left] = free_space();
         if (text.empty()) return true;
         if (text.size() > left) return false;
         std::memcpy(at, text.data(), text.size());
@@ -77,7 +77,7 @@
     BufferPool(const BufferPool&) = delete;
     BufferPool& operator=(const BufferPool&) = delete;
     ~BufferPool() = default;
-    Buffer take() {
+    Buffer acquire() {
         Buffer b;
         b.pool_ = this;
         if (free_.empty()) {
@@ -90,7 +90,7 @@
         return b;
     }
     // Buffers in use.
-    std::size_t out() const { return in_use_; }
+    std::size_t in_use() const { return in_use_; }
 
   private:
     friend class Buffer;
@@ -103,8 +103,8 @@
     std::size_t in_use_ = 0;
 };
 
-inline void Buffer::give_back() {
-    if (held()) pool_->put(std::move(bytes_));
+inline void Buffer::release() {
+    if (is_allocated()) pool_->put(std::move(bytes_));
     begin_ = end_ = 0;
 }
 
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -26,6 +26,6 @@
     Ticks started_unix_ = tenths(std::chrono::system_clock::now().time_since_epoch());
 };
 
-constexpr Ticks tenths_of_unix_ms(std::int64_t ms) { return ms * 10; }
+constexpr Ticks ticks_from_ms(std::int64_t ms) { return ms * 10; }
 
 }  // namespace lemonstair::net
--- a/src/net/kernel.cpp
+++ b/src/net/kernel.cpp
@@ -27,7 +27,8 @@
     Fd fd(::socket(AF_INET, type | kind, 0));
     const int yes = 1;
     if (!fd.open() || ::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes) != 0 ||
-        ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&at.at), sizeof at.at) != 0)
+        ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&at.socket_address), sizeof at.socket_address) !=
+            0)
         throw std::system_error(errno, std::generic_category(), "a socket to listen on");
     return fd;
 }
@@ -75,7 +76,7 @@
         ::close(fd);
 }
 
-void hold_signals() {
+void block_signals() {
     const sigset_t set = answered_signals();
     if (::sigprocmask(SIG_BLOCK, &set, nullptr) != 0)
         throw std::system_error(errno, std::generic_category(), "sigprocmask");
@@ -94,9 +95,10 @@
     if (!fd.open()) return fd;
     const int yes = 1;
     ::setsockopt(fd.get(), IPPROTO_TCP, TCP_NODELAY, &yes, sizeof yes);
-    const auto* at = reinterpret_cast<const sockaddr*>(&to.at);
+    const auto* at = reinterpret_cast<const sockaddr*>(&to.socket_address);
     // An interrupted call goes on by itself, as one that is in progress.
-    if (::connect(fd.get(), at, sizeof to.at) == 0 || errno == EINPROGRESS || errno == EINTR) return fd;
+    if (::connect(fd.get(), at, sizeof to.socket_address) == 0 || errno == EINPROGRESS || errno == EINTR)
+        return fd;
     const int error = errno;
     fd.close();
     errno = error;
@@ -108,7 +110,7 @@
     ::setsockopt(listener, IPPROTO_TCP, TCP_DEFER_ACCEPT, &seconds, sizeof seconds);
 }
 
-int Kernel::connected(int fd) {
+int Kernel::connect_error(int fd) {
     int error = 0;
     socklen_t size = sizeof error;
     if (::getsockopt(fd, SOL_SOCKET, SO_ERROR, &error, &size) != 0) return errno;
@@ -169,7 +171,7 @@
     return fd;
 }
 
-Fd Kernel::spare() { return Fd(::open("/dev/null", O_RDONLY | O_CLOEXEC)); }
+Fd Kernel::open_spare() { return Fd(::open("/dev/null", O_RDONLY | O_CLOEXEC)); }
 
 void Kernel::shutdown_write(int fd) { ::shutdown(fd, SHUT_WR); }
 
@@ -179,13 +181,14 @@
 }
 
 std::ptrdiff_t Kernel::send_to(int fd, const Address& to, std::span<const std::uint8_t> bytes) {
-    return ::sendto(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL, reinterpret_cast<const sockaddr*>(&to.at),
-                    sizeof to.at);
+    return ::sendto(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL,
+                    reinterpret_cast<const sockaddr*>(&to.socket_address), sizeof to.socket_address);
 }
 
 std::ptrdiff_t Kernel::receive(int fd, Address& from, std::span<std::uint8_t> into) {
-    socklen_t size = sizeof from.at;
-    return ::recvfrom(fd, into.data(), into.size(), 0, reinterpret_cast<sockaddr*>(&from.at), &size);
+    socklen_t size = sizeof from.socket_address;
+    return ::recvfrom(fd, into.data(), into.size(), 0, reinterpret_cast<sockaddr*>(&from.socket_address),
+                      &size);
 }
 
 Fd Kernel::inherited_listener(int fd) {
@@ -274,7 +277,7 @@
 
 // They come as bytes on a descriptor of the loop: no handler interrupts anything.
 Fd Kernel::signals() {
-    hold_signals();
+    block_signals();
     const sigset_t set = answered_signals();
     Fd fd(::signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC));
     if (!fd.open()) throw std::system_error(errno, std::generic_category(), "signalfd");
--- a/src/net/kernel.h
+++ b/src/net/kernel.h
@@ -7,7 +7,7 @@
 namespace lemonstair::net {
 
 // Blocks the signals that a node handles; they stay pending until a node reads them.
-void hold_signals();
+void block_signals();
 
 // The calls on streams for programs without a System. The first two throw std::system_error.
 Fd listen_on(const Address& at);
@@ -29,8 +29,8 @@
     Fd bind_datagrams(const Address& at) override { return net::bind_datagrams(at); }
     Fd connect_to(const Address& to) override { return net::connect_to(to); }
     Fd accept(int listener) override;
-    Fd spare() override;
-    int connected(int fd) override;
+    Fd open_spare() override;
+    int connect_error(int fd) override;
     bool peer_closed(int fd) override;
     IoResult read_some(int fd, std::span<char> into) override { return net::read_some(fd, into); }
     IoResult peek(int fd, std::span<char> into) override;
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -27,7 +27,7 @@
 
 // `first`: handled before the others in a pass, for what must be answered soon under any load. The end of a
 // connection that was waited for with POLLRDHUP goes first too.
-enum class EventPriority : std::uint8_t { usual, first };
+enum class EventPriority : std::uint8_t { normal, first };
 
 class EventLoop {
   public:
@@ -40,7 +40,7 @@
         return now_;
     }
     std::uint32_t add(int fd, short events, EventHandler& handler, std::uint64_t token,
-                      EventPriority priority = EventPriority::usual);
+                      EventPriority priority = EventPriority::normal);
     void set_events(std::uint32_t slot, short events) {
         polled_[slot].events = events;
         if (events != 0 && polled_[slot].fd < 0) polled_[slot].fd = ~polled_[slot].fd;
@@ -84,7 +84,7 @@
         EventHandler* handler = nullptr;
         std::uint64_t token = 0;
         std::uint32_t generation = 0;
-        EventPriority priority = EventPriority::usual;
+        EventPriority priority = EventPriority::normal;
     };
     struct Event {
         std::uint32_t slot, generation;
@@ -119,7 +119,7 @@
   public:
     Socket() = default;
     Socket(EventLoop& loop, Fd fd, short events, EventHandler& handler, std::uint64_t token,
-           EventPriority priority = EventPriority::usual)
+           EventPriority priority = EventPriority::normal)
         : loop_(&loop),
           fd_(std::move(fd)),
           slot_(loop.add(fd_.get(), events, handler, token, priority)),
@@ -154,7 +154,7 @@
     IoResult discard() const { return loop_->system().discard_some(fd_.get()); }
     IoResult write(std::string_view text) const { return loop_->system().write_some(fd_.get(), text); }
     // The result of an asynchronous connect, as an errno; 0: connected.
-    int connected() const { return loop_->system().connected(fd_.get()); }
+    int connect_error() const { return loop_->system().connect_error(fd_.get()); }
     bool peer_closed() const { return loop_->system().peer_closed(fd_.get()); }
     void shutdown_write() const { loop_->system().shutdown_write(fd_.get()); }
     Fd accept() const { return loop_->system().accept(fd_.get()); }
--- a/src/net/system.h
+++ b/src/net/system.h
@@ -48,9 +48,9 @@
     // Not open where no connection waits, or there is no descriptor for it.
     virtual Fd accept(int listener) = 0;
     // A reserve descriptor without a use, to be closed when one is needed and none is left.
-    virtual Fd spare() = 0;
+    virtual Fd open_spare() = 0;
     // The result of an asynchronous connect, as an errno; 0: connected.
-    virtual int connected(int fd) = 0;
+    virtual int connect_error(int fd) = 0;
     // Whether the peer has closed its sending side or the connection is over, even with unread bytes before
     // that.
     virtual bool peer_closed(int fd) = 0;
--- a/src/net/transfer.h
+++ b/src/net/transfer.h
@@ -11,16 +11,17 @@
 namespace lemonstair::net {
 
 struct Address {
-    sockaddr_in at{};
+    sockaddr_in socket_address{};
     bool operator==(const Address& other) const {
-        return at.sin_addr.s_addr == other.at.sin_addr.s_addr && at.sin_port == other.at.sin_port;
+        return socket_address.sin_addr.s_addr == other.socket_address.sin_addr.s_addr &&
+               socket_address.sin_port == other.socket_address.sin_port;
     }
 };
 
 // "10.0.0.4:8443"; nothing where the text is not an address and a port.
 std::optional<Address> parse_address(std::string_view text);
 
-std::string address_text(const Address& at);
+std::string format_address(const Address& at);
 
 struct IoResult {
     std::size_t bytes = 0;
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -46,7 +46,7 @@
 int main(int argc, char** argv) {
     try {
         std::signal(SIGPIPE, SIG_IGN);
-        lemonstair::net::hold_signals();
+        lemonstair::net::block_signals();
         const char* path = argc > 1 ? argv[1] : std::getenv("NODE_CONFIG");
         if (path == nullptr) throw Malformed("NODE_CONFIG is not set and no file is named");
         lemonstair::log::Descriptor errors(2);
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -46,7 +46,7 @@
     };
     const metrics::ResourceCounters& costs() const { return counters_; }
     Holds holds() const {
-        return {stages_.registry.tunnel_count(), stages_.registry.pool.out(), loop_.timers(),
+        return {stages_.registry.tunnel_count(), stages_.registry.pool.in_use(), loop_.timers(),
                 admin_server_.open_connections(), loop_.descriptors()};
     }
 
--- a/src/node/status_log.cpp
+++ b/src/node/status_log.cpp
@@ -25,7 +25,7 @@
     registry_.loop.schedule(registry_.loop.now() + totals_interval, *this, totals_timer);
     const tunnel::TunnelTotals& totals = registry_.totals;
     registry_.log.info() << "tunnels " << registry_.tunnel_count() << ", buffers in use "
-                         << registry_.pool.out() << ", descriptors " << registry_.loop.descriptors()
+                         << registry_.pool.in_use() << ", descriptors " << registry_.loop.descriptors()
                          << "; since the start: accepted " << totals.accepted << ", opened " << totals.opened
                          << ", rejected " << totals.rejected << " (" << totals.over_capacity
                          << " over capacity), closed with error " << totals.failed << " ("
@@ -40,7 +40,7 @@
     if (counters == logged_) return;  // nothing but processor time
     counters.processor_us = registry_.loop.system().processor_us();
     std::ostringstream added;
-    metrics::write_added(added, counters, logged_);
+    metrics::write_difference(added, counters, logged_);
     registry_.log.info() << "second:" << added.str() << " tunnels_held=" << registry_.admitted_count()
                          << " probe_lines_held=" << health_checker_.open_connections();
     logged_ = counters;
--- a/src/process_harness/address_plan.cpp
+++ b/src/process_harness/address_plan.cpp
@@ -16,7 +16,9 @@
         block_ = first + (start + i) % blocks * wide;
         const Address at = make(block_, 0xfffe, datagram_port);
         net::Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-        if (fd.open() && ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&at.at), sizeof at.at) == 0 &&
+        if (fd.open() &&
+            ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&at.socket_address),
+                   sizeof at.socket_address) == 0 &&
             ::listen(fd.get(), 1) == 0) {
             held_ = std::move(fd);
             return;
--- a/src/process_harness/address_plan.h
+++ b/src/process_harness/address_plan.h
@@ -24,7 +24,7 @@
     std::uint32_t nodes() const { return nodes_; }
     // The machine's own address.
     Address own(Machine machine, std::uint16_t port) const { return make(block_, machine, port); }
-    Machine machine_at(const Address& at) const { return ntohl(at.at.sin_addr.s_addr) & 0xffffU; }
+    Machine machine_at(const Address& at) const { return ntohl(at.socket_address.sin_addr.s_addr) & 0xffffU; }
     // A place of a machine that is no node, as one node sees it.
     Address seen(Machine node, const Address& own) const {
         const auto slot = machine_at(own) - nodes_;
@@ -37,12 +37,12 @@
 
   private:
     static constexpr std::uint16_t first_port = 10000, datagram_port = 7946, ports_each = 16;
-    static std::uint16_t port_of(const Address& at) { return ntohs(at.at.sin_port); }
+    static std::uint16_t port_of(const Address& at) { return ntohs(at.socket_address.sin_port); }
     static Address make(std::uint32_t block, Machine machine, std::uint16_t port) {
         Address a;
-        a.at.sin_family = AF_INET;
-        a.at.sin_addr.s_addr = htonl(127U << 24 | block << 16 | machine);
-        a.at.sin_port = htons(port);
+        a.socket_address.sin_family = AF_INET;
+        a.socket_address.sin_addr.s_addr = htonl(127U << 24 | block << 16 | machine);
+        a.socket_address.sin_port = htons(port);
         return a;
     }
     std::uint32_t nodes_, block_ = 0;
--- a/src/process_harness/datagram_proxy.cpp
+++ b/src/process_harness/datagram_proxy.cpp
@@ -88,7 +88,8 @@
     if (!faults_.passes(datagram.from, datagram.to) || !passes_(datagram.from, datagram.to)) return;
     const Address at = addresses_.own(datagram.to, peer_port_);
     static_cast<void>(::sendto(sockets_[datagram.from].get(), datagram.bytes.data(), datagram.bytes.size(),
-                               MSG_NOSIGNAL, reinterpret_cast<const sockaddr*>(&at.at), sizeof at.at));
+                               MSG_NOSIGNAL, reinterpret_cast<const sockaddr*>(&at.socket_address),
+                               sizeof at.socket_address));
 }
 
 void DatagramProxy::send_again(Machine from, std::size_t most) {
--- a/src/process_harness/stream_proxy.cpp
+++ b/src/process_harness/stream_proxy.cpp
@@ -103,8 +103,8 @@
     while (kernel_.accept(proxy.fd.get()).open()) continue;
     ::listen(proxy.fd.get(), 0);
     Address at;
-    socklen_t size = sizeof at.at;
-    ::getsockname(proxy.fd.get(), reinterpret_cast<sockaddr*>(&at.at), &size);
+    socklen_t size = sizeof at.socket_address;
+    ::getsockname(proxy.fd.get(), reinterpret_cast<sockaddr*>(&at.socket_address), &size);
     for (int i = 0; i < filler_count; ++i) proxy.fillers.push_back(net::connect_to(at));
 }
 
@@ -167,7 +167,7 @@
     const auto number = static_cast<std::uint32_t>(token);
     Stream& s = streams_[number];
     if (!passes(s)) return;  // looked at again when it is healed
-    if ((events & (EPOLLERR | EPOLLHUP)) != 0 && !s.up) s.failed = kernel_.connected(s.fd.get());
+    if ((events & (EPOLLERR | EPOLLHUP)) != 0 && !s.up) s.failed = kernel_.connect_error(s.fd.get());
     if ((events & EPOLLOUT) != 0 && s.failed == 0) s.up = true;
     if ((events & (EPOLLIN | EPOLLRDHUP | EPOLLERR)) != 0) s.last_receive_time = events_.now();
     notify_owner(number);
--- a/src/process_harness/stream_proxy.h
+++ b/src/process_harness/stream_proxy.h
@@ -134,7 +134,7 @@
         std::uint64_t token;
     };
     static std::uint64_t key(const Address& at) {
-        return std::uint64_t{at.at.sin_addr.s_addr} << 16 | at.at.sin_port;
+        return std::uint64_t{at.socket_address.sin_addr.s_addr} << 16 | at.socket_address.sin_port;
     }
     static std::uint64_t path(Machine a, Machine b) {
         return std::uint64_t{std::min(a, b)} << 32 | std::max(a, b);
--- a/src/simnet/network.cpp
+++ b/src/simnet/network.cpp
@@ -23,13 +23,13 @@
 
 Address Network::address(Machine machine, std::uint16_t port) {
     Address a;
-    a.at.sin_family = AF_INET;
-    a.at.sin_addr.s_addr = htonl(0x0a4d0000U | machine);
-    a.at.sin_port = htons(port);
+    a.socket_address.sin_family = AF_INET;
+    a.socket_address.sin_addr.s_addr = htonl(0x0a4d0000U | machine);
+    a.socket_address.sin_port = htons(port);
     return a;
 }
 
-Machine Network::machine_at(const Address& at) { return ntohl(at.at.sin_addr.s_addr) & 0xffffU; }
+Machine Network::machine_at(const Address& at) { return ntohl(at.socket_address.sin_addr.s_addr) & 0xffffU; }
 
 Ticks Network::delay(Machine from, Machine to) {
     const double slow = std::max(machines_[from].slow, machines_[to].slow);
--- a/src/simnet/network.h
+++ b/src/simnet/network.h
@@ -159,7 +159,7 @@
         datagram
     };
     static std::uint64_t key(const Address& at) {
-        return std::uint64_t{at.at.sin_addr.s_addr} << 16 | at.at.sin_port;
+        return std::uint64_t{at.socket_address.sin_addr.s_addr} << 16 | at.socket_address.sin_port;
     }
     static std::uint64_t path(Machine from, Machine to) { return std::uint64_t{from} << 32 | to; }
     bool passes(Machine from, Machine to) const {
--- a/src/simnet/process.cpp
+++ b/src/simnet/process.cpp
@@ -199,12 +199,12 @@
     return net::Fd(fd, this);
 }
 
-net::Fd Process::spare() {
+net::Fd Process::open_spare() {
     const int fd = take(Use::spare);
     return fd < 0 ? net::Fd() : net::Fd(fd, this);
 }
 
-int Process::connected(int fd) { return network_.connected(slot(fd).end); }
+int Process::connect_error(int fd) { return network_.connected(slot(fd).end); }
 
 net::IoResult Process::read_some(int fd, std::span<char> into) {
     return count_effect(network_.read(slot(fd).end, into));
--- a/src/simnet/process.h
+++ b/src/simnet/process.h
@@ -75,8 +75,8 @@
     net::Fd bind_datagrams(const Address& at) override;
     net::Fd connect_to(const Address& to) override;
     net::Fd accept(int listener) override;
-    net::Fd spare() override;
-    int connected(int fd) override;
+    net::Fd open_spare() override;
+    int connect_error(int fd) override;
     bool peer_closed(int fd) override { return ready({fd, POLLRDHUP, 0}) != 0; }
     net::IoResult read_some(int fd, std::span<char> into) override;
     net::IoResult peek(int fd, std::span<char> into) override;
--- a/src/simulation/fixture.cpp
+++ b/src/simulation/fixture.cpp
@@ -137,7 +137,7 @@
             .append(fakes::entry_json(entries_[h], network_.seen_by(node, entries_[h].at)));
     for (std::uint32_t n = 0; n < scenario_.nodes; ++n)
         peers.append(n > 0 ? ",\"" : "\"")
-            .append(net::address_text(network_.seen_by(node, network_.place(n, peer_port))))
+            .append(net::format_address(network_.seen_by(node, network_.place(n, peer_port))))
             .append("\"");
     for (const fakes::Profile& p : environment_.profiles) {
         constexpr const char* effects[] = {"read_like", "idempotency_key", "non_idempotent"};
@@ -151,14 +151,14 @@
     }
     const net::Address discovery = network_.seen_by(node, discovery_services_.back()->address());
     std::string text = R"({"name":"n)" + std::to_string(node) + R"(","listen":")" +
-                       net::address_text(network_.place(node, client_port)) + R"(","discovery":")" +
-                       net::address_text(discovery) + R"(","seed":")" +
+                       net::format_address(network_.place(node, client_port)) + R"(","discovery":")" +
+                       net::format_address(discovery) + R"(","seed":")" +
                        std::to_string(10000000 + scenario_.seed % 1000000 * 10 + node) +
                        R"(","limits":{"sockets":)" + std::to_string(scenario_.sockets) +
                        R"(},"known":{"revision":5,"complete":)" + flag(n_known == scenario_.servers) +
                        R"(,"members":[)" + known + "]}";
     if (scenario_.peers)
-        text += R"(,"peer_listen":")" + net::address_text(network_.place(node, peer_port)) +
+        text += R"(,"peer_listen":")" + net::format_address(network_.place(node, peer_port)) +
                 R"(","peers":[)" + peers + "]";
     text += R"(,"settings":{"balancers":)" + std::to_string(scenario_.nodes) + R"(,"me":)" +
             std::to_string(node) + R"(,"zone":)" + std::to_string(node % 2) +
--- a/src/simulation/simulated_nodes.cpp
+++ b/src/simulation/simulated_nodes.cpp
@@ -101,7 +101,7 @@
     running.admin_address = simnet::Network::address(slot.machine, admin_port);
     if (slot.previous.process && slot.previous.admin_address == running.admin_address)
         running.admin_address = simnet::Network::address(slot.machine, admin_port + 1);
-    running.admin_text = net::address_text(running.admin_address);
+    running.admin_text = net::format_address(running.admin_address);
     return {.admin_addr = running.admin_text.c_str(),
             .inherited_fd = running.inherited.c_str(),
             .tmpdir = "/tmp"};
--- a/src/tunnel/acceptor.cpp
+++ b/src/tunnel/acceptor.cpp
@@ -131,7 +131,7 @@
         const Tunnel& tunnel = registry_.tunnels[index];
         if (tunnel.state != TunnelState::reading_request) continue;
         std::array<char, 1> next{};
-        if (tunnel.request_buffer.held() && !tunnel.request_buffer.empty()) return true;
+        if (tunnel.request_buffer.is_allocated() && !tunnel.request_buffer.empty()) return true;
         if (tunnel.client.peek(next).bytes > 0) return true;
     }
     return false;
@@ -160,23 +160,23 @@
     net::Buffer& answer = tunnel.downstream.buffer;
     if (!answer.empty() && !write_or_buffer(tunnel, {})) return completion_.close_now(id);
     if (!answer.empty()) return;  // nothing is read until the client has taken its answer
-    if (!tunnel.request_buffer.held()) tunnel.request_buffer = registry_.pool.take();
-    const auto [data, space] = tunnel.request_buffer.room();
+    if (!tunnel.request_buffer.is_allocated()) tunnel.request_buffer = registry_.pool.acquire();
+    const auto [data, space] = tunnel.request_buffer.free_space();
     const auto got = tunnel.client.read({data, space});
     if (got.error != 0 || got.ended) return completion_.close_now(id);
-    tunnel.request_buffer.added(got.bytes);
+    tunnel.request_buffer.commit(got.bytes);
     if (got.bytes > 0) tunnel.last_input_at = registry_.loop.now();
     for (;;) {
         const auto text = tunnel.request_buffer.view();
         const auto end = text.find('\n');
         if (end == std::string_view::npos) break;
         if (handle_line(id, net::first_line(text)) == LineResult::left_stage) return;
-        tunnel.request_buffer.take(end + 1);
+        tunnel.request_buffer.consume(end + 1);
         if (!answer.empty()) return;
     }
     if (tunnel.request_buffer.view().size() > wire::longest_line)
         return completion_.reject_protocol_error(id);
-    if (tunnel.request_buffer.empty()) tunnel.request_buffer.give_back();
+    if (tunnel.request_buffer.empty()) tunnel.request_buffer.release();
 }
 
 // Reads once more before it gives up: the request may have arrived since the last pass.
@@ -244,13 +244,13 @@
 // What the system does not take at once is buffered. False where the connection is broken.
 bool Acceptor::write_or_buffer(Tunnel& tunnel, std::string_view text) {
     net::Buffer& answer = tunnel.downstream.buffer;
-    if (!answer.held()) answer = registry_.pool.take();
+    if (!answer.is_allocated()) answer = registry_.pool.acquire();
     answer.append(text);
     const auto sent = tunnel.client.write(answer.view());
     if (sent.error != 0) return false;
-    answer.take(sent.bytes);
+    answer.consume(sent.bytes);
     tunnel.client.set_events(answer.empty() ? POLLIN : POLLOUT);
-    if (answer.empty()) answer.give_back();
+    if (answer.empty()) answer.release();
     return true;
 }
 
--- a/src/tunnel/attempt.cpp
+++ b/src/tunnel/attempt.cpp
@@ -100,13 +100,13 @@
 // False where the attempt is over.
 bool AttemptRunner::on_connected(TunnelId id) {
     Tunnel& tunnel = *registry_.find(id);
-    if (const int error = tunnel.endpoint.connected(); error != 0) {
+    if (const int error = tunnel.endpoint.connect_error(); error != 0) {
         on_failed(id, connect_outcome(error));
         return false;
     }
     if (!may_write(id)) return false;
     registry_.transition_to(id, TunnelState::sending_request);
-    tunnel.upstream.buffer = registry_.pool.take();
+    tunnel.upstream.buffer = registry_.pool.acquire();
     if (!write_request_line(net::first_line(tunnel.request_buffer.view()),
                             tunnel.attempt_deadline - registry_.loop.now(), tunnel.upstream.buffer)) {
         on_failed(id, Outcome::not_sent);
@@ -141,9 +141,9 @@
     const auto sent = tunnel.endpoint.write(tunnel.upstream.buffer.view());
     if (sent.error != 0) return on_failed(id, Outcome::unreachable);
     if (sent.bytes > 0) check_write_allowed(id);
-    tunnel.upstream.buffer.take(sent.bytes);
+    tunnel.upstream.buffer.consume(sent.bytes);
     if (!tunnel.upstream.buffer.empty()) return;
-    tunnel.upstream.buffer.give_back();
+    tunnel.upstream.buffer.release();
     tunnel.endpoint.set_events(POLLIN);
     ++registry_.tunnel_counters.by_traffic_class[tunnel.traffic_class].setups_written;
     registry_.transition_to(id, TunnelState::awaiting_answer);
@@ -163,11 +163,11 @@
 void AttemptRunner::read_answer(TunnelId id) {
     Tunnel& tunnel = *registry_.find(id);
     net::Buffer& answer = tunnel.downstream.buffer;
-    if (!answer.held()) answer = registry_.pool.take();
-    const auto [data, space] = answer.room();
+    if (!answer.is_allocated()) answer = registry_.pool.acquire();
+    const auto [data, space] = answer.free_space();
     const auto got = tunnel.endpoint.read({data, space});
     if (got.error != 0 || got.ended) return on_failed(id, Outcome::connection_lost);
-    answer.added(got.bytes);
+    answer.commit(got.bytes);
     const auto text = answer.view();
     if (text.find('\n') != std::string_view::npos) return handle_answer(id, net::first_line(text));
     const bool line_too_long = got.bytes == space;
@@ -215,7 +215,7 @@
                                            registry_.loop.now() - tunnel.attempt_started);
     }
     // The endpoint has its own copy of the request line: only what the client sent after it is relayed.
-    tunnel.request_buffer.take(tunnel.request_buffer.view().find('\n') + 1);
+    tunnel.request_buffer.consume(tunnel.request_buffer.view().find('\n') + 1);
     relay_.begin(id);
 }
 
@@ -226,8 +226,8 @@
     registry_.log.debug() << "tunnel " << static_cast<std::uint32_t>(id) << " attempt " << tunnel.attempts
                           << " failed, outcome " << static_cast<int>(outcome);
     tunnel.endpoint.close();
-    tunnel.upstream.buffer.give_back();
-    tunnel.downstream.buffer.give_back();
+    tunnel.upstream.buffer.release();
+    tunnel.downstream.buffer.release();
     registry_.transition_to(id, TunnelState::awaiting_placement);
     if (tunnel.resuming) {
         const Ticks next_attempt = registry_.loop.now() + resume_pause;
--- a/src/tunnel/completion.cpp
+++ b/src/tunnel/completion.cpp
@@ -61,7 +61,7 @@
     if (sent.error != 0) return close_now(id);
     begin_closing(id);
     if (sent.bytes == line.size()) return shutdown_writes(tunnel);
-    tunnel.downstream.buffer = registry_.pool.take();
+    tunnel.downstream.buffer = registry_.pool.acquire();
     tunnel.downstream.buffer.append(line.substr(sent.bytes));
     tunnel.client.set_events(POLLIN | POLLOUT);
 }
@@ -144,9 +144,9 @@
 
 void Completion::begin_closing(TunnelId id) {
     Tunnel& tunnel = *registry_.find(id);
-    tunnel.request_buffer.give_back();
-    tunnel.upstream.buffer.give_back();
-    tunnel.downstream.buffer.give_back();
+    tunnel.request_buffer.release();
+    tunnel.upstream.buffer.release();
+    tunnel.downstream.buffer.release();
     registry_.transition_to(id, TunnelState::closing);
     const Ticks timeout = tunnel.reject_only ? close_timeout_reject_only : close_timeout;
     registry_.set_state_deadline(id, tunnel, registry_.loop.now() + timeout);
@@ -165,9 +165,9 @@
     if (side == Side::client && !final_line.empty()) {
         const auto sent = tunnel.client.write(final_line.view());
         if (sent.error != 0) return close_now(id);
-        final_line.take(sent.bytes);
+        final_line.consume(sent.bytes);
         if (final_line.empty()) {
-            final_line.give_back();
+            final_line.release();
             shutdown_writes(tunnel);
         }
     }
--- a/src/tunnel/descriptor_budget.cpp
+++ b/src/tunnel/descriptor_budget.cpp
@@ -6,7 +6,7 @@
 
 void DescriptorBudget::refill_spares() {
     for (net::Fd& spare : spares_)
-        if (!spare.open()) spare = loop_.system().spare();
+        if (!spare.open()) spare = loop_.system().open_spare();
 }
 
 bool DescriptorBudget::release_spare() {
--- a/src/tunnel/relay.cpp
+++ b/src/tunnel/relay.cpp
@@ -50,10 +50,10 @@
     tunnel.last_input_at = registry_.loop.now();
     const auto answer = tunnel.downstream.buffer.view();
     if (const auto more = answer.substr(answer.find('\n') + 1); !more.empty()) scan_endpoint_bytes(id, more);
-    if (tunnel.request_buffer.held()) {
+    if (tunnel.request_buffer.is_allocated()) {
         scan_client_bytes(tunnel, tunnel.request_buffer.view());
         tunnel.upstream.buffer = std::move(tunnel.request_buffer);
-        if (tunnel.upstream.buffer.empty()) tunnel.upstream.buffer.give_back();
+        if (tunnel.upstream.buffer.empty()) tunnel.upstream.buffer.release();
     }
     if (write(id, Side::client) && write(id, Side::endpoint)) update(id);
 }
@@ -72,7 +72,7 @@
     if ((events & POLLOUT) != 0 && !write(id, side)) return;
     if ((events & readable) != 0 && !direction.source_ended && !read(id, side)) return;
     // What a side that broke had sent cannot all be read while the other side takes nothing.
-    if ((events & POLLERR) != 0 && (direction.source_ended || direction.buffer.held())) {
+    if ((events & POLLERR) != 0 && (direction.source_ended || direction.buffer.is_allocated())) {
         on_broken(id, side);
         return;
     }
@@ -84,8 +84,8 @@
     Tunnel& tunnel = *registry_.find(id);
     Direction& direction = direction_from(tunnel, from);
     for (int i = 0; i < max_reads_per_pass && direction.buffer.empty(); ++i) {
-        if (!direction.buffer.held()) direction.buffer = registry_.pool.take();
-        const auto [data, space] = direction.buffer.room();
+        if (!direction.buffer.is_allocated()) direction.buffer = registry_.pool.acquire();
+        const auto [data, space] = direction.buffer.free_space();
         const auto got = socket_of(tunnel, from).read({data, space});
         if (got.error != 0) return on_broken(id, from);
         if (got.ended) {
@@ -95,21 +95,21 @@
             break;
         }
         if (got.bytes == 0) break;
-        direction.buffer.added(got.bytes);
+        direction.buffer.commit(got.bytes);
         if (from == Side::client)
             scan_client_bytes(tunnel, {data, got.bytes});
         else
             scan_endpoint_bytes(id, {data, got.bytes});
         // What follows the end of the current line would begin one that a migrated tunnel cannot end.
         if (tunnel.state == TunnelState::migrating && direction.partial_line_bytes < got.bytes) {
-            direction.buffer.cut_end(direction.partial_line_bytes);
+            direction.buffer.remove_suffix(direction.partial_line_bytes);
             direction.partial_line_bytes = 0;
         }
         if (direction.partial_line_bytes > wire::longest_line) return on_broken(id, from);
         if (!write(id, other(from))) return false;
         if (tunnel.state == TunnelState::migrating && direction.partial_line_bytes == 0) break;
     }
-    if (direction.buffer.empty()) direction.buffer.give_back();
+    if (direction.buffer.empty()) direction.buffer.release();
     return true;
 }
 
@@ -120,8 +120,8 @@
     if (buffer.empty()) return true;
     const auto sent = socket_of(tunnel, to).write(buffer.view());
     if (sent.error != 0) return on_broken(id, to);
-    buffer.take(sent.bytes);
-    if (buffer.empty()) buffer.give_back();
+    buffer.consume(sent.bytes);
+    if (buffer.empty()) buffer.release();
     return true;
 }
 
--- a/src/tunnel/transfer.cpp
+++ b/src/tunnel/transfer.cpp
@@ -111,7 +111,7 @@
     for (const auto& [direction, buffered] : {std::pair{&tunnel.upstream, received.upstream},
                                               std::pair{&tunnel.downstream, received.downstream}}) {
         if (buffered.empty()) continue;
-        direction->buffer = registry_.pool.take();
+        direction->buffer = registry_.pool.acquire();
         direction->buffer.append(buffered);
     }
     if (tunnel.id_hash != 0) registry_.by_id_hash.put(tunnel.id_hash, static_cast<std::uint32_t>(id));
--- a/src/tunnel/tunnel_registry.cpp
+++ b/src/tunnel/tunnel_registry.cpp
@@ -92,8 +92,8 @@
         report_violation(metrics::Invariant::closed_without_answer, id, name_of(tunnel.state));
     if (tunnel.state != TunnelState::reading_request) return;
     std::array<char, 1> next{};
-    const bool whole_line =
-        tunnel.request_buffer.held() && tunnel.request_buffer.view().find('\n') != std::string_view::npos;
+    const bool whole_line = tunnel.request_buffer.is_allocated() &&
+                            tunnel.request_buffer.view().find('\n') != std::string_view::npos;
     const attempt_policy::PendingInput input{tunnel.client.peek(next).bytes, whole_line};
     const Reason reason = attempt_policy::may_close_unanswered(input);
     if (reason != Reason::allowed && !client_disconnected(tunnel))
--- a/tests/deadline_race_test.cpp
+++ b/tests/deadline_race_test.cpp
@@ -53,7 +53,7 @@
     TestConnection client = fixture.connect_client(fixture.open_line());
     fixture.kernel.connection_error = [&](int fd) {
         stall(150);
-        return fixture.kernel.Kernel::connected(fd);
+        return fixture.kernel.Kernel::connect_error(fd);
     };
     // The drain and the connection that is up are both ready before the next pass.
     std::vector<TestConnection> hosts;
--- a/tests/fault_injection.h
+++ b/tests/fault_injection.h
@@ -71,8 +71,8 @@
         if (fd.open()) clients_[fd.get()] = true;
         return fd;
     }
-    net::Fd spare() override { return owned(real_.spare()); }
-    int connected(int fd) override { return real_.connected(fd); }
+    net::Fd open_spare() override { return owned(real_.open_spare()); }
+    int connect_error(int fd) override { return real_.connect_error(fd); }
     bool peer_closed(int fd) override { return real_.peer_closed(fd); }
     net::IoResult read_some(int fd, std::span<char> into) override { return real_.read_some(fd, into); }
     net::IoResult peek(int fd, std::span<char> into) override { return real_.peek(fd, into); }
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -343,7 +343,7 @@
     for (const char* fd : {"x", "-1", "5x"})
         CHECK_THROWS_WITH_AS(with(fd), doctest::Contains("NODE_INHERITED_FD"), json::Malformed);
     const net::Fd plain(::socket(AF_INET, SOCK_STREAM, 0)), udp(::socket(AF_INET, SOCK_DGRAM, 0)),
-        file = fixture.kernel.spare();
+        file = fixture.kernel.open_spare();
     for (const int fd : {900, plain.get(), udp.get(), file.get()})
         CHECK_THROWS_WITH_AS(with(std::to_string(fd).c_str()), doctest::Contains("NODE_INHERITED_FD"),
                              json::Malformed);
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -73,13 +73,13 @@
     net::Fd fd;
     net::Address at;
     TestListener() {
-        at.at.sin_family = AF_INET;
-        at.at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+        at.socket_address.sin_family = AF_INET;
+        at.socket_address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
         fd = net::listen_on(at);
-        socklen_t size = sizeof at.at;
-        ::getsockname(fd.get(), reinterpret_cast<sockaddr*>(&at.at), &size);
+        socklen_t size = sizeof at.socket_address;
+        ::getsockname(fd.get(), reinterpret_cast<sockaddr*>(&at.socket_address), &size);
     }
-    std::string name() const { return "127.0.0.1:" + std::to_string(ntohs(at.at.sin_port)); }
+    std::string name() const { return "127.0.0.1:" + std::to_string(ntohs(at.socket_address.sin_port)); }
     TestConnection accept() const {
         return {net::Fd(::accept4(fd.get(), nullptr, nullptr, SOCK_NONBLOCK)), {}};
     }
@@ -115,7 +115,9 @@
     net::Fd connect_to(const net::Address& to) override {
         return connects.strikes() ? net::Fd() : Kernel::connect_to(to);
     }
-    int connected(int fd) override { return connection_error ? connection_error(fd) : Kernel::connected(fd); }
+    int connect_error(int fd) override {
+        return connection_error ? connection_error(fd) : Kernel::connect_error(fd);
+    }
     int poll(std::span<pollfd> set, Ticks longest) override {
         if (!set.empty() && polls.strikes()) return -1;
         const int n = Kernel::poll(set, shared ? std::min<Ticks>(longest, 10) : longest);
--- a/tests/parsers_test.cpp
+++ b/tests/parsers_test.cpp
@@ -106,11 +106,11 @@
     CHECK(parsed->current_endpoint.empty());
     net::BufferPool pool;
     for (std::size_t n = 0; n <= line.size(); ++n) {
-        net::Buffer out = pool.take();
+        net::Buffer out = pool.acquire();
         static_cast<void>(tunnel::parse_request_line(std::string_view(line).substr(0, n), profiles, 100));
         CHECK(tunnel::write_request_line(std::string_view(line).substr(0, n), 7999, out));
     }
-    net::Buffer out = pool.take();
+    net::Buffer out = pool.acquire();
     CHECK(tunnel::write_request_line(line, 7999, out));
     CHECK(out.view() == "OPEN 9b1f 7f3a c=feed,d=799,g=5c0f,r=1,mid=1,h=0.02\r\n");
 }
--- a/tests/peer_codec_test.cpp
+++ b/tests/peer_codec_test.cpp
@@ -99,6 +99,6 @@
     costs.count_attempt(lemonstair::Outcome::overloaded);
     CHECK(costs.gossip_datagrams == 9);
     std::ostringstream line;
-    lemonstair::metrics::write_added(line, costs, before);
+    lemonstair::metrics::write_difference(line, costs, before);
     CHECK(line.str() == " overloaded=1 datagrams=9 sign=9 hello=9 lost=45");
 }
--- a/tests/peer_link_test.cpp
+++ b/tests/peer_link_test.cpp
@@ -28,7 +28,8 @@
     link.open();
     const auto send = [&](const net::Fd& from, std::size_t n) {
         const std::string text(n, 'x');
-        ::sendto(from.get(), text.data(), n, 0, reinterpret_cast<const sockaddr*>(&a.at.at), sizeof a.at.at);
+        ::sendto(from.get(), text.data(), n, 0, reinterpret_cast<const sockaddr*>(&a.at.socket_address),
+                 sizeof a.at.socket_address);
     };
     const net::Fd peer = net::bind_datagrams(b.at), stranger = net::bind_datagrams(TestListener().at);
     send(stranger, 5), send(peer, 300), send(peer, 256), send(peer, 0);
--- a/tests/system_fault_test.cpp
+++ b/tests/system_fault_test.cpp
@@ -71,8 +71,9 @@
             sockaddr_in to{};
             socklen_t size = sizeof to;
             ::getpeername(fd, reinterpret_cast<sockaddr*>(&to), &size);
-            return to.sin_port == fixture.host_a.at.at.sin_port ? error
-                                                                : fixture.kernel.Kernel::connected(fd);
+            return to.sin_port == fixture.host_a.at.socket_address.sin_port
+                       ? error
+                       : fixture.kernel.Kernel::connect_error(fd);
         };
         for (int i = 0; i < 12; ++i) {
             TestConnection client = fixture.connect_client(fixture.open_line()),
