--- a/src/node/node.h
+++ b/src/node/node.h
@@ -46,7 +46,7 @@
     };
     const metrics::ResourceCounters& resource_counters() const { return counters_; }
     ResourceUsage resource_usage() const {
-        return {stages_.registry.tunnel_count(), stages_.registry.pool.out(), loop_.timers(),
+        return {stages_.registry.tunnel_count(), stages_.registry.pool.in_use(), loop_.timers(),
                 admin_server_.open_connections(), loop_.descriptors()};
     }
 
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -73,13 +73,15 @@
     net::Fd fd;
     net::Address address;
     TestListener() {
-        address.at.sin_family = AF_INET;
-        address.at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+        address.socket_address.sin_family = AF_INET;
+        address.socket_address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
         fd = net::listen_on(address);
-        socklen_t size = sizeof address.at;
-        ::getsockname(fd.get(), reinterpret_cast<sockaddr*>(&address.at), &size);
+        socklen_t size = sizeof address.socket_address;
+        ::getsockname(fd.get(), reinterpret_cast<sockaddr*>(&address.socket_address), &size);
+    }
+    std::string host_port() const {
+        return "127.0.0.1:" + std::to_string(ntohs(address.socket_address.sin_port));
     }
-    std::string host_port() const { return "127.0.0.1:" + std::to_string(ntohs(address.at.sin_port)); }
     TestConnection accept() const {
         return {net::Fd(::accept4(fd.get(), nullptr, nullptr, SOCK_NONBLOCK)), {}};
     }
@@ -117,7 +119,9 @@
     net::Fd connect_to(const net::Address& to) override {
         return connect_failures.fail_next() ? net::Fd() : Kernel::connect_to(to);
     }
-    int connected(int fd) override { return connection_error ? connection_error(fd) : Kernel::connected(fd); }
+    int connect_error(int fd) override {
+        return connection_error ? connection_error(fd) : Kernel::connect_error(fd);
+    }
     int poll(std::span<pollfd> set, Ticks longest) override {
         if (!set.empty() && poll_failures.fail_next()) return -1;
         const int n = Kernel::poll(set, shared ? std::min<Ticks>(longest, 10) : longest);
--- a/tests/peer_link_test.cpp
+++ b/tests/peer_link_test.cpp
@@ -28,8 +28,8 @@
     link.open();
     const auto send = [&](const net::Fd& from, std::size_t n) {
         const std::string text(n, 'x');
-        ::sendto(from.get(), text.data(), n, 0, reinterpret_cast<const sockaddr*>(&a.address.at),
-                 sizeof a.address.at);
+        ::sendto(from.get(), text.data(), n, 0, reinterpret_cast<const sockaddr*>(&a.address.socket_address),
+                 sizeof a.address.socket_address);
     };
     const net::Fd peer = net::bind_datagrams(b.address),
                   stranger = net::bind_datagrams(TestListener().address);
