--- a/src/discovery/endpoint_directory.cpp
+++ b/src/discovery/endpoint_directory.cpp
@@ -28,7 +28,7 @@
 
 bool all_entries_readable(const json::Value& list) {
     bool readable = true;
-    list.each("members", [&](const json::Value& entry) {
+    list.for_each("members", [&](const json::Value& entry) {
         readable = readable && entry.type() == json::Type::object && entry.has("id") && entry.has("phase");
     });
     return readable;
@@ -46,7 +46,7 @@
     std::uint64_t revision = 0;
     bool complete = false, outdated = false;
     try {
-        revision = list.whole("revision");
+        revision = list.uint64("revision");
         complete = list.flag("complete");
         if (!list.has("members")) list.fail("members", "is missing");
         const bool repeated = !cached && revision_ && revision == *revision_;
@@ -69,7 +69,7 @@
         return false;
     }
     const Ticks offset_before = start_times_.offset();
-    list.each("members", [&](const json::Value& entry) {
+    list.for_each("members", [&](const json::Value& entry) {
         try {
             apply_entry(entry, balancer, outdated, now);
         } catch (const json::Malformed& e) {
@@ -101,7 +101,7 @@
     const char* separator = "";
     for (const DiscoveredEndpoint& endpoint : endpoints_) {
         out << std::exchange(separator, ",") << R"({"id":)" << json::quoted(endpoint.id)
-            << R"(,"host_port":")" << net::address_text(endpoint.address) << R"(","locality":)"
+            << R"(,"host_port":")" << net::format_address(endpoint.address) << R"(","locality":)"
             << json::quoted(endpoint.zone) << R"(,"cell":)" << endpoint.cell << R"(,"phase":")"
             << encode_phase(endpoint.state) << R"(","size":)" << std::setprecision(17) << endpoint.size
             << R"(,"up_since_ms":)" << endpoint.started_unix_ms << '}';
@@ -117,7 +117,7 @@
     const std::string id(entry.text("id"));
     const auto phase = entry.text("phase");
     const EndpointState state = decode_phase(phase);
-    const auto cell = entry.small("cell", 0);
+    const auto cell = entry.uint32("cell", 0);
     const auto size = entry.number("size", 1);
     const auto started = std::max<std::int64_t>(static_cast<std::int64_t>(entry.number("up_since_ms", 0)), 0);
     std::uint32_t index = index_of(id);
@@ -130,7 +130,7 @@
         log_.debug() << "endpoint " << id << ", number " << endpoint.number << ", listed as " << phase
                      << ", up since " << started;
     if (endpoint.started_unix_ms != started)
-        endpoint.started_at = start_of(endpoint, net::tenths_of_unix_ms(started), now);
+        endpoint.started_at = start_of(endpoint, net::ticks_from_ms(started), now);
     endpoint.state = state;
     endpoint.started_unix_ms = started;
     endpoint.zone = entry.text("locality", "");
@@ -179,7 +179,7 @@
     log_.info() << "the clock of the list is " << start_times_.offset() / 10
                 << " ms behind: start times are corrected";
     for (DiscoveredEndpoint& endpoint : endpoints_) {
-        const Ticks start = start_times_.of_known(net::tenths_of_unix_ms(endpoint.started_unix_ms));
+        const Ticks start = start_times_.of_known(net::ticks_from_ms(endpoint.started_unix_ms));
         if (endpoint.state == EndpointState::removed || start <= endpoint.started_at) continue;
         endpoint.started_at = start;
         publish(endpoint, balancer);
--- a/tests/clock_skew_test.cpp
+++ b/tests/clock_skew_test.cpp
@@ -23,7 +23,7 @@
                        server = fixture.accept_attempt(&listener);
         if (server.fd.open()) server.send("UP r\r\n");
         fixture.run_until([&] { return client.has_received("\r\n"); });
-        at_first += listener == &fixture.host_a ? 1 : 0;
+        at_first += listener == &fixture.server_a ? 1 : 0;
     }
     return at_first;
 }
@@ -37,11 +37,12 @@
                             ahead);
         Watch watch(fixture);
         watch.send_list(
-            NodeFixture::member("a", fixture.host_a) + "," + NodeFixture::member("b", fixture.host_b), true);
+            NodeFixture::member("a", fixture.server_a) + "," + NodeFixture::member("b", fixture.server_b),
+            true);
         fixture.run_for(20);
         const auto unix_now = std::chrono::system_clock::now().time_since_epoch();
         const auto started = std::chrono::duration_cast<std::chrono::milliseconds>(unix_now).count();
-        std::string member = NodeFixture::member("a", fixture.host_a);
+        std::string member = NodeFixture::member("a", fixture.server_a);
         member.replace(member.find("\"up_since_ms\":0"), 15, "\"up_since_ms\":" + std::to_string(started));
         watch.send_list(member, false);
         fixture.run_for(30);
@@ -58,7 +59,7 @@
         fixture.next_kernel.clock_ahead = ahead;
         OpenTunnel tunnel = fixture.open_tunnel();
         tunnel.client.send("hello\r\n");
-        REQUIRE(fixture.run_until([&] { return tunnel.host.has_received("hello\r\n"); }));
+        REQUIRE(fixture.run_until([&] { return tunnel.server.has_received("hello\r\n"); }));
         fixture.upgrade();
         REQUIRE(fixture.run_until(
             [&] { return fixture.get("/healthcheck").find(" 200 ") != std::string::npos; }));
--- a/tests/deadline_race_test.cpp
+++ b/tests/deadline_race_test.cpp
@@ -20,7 +20,7 @@
     stall(300);  // the timeout has expired by the next pass, and the line arrives during that pass
     const std::string line = fixture.open_line();
     fixture.kernel.after_poll = [&] { client.send(line); };
-    fixture.running = fixture.node->turn();
+    fixture.running = fixture.node->run_once();
     TestConnection server = fixture.accept_attempt();
     server.send("UP r\r\n");
     CHECK(fixture.run_until([&] { return client.has_received("\r\n"); }));
@@ -56,18 +56,18 @@
     TestConnection client = fixture.connect_client(fixture.open_line());
     fixture.kernel.connection_error = [&](int fd) {
         stall(150);
-        return fixture.kernel.Kernel::connected(fd);
+        return fixture.kernel.Kernel::connect_error(fd);
     };
     // The drain and the established connection are both ready before the next pass.
     std::vector<TestConnection> servers;
     REQUIRE(fixture.run_until([&] {
-        for (const TestListener* listener : {&fixture.host_a, &fixture.host_b})
+        for (const TestListener* listener : {&fixture.server_a, &fixture.server_b})
             if (TestConnection accepted = listener->accept(); accepted.fd.open())
                 servers.push_back(std::move(accepted));
         return !servers.empty();
     }));
-    watch.send_list(NodeFixture::member("a", fixture.host_a, "terminating") + "," +
-                        NodeFixture::member("b", fixture.host_b, "terminating"),
+    watch.send_list(NodeFixture::member("a", fixture.server_a, "terminating") + "," +
+                        NodeFixture::member("b", fixture.server_b, "terminating"),
                     true);
     fixture.run_for(500);
     for (TestConnection& server : servers) CHECK(!server.has_received("OPEN"));
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -28,7 +28,7 @@
     for (std::uint32_t i = 0; i < many; ++i) {
         if (i > 0) list.push_back(',');
         list.append(NodeFixture::member(std::string("s-").append(std::to_string(i)),
-                                        i % 2 ? fixture.host_a : fixture.host_b));
+                                        i % 2 ? fixture.server_a : fixture.server_b));
     }
     list.append("]}\n");
     std::array<char, 16> size{};
@@ -85,7 +85,7 @@
     CHECK(used.size() >= 200);
     for (auto* n : {&first, &last})
         for (const auto& [to, bytes] : n->gossip) {
-            CHECK(bytes.size() <= peer::max_bytes);
+            CHECK(bytes.size() <= peer::max_message_bytes);
             if (to != 99) heard_by.insert(to);  // 99: to all, and node 99 itself
         }
     CHECK(heard_by.size() >= 300);  // records and outcomes go to nodes all over the ring
