--- a/src/balance/balance.h
+++ b/src/balance/balance.h
@@ -14,8 +14,9 @@
 
 namespace lemonstair {
 
-/// A point in time or a duration, in tenths of a millisecond. Points in time are on the host's monotonic
-/// clock.
+/// A point in time or a duration, in tenths of a millisecond. Points in time are on the host's clock, which
+/// is monotonic and begins at Unix time: stamps of records and the start times of endpoints are compared with
+/// it.
 using Ticks = std::int64_t;
 
 /// Whether a tunnel may be executed more than once: without harm, without harm if the endpoint recognizes its
--- a/src/balance/record_replicator.h
+++ b/src/balance/record_replicator.h
@@ -33,9 +33,9 @@
     /// A node has come up or gone down: publishes again the records that have it on their chain. To publish
     /// all records would take too much gossip.
     void rereplicate_records(std::uint32_t node, bool alive);
-    /// The stamp for a new placement, from a hybrid logical clock: the node's clock, but always later than
-    /// the stamps seen so far. Otherwise the placements of a node whose clock is behind would lose to older
-    /// ones.
+    /// The stamp for a new placement, from a hybrid logical clock: the node's clock, which begins at its wall
+    /// clock, but always later than the stamps seen so far. Otherwise the placements of a node whose clock is
+    /// behind would lose to older ones.
     Ticks next_stamp();
     /// Advances that clock to a stamp from another node. A stamp too far ahead is ignored.
     void observe_stamp(Ticks stamp);
