--- a/src/balance/admission_control.h
+++ b/src/balance/admission_control.h
@@ -1,4 +1,4 @@
-/// Admission control: refuses new attempts while most recent ones failed.
+/// Admission control: rejects new tunnels and retries while most recent setups have failed.
 #pragma once
 
 #include "balance/endpoint.h"
@@ -17,10 +17,10 @@
     void on_setup_succeeded() { ++recent_opened_; }
     void on_setup_ended() { ++recent_ended_; }
     void decay_setups();
-    /// When most setups fail everywhere (a store past its rate, full queues), further setups and the
-    /// retries of failed clients keep the congestion up. Then at most twice as many attempts are admitted
-    /// as succeed, and a small allowance to notice recovery; the rest is rejected at once. Logs when
-    /// admission opens or closes.
+    /// Whether another attempt may be sent. When most setups fail everywhere (a shared store past its rate,
+    /// full queues), further setups and the retries of failed clients prolong the congestion. Therefore at
+    /// most twice as many attempts are admitted as succeed, plus a small allowance by which a recovery is
+    /// noticed. Logs each change.
     bool admission_open();
     bool admission_was_open() const { return admission_was_open_; }
 
@@ -29,8 +29,8 @@
 
     NodeContext& node_;
     TunnelTable& tunnel_table_;
-    double recent_opened_ = 0;  // setups
-    double recent_ended_ = 0;
+    double recent_opened_ = 0;  // setups that succeeded; decays
+    double recent_ended_ = 0;   // setups that succeeded or failed; decays
     bool admission_was_open_ = true;
 };
 
--- a/src/balance/endpoint_list_poller.cpp
+++ b/src/balance/endpoint_list_poller.cpp
@@ -35,11 +35,13 @@
 
 void EndpointListPoller::end_endpoint_list() {
     if (list_kind_ == EndpointListKind::failed || list_kind_ == EndpointListKind::moved) {
-        list_is_live_ = false;  // what the old place failed is not held against the new one
+        list_is_live_ = false;
+        // Failures of the previous service are not held against the new one.
         if (list_kind_ == EndpointListKind::moved) list_backoff_.on_success();
         poll_list_at_ = node_.now() +
                         (list_kind_ == EndpointListKind::failed ? list_backoff_.on_failure(node_.draw()) : 0);
-        node_.log_line("endpoint list lost, %d failures", list_backoff_.failures());
+        node_.log_line("endpoint list lost, %d consecutive failures; keeping the last list and polling again",
+                       list_backoff_.failures());
         return poll_endpoint_list();
     }
     if (list_kind_ == EndpointListKind::complete || list_kind_ == EndpointListKind::cached)
@@ -47,7 +49,8 @@
     reporter_.elect_report_owners();
     if (list_kind_ == EndpointListKind::cached) return initialise_load_estimates();
     if (list_backoff_.failures() > 0)
-        node_.log_line("endpoint list restored after %d failures", list_backoff_.failures());
+        node_.log_line("endpoint list received again after %d consecutive failures",
+                       list_backoff_.failures());
     list_backoff_.on_success();
     list_is_live_ = true;
 }
@@ -56,8 +59,8 @@
     gossip_budget_.set_placement_rate(static_cast<double>(endpoint_table_.endpoints().size()) / 3 * 10 /
                                       node_.placements_per_sample());
     gossip_budget_.update_gossip_intervals();
-    // Health checks are spread, so that nodes do not all read one endpoint's report at the same time and
-    // then crowd the lightly loaded endpoints.
+    // Health checks are spread: nodes that read an endpoint's report at the same time would all crowd the
+    // lightly loaded endpoints afterwards.
     for (auto& endpoint : endpoint_table_.endpoints())
         if (!node_.gossip_enabled())
             endpoint.health_checked_at =
--- a/src/balance/endpoint_list_poller.h
+++ b/src/balance/endpoint_list_poller.h
@@ -1,4 +1,4 @@
-/// When service discovery is polled for the endpoint list, and what follows from a list received or lost.
+/// Decides when service discovery is polled for the endpoint list, and handles lists that arrive or fail to.
 #pragma once
 
 #include "backoff/backoff.h"
@@ -23,13 +23,17 @@
     EndpointListPoller& operator=(const EndpointListPoller&) = delete;
 
     void begin_endpoint_list(EndpointListKind kind);
-    /// Spreads the first polls of nodes that start together.
+    /// Schedules the first poll, at a random delay so that nodes that start together do not poll together.
     void start_polling();
+    /// Requests the list when a poll is due and no live list has been received. Does nothing where service
+    /// discovery need not be polled.
     void poll_endpoint_list();
+    /// Applies the list since begin_endpoint_list. After a failed one the next poll waits for a backoff;
+    /// after a moved one it is sent at once, as earlier failures are not held against the new service.
     void end_endpoint_list();
 
   private:
-    // Before any traffic is seen, an endpoint is taken to get a tunnel in three seconds.
+    // Assumes one new tunnel per endpoint in three seconds until traffic has been seen.
     void initialise_load_estimates();
 
     NodeContext& node_;
@@ -40,7 +44,7 @@
     HealthCheckSchedule& health_checks_;
     LoadReporter& reporter_;
     EndpointListKind list_kind_ = EndpointListKind::cached;
-    bool list_is_live_ = false;
+    bool list_is_live_ = false;  // service discovery sends changes of it
     Ticks poll_list_at_ = 0;
     backoff::Backoff list_backoff_;
 };
--- a/src/balance/endpoint_table.cpp
+++ b/src/balance/endpoint_table.cpp
@@ -51,13 +51,13 @@
 }
 
 EndpointCounts EndpointTable::count_endpoints() const {
-    EndpointCounts n;
+    EndpointCounts counts;
     for (const Endpoint& endpoint : endpoints_) {
         if (endpoint.state == EndpointState::removed) continue;
-        ++n.listed;
-        n.excluded += is_excluded(endpoint) ? 1 : 0;
+        ++counts.listed;
+        counts.excluded += is_excluded(endpoint) ? 1 : 0;
     }
-    return n;
+    return counts;
 }
 
 void EndpointTable::set_state(Endpoint& endpoint, EndpointState state) {
--- a/src/balance/endpoint_table.h
+++ b/src/balance/endpoint_table.h
@@ -1,5 +1,5 @@
-/// The endpoints that this node knows, by a stable index each, with their states and start times as service
-/// discovery lists them. An endpoint that is listed no more stays, as removed.
+/// The endpoints that this node knows, each with a stable index, and their states and start times as listed
+/// by service discovery. An endpoint that is no longer listed stays in the table in state `removed`.
 #pragma once
 #include <vector>
 
@@ -15,15 +15,19 @@
     EndpointTable(const EndpointTable&) = delete;
     EndpointTable& operator=(const EndpointTable&) = delete;
 
-    /// Starts receiving a list.
+    /// Starts to receive a list, complete or of changes.
     void begin_list();
-    /// A complete list has been received: what it did not name is removed.
+    /// Marks as removed what a complete list did not contain. Called at its end.
     void remove_unlisted();
+    /// Null for an unknown id.
     Endpoint* find_endpoint(std::uint32_t id);
+    /// Adds a listed endpoint, or updates it. A later start than the last one listed begins a new
+    /// incarnation.
     void add_endpoint(std::uint32_t id, std::uint32_t zone, std::uint32_t cell, EndpointState state,
                       double size, Ticks started);
-    /// Whether gossip alone may eject one more endpoint of this one's zone and cell.
+    /// Whether gossip alone may eject one more endpoint in the zone and in the cell of `one`.
     bool gossip_may_eject(const Endpoint& one) const;
+    /// Whether no new tunnel is placed on the endpoint: it is draining, removed or ejected.
     bool is_excluded(const Endpoint& endpoint) const;
     EndpointCounts count_endpoints() const;
     std::vector<Endpoint>& endpoints() { return endpoints_; }
@@ -33,9 +37,9 @@
   private:
     friend class StateCodec;
 
-    // The grace of a drain runs from the first notification, whatever follows.
+    // The grace period of a drain starts with the first notification; later state changes do not restart it.
     void set_state(Endpoint& endpoint, EndpointState state);
-    // Ejected endpoints among those that `same` selects, by the kind of evidence.
+    // Counts the active endpoints that `same` selects and the ejected ones among them, by kind of evidence.
     template <class Same>
     failure_detector::EjectionCounts ejection_counts(Same&& same) const {
         failure_detector::EjectionCounts out;
@@ -51,7 +55,7 @@
     NodeContext& node_;
     std::vector<Endpoint> endpoints_;
     std::vector<std::uint32_t> endpoint_ids_;  // by index
-    IdIndex endpoint_by_id_;
+    IdIndex endpoint_by_id_;                   // index by id
 };
 
 }  // namespace lemonstair
--- a/src/balance/failure_gossip.cpp
+++ b/src/balance/failure_gossip.cpp
@@ -64,7 +64,8 @@
 void FailureGossip::check_isolation() {
     if (isolated_since_ <= last_success_at_) isolated_since_ = node_.now();
     if (node_.now() - isolated_since_ > second && !std::exchange(isolated_, true))
-        node_.log_line("isolated: no endpoint responds since one failed; failures are not reported to peers");
+        node_.log_line(
+            "isolated: no endpoint has responded since one failed; failures are not reported to peers");
     if (node_.now() - isolation_checked_at_ < second / 2) return;
     isolation_checked_at_ = node_.now();
     for (std::size_t i = 0; i < endpoint_table_.endpoints().size(); ++i) {
@@ -78,7 +79,7 @@
 void FailureGossip::on_any_success() {
     last_success_at_ = node_.now();
     if (!std::exchange(isolated_, false)) return;
-    node_.log_line("endpoints respond to this node again");
+    node_.log_line("endpoints respond to this node again; failures are reported to peers");
     isolated_until_ = node_.now();
 }
 
@@ -107,7 +108,8 @@
         endpoint.gossip_ejection_until = node_.now() + failure_detector::observation_lifetime;
     if (endpoint.ejected || node_.now() - endpoint.succeeded_at <= second) return;
     if (endpoint_table_.gossip_may_eject(endpoint))
-        return outliers_.eject(endpoint, "unresponsive to other nodes", failure_detector::quorum, true);
+        return outliers_.eject(endpoint, "unresponsive to other nodes, quorum", failure_detector::quorum,
+                               true);
     raise_suspicion(endpoint);
 }
 
--- a/src/balance/failure_gossip.h
+++ b/src/balance/failure_gossip.h
@@ -1,5 +1,6 @@
-/// Failure observations between nodes: what this node reports of endpoints that do not respond to it, what it
-/// accepts of others, and whether it is itself isolated and must report nothing.
+/// Gossip about endpoint failures: reports the failures that this node observed, decides which observations
+/// of other nodes are accepted, and detects whether this node is itself cut off from the endpoints, in which
+/// case it reports nothing.
 #pragma once
 
 #include "balance/endpoint.h"
@@ -22,25 +23,32 @@
     FailureGossip(const FailureGossip&) = delete;
     FailureGossip& operator=(const FailureGossip&) = delete;
 
-    /// One or two nodes observed a failure of an endpoint. A report owner then checks it itself.
+    /// One or two nodes observed a failure of an endpoint (`second_observer` is no_observer if one). The
+    /// endpoint is ejected once a quorum has observed failures. Before that, a report owner checks it itself.
+    /// `observed_at` is the low 32 bits of the time.
     void on_endpoint_failure(std::uint32_t endpoint_id, std::uint32_t observed_at, std::uint32_t observer,
                              std::uint32_t second_observer);
-    /// Reports an endpoint that this node ejected as unresponsive to its report owners, once another
-    /// endpoint has responded since: a node that is cut off from the endpoints must not report them all.
+    /// Reports to the report owners that this node ejected the endpoint as unresponsive, once another
+    /// endpoint has responded since: a node that is cut off from all endpoints must not report them as
+    /// failed.
     void report_failure(Endpoint& endpoint);
+    /// Called while no endpoint has responded since one failed. After a second this node counts as isolated;
+    /// until an endpoint responds, one is checked every half second.
     void check_isolation();
+    /// An endpoint responded to this node, which ends its isolation.
     void on_any_success();
-    /// Whether to publish that an endpoint has failed: a quorum observed it. Lower-ranked report owners
-    /// publish later, where those before them do not.
+    /// Whether this node, as report owner, must publish that the endpoint has failed: a quorum has observed
+    /// it. The second and third owner wait longer, and publish only if those before them do not.
     bool failure_is_due(const Endpoint& endpoint) const;
     void publish_failure(Endpoint& endpoint);
     bool isolated() const { return isolated_; }
 
   private:
-    // Many nodes may agree and all be wrong: a node that just had a success does not accept the gossip, and
-    // for most of a zone or cell it needs evidence of its own.
+    // Ejects the endpoint on gossip, or renews such an ejection. Many nodes may agree and all be wrong: a
+    // node that had a success on the endpoint within the last second does not eject it, and to eject more
+    // than half of a zone or cell a node needs evidence of its own.
     void accept_gossip(Endpoint& endpoint);
-    // From here on one failure of this node's own is enough.
+    // Starts a health check. From now on one failure that this node observes is enough to eject the endpoint.
     void raise_suspicion(Endpoint& endpoint);
 
     NodeContext& node_;
@@ -52,8 +60,8 @@
     OutlierDetector& outliers_;
     Ticks last_success_at_ = -never;  // of any endpoint
     Ticks isolation_checked_at_ = -never;
-    Ticks isolated_since_ = -never;  // an endpoint failed and none has responded since
-    Ticks isolated_until_ = -never;  // the end of the last such time that was long
+    Ticks isolated_since_ = -never;  // since when no endpoint has responded although one failed
+    Ticks isolated_until_ = -never;  // the end of the last isolation
     bool isolated_ = false;
 };
 
--- a/src/balance/group_affinity.cpp
+++ b/src/balance/group_affinity.cpp
@@ -34,9 +34,10 @@
 void GroupAffinity::mark_affinity_targets(const TrackedTunnel& tunnel) {
     holds_group_.assign(endpoint_table_.endpoints().size(), 0);
     bool headroom_left = false;
-    for (const auto& p : records_.groups().of(tunnel.group)) {
+    for (const auto& p : records_.groups().places_of(tunnel.group)) {
         const std::uint32_t index = endpoint_table_.endpoint_by_id().find(p.endpoint_id);
-        // What a node alone has of the group is known to no other that a tunnel may come to mid-flow.
+        // Without gossip, other nodes do not know where this node's tunnels of the group are, and a tunnel
+        // may reach any of them mid-flow. Only the order that all nodes share is used then.
         if (index == none || load_.has_no_load_data(endpoint_table_.endpoints()[index]) ||
             (p.members == 0 && !is_affinity_target(p)))
             continue;
@@ -45,9 +46,9 @@
                                           has_affinity_headroom(endpoint_table_.endpoints()[index]));
     }
     if (load_.load_totals_known() || tunnel.group == 0 || headroom_left) return;
-    // Where no load data shows whether a target is full, a group has several targets from the start, the
-    // same at all nodes, and one more among the endpoints in slow start that this node has quota for, which
-    // are seldom the same.
+    // Without load data it is unknown whether a target is full. A group then has several targets from the
+    // start, the same at all nodes, and one more among the endpoints in slow start that this node has quota
+    // for; these mostly differ between nodes.
     for (int i = 0; i < default_affinity_targets; ++i) {
         const std::uint32_t index = rendezvous_endpoint(tunnel, false);
         if (index == none) break;
@@ -69,7 +70,7 @@
 
 void GroupAffinity::maintain_affinity_targets(std::uint32_t group) {
     if (load_.load_totals_known() || group_leader(group) != node_.config().own_node) return;
-    for (const auto& p : records_.groups().of(group))
+    for (const auto& p : records_.groups().places_of(group))
         if (is_affinity_target(p) && endpoint_table_.find_endpoint(p.endpoint_id) != nullptr &&
             load_.has_headroom(*endpoint_table_.find_endpoint(p.endpoint_id), affinity_utilization_limit()))
             return;
@@ -80,9 +81,9 @@
 
 void GroupAffinity::on_cross_zone(std::uint32_t group, std::uint32_t zone) {
     const std::uint64_t id = std::uint64_t{group} << 32 | zone;
-    const std::uint32_t n = cross_zone_notices_.find(id) == none ? 1 : cross_zone_notices_.find(id) + 1;
-    cross_zone_notices_.put(id, n);
-    if (n * node_.config().costs.cross_zone <
+    const std::uint32_t notices = cross_zone_notices_.find(id) == none ? 1 : cross_zone_notices_.find(id) + 1;
+    cross_zone_notices_.put(id, notices);
+    if (notices * node_.config().costs.cross_zone <
         load_cost_model_.late_cost(load_cost_model_.group_copy_utilization(), group_copy_tunnels))
         return;
     cross_zone_notices_.put(id, 0);
@@ -118,7 +119,7 @@
 }
 
 void GroupAffinity::mark_targets_full(std::uint32_t group, std::uint32_t except) {
-    for (const auto& p : records_.groups().of(group)) {
+    for (const auto& p : records_.groups().places_of(group)) {
         const std::uint32_t index = endpoint_table_.endpoint_by_id().find(p.endpoint_id);
         if (load_.load_totals_known() || index == none || p.endpoint_id == except || !is_affinity_target(p))
             continue;
@@ -144,13 +145,14 @@
 
 void GroupAffinity::add_affinity_target(std::uint32_t group, std::uint32_t index) {
     if (index == none) return;
-    double paid = 0;  // credit of the group's tunnels pays for the gossip about it
-    for (const auto& p : records_.groups().of(group)) {
+    // What the group's tunnels allow to spend on gossip about its targets, minus what was spent.
+    double budget = 0;
+    for (const auto& p : records_.groups().places_of(group)) {
         if (p.endpoint_id == endpoint_table_.endpoints()[index].id && is_affinity_target(p)) return;
-        paid += gossip_share * p.members -
-                (is_affinity_target(p) ? node_.broadcast_cost(peer::affinity_target_bytes) : 0);
+        budget += gossip_share * p.members -
+                  (is_affinity_target(p) ? node_.broadcast_cost(peer::affinity_target_bytes) : 0);
     }
-    if (paid < node_.broadcast_cost(peer::affinity_target_bytes)) return;
+    if (budget < node_.broadcast_cost(peer::affinity_target_bytes)) return;
     on_affinity_target(group, endpoint_table_.endpoints()[index].id);
     if (!node_.gossip_enabled()) return;
     gossip_.outbox().broadcast(
--- a/src/balance/health_check_schedule.cpp
+++ b/src/balance/health_check_schedule.cpp
@@ -34,28 +34,29 @@
 }
 
 Ticks HealthCheckSchedule::health_check_interval() const {
-    const double probes = static_cast<double>(endpoint_table_.endpoints().size()) *
+    const double checks = static_cast<double>(endpoint_table_.endpoints().size()) *
                           (load_.load_totals_known() || !node_.gossip_enabled() ? node_.node_count() : 1);
-    return gossip_budget_.affordable_interval(health_check_period, node_.config().costs.health_check * probes,
+    return gossip_budget_.affordable_interval(health_check_period, node_.config().costs.health_check * checks,
                                               8);
 }
 
 void HealthCheckSchedule::send_health_checks() {
-    const Ticks pause = health_check_interval();
+    const Ticks interval = health_check_interval();
     for (auto& endpoint : endpoint_table_.endpoints()) {
         if (endpoint.state != EndpointState::active || endpoint.health_check_pending) continue;
-        // Without load totals an endpoint's report owners check it for all nodes; the others only where
-        // they receive no reports of it.
-        const bool alone =
-            load_.load_totals_known() || !node_.gossip_enabled();  // no report owner publishes its load
-        const bool mine = alone || endpoint.owner_rank != not_report_owner;
-        // An unresponsive endpoint is checked often until it responds; from then on probation decides.
+        // Where load reports are published, the report owners of an endpoint check it for all nodes. Other
+        // nodes check it only if they receive no reports of it.
+        const bool for_itself = load_.load_totals_known() || !node_.gossip_enabled();
+        const bool responsible = for_itself || endpoint.owner_rank != not_report_owner;
+        // An unresponsive endpoint is checked every health_check_period until it responds. From then on
+        // probation decides when it is used again.
         const bool unanswered =
             endpoint.unresponsive && endpoint.health_check_passed_at <= endpoint.failed_at;
-        const Ticks wait = unanswered ? health_check_period
-                           : mine     ? pause * (alone ? 1 : 1 + 4 * endpoint.owner_rank)
-                                      : 8 * gossip_budget_.report_interval();
-        if (node_.now() - std::max(endpoint.health_checked_at, mine ? -never : endpoint.utilization_at) <
+        const Ticks wait = unanswered    ? health_check_period
+                           : responsible ? interval * (for_itself ? 1 : 1 + 4 * endpoint.owner_rank)
+                                         : 8 * gossip_budget_.report_interval();
+        if (node_.now() -
+                std::max(endpoint.health_checked_at, responsible ? -never : endpoint.utilization_at) <
             wait)
             continue;
         start_health_check(endpoint);
--- a/src/balance/load_cost.cpp
+++ b/src/balance/load_cost.cpp
@@ -46,7 +46,7 @@
 }
 
 double LoadCost::cost_limit(std::uint32_t traffic_class) const {
-    return shed_cost * node_.config().traffic_classes[traffic_class].priority_weight /
+    return mean_cost_limit * node_.config().traffic_classes[traffic_class].priority_weight /
            node_.mean_priority_weight();
 }
 
--- a/src/balance/load_cost.h
+++ b/src/balance/load_cost.h
@@ -1,4 +1,5 @@
-/// What load costs, in connections served late: the price by which endpoints are compared and tunnels shed.
+/// Converts load to a cost in connections served late. Endpoints are compared, and tunnels are rejected, by
+/// it.
 #pragma once
 #include <vector>
 
@@ -15,27 +16,34 @@
     LoadCost(const LoadCost&) = delete;
     LoadCost& operator=(const LoadCost&) = delete;
 
-    /// The cost of adding `more` load, in mean tunnels, at a utilization: the slope of x * late(x), in
-    /// connections served late.
+    /// The cost of `added` load, in mean tunnels, at a utilization x: the slope of x * late(x), where late(x)
+    /// is the share of late messages.
     double late_cost(double utilization, double added) const;
-    /// The utilization at which a copy of a group is priced at least: a copy stays as endpoints fill up,
-    /// which reports do not show while tunnels open before this node's start are still becoming known.
+    /// The lowest utilization that the cost of a group copy is computed at. A copy stays while the endpoint
+    /// fills up. This is at least 0.5 shortly after this node's start, when reports do not show how full
+    /// endpoints are, as the tunnels opened before it are still becoming known.
     double group_copy_utilization() const;
+    /// The least cost of another copy of a group. 0 without a group, and where load totals are known: there
+    /// the load of the copy is added to that of the tunnel.
     double group_copy_cost(std::uint32_t group) const;
-    /// The average extra cost of knowing a utilization only to within utilization_deviation: cost grows
-    /// faster the fuller an endpoint is. Without it a small price, of crossing zones, would decide
-    /// everything where no load is known. An endpoint in slow start began empty, so more is known of it.
+    /// The mean extra cost of knowing a utilization only to within utilization_deviation: cost grows faster
+    /// the fuller an endpoint is. Without it a small cost, such as that of crossing zones, would decide every
+    /// placement where no load is known. It does not apply to an endpoint in slow start, whose load is better
+    /// known because it started empty.
     double uncertainty_cost() const;
+    /// The cost of placing `load`, in standard cores, on the endpoint.
     double load_cost(const Endpoint& endpoint, double load) const;
-    /// The cost to others above which a tunnel is rejected. In an overload this sheds the heavy tunnels and
-    /// the classes of low priority weight first.
+    /// The cost to other tunnels above which a tunnel of the class is rejected. In an overload this sheds
+    /// heavy tunnels and classes of low priority weight first.
     double cost_limit(std::uint32_t traffic_class) const;
+    /// The utilization that costs on the endpoint are computed at: at least half where the load that other
+    /// nodes have placed since its report is unknown.
     double utilization_for_cost(const Endpoint& endpoint) const;
 
   private:
     NodeContext& node_;
     LoadEstimator& load_;
-    std::vector<double> late_cost_slope_;  // by utilization, in steps
+    std::vector<double> late_cost_slope_;  // by utilization, in steps of 1 / late_cost_steps
 };
 
 }  // namespace lemonstair
--- a/src/balance/load_estimator.h
+++ b/src/balance/load_estimator.h
@@ -1,5 +1,5 @@
-/// What endpoints can do and what is asked of them, as far as this node knows: from the load totals that
-/// nodes publish, from endpoints' reports, or, with neither, from assumptions.
+/// Estimates the capacities and loads of endpoints: from the load totals that nodes publish, else from the
+/// load reports of endpoints, and without either from assumptions.
 #pragma once
 #include <vector>
 
@@ -21,64 +21,82 @@
     LoadEstimator(const LoadEstimator&) = delete;
     LoadEstimator& operator=(const LoadEstimator&) = delete;
 
-    void on_tunnel_opened() { ++recent_open_; }
-    void on_early_loss() { ++recent_lost_; }
-    /// A tunnel's load was measured.
+    void on_tunnel_opened() { ++recently_opened_; }
+    void on_early_loss() { ++recent_early_losses_; }
+    /// Adds a measured load of a tunnel to the means.
     void learn_tunnel_load(std::uint32_t traffic_class, double measured);
-    /// The usual load of a tunnel of a class.
+    /// The mean load of the class's tunnels; of all tunnels where none of the class has been measured.
     double mean_load_of_class(std::uint32_t traffic_class) const;
     void set_record_sample(RecordTable::Sampled sample) { record_sample_ = sample; }
-    /// Fades what is remembered only for seconds.
+    /// Decays the values that look back for a few seconds only. Called each tick.
     void decay_recent_loads();
+    /// The mean load of a tunnel; a default before any has been measured.
     double mean_load() const;
-    /// What an endpoint can do: learned, else its size as the others of known size do.
+    /// The capacity of an endpoint, reduced in slow start: as learned, or else estimated from its size and
+    /// the fleet's capacity per unit of size.
     double capacity(const Endpoint& endpoint) const;
-    /// No load totals and no recent report of the endpoint. It is then assumed to be half full; the fuller
-    /// the more of this node's tunnels, on any endpoint, are cut off soon after opening; and overloaded if
-    /// it cut one off lately. In a fleet too small for its tunnels each node would otherwise find each full
-    /// endpoint alone, by tunnels that are cut off and reconnect.
+    /// Whether nothing is known about the endpoint's load: there is no gossip and no recent load report. The
+    /// endpoint is then assumed to be half full, to be fuller the more tunnels of this node (on any endpoint)
+    /// are cut off soon after opening, and to be overloaded if it has just cut one off. Otherwise, in a fleet
+    /// too small for its tunnels, each node would find each full endpoint only by tunnels that are cut off
+    /// and reconnect.
     bool has_no_load_data(const Endpoint& endpoint) const;
-    /// The endpoint's report is known, but not what other nodes have placed since. To keep all nodes from
-    /// crowding the endpoint with the lightest report, it counts as at least half full, and free capacity
-    /// only raises its weight.
+    /// Whether the endpoint's load report is known, but not what other nodes have placed since, because there
+    /// is no gossip. The endpoint then counts as at least half full, and free capacity only raises its
+    /// weight: otherwise all nodes would crowd the endpoint with the lightest report.
     bool misses_other_nodes(const Endpoint& endpoint) const;
+    /// The utilization that is assumed after the endpoint cut off a tunnel; negative once this has decayed.
     double utilization_after_loss(const Endpoint& endpoint) const;
+    /// The estimated load on the endpoint, from all nodes.
     double total_load(const Endpoint& endpoint) const;
+    /// The utilization of the endpoint at a given load; at least 1.1 while its messages are slow.
     double utilization_at(const Endpoint& endpoint, double load) const;
     double utilization(const Endpoint& endpoint) const;
+    /// Whether the endpoint may be used and its utilization is below `limit`.
     bool has_headroom(const Endpoint& endpoint, double limit) const;
+    /// Updates what holds for the whole fleet: whether all load totals are known, the mean utilization and
+    /// the capacity per unit of size.
     void update_fleet_estimates();
-    /// A report ages: other nodes have read it too and choose by it as this one would, by weights
-    /// `chances`. What it favours fills and what it shuns empties meanwhile, up to the fleet's average.
-    /// Estimating this avoids herding on the few endpoints whose last report was light.
+    /// Estimates where other nodes have placed `load` that no report shows yet. They have read the same
+    /// reports and choose as this node would, by the weights `chances`: endpoints with a light report fill up
+    /// and those with a heavy one empty, until they reach the fleet's mean. Without this estimate all nodes
+    /// would herd on the few endpoints whose last report was light.
     void estimate_unseen_placements(double load, const std::vector<double>& chances);
     void on_slow_message(Endpoint& endpoint, Ticks delay);
+    /// Applies a load report that came with a health check of this node, and learns the endpoint's capacity
+    /// from it where load totals are known.
     void on_health_report(Endpoint& endpoint, const LoadReport& report);
-    /// What is placed shows in reports later: until then it counts as pending there.
+    /// Counts a new placement as pending load of the endpoint until reports and load totals contain it.
     void add_pending_load(std::uint32_t index, double load);
-    void expire_pending_loads(Ticks older);
+    /// Removes pending load that was placed longer than `max_age` ago.
+    void expire_pending_loads(Ticks max_age);
+    /// Total load over total capacity, of the endpoints whose load is known.
     double fleet_utilization() const { return fleet_utilization_; }
+    /// Whether the load of each live node on each endpoint is known here.
     bool load_totals_known() const { return load_totals_known_; }
 
   private:
     friend class StateCodec;
 
     double assumed_utilization(const Endpoint& endpoint) const;
-    // Of the tunnels that opened in the last 3 s or so, those that were cut off soon after.
+    // The share of the tunnels opened in the last 3 s or so that were cut off soon after.
     double recent_loss_ratio() const;
-    // An endpoint that has just started is empty, and may fill over its whole slow start.
+    // How full an endpoint in slow start may be, relative to others: it starts empty and fills until the end
+    // of its slow start. 1 for other endpoints.
     double slow_start_fill(const Endpoint& endpoint) const;
-    // An endpoint without a report is assumed to carry the fleet's average, so that nodes do not crowd it
-    // as if it were empty. In slow start it does count as empty, and its quota protects it.
-    double reported_or_fleet(const Endpoint& endpoint) const;
-    bool is_unreported_warming(const Endpoint& endpoint) const;
-    // Messages take long for longer than a pause: then the reports are behind what the endpoint can do
-    // now.
+    // The reported utilization. Without a report, the fleet's mean, so that nodes do not crowd the endpoint
+    // as if it were empty; in slow start zero, since its quota protects it.
+    double reported_or_fleet_utilization(const Endpoint& endpoint) const;
+    bool is_unreported_in_slow_start(const Endpoint& endpoint) const;
+    // Whether messages have been slow for more than half a second, and so for longer than a short pause of
+    // the endpoint. Its reports then lag behind its actual state.
     bool is_slow(const Endpoint& endpoint) const;
-    // What a unit of size can do, of which all reported together use `used` units. The records of tunnels
-    // that stood before this node started come as they are refreshed; of these it has at least that part.
+    // Learns the capacity per unit of size from the sampled records, given that all endpoints together use
+    // `used` units. Records of tunnels that were open before this node started arrive only as they are
+    // refreshed. The estimate therefore stays between the load known so far and the load expected once all of
+    // these records have arrived.
     void learn_capacity(double used);
-    // Estimates queued work, where no message delays are reported, from what is asked beyond the capacity.
+    // Estimates queued work from reported utilizations above 1, where message delays are not measured.
     void update_backlog(Endpoint& endpoint, double utilization);
 
     NodeContext& node_;
@@ -90,11 +108,11 @@
     std::vector<RunningMean> traffic_class_load_;
     RunningMean overall_load_;
     RecordTable::Sampled record_sample_;  // as of the last scan of the records
-    double capacity_per_size_ = 2.5;
+    double capacity_per_size_ = 2.5;      // standard cores per unit of size; 2.5 until it is learned
     double fleet_utilization_ = 0;
-    double recent_open_ = 0;          // tunnels opened lately
-    double recent_lost_ = 0;          // of these, cut off soon after
-    bool load_totals_known_ = false;  // each live node's load on each endpoint is known here
+    double recently_opened_ = 0;      // tunnels; decays
+    double recent_early_losses_ = 0;  // of these, tunnels that were cut off soon after; decays
+    bool load_totals_known_ = false;
 };
 
 }  // namespace lemonstair
--- a/src/balance/load_reporter.cpp
+++ b/src/balance/load_reporter.cpp
@@ -36,20 +36,20 @@
 }
 
 void LoadReporter::elect_report_owners() {
-    constexpr std::uint32_t together = 8;
+    constexpr std::uint32_t endpoints_per_block = 8;
     std::uint32_t listed_now = 0;
     for (const auto& endpoint : endpoint_table_.endpoints())
         listed_now += endpoint.state == EndpointState::removed ? 0 : 1;
-    const std::uint32_t blocks = listed_now / together + 1;
+    const std::uint32_t blocks = listed_now / endpoints_per_block + 1;
     for (auto& endpoint : endpoint_table_.endpoints()) {
         Ring::Chain nodes{};
-        const std::size_t n = peer_table_.ring().chain(
+        const std::size_t count = peer_table_.ring().chain(
             mix(endpoint.id % blocks), 3, [this](std::uint32_t k) { return peer_table_.is_alive(k); }, nodes);
         endpoint.report_owners = {none, none, none};
-        std::copy_n(nodes.begin(), n, endpoint.report_owners.begin());
-        const auto mine =
+        std::copy_n(nodes.begin(), count, endpoint.report_owners.begin());
+        const auto own =
             std::find(endpoint.report_owners.begin(), endpoint.report_owners.end(), node_.config().own_node);
-        endpoint.owner_rank = static_cast<int>(mine - endpoint.report_owners.begin());
+        endpoint.owner_rank = static_cast<int>(own - endpoint.report_owners.begin());
     }
     peer_table_.mark_owners_elected();
 }
@@ -60,11 +60,11 @@
         return;
     gossip_.outbox().broadcast_items([&](auto&& put) {
         for (auto& endpoint : endpoint_table_.endpoints()) {
-            const bool told_with =
+            const bool publish_with_others =
                 endpoint.owner_rank != not_report_owner && endpoint.state == EndpointState::active &&
                 !endpoint.ejected &&
                 std::abs(endpoint.utilization - endpoint.published_utilization) > reported_change / 4;
-            if (!told_with && !report_is_due(endpoint)) continue;
+            if (!publish_with_others && !report_is_due(endpoint)) continue;
             endpoint.failure_published = false;
             endpoint.published_utilization = std::isnan(endpoint.utilization) ? 0 : endpoint.utilization;
             endpoint.published_at = node_.now();
@@ -111,17 +111,17 @@
 }
 
 void LoadReporter::publish_load_totals() {
-    const bool all = ++publish_count_ % 4 == 0;  // repeated, since a message may be lost
+    const bool publish_all = ++publish_count_ % 4 == 0;  // also unchanged totals: a message may be lost
     gossip_.outbox().broadcast_items([&](auto&& put) {
         for (auto& endpoint : endpoint_table_.endpoints()) {
-            const bool good = endpoint.succeeded_at >= last_published_at_;
+            const bool succeeded = endpoint.succeeded_at >= last_published_at_;
             if (endpoint.state == EndpointState::removed ||
-                (!all &&
+                (!publish_all &&
                  std::abs(endpoint.own_load - endpoint.published_load) < 0.02 * load_.capacity(endpoint) &&
-                 !good))
+                 !succeeded))
                 continue;
             endpoint.published_load = endpoint.own_load;
-            put([&](peer::Message& m) { return m.load_total(endpoint.id, good, endpoint.own_load); });
+            put([&](peer::Message& m) { return m.load_total(endpoint.id, succeeded, endpoint.own_load); });
         }
     });
     last_published_at_ = node_.now();
--- a/src/balance/load_reporter.h
+++ b/src/balance/load_reporter.h
@@ -1,5 +1,6 @@
-/// What a node publishes periodically: its own load totals, and the reports of the endpoints that it owns.
-/// Report owners are elected by the ring from the list alone, so nodes with the same list agree.
+/// Publishes by gossip the load totals of this node's tunnels and, without load totals, the load reports of
+/// the endpoints that this node is a report owner of. Report owners follow from the ring and the endpoint
+/// list, so that nodes with the same list agree on them.
 #pragma once
 
 #include "balance/endpoint.h"
@@ -22,22 +23,27 @@
     LoadReporter(const LoadReporter&) = delete;
     LoadReporter& operator=(const LoadReporter&) = delete;
 
-    /// Spreads the first publication of nodes that start together.
+    /// Schedules the first publication, at a random delay so that nodes that start together do not publish
+    /// together.
     void start_publishing();
     void publish_load_totals_when_due();
-    /// Endpoints of one block have the same report owners, so that one message covers them; the next two on
-    /// the ring stand in, in order of rank, where the first publishes nothing. Blocks follow from the list
-    /// alone, so nodes with the same list agree on them.
+    /// Elects the report owners of each endpoint: the chain of three live nodes at the ring point of the
+    /// endpoint's block. The endpoints of a block have the same owners, so that one message covers them. The
+    /// second and the third owner stand in, in this order, when the first publishes nothing.
     void elect_report_owners();
+    /// Broadcasts the load reports that are due, with those of other owned endpoints that have changed a
+    /// little.
     void publish_reports();
+    /// A report owner published the utilization of an endpoint.
     void on_load_report(std::uint32_t endpoint_id, bool healthy, double load);
+    /// A node published the load of its tunnels on an endpoint. `healthy`: and it had a success there.
     void on_load_total(std::uint32_t sender, std::uint32_t endpoint_id, bool healthy, double load);
 
   private:
     friend class StateCodec;
 
-    // A report owner publishes at once where an endpoint failed or recovered, otherwise as its cost allows,
-    // and the sooner the more the utilization has changed.
+    // A report owner publishes at once that an endpoint has recovered. Otherwise it publishes at the interval
+    // that the gossip budget allows, and sooner the more the utilization has changed.
     bool report_is_due(const Endpoint& endpoint) const;
     void publish_load_totals();
 
--- a/src/balance/load_samples.h
+++ b/src/balance/load_samples.h
@@ -1,4 +1,4 @@
-/// Samples that load estimates are built from.
+/// Data that load estimates are computed from.
 #pragma once
 #include <algorithm>
 #include <cstdint>
@@ -7,14 +7,14 @@
 
 namespace lemonstair {
 
-/// A placement not yet contained in load totals or reports.
+/// A placement that load totals and reports do not contain yet.
 struct RecentPlacement {
     Ticks placed_at = 0;
     std::uint32_t endpoint_index = 0;
     double load = 0;
 };
 
-/// The mean of the last 64 samples or so.
+/// The running mean of about the last 64 samples.
 struct RunningMean {
     double value = 0;
     int count = 0;
--- a/src/balance/outlier_detector.cpp
+++ b/src/balance/outlier_detector.cpp
@@ -28,15 +28,15 @@
     if (outcome == Outcome::cancelled || outcome == Outcome::overloaded || unrelated_to_endpoint(outcome))
         return;
     const bool own = observer == node_.config().own_node;
-    // Setups may share a store that health checks do not need, so the time-out of a setup says less about
-    // the endpoint.
+    // Setups may depend on a shared store that health checks do not need, so the timeout of a setup says less
+    // about the endpoint.
     endpoint.failure_likelihood.count(outcome != Outcome::ok,
                                       outcome == Outcome::timed_out && !by_health_check, recent_outcomes_,
                                       node_.now());
     if (outcome == Outcome::ok) {
         endpoint.unresponsive_observations.on_healthy(node_.now());
-        // Outcomes are sent to the first report owner only: where nodes have observed failures, it forwards
-        // successes to the other owners.
+        // Outcomes are sent to the first report owner alone. While a quorum of nodes has observed failures,
+        // it forwards successes to the other owners.
         const bool contested =
             endpoint.owner_rank == 0 && endpoint.unresponsive_observations.is_failing(node_.now());
         for (std::size_t i = 1; contested && i < endpoint.report_owners.size(); ++i)
@@ -47,7 +47,7 @@
         endpoint.succeeded_at = node_.now();
         endpoint.unresponsive = false;
         on_responsive(endpoint);
-        if (endpoint.ejected) readmit(endpoint, "it responds");
+        if (endpoint.ejected) readmit(endpoint, "it responds to this node");
         return;
     }
     static_cast<void>(endpoint.failure_observations.add(observer, node_.now(), node_.now()));
@@ -62,7 +62,9 @@
     if (own ? !endpoint.ejected || endpoint.gossip_ejection_until != 0
             : !endpoint.ejected && endpoint.failure_observations.is_failing(node_.now()) &&
                   endpoint_table_.gossip_may_eject(endpoint))
-        eject(endpoint, endpoint.unresponsive ? "unresponsive" : "setups fail",
+        eject(endpoint,
+              endpoint.unresponsive ? "unresponsive, log-likelihood ratio"
+                                    : "setups fail, log-likelihood ratio",
               endpoint.failure_likelihood.log_likelihood_ratio, !own);
 }
 
@@ -78,24 +80,25 @@
     if (!endpoint.contact_lost) return;
     endpoint.contact_lost = false;
     if (node_.config().rules.slow_start_duration <= 0 || slow_start_.is_warming_up(endpoint)) return;
-    node_.log_line("endpoint %u responds again, treated as warming up", endpoint.id);
+    node_.log_line("endpoint %u responds again and may have restarted; treating it as in slow start",
+                   endpoint.id);
     endpoint.started_at = node_.now();
 }
 
-void OutlierDetector::eject(Endpoint& endpoint, const char* reason, double figure, bool by_gossip) {
+void OutlierDetector::eject(Endpoint& endpoint, const char* reason, double value, bool by_gossip) {
     endpoint.ejected = true;
     endpoint.gossip_ejection_until = by_gossip ? node_.now() + failure_detector::observation_lifetime : 0;
     endpoint.failure_reported_at = -never;
     endpoint.ejected_at = node_.now();
     endpoint.probation_at = node_.now() + probation_interval;
-    node_.log_line("endpoint %u ejected: %s, %.1f", endpoint.id, reason, figure);
-    // With most endpoints ejected the fault is elsewhere: all are readmitted rather than none used.
-    int active_surplus = 0;
-    for (const auto& o : endpoint_table_.endpoints())
-        if (o.state == EndpointState::active) active_surplus += o.ejected ? -1 : 1;
+    node_.log_line("endpoint %u ejected: %s %.1f", endpoint.id, reason, value);
+    // If most endpoints are ejected, the fault is elsewhere: all are readmitted, so that some remain in use.
+    int active_surplus = 0;  // active endpoints in use, minus those that are ejected
+    for (const auto& other : endpoint_table_.endpoints())
+        if (other.state == EndpointState::active) active_surplus += other.ejected ? -1 : 1;
     if (active_surplus >= 0) return;
-    for (auto& o : endpoint_table_.endpoints())
-        if (o.ejected) readmit(o, "most are ejected");
+    for (auto& other : endpoint_table_.endpoints())
+        if (other.ejected) readmit(other, "most endpoints are ejected");
 }
 
 void OutlierDetector::readmit(Endpoint& endpoint, const char* reason) {
@@ -124,30 +127,31 @@
     if (endpoint_table_.find_endpoint(endpoint_id) == nullptr) return;
     Endpoint& endpoint = *endpoint_table_.find_endpoint(endpoint_id);
     load_.on_slow_message(endpoint, delay);
-    // Work piled up makes a message wait, but not for longer than any client: such an endpoint has
+    // Queued work delays messages, but not for much longer than any client waits: such an endpoint has
     // stopped.
-    if (delay > 2 * node_.longest_client_timeout()) eject_unresponsive(endpoint, "message delay in s", delay);
+    if (delay > 2 * node_.longest_client_timeout())
+        eject_unresponsive(endpoint, "message delay in seconds:", delay);
 }
 
 void OutlierDetector::on_unresponsive(std::uint32_t endpoint_id, Ticks span) {
     Endpoint* const endpoint = endpoint_table_.find_endpoint(endpoint_id);
     if (endpoint == nullptr || span < (endpoint->ejected ? line_timeout / 2 : line_timeout)) return;
-    eject_unresponsive(*endpoint, "seconds without a line", span);
+    eject_unresponsive(*endpoint, "seconds without a line:", span);
 }
 
-void OutlierDetector::eject_unresponsive(Endpoint& endpoint, const char* reason, Ticks figure) {
+void OutlierDetector::eject_unresponsive(Endpoint& endpoint, const char* reason, Ticks span) {
     if (endpoint.ejected && endpoint.unresponsive) return;
     endpoint.unresponsive = true;
     endpoint.failed_at = node_.now();
     endpoint.failure_likelihood.log_likelihood_ratio = failure_detector::ejection_threshold;
     if (!endpoint.ejected || endpoint.gossip_ejection_until != 0)
-        eject(endpoint, reason, static_cast<double>(figure) / second);
+        eject(endpoint, reason, static_cast<double>(span) / second);
 }
 
 void OutlierDetector::readmit_expired(Endpoint& endpoint) {
     if (endpoint.ejected && endpoint.gossip_ejection_until != 0 &&
         node_.now() >= endpoint.gossip_ejection_until)
-        readmit(endpoint, "gossip expired");
+        readmit(endpoint, "no node has renewed the report of its failure");
 }
 
 }  // namespace lemonstair
--- a/src/balance/outlier_detector.h
+++ b/src/balance/outlier_detector.h
@@ -1,5 +1,5 @@
-/// Outlier detection: ejects endpoints whose setups and health checks fail more often than elsewhere, and
-/// readmits them on success.
+/// Outlier detection: ejects endpoints whose setups and health checks fail more often than those of other
+/// endpoints, or that do not respond, and readmits them on success.
 #pragma once
 
 #include "balance/endpoint.h"
@@ -20,36 +20,44 @@
     OutlierDetector(const OutlierDetector&) = delete;
     OutlierDetector& operator=(const OutlierDetector&) = delete;
 
-    void decay_outcomes() { recent_outcomes_.fade(failure_detector::outcome_decay); }
-    /// Ends the ejections by gossip that no node has renewed.
+    void decay_outcomes() { recent_outcomes_.decay(failure_detector::outcome_decay); }
+    /// Readmits the endpoint if it was ejected by gossip alone and no node has renewed the gossip in time.
     void readmit_expired(Endpoint& endpoint);
-    /// Records an outcome observed by node `observer` and ejects or readmits by it. What fails everywhere (a
-    /// store that all setups need, a burst past its rate) is no endpoint's fault, and ejecting endpoints
-    /// for it would feed the congestion: the test compares an endpoint with the others. Only a node's own
-    /// outcomes show that an endpoint is unreachable.
+    /// Records an outcome observed by node `observer`, and ejects or readmits the endpoint if the outcomes
+    /// call for it. The endpoint is compared with the others: failures that occur everywhere (a shared store
+    /// is down or past its rate) are not an endpoint's fault, and ejecting endpoints for them would add to
+    /// the congestion. Only this node's own outcomes show that an endpoint is unreachable.
     void record_outcome(Endpoint& endpoint, Outcome outcome, bool by_health_check, std::uint32_t observer);
-    /// Records an outcome of this node and passes it to the endpoint's report owner, who judges for all: a
-    /// node with few tunnels of its own learns too little.
+    /// Records an outcome of this node and, without load totals, sends it to the endpoint's first report
+    /// owner, which evaluates the outcomes of all nodes: a node with few tunnels observes too few.
     void record_own_outcome(Endpoint& endpoint, Outcome outcome);
-    /// An unreachable endpoint that responds again may have restarted, which the list says only seconds
-    /// later. Until then it counts as warming up, so that it is not overloaded.
+    /// An endpoint that responds again after it was unreachable may have restarted, and the endpoint list
+    /// shows a restart only seconds later. It is treated as in slow start from now on, so that it is not
+    /// overloaded.
     void on_responsive(Endpoint& endpoint);
-    void eject(Endpoint& endpoint, const char* reason, double figure, bool by_gossip = false);
+    /// Ejects the endpoint, and readmits all endpoints if most are ejected then. `value` is logged after
+    /// `reason`.
+    void eject(Endpoint& endpoint, const char* reason, double value, bool by_gossip = false);
     void readmit(Endpoint& endpoint, const char* reason);
-    /// Readmits on another node's success, except where this node itself found the endpoint unresponsive:
-    /// then it must respond to this node's health check first.
+    /// Readmits on another node's success, at the earliest one second after the ejection. If this node itself
+    /// found the endpoint unresponsive, a health check of this node must have passed since.
     void on_reported_healthy(Endpoint& endpoint, const char* reason);
+    /// Node `sender` observed an outcome; `outcome` is an Outcome, and unknown values are ignored.
     void on_outcome(std::uint32_t sender, std::uint32_t endpoint_id, std::uint8_t outcome);
+    /// Messages at the endpoint are answered with this delay. An endpoint whose delay exceeds twice the
+    /// longest client timeout is ejected.
     void on_slow_messages(std::uint32_t endpoint_id, Ticks delay);
-    /// A healthy endpoint answers a line at once, on each connection. This ejects one that hangs or is cut
-    /// off seconds before setups and health checks would show it.
+    /// The endpoint has sent nothing for `span` although lines to it are unanswered. A healthy endpoint
+    /// answers a line at once, so one that hangs or is cut off is ejected seconds before setups and health
+    /// checks fail.
     void on_unresponsive(std::uint32_t endpoint_id, Ticks span);
     const failure_detector::OutcomeTotals& recent_outcomes() const { return recent_outcomes_; }
 
   private:
     friend class StateCodec;
 
-    void eject_unresponsive(Endpoint& endpoint, const char* reason, Ticks figure);
+    // Ejects the endpoint on this node's own evidence. `span` is logged in seconds.
+    void eject_unresponsive(Endpoint& endpoint, const char* reason, Ticks span);
 
     NodeContext& node_;
     EndpointTable& endpoint_table_;
--- a/src/balance/slow_start.h
+++ b/src/balance/slow_start.h
@@ -1,4 +1,4 @@
-/// Slow start: the part of its capacity that an endpoint may be given while it warms up after a start.
+/// Slow start: after a start an endpoint warms up, and only a part of its capacity may be used meanwhile.
 #pragma once
 
 #include "balance/endpoint.h"
@@ -13,6 +13,8 @@
     SlowStart(const SlowStart&) = delete;
     SlowStart& operator=(const SlowStart&) = delete;
 
+    /// The usable share of the endpoint's capacity: rises linearly over the slow start, from the configured
+    /// initial factor to 1.
     double slow_start_factor(const Endpoint& endpoint) const;
     bool is_warming_up(const Endpoint& endpoint) const;
 
--- a/src/balance/slow_start_quota.h
+++ b/src/balance/slow_start_quota.h
@@ -1,5 +1,5 @@
-/// The fleet-wide rate of new tunnels to an endpoint in slow start: each node has a quota of it (src/quota)
-/// and leases units of other nodes for tunnels that wait for one.
+/// Limits the rate at which all nodes together place new tunnels on an endpoint in slow start. Each node has
+/// a quota of this rate (src/quota) and leases units of other nodes for tunnels that wait for one.
 #pragma once
 
 #include "balance/endpoint.h"
@@ -23,26 +23,32 @@
     SlowStartQuota(const SlowStartQuota&) = delete;
     SlowStartQuota& operator=(const SlowStartQuota&) = delete;
 
-    /// The rate of new tunnels, a second, that all nodes together may send an endpoint in slow start. In an
-    /// overload window come the units of the window and those still spendable from before it.
+    /// The rate, in tunnels per second, at which all nodes together may place new tunnels on an endpoint in
+    /// slow start. Within an overload window the units of that window can be spent, and those of earlier
+    /// slots that have not expired; the rate is low enough for both.
     double slow_start_rate(const Endpoint& endpoint) const;
+    /// Whether a new tunnel may be placed on the endpoint: it is not in slow start, or a unit of quota is
+    /// left.
     bool slow_start_allows(std::uint32_t index) const;
-    /// Requests units of other nodes' slots for a waiting tunnel; it waits only briefly where it could be
-    /// placed elsewhere.
+    /// Requests units of other nodes' slots for the tunnel `index`, which waits for one. The tunnel waits no
+    /// longer than lease_timeout if it can be placed on another endpoint.
     void request_lease(std::uint32_t index);
+    /// Another node requests a unit of a slot; `slot` is the low 32 bits of its number. There is no answer
+    /// when none can be granted.
     void on_lease_request(std::uint32_t sender, std::uint32_t endpoint_id, std::uint32_t slot);
+    /// Another node granted a unit. False, without effect, if the grant is not valid.
     bool on_lease_grant(std::uint32_t sender, std::uint32_t endpoint_id, std::uint32_t slot);
-    /// Starts anew, so that no unit is spent twice: earlier units may have been spent by the previous owner
-    /// of the state.
+    /// Starts a new schedule, in which no slot that has begun can be spent: another process that owned the
+    /// state meanwhile may have spent its units.
     void restart_quota_schedule();
     const quota::QuotaSchedule& quota_schedule() const { return quota_schedule_; }
 
   private:
-    // The time, in s, over which new tunnels fill an endpoint: its slow start, or the lifetime of tunnels
-    // where that is shorter.
+    // The time in seconds in which new tunnels fill an endpoint: the duration of slow start, or the mean
+    // lifetime of tunnels if that is shorter.
     double fill_duration() const;
-    // Slots begun earlier may have been spent by an earlier incarnation, or by the process that ran the
-    // node before.
+    // Slots that began before `incarnation_started_at` are not used: an earlier incarnation of this node, or
+    // the process that ran it before, may have spent them.
     void start_quota_schedule(Ticks incarnation_started_at);
 
     NodeContext& node_;
--- a/src/failure_detector/observations.cpp
+++ b/src/failure_detector/observations.cpp
@@ -8,21 +8,22 @@
     if (node >= no_observer || when <= now - observation_lifetime || when > now + max_clock_skew)
         return false;
     const auto known = std::find_if(observations_.begin(), observations_.end(),
-                                    [&](const Observation& w) { return w.node == node; });
-    Observation& w =
+                                    [&](const Observation& o) { return o.node == node; });
+    Observation& observation =
         known != observations_.end()
             ? *known
             : *std::min_element(observations_.begin(), observations_.end(),
                                 [](const Observation& a, const Observation& b) { return a.when < b.when; });
-    if (w.when >= when) return false;
-    w = {node, when};
+    if (observation.when >= when) return false;
+    observation = {node, when};
     return true;
 }
 
 int Observations::count(Ticks now, Ticks since) const {
     return static_cast<int>(
-        std::count_if(observations_.begin(), observations_.end(), [&](const Observation& w) {
-            return w.node != no_observer && w.when > now - observation_lifetime && w.when > since;
+        std::count_if(observations_.begin(), observations_.end(), [&](const Observation& observation) {
+            return observation.node != no_observer && observation.when > now - observation_lifetime &&
+                   observation.when > since;
         }));
 }
 
--- a/src/quota/quota_schedule.cpp
+++ b/src/quota/quota_schedule.cpp
@@ -6,84 +6,94 @@
 
 namespace {
 
+// Calls each(slot) for the spendable slots, oldest first, until it returns true.
 template <class Each>
-void oldest_first(const QuotaSchedule& d, Ticks now, Each&& each) {
-    for (SlotNumber n = d.slot_at(now - d.spendable_for); n <= d.slot_at(now); ++n)
-        if (d.is_spendable(n, now) && each(n)) return;
+void for_each_spendable_slot(const QuotaSchedule& schedule, Ticks now, Each&& each) {
+    for (SlotNumber slot = schedule.slot_at(now - schedule.spendable_for); slot <= schedule.slot_at(now);
+         ++slot)
+        if (schedule.is_spendable(slot, now) && each(slot)) return;
 }
 
 }  // namespace
 
-Quota::Slot* Quota::at(SlotNumber n) {
-    Slot& s = slots_[static_cast<std::size_t>(n % tracked_slots)];
-    if (s.number > n) return nullptr;
-    if (s.number < n) s = {n};
-    return &s;
+Quota::Slot* Quota::claim_slot(SlotNumber slot) {
+    Slot& entry = slots_[static_cast<std::size_t>(slot % tracked_slots)];
+    if (entry.number > slot) return nullptr;
+    if (entry.number < slot) entry = {slot};
+    return &entry;
 }
 
-// The rate is an estimate that changes: a slot of which more was spent than it has by now is empty.
-int Quota::free(const QuotaSchedule& d, std::uint32_t id, double rate, SlotNumber n) const {
-    const Slot* s = find(n);
-    const int own = d.owner(id, n) == d.own_node ? d.units_in_slot(id, n, rate) : 0;
-    if (s == nullptr) return own;
-    return std::max(0, own + s->leased - s->spent);
+// The rate is an estimate that changes, so more units may have been spent than the slot has at the present
+// rate.
+int Quota::unspent_units(const QuotaSchedule& schedule, std::uint32_t id, double rate,
+                         SlotNumber slot) const {
+    const Slot* entry = find_slot(slot);
+    const int own =
+        schedule.owner(id, slot) == schedule.own_node ? schedule.units_in_slot(id, slot, rate) : 0;
+    if (entry == nullptr) return own;
+    return std::max(0, own + entry->leased - entry->spent);
 }
 
-int Quota::available(const QuotaSchedule& d, std::uint32_t id, double rate, Ticks now) const {
+int Quota::available(const QuotaSchedule& schedule, std::uint32_t id, double rate, Ticks now) const {
     int sum = 0;
-    oldest_first(d, now, [&](SlotNumber n) {
-        sum += free(d, id, rate, n);
+    for_each_spendable_slot(schedule, now, [&](SlotNumber slot) {
+        sum += unspent_units(schedule, id, rate, slot);
         return false;
     });
     return sum;
 }
 
-bool Quota::spend(const QuotaSchedule& d, std::uint32_t id, double rate, Ticks now) {
-    bool done = false;
-    oldest_first(d, now, [&](SlotNumber n) {
-        Slot* s = free(d, id, rate, n) > 0 ? at(n) : nullptr;
-        if (s == nullptr) return false;
-        ++s->spent;
-        return done = true;
+bool Quota::spend(const QuotaSchedule& schedule, std::uint32_t id, double rate, Ticks now) {
+    bool found = false;
+    for_each_spendable_slot(schedule, now, [&](SlotNumber slot) {
+        Slot* entry = unspent_units(schedule, id, rate, slot) > 0 ? claim_slot(slot) : nullptr;
+        if (entry == nullptr) return false;
+        ++entry->spent;
+        return found = true;
     });
-    return done;
+    return found;
 }
 
-std::optional<Quota::LeaseRequest> Quota::request_lease(const QuotaSchedule& d, std::uint32_t id, double rate,
-                                                        Ticks now) {
-    for (SlotNumber n = d.slot_at(now); n >= d.slot_at(now - d.spendable_for); --n) {
-        if (!d.is_spendable(n, now) || d.owner(id, n) == d.own_node || d.units_in_slot(id, n, rate) == 0)
+std::optional<Quota::LeaseRequest> Quota::request_lease(const QuotaSchedule& schedule, std::uint32_t id,
+                                                        double rate, Ticks now) {
+    for (SlotNumber slot = schedule.slot_at(now); slot >= schedule.slot_at(now - schedule.spendable_for);
+         --slot) {
+        if (!schedule.is_spendable(slot, now) || schedule.owner(id, slot) == schedule.own_node ||
+            schedule.units_in_slot(id, slot, rate) == 0)
             continue;
-        Slot* s = at(n);
-        if (s == nullptr || s->requested) continue;
-        s->requested = true;
-        return LeaseRequest{d.owner(id, n), n};
+        Slot* entry = claim_slot(slot);
+        if (entry == nullptr || entry->requested) continue;
+        entry->requested = true;
+        return LeaseRequest{schedule.owner(id, slot), slot};
     }
     return std::nullopt;
 }
 
-bool Quota::grant_lease(const QuotaSchedule& d, std::uint32_t id, SlotNumber n, double rate, Ticks now) {
-    if (!d.is_spendable(n, now) || d.owner(id, n) != d.own_node) return false;
-    Slot* s = free(d, id, rate, n) > 0 ? at(n) : nullptr;
-    if (s == nullptr) return false;
-    ++s->spent;
+bool Quota::grant_lease(const QuotaSchedule& schedule, std::uint32_t id, SlotNumber slot, double rate,
+                        Ticks now) {
+    if (!schedule.is_spendable(slot, now) || schedule.owner(id, slot) != schedule.own_node) return false;
+    Slot* entry = unspent_units(schedule, id, rate, slot) > 0 ? claim_slot(slot) : nullptr;
+    if (entry == nullptr) return false;
+    ++entry->spent;
     return true;
 }
 
-bool Quota::accept_lease(const QuotaSchedule& d, std::uint32_t id, SlotNumber n, std::uint32_t from,
+bool Quota::accept_lease(const QuotaSchedule& schedule, std::uint32_t id, SlotNumber slot, std::uint32_t from,
                          Ticks now) {
-    if (!d.is_spendable(n, now) || d.owner(id, n) != from || from == d.own_node) return false;
-    Slot* s = at(n);
-    if (s == nullptr || !s->requested || s->leased > 0) return false;
-    s->leased = 1;
+    if (!schedule.is_spendable(slot, now) || schedule.owner(id, slot) != from || from == schedule.own_node)
+        return false;
+    Slot* entry = claim_slot(slot);
+    if (entry == nullptr || !entry->requested || entry->leased > 0) return false;
+    entry->leased = 1;
     return true;
 }
 
 std::string Quota::serialize(SlotNumber from) const {
     std::string out;
     const auto put = [&](const auto& x) { out.append(reinterpret_cast<const char*>(&x), sizeof x); };
-    for (const Slot& s : slots_)
-        if (s.number >= from) put(s.number), put(s.spent), put(s.leased), put(s.requested);
+    for (const Slot& entry : slots_)
+        if (entry.number >= from)
+            put(entry.number), put(entry.spent), put(entry.leased), put(entry.requested);
     return out;
 }
 
--- a/src/quota/quota_schedule.h
+++ b/src/quota/quota_schedule.h
@@ -1,8 +1,8 @@
-/// Fleet-wide rate quotas, shared out by time without coordination. The time line of each quota is cut into
-/// slots; the owner of a slot follows from the quota's id and the slot number alone. A slot's units are spent
-/// by its owner until they expire, or leased to another node, which counts them once. Whatever messages are
-/// lost, duplicated, late or reordered, no slot is overspent (docs/shared-state.md). No I/O; the clock is an
-/// argument, in tenths of a millisecond.
+/// Fleet-wide rate quotas that nodes share without coordination. For each quota, time is divided into slots.
+/// The node that owns a slot follows from the id of the quota and the number of the slot alone. The owner
+/// spends the units of a slot until they expire, or leases them to other nodes, which count each unit once.
+/// No slot is overspent, whichever messages are lost, duplicated, delayed or reordered
+/// (docs/shared-state.md). This module does no I/O; the clock is an argument, in tenths of a millisecond.
 #pragma once
 
 #include <algorithm>
@@ -17,30 +17,32 @@
 using Ticks = std::int64_t;
 using SlotNumber = std::int64_t;
 
-/// One node's view of the schedule of all quotas.
+/// The division of time into slots and the owners of the slots, for all quotas, as seen by one node.
 struct QuotaSchedule {
     std::uint32_t own_node = 0, node_count = 1;
     Ticks slot_length = 1000;
-    Ticks spendable_for = 8000;  // from the slot's begin
-    Ticks incarnation_started_at = 0;
+    Ticks spendable_for = 8000;        // from the beginning of the slot
+    Ticks incarnation_started_at = 0;  // of this node
 
     SlotNumber slot_at(Ticks now) const { return now / slot_length; }
-    Ticks slot_begin(SlotNumber n) const { return n * slot_length; }
-    std::uint32_t owner(std::uint32_t id, SlotNumber n) const {
-        return static_cast<std::uint32_t>(mix(std::uint64_t{id} << 32 ^ static_cast<std::uint64_t>(n)) %
+    Ticks slot_begin(SlotNumber slot) const { return slot * slot_length; }
+    std::uint32_t owner(std::uint32_t id, SlotNumber slot) const {
+        return static_cast<std::uint32_t>(mix(std::uint64_t{id} << 32 ^ static_cast<std::uint64_t>(slot)) %
                                           node_count);
     }
-    /// Units of a slot at `rate` per second, spread evenly: at 0.3 a slot, one slot in three or four has one.
-    int units_in_slot(std::uint32_t id, SlotNumber n, double rate) const {
-        const double wanted = rate * static_cast<double>(slot_length) / 10000;
-        const double turn =
-            std::fmod(static_cast<double>(n) * golden_ratio + static_cast<double>(mix(id) >> 40), 1.0);
-        return static_cast<int>(std::min(std::max(wanted, 0.0), max_units) + turn);
+    /// The number of units in a slot, at `rate` units per second. Units are spread evenly: at 0.3 units per
+    /// slot, one slot in three or four has a unit.
+    int units_in_slot(std::uint32_t id, SlotNumber slot, double rate) const {
+        const double units = rate * static_cast<double>(slot_length) / 10000;
+        const double offset =
+            std::fmod(static_cast<double>(slot) * golden_ratio + static_cast<double>(mix(id) >> 40), 1.0);
+        return static_cast<int>(std::min(std::max(units, 0.0), max_units) + offset);
     }
-    /// Earlier slots may have been spent by the node's previous incarnation.
-    bool in_this_incarnation(SlotNumber n) const { return slot_begin(n) > incarnation_started_at; }
-    bool is_spendable(SlotNumber n, Ticks now) const {
-        return in_this_incarnation(n) && slot_begin(n) <= now && now < slot_begin(n) + spendable_for;
+    /// Whether the slot began after this incarnation of the node. An earlier incarnation may have spent the
+    /// units of earlier slots.
+    bool in_this_incarnation(SlotNumber slot) const { return slot_begin(slot) > incarnation_started_at; }
+    bool is_spendable(SlotNumber slot, Ticks now) const {
+        return in_this_incarnation(slot) && slot_begin(slot) <= now && now < slot_begin(slot) + spendable_for;
     }
     /// Restores a slot number from its low 32 bits: the one nearest to `now`.
     SlotNumber expand_slot(std::uint32_t low, Ticks now) const {
@@ -48,8 +50,8 @@
         return near + static_cast<std::int32_t>(low - static_cast<std::uint32_t>(near));
     }
 
-    static constexpr double golden_ratio = 0.6180339887498949, max_units = 1000;
-    static std::uint64_t mix(std::uint64_t x) {  // splitmix64's finalizer
+    static constexpr double golden_ratio = 0.6180339887498949, max_units = 1000;  // max_units: of a slot
+    static std::uint64_t mix(std::uint64_t x) {  // the finalizer of splitmix64
         x += 0x9e3779b97f4a7c15U;
         x = (x ^ x >> 30) * 0xbf58476d1ce4e5b9U;
         x = (x ^ x >> 27) * 0x94d049bb133111ebU;
@@ -57,35 +59,40 @@
     }
 };
 
-/// One node's part of one quota. It remembers only the slots that can still be spent, so it is bounded.
-/// `id` is the quota's, `rate` its units per second.
+/// One node's share of one quota. Its size is fixed, since it tracks only the slots that can still be spent.
+/// In all calls `id` is the id of the quota and `rate` its rate in units per second.
 class Quota {
   public:
-    /// Units that may be spent now.
-    int available(const QuotaSchedule& d, std::uint32_t id, double rate, Ticks now) const;
-    /// Units of one slot that may be spent now.
-    int available_in_slot(const QuotaSchedule& d, std::uint32_t id, double rate, SlotNumber slot,
+    /// The units that this node may spend now.
+    int available(const QuotaSchedule& schedule, std::uint32_t id, double rate, Ticks now) const;
+    /// The units of one slot that this node may spend now.
+    int available_in_slot(const QuotaSchedule& schedule, std::uint32_t id, double rate, SlotNumber slot,
                           Ticks now) const {
-        return d.is_spendable(slot, now) ? free(d, id, rate, slot) : 0;
+        return schedule.is_spendable(slot, now) ? unspent_units(schedule, id, rate, slot) : 0;
     }
-    /// Spends the oldest unit; false where there is none.
-    bool spend(const QuotaSchedule& d, std::uint32_t id, double rate, Ticks now);
+    /// Spends the oldest unit; false if there is none.
+    bool spend(const QuotaSchedule& schedule, std::uint32_t id, double rate, Ticks now);
 
     struct LeaseRequest {
-        std::uint32_t node;
+        std::uint32_t node;  // the owner of the slot
         SlotNumber slot;
     };
-    /// Chooses the newest slot of another node not requested yet, marks it requested and returns it.
-    std::optional<LeaseRequest> request_lease(const QuotaSchedule& d, std::uint32_t id, double rate,
+    /// Chooses the newest slot of another node that has units and has not been requested yet, marks it as
+    /// requested and returns it; nothing if there is none.
+    std::optional<LeaseRequest> request_lease(const QuotaSchedule& schedule, std::uint32_t id, double rate,
                                               Ticks now);
-    /// Grants another node a unit of a slot of this node's: true once it is deducted here.
-    bool grant_lease(const QuotaSchedule& d, std::uint32_t id, SlotNumber slot, double rate, Ticks now);
-    /// A slot's owner granted a unit of it. False, without effect, where the grant is not valid: `from` is
-    /// not the owner, this node did not request it, it is counted already, or the slot has expired.
-    bool accept_lease(const QuotaSchedule& d, std::uint32_t id, SlotNumber slot, std::uint32_t from,
+    /// Grants another node a unit of a slot that this node owns. True if the unit was available; it is
+    /// deducted from this node's share.
+    bool grant_lease(const QuotaSchedule& schedule, std::uint32_t id, SlotNumber slot, double rate,
+                     Ticks now);
+    /// Node `from` granted this node a unit of a slot. False, without effect, if the grant is not valid:
+    /// `from` is not the owner, this node did not request it, it has been accepted before, or the slot cannot
+    /// be spent now.
+    bool accept_lease(const QuotaSchedule& schedule, std::uint32_t id, SlotNumber slot, std::uint32_t from,
                       Ticks now);
 
-    /// The state of the slots from `from` on, as bytes: quotas of equal bytes behave alike from then on.
+    /// The state of the slots with a number of at least `from`, as bytes. Quotas with equal bytes behave
+    /// alike for these slots.
     std::string serialize(SlotNumber from) const;
 
   private:
@@ -96,13 +103,15 @@
         bool requested = false;
     };
     static constexpr SlotNumber tracked_slots = 16;
-    // The slot's entry, reset where it held an older slot; null where it holds a newer one.
-    Slot* at(SlotNumber n);
-    const Slot* find(SlotNumber n) const {
-        const Slot& s = slots_[static_cast<std::size_t>(n % tracked_slots)];
-        return s.number == n ? &s : nullptr;
+    // Returns the entry of the slot, after a reset if it held an older slot; null if it holds a newer one.
+    Slot* claim_slot(SlotNumber slot);
+    // The entry of the slot; null if it holds another slot.
+    const Slot* find_slot(SlotNumber slot) const {
+        const Slot& entry = slots_[static_cast<std::size_t>(slot % tracked_slots)];
+        return entry.number == slot ? &entry : nullptr;
     }
-    int free(const QuotaSchedule& d, std::uint32_t id, double rate, SlotNumber n) const;
+    // The units of a slot that this node owns or has leased, minus those spent or granted to others.
+    int unspent_units(const QuotaSchedule& schedule, std::uint32_t id, double rate, SlotNumber slot) const;
     std::array<Slot, tracked_slots> slots_{};
 };
 
