--- a/tests/admission_test.cpp
+++ b/tests/admission_test.cpp
@@ -1,73 +1,79 @@
-// Admission control: which tunnels are rejected under overload, and when that ends.
+// Tests of admission control: which tunnels are rejected in an overload, and when this ends.
 #include <doctest/doctest.h>
 
 #include "balancer_fixture.h"
 
 using namespace fake;
 
-TEST_CASE("a storm of failing attempts is limited: few attempts go out, the rest is rejected at once") {
-    BalancerFixture n;
-    n.set_endpoints({7, 8, 9});
-    std::uint64_t t = 1;
+// Every setup fails, for instance because a shared store is past its rate. Attempts of all clients and their
+// retries would prolong the congestion. After the failures have ended, tunnels must be accepted again soon.
+TEST_CASE("while all setups fail few attempts are sent and the other tunnels are rejected at once") {
+    BalancerFixture node;
+    node.set_endpoints({7, 8, 9});
+    std::uint64_t tunnel = 1;
     for (int i = 0; i < 50; ++i) {
-        for (int k = 0; k < 10; ++k, ++t) {
-            const auto before = n.attempts.size();
-            n.on_request(t);
-            for (auto done = before; done < n.attempts.size(); ++done) n.end(t, Outcome::error);
+        for (int k = 0; k < 10; ++k, ++tunnel) {
+            const auto before = node.attempts.size();
+            node.on_request(tunnel);
+            for (auto done = before; done < node.attempts.size(); ++done) node.end(tunnel, Outcome::error);
         }
-        n.advance(100 * ms);
+        node.advance(100 * ms);
     }
-    CHECK(n.attempts.size() < 60);
-    CHECK(n.rejected.size() == t - 1);
-    const auto before = n.rejected.size();
-    n.advance(3 * s);  // the trouble is over
-    for (int i = 0; i < 30; ++i, ++t) {
-        n.on_request(t);
-        n.open(t);
-        n.advance(100 * ms);
+    CHECK(node.attempts.size() < 60);
+    CHECK(node.rejected.size() == tunnel - 1);
+    const auto before = node.rejected.size();
+    node.advance(3 * s);  // the failures have ended
+    for (int i = 0; i < 30; ++i, ++tunnel) {
+        node.on_request(tunnel);
+        node.open(tunnel);
+        node.advance(100 * ms);
     }
-    CHECK(n.rejected.size() - before < 10);
+    CHECK(node.rejected.size() - before < 10);
 }
 
+// Tunnels arrive faster than the endpoints can carry them. If they were rejected regardless of load and
+// priority, a few heavy tunnels would displace many important ones.
 TEST_CASE(
-    "past the capacity the heavy class of low priority is rejected and the light one of high priority "
-    "placed") {
+    "in an overload heavy tunnels of low priority are rejected and light ones of high priority are placed") {
     auto config = BalancerFixture::default_config();
     config.traffic_classes = {BalancerFixture::traffic_class(), BalancerFixture::traffic_class()};
     config.traffic_classes[1].priority_weight = 10;
-    BalancerFixture n(config);
-    n.set_endpoints({7, 8});
-    std::uint64_t t = 1;
-    const auto arrive = [&](std::uint32_t profile) {
-        n.balancer->on_request(t,
-                               {.key = {}, .group = {}, .deadline = n.now + 3 * s, .traffic_class = profile});
-        const bool placed = n.attempts_of(t) == 1;
+    BalancerFixture node(config);
+    node.set_endpoints({7, 8});
+    std::uint64_t tunnel = 1;
+    const auto arrive = [&](std::uint32_t traffic_class_index) {
+        node.balancer->on_request(
+            tunnel,
+            {.key = {}, .group = {}, .deadline = node.now + 3 * s, .traffic_class = traffic_class_index});
+        const bool placed = node.attempts_of(tunnel) == 1;
         if (placed) {
-            n.open(t);
-            n.balancer->on_load_changed(t, profile == 0 ? 0.2 : 0.01);
+            node.open(tunnel);
+            node.balancer->on_load_changed(tunnel, traffic_class_index == 0 ? 0.2 : 0.01);
         }
-        ++t;
+        ++tunnel;
         return placed;
     };
     bool heavy = true;
     for (int i = 0; i < 40; ++i) {
         arrive(1);
         heavy = arrive(0);
-        n.advance(100 * ms);
+        node.advance(100 * ms);
     }
     CHECK(!heavy);
     CHECK(arrive(1));
-    CHECK(n.rejected.size() > 10);
+    CHECK(node.rejected.size() > 10);
 }
 
-TEST_CASE("two endpoints that refuse connections do not make the node shed load for others") {
-    BalancerFixture n;
-    n.set_endpoints({1, 2, 3, 4, 5});
-    for (std::uint64_t t = 1; t <= 30; ++t) n.on_request(t);
-    const auto out = n.attempts;
-    for (const auto& attempt : out)
+// Two of five endpoints refuse connections. Admission control must not take these failures for a congestion
+// of all endpoints and reject tunnels that the other three can carry.
+TEST_CASE("while two of five endpoints refuse connections no tunnel is rejected") {
+    BalancerFixture node;
+    node.set_endpoints({1, 2, 3, 4, 5});
+    for (std::uint64_t tunnel = 1; tunnel <= 30; ++tunnel) node.on_request(tunnel);
+    const auto pending = node.attempts;
+    for (const auto& attempt : pending)
         if (attempt.endpoint <= 2)
-            n.balancer->on_ended(attempt.tunnel, 0, attempt.endpoint, Outcome::unreachable, 1 * ms, false);
-    CHECK(n.attempts.size() > 35);  // the seed spreads them over all five
-    CHECK(n.rejected.empty());
+            node.balancer->on_ended(attempt.tunnel, 0, attempt.endpoint, Outcome::unreachable, 1 * ms, false);
+    CHECK(node.attempts.size() > 35);  // with this seed the tunnels are placed on all five
+    CHECK(node.rejected.empty());
 }
--- a/tests/backoff_test.cpp
+++ b/tests/backoff_test.cpp
@@ -1,4 +1,4 @@
-// Calls to discovery: how soon after a failure, and the bound that all phases share.
+// Tests of the backoff of calls to service discovery, and of the limit that the phases of a call share.
 #include "backoff/backoff.h"
 
 #include <doctest/doctest.h>
@@ -16,52 +16,56 @@
 
 namespace {
 
-BalancerConfig asking(std::uint32_t nodes) {
-    BalancerConfig t = BalancerFixture::default_config(0, nodes);
-    t.must_poll = true;
-    t.limits.gossip_enabled = false;
-    return t;
+BalancerConfig polling_config(std::uint32_t nodes) {
+    BalancerConfig config = BalancerFixture::default_config(0, nodes);
+    config.must_poll = true;
+    config.limits.gossip_enabled = false;
+    return config;
 }
 
-// Lets time pass until the module asks for the list; how long that took.
-Ticks until_asked(BalancerFixture& n, Ticks limit) {
-    const Ticks from = n.now;
-    const int before = n.list_requests;
-    while (n.list_requests == before && n.now - from < limit) n.advance(5 * ms);
-    return n.now - from;
+// Advances the time until the Balancer requests the list, and returns how long this took.
+Ticks time_to_request(BalancerFixture& node, Ticks limit) {
+    const Ticks from = node.now;
+    const int before = node.list_requests;
+    while (node.list_requests == before && node.now - from < limit) node.advance(5 * ms);
+    return node.now - from;
 }
 
 }  // namespace
 
+// A call that hangs when service discovery recovers is abandoned only at its timeout, and the next one is
+// sent after a delay. Together they must leave time for the response within the staleness limit of 6 s.
 TEST_CASE(
-    "whichever phase a poll hangs in when discovery returns, the next one is sent in time for its answer") {
-    // What is left of each phase, at the worst, and then the longest pause.
+    "whichever phase a call hangs in when discovery recovers, the next call is sent in time for its "
+    "response") {
+    // The longest time that each phase can still take, after which the longest delay follows.
     const Ticks phases[] = {0, backoff::connect_timeout, backoff::request_timeout, backoff::watch_timeout};
-    for (const Ticks left : phases) {
+    for (const Ticks remaining : phases) {
         for (int failures = 0; failures < 40; ++failures) {
-            Backoff b;
-            Ticks pause = 0;
-            for (int i = 0; i <= failures; ++i) pause = b.on_failure(0.999999);
-            CHECK(pause > 0);
-            CHECK(left + pause + backoff::response_allowance <= 6 * s);
+            Backoff retries;
+            Ticks delay = 0;
+            for (int i = 0; i <= failures; ++i) delay = retries.on_failure(0.999999);
+            CHECK(delay > 0);
+            CHECK(remaining + delay + backoff::response_allowance <= 6 * s);
         }
     }
 }
 
-TEST_CASE("backoff grows with failures, has jitter, and is reset by an answer") {
-    Backoff b(1000);
-    CHECK(b.on_failure(0) == 250);
-    CHECK(b.on_failure(0) == 500);
-    CHECK(b.on_failure(0.5) == 2500);
-    CHECK(b.failures() == 3);
-    for (int i = 0; i < 100; ++i) CHECK(b.on_failure(0) <= backoff::max_delay / 4);
-    b.on_success();
-    CHECK(b.failures() == 0);
-    CHECK(b.on_failure(0) == 250);
+TEST_CASE("the delay grows with each failure, has jitter, and is reset by a success") {
+    Backoff retries(1000);
+    CHECK(retries.on_failure(0) == 250);
+    CHECK(retries.on_failure(0) == 500);
+    CHECK(retries.on_failure(0.5) == 2500);
+    CHECK(retries.failures() == 3);
+    for (int i = 0; i < 100; ++i) CHECK(retries.on_failure(0) <= backoff::max_delay / 4);
+    retries.on_success();
+    CHECK(retries.failures() == 0);
+    CHECK(retries.on_failure(0) == 250);
 }
 
-TEST_CASE(
-    "300 nodes that find discovery down do not poll at one instant, nor more than twice a second each") {
+// All nodes of a fleet lose service discovery at the same time. If they retried together or too often, it
+// could not come up again.
+TEST_CASE("300 nodes that fail to reach discovery spread their calls, each at most two per second") {
     std::minstd_rand rng(7);
     std::vector<Ticks> next(300);
     std::vector<Backoff> backoffs(300);
@@ -70,50 +74,53 @@
     std::vector<int> calls(90);
     for (std::size_t i = 0; i < 300; ++i)
         for (Ticks at = next[i]; at < 9 * s; at += backoffs[i].on_failure(chance())) ++calls[at / 1000];
-    for (std::size_t i = 30; i < 90; ++i) CHECK(calls[i] < 60);  // 33 in each tenth of a second on the mean
-    int last = 0;
-    for (std::size_t i = 50; i < 90; ++i) last += calls[i];
-    CHECK(last <= 300 * 2 * 4);
+    for (std::size_t i = 30; i < 90; ++i) CHECK(calls[i] < 60);  // on average 33 in each tenth of a second
+    int last_four_seconds = 0;
+    for (std::size_t i = 50; i < 90; ++i) last_four_seconds += calls[i];
+    CHECK(last_four_seconds <= 300 * 2 * 4);
 }
 
-TEST_CASE(
-    "a process that starts polls for the endpoint list soon, whatever the number of nodes and the interval") {
+// The list that a starting process holds may be old. In a large fleet first calls are spread, but the last of
+// them must still come soon.
+TEST_CASE("a node that starts requests the endpoint list within 1.6 s, whatever the number of nodes") {
     for (const std::uint32_t nodes : {1U, 3U, 30U, 300U, 1024U})
         for (const std::uint32_t seed : {1U, 77777777U, 1234567890U}) {
-            BalancerConfig t = asking(nodes);
-            t.seed = seed;
-            BalancerFixture n(t);
-            n.set_endpoints({7, 8}, EndpointListKind::cached);
-            CHECK(until_asked(n, 20 * s) <= 16 * s / 10);
+            BalancerConfig config = polling_config(nodes);
+            config.seed = seed;
+            BalancerFixture node(config);
+            node.set_endpoints({7, 8}, EndpointListKind::cached);
+            CHECK(time_to_request(node, 20 * s) <= 16 * s / 10);
         }
 }
 
-TEST_CASE("300 nodes that lose discovery together spread their first polls over a second") {
-    std::vector<Ticks> after;
+// The delay after the first failure must be long enough to spread the calls of a large fleet.
+TEST_CASE("300 nodes that lose discovery together spread their next requests over most of a second") {
+    std::vector<Ticks> delays;
     for (std::uint32_t i = 0; i < 60; ++i) {
-        BalancerConfig t = asking(300);
-        t.seed = 7919 * (i + 1);
-        BalancerFixture n(t);
-        n.set_endpoints({7, 8}, EndpointListKind::cached);
-        n.advance(2 * s);
-        n.set_endpoints({}, EndpointListKind::failed);
-        after.push_back(until_asked(n, 20 * s));
+        BalancerConfig config = polling_config(300);
+        config.seed = 7919 * (i + 1);
+        BalancerFixture node(config);
+        node.set_endpoints({7, 8}, EndpointListKind::cached);
+        node.advance(2 * s);
+        node.set_endpoints({}, EndpointListKind::failed);
+        delays.push_back(time_to_request(node, 20 * s));
     }
-    std::sort(after.begin(), after.end());
-    CHECK(after[54] - after[6] > 7 * s / 10);
-    CHECK(after.back() <= backoff::max_delay + 100 * ms);
+    std::sort(delays.begin(), delays.end());
+    CHECK(delays[54] - delays[6] > 7 * s / 10);
+    CHECK(delays.back() <= backoff::max_delay + 100 * ms);
 }
 
-TEST_CASE("a node that must poll does so again within the bound after each of many failures") {
-    BalancerFixture n(asking(300));
-    n.set_endpoints({7, 8}, EndpointListKind::cached);
-    n.advance(2 * s);
+TEST_CASE(
+    "a node requests the list again within the longest delay after a failure, and at once after a move") {
+    BalancerFixture node(polling_config(300));
+    node.set_endpoints({7, 8}, EndpointListKind::cached);
+    node.advance(2 * s);
     for (int i = 0; i < 30; ++i) {
-        n.set_endpoints({}, EndpointListKind::failed);
-        CHECK(until_asked(n, 20 * s) <= backoff::max_delay + 100 * ms);
+        node.set_endpoints({}, EndpointListKind::failed);
+        CHECK(time_to_request(node, 20 * s) <= backoff::max_delay + 100 * ms);
     }
-    n.set_endpoints({7, 8});
-    const int before = n.list_requests;
-    n.set_endpoints({}, EndpointListKind::moved);
-    CHECK(n.list_requests == before + 1);  // another place: at once
+    node.set_endpoints({7, 8});
+    const int before = node.list_requests;
+    node.set_endpoints({}, EndpointListKind::moved);
+    CHECK(node.list_requests == before + 1);  // another service holds the list: at once
 }
--- a/tests/load_reports_test.cpp
+++ b/tests/load_reports_test.cpp
@@ -1,4 +1,4 @@
-// Load reports: which node publishes them, when, and who takes its place.
+// Tests of load reports: which node publishes them, when, and which node stands in if it fails.
 #include <doctest/doctest.h>
 
 #include "balancer_fixture.h"
@@ -6,82 +6,87 @@
 
 using namespace fake;
 
+// Each endpoint has three report owners. If the first fails and no other stands in, the load of its endpoints
+// becomes unknown; if all published, the gossip would cost three times as much.
 TEST_CASE(
-    "one node reports the load of all endpoints; when it fails the next on the ring does, then the third") {
+    "the first report owner publishes the load of its endpoints, and the second and third stand in for it") {
     constexpr std::uint32_t nodes = 90;
     const auto all = start_nodes(nodes, {1, 2, 3, 4, 5, 6, 7, 8});
-    std::vector<std::uint32_t> dead;
+    std::vector<std::uint32_t> failed_nodes;
     std::size_t bytes = 0;
-    const auto play = [&](Ticks span, double load) {
-        std::vector<std::uint32_t> told;
+    const auto run_fleet = [&](Ticks span, double load) {
+        std::vector<std::uint32_t> publishers;
         for (Ticks t = 0; t < span; t += 100 * ms)
-            for (std::uint32_t n = 0; n < nodes; ++n) {
-                if (std::find(dead.begin(), dead.end(), n) != dead.end()) continue;
-                all[n]->advance(100 * ms);
-                all[n]->answer_health_checks(load);
-                for (const auto& [to, m] : std::exchange(all[n]->gossip, {})) {
+            for (std::uint32_t node = 0; node < nodes; ++node) {
+                if (std::find(failed_nodes.begin(), failed_nodes.end(), node) != failed_nodes.end()) continue;
+                all[node]->advance(100 * ms);
+                all[node]->answer_health_checks(load);
+                for (const auto& [to, message] : std::exchange(all[node]->gossip, {})) {
                     if (to != 99) continue;
-                    told.push_back(n);
-                    bytes += m.size() * (nodes - 1);
-                    for (std::uint32_t k = 0; k < nodes; ++k)
-                        if (k != n) all[k]->balancer->on_gossip(n, m);
+                    publishers.push_back(node);
+                    bytes += message.size() * (nodes - 1);
+                    for (std::uint32_t receiver = 0; receiver < nodes; ++receiver)
+                        if (receiver != node) all[receiver]->balancer->on_gossip(node, message);
                 }
             }
-        return told;
+        return publishers;
     };
-    play(10 * s, 0.2);
-    for (int i = 0; i < 2; ++i) {  // the reporter of now, and who has taken its place
-        const auto told = play(20 * s, i == 0 ? 0.7 : 0.2);
-        REQUIRE(!told.empty());
-        CHECK(told.size() <= 8);  // of two blocks
-        CHECK(std::find(dead.begin(), dead.end(), told.back()) == dead.end());
-        dead.push_back(told.back());
+    run_fleet(10 * s, 0.2);
+    for (int i = 0; i < 2; ++i) {  // the publisher fails, and then the one that stood in for it
+        const auto publishers = run_fleet(20 * s, i == 0 ? 0.7 : 0.2);
+        REQUIRE(!publishers.empty());
+        CHECK(publishers.size() <= 8);  // the endpoints form two blocks
+        CHECK(std::find(failed_nodes.begin(), failed_nodes.end(), publishers.back()) == failed_nodes.end());
+        failed_nodes.push_back(publishers.back());
     }
-    CHECK(!play(30 * s, 0.7).empty());
-    CHECK(bytes < 89 * 65 * 10);  // eight endpoints in a message, ten times in 80 s
+    CHECK(!run_fleet(30 * s, 0.7).empty());
+    CHECK(bytes < 89 * 65 * 10);  // eight endpoints a message, ten messages in 80 s
 }
 
-TEST_CASE("nodes with the same endpoint list elect the same reporters, however they learned the list") {
+// If nodes disagreed, outcomes would be sent to nodes that do not consider themselves report owners.
+TEST_CASE("nodes with the same endpoint list elect the same report owners, however they learned the list") {
     BalancerFixture at_once(BalancerFixture::default_config(0, 60)),
-        bit_by_bit(BalancerFixture::default_config(0, 60));
+        in_parts(BalancerFixture::default_config(0, 60));
     at_once.set_endpoints({1, 2, 3, 4, 5, 6, 7, 8, 9, 10});
-    bit_by_bit.set_endpoints({21, 22, 23, 24, 25, 26, 27, 28});
-    for (std::uint32_t ep = 1; ep <= 10; ++ep) bit_by_bit.set_endpoints({ep}, EndpointListKind::changes);
-    bit_by_bit.set_endpoints({21, 22, 23, 24, 25, 26, 27, 28}, EndpointListKind::changes,
-                             EndpointState::removed);
-    const auto reporters = [](BalancerFixture& n) {
-        std::vector<std::uint32_t> of(11, 99);
-        for (std::uint64_t t = 1; t <= 300; ++t) {
-            n.on_request(t);
-            n.gossip.clear();
-            n.open(t);
-            for (const auto& [to, m] : n.gossip) of[n.last_attempt().endpoint] = to;
-            n.advance(100 * ms);
+    in_parts.set_endpoints({21, 22, 23, 24, 25, 26, 27, 28});
+    for (std::uint32_t endpoint = 1; endpoint <= 10; ++endpoint)
+        in_parts.set_endpoints({endpoint}, EndpointListKind::changes);
+    in_parts.set_endpoints({21, 22, 23, 24, 25, 26, 27, 28}, EndpointListKind::changes,
+                           EndpointState::removed);
+    const auto first_owners = [](BalancerFixture& node) {
+        std::vector<std::uint32_t> owners(11, 99);
+        for (std::uint64_t tunnel = 1; tunnel <= 300; ++tunnel) {
+            node.on_request(tunnel);
+            node.gossip.clear();
+            node.open(tunnel);
+            for (const auto& [to, message] : node.gossip) owners[node.last_attempt().endpoint] = to;
+            node.advance(100 * ms);
         }
-        return of;
+        return owners;
     };
-    const auto of = reporters(at_once);
-    CHECK(std::count(of.begin(), of.end(), 99U) < 4);
-    CHECK(reporters(bit_by_bit) == of);
+    const auto owners = first_owners(at_once);
+    CHECK(std::count(owners.begin(), owners.end(), 99U) < 4);
+    CHECK(first_owners(in_parts) == owners);
 }
 
+// Gossip is expensive here, so the interval of reports is long. A large change must not wait for all of it.
 TEST_CASE("a large change of load is published sooner than a small one") {
-    const auto told_after = [](double load) {
+    const auto ticks_to_publish = [](double load) {
         auto config = BalancerFixture::default_config(0, 2);
         config.costs.gossip_message = 1;
-        BalancerFixture n(config);
-        n.set_endpoints({7}, EndpointListKind::cached);
-        n.advance(5 * s);
-        n.answer_health_checks(0.2);
-        for (int i = 0; i < 20; ++i) n.advance(100 * ms), n.answer_health_checks(0.2);
-        n.gossip.clear();
+        BalancerFixture node(config);
+        node.set_endpoints({7}, EndpointListKind::cached);
+        node.advance(5 * s);
+        node.answer_health_checks(0.2);
+        for (int i = 0; i < 20; ++i) node.advance(100 * ms), node.answer_health_checks(0.2);
+        node.gossip.clear();
         for (int i = 0; i < 600; ++i) {
-            n.advance(100 * ms);
-            n.answer_health_checks(load);
-            for (const auto& [to, m] : std::exchange(n.gossip, {}))
-                if (to == 99 && m.size() == 1 + peer::load_report_bytes) return i;
+            node.advance(100 * ms);
+            node.answer_health_checks(load);
+            for (const auto& [to, message] : std::exchange(node.gossip, {}))
+                if (to == 99 && message.size() == 1 + peer::load_report_bytes) return i;
         }
         return 600;
     };
-    CHECK(told_after(0.9) * 2 < told_after(0.3));
+    CHECK(ticks_to_publish(0.9) * 2 < ticks_to_publish(0.3));
 }
