--- a/src/balance/constants.h
+++ b/src/balance/constants.h
@@ -6,7 +6,7 @@
 
 namespace lemonstair {
 
-// The periodic tick and the periods that are multiples of it.
+// The periodic tick, and the work that is done on it.
 constexpr Ticks tick_interval = second / 10;
 constexpr Ticks health_check_period = second;
 constexpr Ticks report_period = second;
--- a/src/balance/endpoint.h
+++ b/src/balance/endpoint.h
@@ -16,8 +16,8 @@
 namespace lemonstair {
 
 constexpr Ticks second = 10000;
-constexpr Ticks never = std::numeric_limits<Ticks>::max() / 4;
-constexpr std::uint32_t none = IdIndex::none;  // stands for a missing index or id
+constexpr Ticks never = std::numeric_limits<Ticks>::max() / 4;  // sums with other times do not overflow
+constexpr std::uint32_t none = IdIndex::none;                   // stands for a missing index or id
 
 enum class TunnelState : std::uint8_t {
     idle,
@@ -70,7 +70,7 @@
     Ticks failure_reported_at = -never;      // when this node last reported the failure to the report owners
     Ticks gossip_ejection_until = 0;         // the end of an ejection by gossip alone; 0: not ejected so
     Ticks failure_published_at = -never;     // when a report owner last broadcast the failure
-    bool failure_published = false;          // and has not published a load report since
+    bool failure_published = false;          // and no load report has been published since
     std::uint32_t failed_health_checks = 0;  // consecutive
 
     // Health checks.
--- a/src/balance/endpoint_list_poller.cpp
+++ b/src/balance/endpoint_list_poller.cpp
@@ -36,7 +36,7 @@
 void EndpointListPoller::end_endpoint_list() {
     if (list_kind_ == EndpointListKind::failed || list_kind_ == EndpointListKind::moved) {
         list_is_live_ = false;
-        // Failures of the previous service are not held against the new one.
+        // The failures of the earlier service say nothing about the new one.
         if (list_kind_ == EndpointListKind::moved) list_backoff_.on_success();
         poll_list_at_ = node_.now() +
                         (list_kind_ == EndpointListKind::failed ? list_backoff_.on_failure(node_.draw()) : 0);
@@ -66,7 +66,7 @@
             endpoint.health_checked_at =
                 node_.now() - node_.draw_delay(health_checks_.health_check_interval());
     if (node_.gossip_enabled() && gossip_budget_.load_totals_interval() < 4 * report_period)
-        for (auto& p : peer_table_.peers()) p.load_totals_at = node_.now();
+        for (auto& peer : peer_table_.peers()) peer.load_totals_at = node_.now();
     load_.update_fleet_estimates();
 }
 
--- a/src/balance/endpoint_list_poller.h
+++ b/src/balance/endpoint_list_poller.h
@@ -1,4 +1,5 @@
-/// Decides when service discovery is polled for the endpoint list, and handles lists that arrive or fail to.
+/// Decides when service discovery is polled for the endpoint list, and handles received lists and failed
+/// polls.
 #pragma once
 
 #include "backoff/backoff.h"
@@ -28,8 +29,9 @@
     /// Requests the list when a poll is due and no live list has been received. Does nothing where service
     /// discovery need not be polled.
     void poll_endpoint_list();
-    /// Applies the list since begin_endpoint_list. After a failed one the next poll waits for a backoff;
-    /// after a moved one it is sent at once, as earlier failures are not held against the new service.
+    /// Called at the end of a list. A complete or cached list replaces the one before. After a failed poll
+    /// the next one waits for a backoff. After a move it is sent at once, since the failures of the earlier
+    /// service say nothing about the new one.
     void end_endpoint_list();
 
   private:
--- a/src/balance/endpoint_table.h
+++ b/src/balance/endpoint_table.h
@@ -17,7 +17,7 @@
 
     /// Starts to receive a list, complete or of changes.
     void begin_list();
-    /// Marks as removed what a complete list did not contain. Called at its end.
+    /// Marks the endpoints that a complete list did not contain as removed. Called at the end of the list.
     void remove_unlisted();
     /// Null for an unknown id.
     Endpoint* find_endpoint(std::uint32_t id);
--- a/src/balance/failure_gossip.cpp
+++ b/src/balance/failure_gossip.cpp
@@ -54,8 +54,8 @@
     endpoint.failure_reported_at = node_.now();
     static_cast<void>(
         endpoint.unresponsive_observations.add(node_.config().own_node, endpoint.failed_at, node_.now()));
-    for (const auto n : endpoint.report_owners)
-        gossip_.post(n, [&](auto& m) {
+    for (const auto owner : endpoint.report_owners)
+        gossip_.post(owner, [&](auto& m) {
             return m.endpoint_failure(endpoint.id, endpoint.failed_at, node_.config().own_node,
                                       failure_detector::no_observer);
         });
--- a/src/balance/group_affinity.cpp
+++ b/src/balance/group_affinity.cpp
@@ -34,12 +34,12 @@
 void GroupAffinity::mark_affinity_targets(const TrackedTunnel& tunnel) {
     holds_group_.assign(endpoint_table_.endpoints().size(), 0);
     bool headroom_left = false;
-    for (const auto& p : records_.groups().places_of(tunnel.group)) {
-        const std::uint32_t index = endpoint_table_.endpoint_by_id().find(p.endpoint_id);
+    for (const auto& place : records_.groups().places_of(tunnel.group)) {
+        const std::uint32_t index = endpoint_table_.endpoint_by_id().find(place.endpoint_id);
         // Without gossip, other nodes do not know where this node's tunnels of the group are, and a tunnel
         // may reach any of them mid-flow. Only the order that all nodes share is used then.
         if (index == none || load_.has_no_load_data(endpoint_table_.endpoints()[index]) ||
-            (p.members == 0 && !is_affinity_target(p)))
+            (place.members == 0 && !is_affinity_target(place)))
             continue;
         holds_group_[index] = 1;
         headroom_left = headroom_left || (slow_start_quota_.slow_start_allows(index) &&
@@ -70,9 +70,10 @@
 
 void GroupAffinity::maintain_affinity_targets(std::uint32_t group) {
     if (load_.load_totals_known() || group_leader(group) != node_.config().own_node) return;
-    for (const auto& p : records_.groups().places_of(group))
-        if (is_affinity_target(p) && endpoint_table_.find_endpoint(p.endpoint_id) != nullptr &&
-            load_.has_headroom(*endpoint_table_.find_endpoint(p.endpoint_id), affinity_utilization_limit()))
+    for (const auto& place : records_.groups().places_of(group))
+        if (is_affinity_target(place) && endpoint_table_.find_endpoint(place.endpoint_id) != nullptr &&
+            load_.has_headroom(*endpoint_table_.find_endpoint(place.endpoint_id),
+                               affinity_utilization_limit()))
             return;
     add_affinity_target(
         group, new_affinity_target(group, std::clamp(load_.fleet_utilization(), affinity_max_utilization / 2,
@@ -114,14 +115,15 @@
     });
 }
 
-bool GroupAffinity::is_affinity_target(const GroupTable::Place& p) const {
-    return p.affinity_target_at >= 0 && node_.now() - p.affinity_target_at < affinity_target_lifetime;
+bool GroupAffinity::is_affinity_target(const GroupTable::Place& place) const {
+    return place.affinity_target_at >= 0 && node_.now() - place.affinity_target_at < affinity_target_lifetime;
 }
 
 void GroupAffinity::mark_targets_full(std::uint32_t group, std::uint32_t except) {
-    for (const auto& p : records_.groups().places_of(group)) {
-        const std::uint32_t index = endpoint_table_.endpoint_by_id().find(p.endpoint_id);
-        if (load_.load_totals_known() || index == none || p.endpoint_id == except || !is_affinity_target(p))
+    for (const auto& place : records_.groups().places_of(group)) {
+        const std::uint32_t index = endpoint_table_.endpoint_by_id().find(place.endpoint_id);
+        if (load_.load_totals_known() || index == none || place.endpoint_id == except ||
+            !is_affinity_target(place))
             continue;
         const double headroom =
             affinity_utilization_limit() * load_.capacity(endpoint_table_.endpoints()[index]) -
@@ -147,10 +149,10 @@
     if (index == none) return;
     // What the group's tunnels allow to spend on gossip about its targets, minus what was spent.
     double budget = 0;
-    for (const auto& p : records_.groups().places_of(group)) {
-        if (p.endpoint_id == endpoint_table_.endpoints()[index].id && is_affinity_target(p)) return;
-        budget += gossip_share * p.members -
-                  (is_affinity_target(p) ? node_.broadcast_cost(peer::affinity_target_bytes) : 0);
+    for (const auto& place : records_.groups().places_of(group)) {
+        if (place.endpoint_id == endpoint_table_.endpoints()[index].id && is_affinity_target(place)) return;
+        budget += gossip_share * place.members -
+                  (is_affinity_target(place) ? node_.broadcast_cost(peer::affinity_target_bytes) : 0);
     }
     if (budget < node_.broadcast_cost(peer::affinity_target_bytes)) return;
     on_affinity_target(group, endpoint_table_.endpoints()[index].id);
--- a/src/balance/group_affinity.h
+++ b/src/balance/group_affinity.h
@@ -74,7 +74,7 @@
     std::uint32_t new_affinity_target(std::uint32_t group, double limit, std::uint32_t zone = none) const;
     // The first endpoint in the group's order that the tunnel can be placed on and that is not marked yet.
     std::uint32_t rendezvous_endpoint(const TrackedTunnel& tunnel, bool warming_up_only) const;
-    bool is_affinity_target(const GroupTable::Place& p) const;
+    bool is_affinity_target(const GroupTable::Place& place) const;
     // Counts the affinity targets of the group but `except` as full. A group gets a further target when the
     // others have no headroom. Its leader knows this from the records, other nodes only seconds later from
     // load reports, and they would go on filling the others until then.
--- a/src/balance/load_estimator.cpp
+++ b/src/balance/load_estimator.cpp
@@ -76,9 +76,9 @@
 }
 
 void LoadEstimator::update_fleet_estimates() {
-    const auto totals_unknown = [&](const Peer& p) {
-        return &p != &peer_table_.peers()[node_.config().own_node] && p.alive &&
-               node_.now() - p.load_totals_at >= 4 * report_period;
+    const auto totals_unknown = [&](const Peer& peer) {
+        return &peer != &peer_table_.peers()[node_.config().own_node] && peer.alive &&
+               node_.now() - peer.load_totals_at >= 4 * report_period;
     };
     const auto unknown_count =
         std::count_if(peer_table_.peers().begin(), peer_table_.peers().end(), totals_unknown);
@@ -151,7 +151,7 @@
     if (!node_.config().reports_message_delay) update_backlog(endpoint, utilization);
     endpoint.on_load_report(utilization, node_.now());
     if (utilization == endpoint.last_reported_load || !load_totals_known_)
-        return;  // the endpoint has not refreshed it
+        return;  // the report has not been refreshed, or the load on the endpoint is not known
     endpoint.last_reported_load = utilization;
     const double load = total_load(endpoint);
     if (utilization < 0.1 || load < 2 * mean_load() || overall_load_.count < min_load_samples)
--- a/src/balance/load_estimator.h
+++ b/src/balance/load_estimator.h
@@ -93,8 +93,8 @@
     bool is_slow(const Endpoint& endpoint) const;
     // Learns the capacity per unit of size from the sampled records, given that all endpoints together use
     // `used` units. Records of tunnels that were open before this node started arrive only as they are
-    // refreshed. The estimate therefore stays between the load known so far and the load expected once all of
-    // these records have arrived.
+    // refreshed. The estimate is therefore kept between the capacity by the load known so far and the
+    // capacity by the load expected once all of these records have arrived.
     void learn_capacity(double used);
     // Estimates queued work from reported utilizations above 1, where message delays are not measured.
     void update_backlog(Endpoint& endpoint, double utilization);
--- a/src/balance/load_reporter.h
+++ b/src/balance/load_reporter.h
@@ -26,6 +26,8 @@
     /// Schedules the first publication, at a random delay so that nodes that start together do not publish
     /// together.
     void start_publishing();
+    /// Publishes the load totals at the interval that the gossip budget allows; none if that is too long for
+    /// them to be of use.
     void publish_load_totals_when_due();
     /// Elects the report owners of each endpoint: the chain of three live nodes at the ring point of the
     /// endpoint's block. The endpoints of a block have the same owners, so that one message covers them. The
@@ -34,9 +36,11 @@
     /// Broadcasts the load reports that are due, with those of other owned endpoints that have changed a
     /// little.
     void publish_reports();
-    /// A report owner published the utilization of an endpoint.
+    /// A report owner published the utilization of an endpoint. The report readmits the endpoint if
+    /// `healthy`.
     void on_load_report(std::uint32_t endpoint_id, bool healthy, double load);
-    /// A node published the load of its tunnels on an endpoint. `healthy`: and it had a success there.
+    /// Node `sender` published the load of its tunnels on an endpoint. `healthy`: it has had a success there
+    /// since its last publication.
     void on_load_total(std::uint32_t sender, std::uint32_t endpoint_id, bool healthy, double load);
 
   private:
@@ -45,6 +49,7 @@
     // A report owner publishes at once that an endpoint has recovered. Otherwise it publishes at the interval
     // that the gossip budget allows, and sooner the more the utilization has changed.
     bool report_is_due(const Endpoint& endpoint) const;
+    // Broadcasts the load totals that have changed, and all of them every fourth time.
     void publish_load_totals();
 
     NodeContext& node_;
--- a/src/balance/outlier_detector.h
+++ b/src/balance/outlier_detector.h
@@ -35,8 +35,9 @@
     /// shows a restart only seconds later. It is treated as in slow start from now on, so that it is not
     /// overloaded.
     void on_responsive(Endpoint& endpoint);
-    /// Ejects the endpoint, and readmits all endpoints if most are ejected then. `value` is logged after
-    /// `reason`.
+    /// Ejects the endpoint. If most endpoints are ejected then, readmits them all. `value` is logged after
+    /// `reason`. `by_gossip`: on observations of other nodes alone, so the ejection ends unless they are
+    /// renewed.
     void eject(Endpoint& endpoint, const char* reason, double value, bool by_gossip = false);
     void readmit(Endpoint& endpoint, const char* reason);
     /// Readmits on another node's success, at the earliest one second after the ejection. If this node itself
--- a/tests/group_affinity_test.cpp
+++ b/tests/group_affinity_test.cpp
@@ -1,4 +1,4 @@
-// Group affinity: tunnels of one group share endpoints, with and without load reports.
+// Tests of group affinity: the tunnels of a group share few endpoints, with and without load reports.
 #include <doctest/doctest.h>
 
 #include "balance/id_index.h"
@@ -7,118 +7,132 @@
 
 using namespace fake;
 
-TEST_CASE("a tunnel is placed with its group while there is headroom") {
+// Each further endpoint with tunnels of a group holds another copy of the group.
+TEST_CASE("the tunnels of a group are placed on one endpoint while it has headroom") {
     auto config = BalancerFixture::default_config();
     config.groups_enabled = true;
     config.endpoint_sizes_differ = true;
-    BalancerFixture n(config);
-    n.balancer->begin_endpoint_list(EndpointListKind::complete);
-    for (std::uint32_t ep = 7; ep <= 12; ++ep)
-        n.balancer->add_endpoint(ep, 0, 0, EndpointState::active, 4, 0);
-    n.balancer->end_endpoint_list();
-    std::vector<std::uint32_t> at;
-    for (std::uint64_t t = 1; t <= 200; ++t) {
-        const bool grouped = t > 192;
-        n.balancer->on_request(t, {.key = key_of(t), .group = grouped ? "g" : "", .deadline = n.now + 3 * s});
-        n.open(t);
-        n.balancer->on_load_changed(t, 0.05);
-        if (grouped) at.push_back(n.last_attempt().endpoint);
+    BalancerFixture node(config);
+    node.balancer->begin_endpoint_list(EndpointListKind::complete);
+    for (std::uint32_t endpoint = 7; endpoint <= 12; ++endpoint)
+        node.balancer->add_endpoint(endpoint, 0, 0, EndpointState::active, 4, 0);
+    node.balancer->end_endpoint_list();
+    std::vector<std::uint32_t> placed_on;
+    for (std::uint64_t tunnel = 1; tunnel <= 200; ++tunnel) {
+        const bool grouped = tunnel > 192;
+        node.balancer->on_request(
+            tunnel, {.key = key_of(tunnel), .group = grouped ? "g" : "", .deadline = node.now + 3 * s});
+        node.open(tunnel);
+        node.balancer->on_load_changed(tunnel, 0.05);
+        if (grouped) placed_on.push_back(node.last_attempt().endpoint);
     }
-    CHECK(std::count(at.begin(), at.end(), at[0]) >= 7);
+    CHECK(std::count(placed_on.begin(), placed_on.end(), placed_on[0]) >= 7);
 }
 
+// Nodes without load totals choose on their own. If their choices differed, a group would be copied to most
+// endpoints.
 TEST_CASE(
-    "without load reports a group meets at one endpoint from all nodes, and its leader announces the next") {
+    "without load totals all nodes place a group on one endpoint, and on another common one when it is "
+    "full") {
     constexpr std::uint32_t nodes = 60;
     std::vector<std::unique_ptr<BalancerFixture>> all;
-    std::vector<std::uint32_t> at;
-    for (std::uint32_t n = 0; n < nodes; ++n) {
-        auto config = BalancerFixture::default_config(n, nodes);
+    std::vector<std::uint32_t> first_choices;
+    for (std::uint32_t own_node = 0; own_node < nodes; ++own_node) {
+        auto config = BalancerFixture::default_config(own_node, nodes);
         config.groups_enabled = true;
         config.costs.gossip_message = 0.01;
-        config.seed = 7919 * (n + 1);
+        config.seed = 7919 * (own_node + 1);
         all.push_back(std::make_unique<BalancerFixture>(config));
         auto& node = *all.back();
         node.set_endpoints({1, 2, 3, 4, 5, 6, 7, 8, 9, 10}, EndpointListKind::cached);
-        node.advance(5 * s);  // no sums of the others come
-        node.balancer->on_request(1, {.key = key_of(n), .group = "g", .deadline = node.now + 3 * s});
-        at.push_back(node.last_attempt().endpoint);
+        node.advance(5 * s);  // no load totals of other nodes arrive
+        node.balancer->on_request(1, {.key = key_of(own_node), .group = "g", .deadline = node.now + 3 * s});
+        first_choices.push_back(node.last_attempt().endpoint);
     }
-    CHECK(std::count(at.begin(), at.end(), at[0]) >= 55);
-    for (auto& node : all) {  // that ep is full now: its tunnels meet at the next one
-        peer::Message m;
-        for (std::uint32_t ep = 1; ep <= 10; ++ep) m.load_report(ep, true, ep == at[0] ? 1.2 : 0.3);
-        node->balancer->on_gossip((static_cast<std::uint32_t>(&node - all.data()) + 1) % nodes, m.bytes());
+    CHECK(std::count(first_choices.begin(), first_choices.end(), first_choices[0]) >= 55);
+    for (auto& node : all) {  // the endpoint is now reported as full
+        peer::Message message;
+        for (std::uint32_t endpoint = 1; endpoint <= 10; ++endpoint)
+            message.load_report(endpoint, true, endpoint == first_choices[0] ? 1.2 : 0.3);
+        node->balancer->on_gossip((static_cast<std::uint32_t>(&node - all.data()) + 1) % nodes,
+                                  message.bytes());
         node->advance(200 * ms);
         node->balancer->on_request(2, {.key = "late", .group = "g", .deadline = node->now + 3 * s});
     }
-    const auto next = all[0]->last_attempt().endpoint;
-    CHECK(next != at[0]);
-    CHECK(std::count_if(all.begin(), all.end(),
-                        [&](const auto& n) { return n->last_attempt().endpoint == next; }) >= 55);
+    const auto next_choice = all[0]->last_attempt().endpoint;
+    CHECK(next_choice != first_choices[0]);
+    CHECK(std::count_if(all.begin(), all.end(), [&](const auto& node) {
+              return node->last_attempt().endpoint == next_choice;
+          }) >= 55);
 }
 
-TEST_CASE("a leader publishes affinity targets of its own groups only, before any load report") {
+// If each node published targets for all groups, the targets would differ and the gossip would grow with the
+// fleet.
+TEST_CASE("a node publishes affinity targets only for the groups that it leads, before any load report") {
     auto config = BalancerFixture::default_config(0, 30);
     config.groups_enabled = true;
-    BalancerFixture n(config);
-    n.set_endpoints({1, 2, 3, 4, 5, 6, 7, 8, 9, 10}, EndpointListKind::cached);
-    n.advance(5 * s);              // no sums of the others come
-    const auto homes_told = [&] {  // a message of one home item is ten bytes
-        return std::count_if(n.gossip.begin(), n.gossip.end(),
-                             [](const auto& p) { return p.first == 99 && p.second.size() == 10; });
+    BalancerFixture node(config);
+    node.set_endpoints({1, 2, 3, 4, 5, 6, 7, 8, 9, 10}, EndpointListKind::cached);
+    node.advance(5 * s);                  // no load totals of other nodes arrive
+    const auto published_targets = [&] {  // a message with one affinity target is ten bytes
+        return std::count_if(node.gossip.begin(), node.gossip.end(),
+                             [](const auto& sent) { return sent.first == 99 && sent.second.size() == 10; });
     };
-    std::uint64_t t = 1;
-    for (int group = 0; group < 100; ++group, ++t)  // the node is keeper of a thirtieth of them
-        n.balancer->on_request(t, {.key = key_of(t), .group = key_of(1000 + t), .deadline = n.now + 3 * s});
-    const auto first = homes_told();
-    CHECK(first >= 1);
-    CHECK(first <= 15);
+    std::uint64_t tunnel = 1;
+    for (int group = 0; group < 100; ++group, ++tunnel)  // the node leads a thirtieth of them
+        node.balancer->on_request(
+            tunnel, {.key = key_of(tunnel), .group = key_of(1000 + tunnel), .deadline = node.now + 3 * s});
+    const auto published = published_targets();
+    CHECK(published >= 1);
+    CHECK(published <= 15);
 }
 
 namespace {
 
-// A node among thirty that knows no sums, with tunnels of group "g" alone.
-struct Grouped : BalancerFixture {
+// One of thirty nodes, without load totals, whose tunnels all belong to group "g".
+struct GroupNode : BalancerFixture {
     static BalancerConfig config() {
         auto config = BalancerFixture::default_config(0, 30);
         config.groups_enabled = true;
         return config;
     }
-    Grouped() : BalancerFixture(config()) {}
+    GroupNode() : BalancerFixture(config()) {}
     std::uint64_t tunnels = 0;
     std::string group = "g";
-    std::uint32_t number() const { return static_cast<std::uint32_t>(hash_text(group) | 1); }
-    void come(int times) {
+    std::uint32_t group_id() const { return static_cast<std::uint32_t>(hash_text(group) | 1); }
+    void open_tunnels(int times) {
         for (int i = 0; i < times; ++i) {
             ++tunnels;
             balancer->on_request(tunnels, {.key = key_of(tunnels), .group = group, .deadline = now + 3 * s});
             if (!attempts.empty() && attempts.back().tunnel == tunnels) open(tunnels);
         }
     }
-    void hears(std::uint32_t from, auto&& add) {
-        peer::Message m;
-        add(m);
-        balancer->on_gossip(from, m.bytes());
+    void receive(std::uint32_t from, auto&& add_items) {
+        peer::Message message;
+        add_items(message);
+        balancer->on_gossip(from, message.bytes());
     }
-    void told_home(std::uint32_t ep) {
-        hears(5, [&](peer::Message& m) { m.affinity_target(number(), ep); });
+    void receive_affinity_target(std::uint32_t endpoint) {
+        receive(5, [&](peer::Message& message) { message.affinity_target(group_id(), endpoint); });
     }
-    auto sent_to(std::uint32_t ep, std::size_t since) const {
+    auto attempts_on(std::uint32_t endpoint, std::size_t since) const {
         return std::count_if(attempts.begin() + static_cast<std::ptrdiff_t>(since), attempts.end(),
-                             [&](const Attempt& x) { return x.endpoint == ep; });
+                             [&](const Attempt& attempt) { return attempt.endpoint == endpoint; });
     }
 };
 
 }  // namespace
 
-TEST_CASE("another affinity target of a group means that those before it have no headroom") {
-    Grouped n;
-    n.set_endpoints({1, 2, 3, 4, 5, 6}, EndpointListKind::cached);
-    n.advance(6 * s);
-    n.told_home(1);
-    n.told_home(2);  // its keeper knows what others placed; this node has placed nothing itself
-    n.come(5);
-    CHECK(n.sent_to(2, 0) > 0);
-    CHECK(n.sent_to(1, 0) == 0);
+// The leader adds a target when the others are full. Other nodes learn this from load reports only seconds
+// later, and would go on filling the earlier targets.
+TEST_CASE("when a group gets another affinity target, its earlier targets count as full") {
+    GroupNode node;
+    node.set_endpoints({1, 2, 3, 4, 5, 6}, EndpointListKind::cached);
+    node.advance(6 * s);
+    node.receive_affinity_target(1);
+    node.receive_affinity_target(
+        2);  // the leader knows what other nodes placed; this node has placed nothing
+    node.open_tunnels(5);
+    CHECK(node.attempts_on(2, 0) > 0);
+    CHECK(node.attempts_on(1, 0) == 0);
 }
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -1,4 +1,5 @@
-// Fleets past 1,024 processes and 1,024 hosts.
+// Tests of fleets of more than 1,024 nodes and 1,024 endpoints. They guard against limits on the number of
+// entries and against ids that are cut to ten bits.
 #include <doctest/doctest.h>
 
 #include <set>
@@ -11,21 +12,21 @@
 
 namespace {
 
-constexpr std::uint32_t many = 1100;
+constexpr std::uint32_t fleet_size = 1100;
 
-std::uint32_t ep_number(std::uint32_t i) { return 1000003 * i + 7; }
+std::uint32_t endpoint_id(std::uint32_t i) { return 1000003 * i + 7; }
 
 }  // namespace
 
-TEST_CASE("a list of 1,100 hosts is accepted in full, and tunnels are placed on many of them") {
+TEST_CASE("a list of 1,100 endpoints is accepted in full and tunnels are opened on them") {
     NodeFixture fixture({.admin = true});
-    TestConnection watch;
+    TestConnection discovery_watch;
     REQUIRE(fixture.run_until([&] {
-        if (!watch.fd.open()) watch = fixture.discovery.accept();
-        return watch.fd.open() && watch.has_received("\r\n\r\n");
+        if (!discovery_watch.fd.open()) discovery_watch = fixture.discovery.accept();
+        return discovery_watch.fd.open() && discovery_watch.has_received("\r\n\r\n");
     }));
     std::string list = R"({"revision":9,"complete":true,"members":[)";
-    for (std::uint32_t i = 0; i < many; ++i) {
+    for (std::uint32_t i = 0; i < fleet_size; ++i) {
         if (i > 0) list.push_back(',');
         list.append(NodeFixture::member(std::string("s-").append(std::to_string(i)),
                                         i % 2 ? fixture.host_a : fixture.host_b));
@@ -35,60 +36,60 @@
     std::snprintf(size.data(), size.size(), "%zx\r\n", list.size());
     std::string answer = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     answer.append(size.data()).append(list).append("\r\n");
-    std::size_t told = 0;
+    std::size_t sent = 0;
     REQUIRE(fixture.run_until([&] {
-        told += net::write_some(watch.fd.get(), std::string_view(answer).substr(told)).bytes;
-        return told == answer.size();
+        sent += net::write_some(discovery_watch.fd.get(), std::string_view(answer).substr(sent)).bytes;
+        return sent == answer.size();
     }));
     REQUIRE(fixture.run_until(
         [&] { return fixture.get("/stats").find("\"registry_entries\":1100") != std::string::npos; }));
     for (int i = 0; i < 20; ++i) {
-        TestConnection c = fixture.connect_client(fixture.open_line()), h = fixture.accept_attempt();
-        h.send("UP r\r\n");
-        CHECK(fixture.run_until([&] { return c.has_received("UP r\r\n"); }));
+        TestConnection client = fixture.connect_client(fixture.open_line()),
+                       server = fixture.accept_attempt();
+        server.send("UP r\r\n");
+        CHECK(fixture.run_until([&] { return client.has_received("UP r\r\n"); }));
     }
 }
 
-TEST_CASE(
-    "nodes 0 and 1,099 of 1,100 place by reports of 1,100 endpoints; their records spread over the ring") {
-    BalancerFixture first(BalancerFixture::default_config(0, many)),
-        last(BalancerFixture::default_config(many - 1, many));
+TEST_CASE("nodes 0 and 1,099 of 1,100 use 1,100 endpoints and send records to nodes all over the ring") {
+    BalancerFixture first(BalancerFixture::default_config(0, fleet_size)),
+        last(BalancerFixture::default_config(fleet_size - 1, fleet_size));
     std::vector<std::uint32_t> endpoints;
-    for (std::uint32_t i = 0; i < many; ++i) endpoints.push_back(ep_number(i));
-    for (auto* n : {&first, &last}) n->set_endpoints(endpoints);
-    const auto tell = [&](BalancerFixture& to,
-                          auto&& add) {  // all endpoints, in as many messages as it takes
-        peer::Message m;
-        for (const auto ep : endpoints) {
-            if (add(m, ep)) continue;
-            to.balancer->on_gossip(1, m.bytes());
-            m = {};
-            REQUIRE(add(m, ep));
+    for (std::uint32_t i = 0; i < fleet_size; ++i) endpoints.push_back(endpoint_id(i));
+    for (auto* node : {&first, &last}) node->set_endpoints(endpoints);
+    const auto send_gossip = [&](BalancerFixture& to,
+                                 auto&& add_item) {  // for all endpoints, in as many messages as needed
+        peer::Message message;
+        for (const auto endpoint : endpoints) {
+            if (add_item(message, endpoint)) continue;
+            to.balancer->on_gossip(1, message.bytes());
+            message = {};
+            REQUIRE(add_item(message, endpoint));
         }
-        to.balancer->on_gossip(1, m.bytes());
+        to.balancer->on_gossip(1, message.bytes());
     };
-    for (auto* n : {&first, &last})
-        tell(*n, [&](peer::Message& m, std::uint32_t ep) {
-            return m.load_report(ep, true, ep == endpoints.back() ? 0.1 : 0.5);
+    for (auto* node : {&first, &last})
+        send_gossip(*node, [&](peer::Message& message, std::uint32_t endpoint) {
+            return message.load_report(endpoint, true, endpoint == endpoints.back() ? 0.1 : 0.5);
         });
-    // The lightest, the last of the list, draws the first tunnel at both ends of the fleet.
-    std::set<std::uint32_t> used, heard_by;
-    for (std::uint64_t t = 1; t <= 400; ++t)
-        for (auto* n : {&first, &last}) {
-            n->advance(25 * ms);
-            n->on_request(t, key_of(t));
-            REQUIRE(n->attempts_of(t) == 1);
-            if (t == 1) CHECK(n->last_attempt().endpoint == endpoints.back());
-            used.insert(n->last_attempt().endpoint);
-            n->open(t);
+    // The last endpoint of the list has the lightest load, so both nodes place their first tunnel on it.
+    std::set<std::uint32_t> used, receivers;
+    for (std::uint64_t tunnel = 1; tunnel <= 400; ++tunnel)
+        for (auto* node : {&first, &last}) {
+            node->advance(25 * ms);
+            node->on_request(tunnel, key_of(tunnel));
+            REQUIRE(node->attempts_of(tunnel) == 1);
+            if (tunnel == 1) CHECK(node->last_attempt().endpoint == endpoints.back());
+            used.insert(node->last_attempt().endpoint);
+            node->open(tunnel);
         }
     CHECK(used.size() >= 200);
-    for (auto* n : {&first, &last})
-        for (const auto& [to, bytes] : n->gossip) {
+    for (auto* node : {&first, &last})
+        for (const auto& [to, bytes] : node->gossip) {
             CHECK(bytes.size() <= peer::max_bytes);
-            if (to != 99) heard_by.insert(to);  // 99: to all, and node 99 itself
+            if (to != 99) receivers.insert(to);  // 99 stands for a broadcast
         }
-    CHECK(heard_by.size() >= 300);  // records and outcomes go to nodes all over the ring
-    CHECK(*heard_by.rbegin() > 1024);
-    CHECK(*heard_by.rbegin() < many);
+    CHECK(receivers.size() >= 300);  // of records and outcomes
+    CHECK(*receivers.rbegin() > 1024);
+    CHECK(*receivers.rbegin() < fleet_size);
 }
