--- a/src/balance/endpoint.h
+++ b/src/balance/endpoint.h
@@ -98,7 +98,7 @@
     Ticks connection_lost_at = -never;  // when an open tunnel on it was last cut off
     Ticks affinity_target_at = -never;  // when it last became the affinity target of a group
     std::array<std::uint32_t, 3> report_owners{none, none, none};
-    int owner_rank = 0;  // of this node among the report owners
+    int owner_rank = 0;  // of this node among the report owners, or not_report_owner
     quota::Quota quota;  // this node's quota of new tunnels while the endpoint is in slow start
 
     /// Resets what was learned about the previous incarnation.
--- a/src/balance/group_affinity.h
+++ b/src/balance/group_affinity.h
@@ -30,8 +30,9 @@
     GroupAffinity(const GroupAffinity&) = delete;
     GroupAffinity& operator=(const GroupAffinity&) = delete;
 
-    /// Marks, for holds_group(), the endpoints that the tunnel can be placed on without another copy of its
-    /// group.
+    /// Marks, for holds_group(), the endpoints that hold the tunnel's group or are its affinity targets.
+    /// Without load totals, if none of these has headroom, also the endpoints that follow from the group's
+    /// order.
     void mark_affinity_targets(const TrackedTunnel& tunnel);
     /// The leader of a group, this node or another, has chosen an affinity target.
     void on_affinity_target(std::uint32_t group, std::uint32_t endpoint_id);
--- a/src/failure_detector/observations.h
+++ b/src/failure_detector/observations.h
@@ -26,7 +26,7 @@
 };
 using ObservationPair = std::array<Observation, quorum>;
 
-/// Restores a time from its low 32 bits: the one nearest to `now`.
+/// Restores a time from its low 32 bits: of the times with these bits, the one nearest to `now`.
 constexpr Ticks expand_time(std::uint32_t low, Ticks now) {
     return now + static_cast<std::int32_t>(low - static_cast<std::uint32_t>(now));
 }
--- a/src/quota/quota_schedule.h
+++ b/src/quota/quota_schedule.h
@@ -44,7 +44,7 @@
     bool is_spendable(SlotNumber slot, Ticks now) const {
         return in_this_incarnation(slot) && slot_begin(slot) <= now && now < slot_begin(slot) + spendable_for;
     }
-    /// Restores a slot number from its low 32 bits: the one nearest to `now`.
+    /// Restores a slot number from its low 32 bits: of the slots with these bits, the one nearest to `now`.
     SlotNumber expand_slot(std::uint32_t low, Ticks now) const {
         const SlotNumber near = slot_at(now);
         return near + static_cast<std::int32_t>(low - static_cast<std::uint32_t>(near));
@@ -102,6 +102,7 @@
         std::int8_t leased = 0;
         bool requested = false;
     };
+    // More slots than can be spendable at a time.
     static constexpr SlotNumber tracked_slots = 16;
     // Returns the entry of the slot, after a reset if it held an older slot; null if it holds a newer one.
     Slot* claim_slot(SlotNumber slot);
--- a/tests/backoff_test.cpp
+++ b/tests/backoff_test.cpp
@@ -35,9 +35,7 @@
 
 // A call that hangs when service discovery recovers is abandoned only at its timeout, and the next one is
 // sent after a delay. Together they must leave time for the response within the staleness limit of 6 s.
-TEST_CASE(
-    "whichever phase a call hangs in when discovery recovers, the next call is sent in time for its "
-    "response") {
+TEST_CASE("whichever phase a call hangs in when discovery recovers, the next call is sent in time") {
     // The longest time that each phase can still take, after which the longest delay follows.
     const Ticks phases[] = {0, backoff::connect_timeout, backoff::request_timeout, backoff::watch_timeout};
     for (const Ticks remaining : phases) {
--- a/tests/group_affinity_test.cpp
+++ b/tests/group_affinity_test.cpp
@@ -31,9 +31,7 @@
 
 // Nodes without load totals choose on their own. If their choices differed, a group would be copied to most
 // endpoints.
-TEST_CASE(
-    "without load totals all nodes place a group on one endpoint, and on another common one when it is "
-    "full") {
+TEST_CASE("without load totals all nodes choose the same endpoint for a group, and the same next one") {
     constexpr std::uint32_t nodes = 60;
     std::vector<std::unique_ptr<BalancerFixture>> all;
     std::vector<std::uint32_t> first_choices;
@@ -73,8 +71,9 @@
     config.groups_enabled = true;
     BalancerFixture node(config);
     node.set_endpoints({1, 2, 3, 4, 5, 6, 7, 8, 9, 10}, EndpointListKind::cached);
-    node.advance(5 * s);                  // no load totals of other nodes arrive
-    const auto published_targets = [&] {  // a message with one affinity target is ten bytes
+    node.advance(5 * s);  // no load totals of other nodes arrive
+    // A message with one affinity target has ten bytes.
+    const auto published_targets = [&] {
         return std::count_if(node.gossip.begin(), node.gossip.end(),
                              [](const auto& sent) { return sent.first == 99 && sent.second.size() == 10; });
     };
@@ -130,8 +129,8 @@
     node.set_endpoints({1, 2, 3, 4, 5, 6}, EndpointListKind::cached);
     node.advance(6 * s);
     node.receive_affinity_target(1);
-    node.receive_affinity_target(
-        2);  // the leader knows what other nodes placed; this node has placed nothing
+    // The leader knows what other nodes have placed on endpoint 1. This node has placed nothing itself.
+    node.receive_affinity_target(2);
     node.open_tunnels(5);
     CHECK(node.attempts_on(2, 0) > 0);
     CHECK(node.attempts_on(1, 0) == 0);
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -18,6 +18,7 @@
 
 }  // namespace
 
+// A list that was cut short would remove the endpoints at its end.
 TEST_CASE("a list of 1,100 endpoints is accepted in full and tunnels are opened on them") {
     NodeFixture fixture({.admin = true});
     TestConnection discovery_watch;
@@ -51,14 +52,15 @@
     }
 }
 
+// A node with a high number must place tunnels, and be sent records, like all others.
 TEST_CASE("nodes 0 and 1,099 of 1,100 use 1,100 endpoints and send records to nodes all over the ring") {
     BalancerFixture first(BalancerFixture::default_config(0, fleet_size)),
         last(BalancerFixture::default_config(fleet_size - 1, fleet_size));
     std::vector<std::uint32_t> endpoints;
     for (std::uint32_t i = 0; i < fleet_size; ++i) endpoints.push_back(endpoint_id(i));
     for (auto* node : {&first, &last}) node->set_endpoints(endpoints);
-    const auto send_gossip = [&](BalancerFixture& to,
-                                 auto&& add_item) {  // for all endpoints, in as many messages as needed
+    // Adds an item for each endpoint, in as many messages as needed.
+    const auto send_gossip = [&](BalancerFixture& to, auto&& add_item) {
         peer::Message message;
         for (const auto endpoint : endpoints) {
             if (add_item(message, endpoint)) continue;
--- a/tests/load_estimator_test.cpp
+++ b/tests/load_estimator_test.cpp
@@ -15,8 +15,10 @@
 namespace {
 
 // One of a hundred nodes, with ten endpoints, for which gossip is expensive and load reports are rare.
-struct DistantNode {
-    DistantNode() : node(config_with_gossip_cost()) { node.set_endpoints({1, 2, 3, 4, 5, 6, 7, 8, 9, 10}); }
+struct LargeFleetNode {
+    LargeFleetNode() : node(config_with_gossip_cost()) {
+        node.set_endpoints({1, 2, 3, 4, 5, 6, 7, 8, 9, 10});
+    }
     static BalancerConfig config_with_gossip_cost() {
         auto config = BalancerFixture::default_config(0, 100);
         config.limits.health_checks_enabled = false;
@@ -70,7 +72,7 @@
 // All nodes receive the same report. If they all preferred the lightest endpoint until its next report, they
 // would overload it together.
 TEST_CASE("an endpoint reported as light attracts tunnels briefly, not until the next report") {
-    DistantNode fixture;
+    LargeFleetNode fixture;
     fixture.on_gossip(1, 10, 0.5);
     CHECK(fixture.open_tunnels(20, 1, 10) == 20);  // the rate of new tunnels is known now
     fixture.on_gossip(1, 1, 0.2);
@@ -83,7 +85,7 @@
 
 // If it counted as empty, all nodes would place their tunnels on it.
 TEST_CASE("an endpoint without a report is assumed to carry the average load") {
-    DistantNode fixture;
+    LargeFleetNode fixture;
     fixture.on_gossip(1, 5, 0.4);
     fixture.node.advance(200 * ms);
     const auto reported = fixture.open_tunnels(60, 1, 5);
@@ -99,8 +101,8 @@
     for (std::uint32_t i = 0; i < 2; ++i)
         estimator.table.endpoints()[i].on_load_report(0.5, estimator.node.now());
     estimator.node.set_time(estimator.node.now() + 1 * s);
-    estimator.load.set_record_sample(
-        {.load = 10, .older = 0});  // of all tunnels, as each record is held at three nodes
+    // The load of all tunnels, as each record is held at three nodes.
+    estimator.load.set_record_sample({.load = 10, .older = 0});
     CHECK(estimator.capacity_after(300) == doctest::Approx(2).epsilon(0.05));
 }
 
@@ -212,8 +214,8 @@
             node.advance(s / 4);
             for (const auto endpoint : std::exchange(node.health_checks, {})) {
                 LoadReport report;
-                report.load =
-                    endpoint == 1 ? (i < 24 ? 1.5 : 0.5) : 0.55;  // after i = 24 its backlog remains
+                // Endpoint 1 is overloaded up to i = 23, and works off its backlog afterwards.
+                report.load = endpoint == 1 ? (i < 24 ? 1.5 : 0.5) : 0.55;
                 node.balancer->on_health_check(static_cast<std::uint32_t>(endpoint), Outcome::ok, ms, report);
             }
             if (i < 30) continue;
--- a/tests/quota_test.cpp
+++ b/tests/quota_test.cpp
@@ -90,7 +90,8 @@
     CHECK(quota.available(schedule, quota_id, 20, resumed_at) == expected);
 }
 
-// Messages may be lost, duplicated, delayed or forged by a faulty node. No unit may be spent twice.
+// Messages may be lost, duplicated, delayed or sent by a node that does not own the slot. No unit may be
+// spent twice.
 TEST_CASE(
     "a leased unit is deducted from the lender's quota, counts once and is refused if it is not valid") {
     const auto schedules = fleet(3, 0);
@@ -111,8 +112,8 @@
     CHECK(lender.available(schedules[0], quota_id, rate, now) == available_before - 1);
     CHECK(!lender.grant_lease(schedules[0], quota_id, slot, rate, now));
     CHECK(!lender.grant_lease(schedules[0], quota_id, slot - 1, rate, now));  // a slot of another node
-    CHECK(!lender.grant_lease(schedules[0], quota_id, slot, rate,
-                              now + Ticks{3600} * 10000));  // requested again an hour later
+    // Requested again an hour later.
+    CHECK(!lender.grant_lease(schedules[0], quota_id, slot, rate, now + Ticks{3600} * 10000));
     const int own = borrower.available(schedules[1], quota_id, rate, now);
     CHECK(borrower.accept_lease(schedules[1], quota_id, slot, 0, now));
     CHECK(borrower.available(schedules[1], quota_id, rate, now) == own + 1);
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -83,8 +83,8 @@
         config.seed = own_node + 1;
         all.push_back(std::make_unique<BalancerFixture>(config));
         all.back()->set_endpoints({7, 8});
-        for (std::uint64_t tunnel = 1; tunnel <= 10;
-             ++tunnel) {  // the endpoints are warm, tunnels open and end
+        // The endpoints have been running for long. Tunnels open and end.
+        for (std::uint64_t tunnel = 1; tunnel <= 10; ++tunnel) {
             all.back()->on_request(1000 + tunnel);
             all.back()->open(1000 + tunnel);
             all.back()->advance(6 * s);
@@ -141,14 +141,14 @@
     // Forty tunnels use 0.9 of an endpoint. Filled within its slow start of 8 s, it gets 5.6 tunnels a second
     // at full capacity. 2.5 times that rate is allowed in each window of 1.5 s, at a capacity that rises from
     // a third.
-    const double rate_when_warm = 40 / 0.9 / 8;
+    const double full_rate = 40 / 0.9 / 8;
     std::size_t sum = 0;
     for (std::size_t i = 0; i < each_half_second.size(); ++i) {
         sum += each_half_second[i];
         if (i < 2) continue;
         const std::size_t window = each_half_second[i] + each_half_second[i - 1] + each_half_second[i - 2];
         const double slow_start_factor = 0.33 + 0.67 * static_cast<double>(i + 1) / 16;
-        CHECK(static_cast<double>(window) <= 2.5 * rate_when_warm * slow_start_factor * 1.5 + 1);
+        CHECK(static_cast<double>(window) <= 2.5 * full_rate * slow_start_factor * 1.5 + 1);
     }
-    CHECK(static_cast<double>(sum) >= 0.4 * 2.5 * rate_when_warm * 0.66 * 8);
+    CHECK(static_cast<double>(sum) >= 0.4 * 2.5 * full_rate * 0.66 * 8);
 }
