--- a/src/balance/load_estimator.h
+++ b/src/balance/load_estimator.h
@@ -27,7 +27,7 @@
     void learn_tunnel_load(std::uint32_t traffic_class, double measured);
     /// The mean load of the class's tunnels; of all tunnels where none of the class has been measured.
     double mean_load_of_class(std::uint32_t traffic_class) const;
-    void set_record_sample(RecordTable::Sampled sample) { record_sample_ = sample; }
+    void set_record_sample(RecordTable::SampledLoad sample) { record_sample_ = sample; }
     /// Decays the values that look back for a few seconds only. Called each tick.
     void decay_recent_loads();
     /// The mean load of a tunnel; a default before any has been measured.
@@ -107,8 +107,8 @@
     std::vector<RecentPlacement> recent_placements_;
     std::vector<RunningMean> traffic_class_load_;
     RunningMean overall_load_;
-    RecordTable::Sampled record_sample_;  // as of the last scan of the records
-    double capacity_per_size_ = 2.5;      // standard cores per unit of size; 2.5 until it is learned
+    RecordTable::SampledLoad record_sample_;  // as of the last scan of the records
+    double capacity_per_size_ = 2.5;          // standard cores per unit of size; 2.5 until it is learned
     double fleet_utilization_ = 0;
     double recently_opened_ = 0;      // tunnels; decays
     double recent_early_losses_ = 0;  // of these, tunnels that were cut off soon after; decays
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -92,14 +92,14 @@
 }
 
 void Node::run() {
-    while (turn()) continue;
+    while (run_once()) continue;
 }
 
-bool Node::turn() {
+bool Node::run_once() {
     loop_.run_once([this] {
         balancer_.run_actions([this](const DeferredActions::Action& action) { carry_out(action); });
     });
-    log_.write_out();
+    log_.flush();
     return phase_ != Phase::stopped;
 }
 
--- a/src/tunnel/transfer.cpp
+++ b/src/tunnel/transfer.cpp
@@ -52,10 +52,10 @@
 }
 
 bool Transfer::next_transferable(TunnelId& id, std::string& bytes) {
-    for (std::uint32_t searched = 0; searched < registry_.tunnels.places(); ++searched) {
-        if (next_index_ >= registry_.tunnels.places()) next_index_ = 0;
+    for (std::uint32_t searched = 0; searched < registry_.tunnels.slot_count(); ++searched) {
+        if (next_index_ >= registry_.tunnels.slot_count()) next_index_ = 0;
         const std::uint32_t index = next_index_++;
-        if (!registry_.tunnels.used(index) || !is_transferable(registry_.tunnels[index])) continue;
+        if (!registry_.tunnels.in_use(index) || !is_transferable(registry_.tunnels[index])) continue;
         id = registry_.id_of(index);
         Tunnel& tunnel = registry_.tunnels[index];
         serialize(id, tunnel, bytes);
@@ -111,7 +111,7 @@
     for (const auto& [direction, buffered] : {std::pair{&tunnel.upstream, received.upstream},
                                               std::pair{&tunnel.downstream, received.downstream}}) {
         if (buffered.empty()) continue;
-        direction->buffer = registry_.pool.take();
+        direction->buffer = registry_.pool.acquire();
         direction->buffer.append(buffered);
     }
     if (tunnel.id_hash != 0) registry_.by_id_hash.put(tunnel.id_hash, static_cast<std::uint32_t>(id));
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -30,7 +30,7 @@
     for (std::uint32_t i = 0; i < fleet_size; ++i) {
         if (i > 0) list.push_back(',');
         list.append(NodeFixture::member(std::string("s-").append(std::to_string(i)),
-                                        i % 2 ? fixture.host_a : fixture.host_b));
+                                        i % 2 ? fixture.server_a : fixture.server_b));
     }
     list.append("]}\n");
     std::array<char, 16> size{};
@@ -88,7 +88,7 @@
     CHECK(used.size() >= 200);
     for (auto* node : {&first, &last})
         for (const auto& [to, bytes] : node->gossip) {
-            CHECK(bytes.size() <= peer::max_bytes);
+            CHECK(bytes.size() <= peer::max_message_bytes);
             if (to != 99) receivers.insert(to);  // 99 stands for a broadcast
         }
     CHECK(receivers.size() >= 300);  // of records and outcomes
