--- a/src/discovery/endpoint_directory.cpp
+++ b/src/discovery/endpoint_directory.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-// Discovery's word for each state. A phase that this build does not know is not active: the endpoint gets
-// nothing new.
+// Discovery's word for each state. An endpoint in a phase that this version does not know gets no new
+// tunnels: it counts as draining.
 EndpointState decode_phase(std::string_view phase) {
     if (phase == "in_service") return EndpointState::active;
     if (phase == "terminated") return EndpointState::removed;
@@ -26,12 +26,12 @@
     return "terminating";
 }
 
-bool all_entries_readable(const json::Value& list) {
-    bool readable = true;
+bool all_entries_have_id_and_phase(const json::Value& list) {
+    bool complete = true;
     list.for_each("members", [&](const json::Value& entry) {
-        readable = readable && entry.type() == json::Type::object && entry.has("id") && entry.has("phase");
+        complete = complete && entry.type() == json::Type::object && entry.has("id") && entry.has("phase");
     });
-    return readable;
+    return complete;
 }
 
 }  // namespace
@@ -57,29 +57,33 @@
             return true;
         }
         outdated = !cached && revision_ && revision < highest_revision_;
-        // A complete list with an unreadable entry is applied as changes: an endpoint must not count as
-        // removed because its entry could not be read.
-        const bool readable = all_entries_readable(list);
-        if (!readable) log_.error() << "list " << revision << " has unreadable entries";
-        balancer.begin_endpoint_list(cached                              ? EndpointListKind::cached
-                                     : complete && readable && !outdated ? EndpointListKind::complete
-                                                                         : EndpointListKind::changes);
-    } catch (const json::Malformed& e) {
-        log_.error() << "list rejected: " << e.what();
+        // A complete list with a malformed entry is applied as a list of changes: an endpoint must not count
+        // as removed because its entry could not be read.
+        const bool entries_valid = all_entries_have_id_and_phase(list);
+        if (!entries_valid)
+            log_.error()
+                << "endpoint list " << revision
+                << ": not all of 'members' are objects with 'id' and 'phase'; malformed ones are skipped, "
+                   "and no endpoint counts as removed because it is not listed";
+        balancer.begin_endpoint_list(cached                                   ? EndpointListKind::cached
+                                     : complete && entries_valid && !outdated ? EndpointListKind::complete
+                                                                              : EndpointListKind::changes);
+    } catch (const json::Malformed& error) {
+        log_.error() << "endpoint list rejected, the current one stays in use: " << error.what();
         return false;
     }
     const Ticks offset_before = start_times_.offset();
     list.for_each("members", [&](const json::Value& entry) {
         try {
             apply_entry(entry, balancer, outdated, now);
-        } catch (const json::Malformed& e) {
-            log_.error() << "entry of list " << revision << " skipped: " << e.what();
+        } catch (const json::Malformed& error) {
+            log_.error() << "entry of endpoint list " << revision << " skipped: " << error.what();
         }
     });
     correct_start_times(balancer, offset_before);
     balancer.end_endpoint_list();
     if (!cached) current_at_ = now;
-    // A cached list may lack entries: without a revision the watch asks for a complete one.
+    // A cached list may lack entries. Without a revision, the watch requests a complete one.
     if (!cached || complete) {
         revision_ = revision;
         highest_revision_ = std::max(highest_revision_, revision);
@@ -110,9 +114,10 @@
     return out.str();
 }
 
-// An outdated list holds nothing new: applying it completely would restore what is over. But a discovery
-// service that has restarted may number its lists anew, and a drain in them must not be missed: until its
-// numbers exceed the highest one seen, those entries apply that supersede what is known of their endpoint.
+// A list with a lower revision than an earlier one is outdated: applied as a whole, it would restore states
+// that have ended. But a discovery service that has restarted may number its lists from the start, and a
+// drain in them must not be missed. So until its revisions exceed the highest one seen, only those entries
+// are applied that supersede what is known of their endpoint.
 void EndpointDirectory::apply_entry(const json::Value& entry, Balancer& balancer, bool outdated, Ticks now) {
     const std::string id(entry.text("id"));
     const auto phase = entry.text("phase");
@@ -141,9 +146,12 @@
 
 std::uint32_t EndpointDirectory::add(const json::Value& entry, const std::string& id,
                                      const std::optional<net::Address>& address) {
-    if (!address) entry.fail("host_port", "is not an address and a port");
+    if (!address)
+        entry.fail("host_port", "of endpoint " + json::quoted(id) + " must be an address and a port");
     const auto number = static_cast<std::uint32_t>(hash_text(id) & 0x7fffffff);
-    if (index_by_number_.find(number) != none) entry.fail("id", "has the same number as another's");
+    if (index_by_number_.find(number) != none)
+        entry.fail("id", "has the same hash as the id of endpoint " +
+                             json::quoted(endpoints_[index_by_number_.find(number)].id));
     const auto index = static_cast<std::uint32_t>(endpoints_.size());
     DiscoveredEndpoint& endpoint = endpoints_.emplace_back();
     endpoint.number = number;
@@ -151,18 +159,19 @@
     endpoint.id = id;
     index_by_id_.emplace(id, index);
     index_by_number_.put(number, index);
-    log_.info() << "endpoint " << id << " at " << entry.text("host_port") << " is endpoint " << number;
+    log_.info() << "endpoint " << id << " at " << entry.text("host_port") << " added as number " << number;
     return index;
 }
 
 // The start of an endpoint whose entry has changed.
 Ticks EndpointDirectory::start_of(const DiscoveredEndpoint& endpoint, Ticks listed, Ticks now) {
     if (!current_at_) {
-        start_times_.bound(listed, now);
-        return start_times_.of_known(listed);
+        start_times_.limit_offset(listed, now);
+        return start_times_.convert_known(listed);
     }
-    // A start that is listed as later is later here too, however the listing clock was stepped meanwhile.
-    return std::max(start_times_.of_news(listed, now, *current_at_),
+    // A start that is listed as later also counts as later here, however the clock that the start times are
+    // listed by has been stepped meanwhile.
+    return std::max(start_times_.convert_new(listed, now, *current_at_),
                     listed > 0 ? endpoint.started_at + 1 : 0);
 }
 
@@ -172,14 +181,14 @@
                           endpoint.cell, endpoint.state, endpoint.size, endpoint.started_at);
 }
 
-// Endpoints that were listed when this process began may have been taken for old by a clock that has turned
-// out to be ahead.
+// Corrects the start times of the endpoints that were listed when this process started. Until the offset of
+// the clocks was measured, they may have counted as older than they are.
 void EndpointDirectory::correct_start_times(Balancer& balancer, Ticks offset_before) {
     if (start_times_.offset() - offset_before <= StartTimes::max_notice_delay) return;
-    log_.info() << "the clock of the list is " << start_times_.offset() / 10
-                << " ms behind: start times are corrected";
+    log_.info() << "clock of the endpoint list is " << start_times_.offset() / 10
+                << " ms behind this node's: start times of endpoints corrected";
     for (DiscoveredEndpoint& endpoint : endpoints_) {
-        const Ticks start = start_times_.of_known(net::tenths_of_unix_ms(endpoint.started_unix_ms));
+        const Ticks start = start_times_.convert_known(net::tenths_of_unix_ms(endpoint.started_unix_ms));
         if (endpoint.state == EndpointState::removed || start <= endpoint.started_at) continue;
         endpoint.started_at = start;
         publish(endpoint, balancer);
--- a/src/discovery/endpoint_directory.h
+++ b/src/discovery/endpoint_directory.h
@@ -1,6 +1,6 @@
-// The endpoint directory: the endpoints that discovery lists, and the decoder of these lists. It numbers each
-// endpoint by a hash of its id, so that all nodes use the same number, and passes what it knows to the
-// balancer.
+/// The endpoint directory: decodes the lists of discovery, keeps the endpoints that they name and passes them
+/// to the balancer. Each endpoint is numbered by a hash of its id, so that all nodes use the same number for
+/// it.
 #pragma once
 
 #include <cstdint>
@@ -19,9 +19,10 @@
 
 namespace lemonstair::discovery {
 
-// Where a list comes from: discovery itself, or what a process remembers of an earlier list.
+/// Where a list comes from: from discovery itself, or from a copy of an earlier list that may be outdated.
 enum class ListSource : std::uint8_t { discovery, cache };
 
+/// Endpoints are never dropped from the directory: removed ones stay, in state removed.
 class EndpointDirectory {
   public:
     static constexpr std::uint32_t none = IdIndex::none;
@@ -43,26 +44,28 @@
     EndpointDirectory(const std::vector<std::string>& zone_names, log::Log& log)
         : zone_names_(zone_names), log_(log) {}
 
-    // Applies a complete list or a list of changes and passes it to the balancer. False, and an error in the
-    // log, where it is no list; unreadable entries of a list are logged and skipped.
+    // Applies a complete list or a list of changes and passes it to the balancer. Logs an error and returns
+    // false where the value is not a list. Malformed entries of a list are logged and skipped.
     bool apply(const json::Value& list, Balancer& balancer, ListSource source, Ticks now);
-    // Applies the list that another process of this node wrote with to_json(); `clock_shift` is how far this
+    // Applies a list that another process of this node wrote with to_json(). `clock_shift` is how far this
     // process's clock is ahead of the other's.
     bool apply_inherited(const json::Value& list, Balancer& balancer, Ticks clock_shift, Ticks now);
     // Discovery reported that nothing has changed.
     void confirm_current(Ticks now) {
         if (current_at_) current_at_ = now;
     }
-    // All known endpoints, removed ones included.
+    // A complete list of all known endpoints, removed ones included, in the format of discovery.
     std::string to_json() const;
-    // Of the last list; 0: none is known.
+    // The revision of the last list; 0: none is known.
     std::uint64_t revision() const { return revision_.value_or(0); }
-    // Another discovery service numbers its lists independently: its first list is new whatever its number.
+    // Called when the address of discovery changes. Another service numbers its lists independently, so its
+    // first list is new whatever its revision.
     void reset_revision() {
         revision_.reset();
         highest_revision_ = 0;
     }
-    // An index stays valid while the directory lives; `none` for an endpoint that is not known.
+    // The index of an endpoint by its number or id; `none` where it is not known. An index stays valid for
+    // the lifetime of the directory.
     std::uint32_t index_of(std::uint32_t number) const { return index_by_number_.find(number); }
     std::uint32_t index_of(std::string_view id) const;
     const DiscoveredEndpoint& operator[](std::uint32_t index) const { return endpoints_[index]; }
@@ -81,7 +84,7 @@
     std::unordered_map<std::string, std::uint32_t> index_by_id_;
     IdIndex index_by_number_;
     std::optional<std::uint64_t> revision_;  // of the last list
-    std::uint64_t highest_revision_ = 0;
+    std::uint64_t highest_revision_ = 0;     // since reset_revision()
     StartTimes start_times_;
     std::optional<Ticks> current_at_;  // when the list was last known to be up to date
 };
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using backoff::request_timeout, backoff::connect_timeout, backoff::watch_timeout;
-constexpr int reads_per_pass = 64;
+constexpr int reads_per_pass = 64;  // leaves the event loop to others where discovery sends without pause
 
 }  // namespace
 
@@ -23,7 +23,8 @@
                " HTTP/1.1\r\nHost: discovery\r\nAccept: application/json\r\n\r\n";
     net::Fd fd = loop_.system().connect_to(discovery_);
     if (fd.open()) socket_ = net::Socket(loop_, std::move(fd), POLLOUT, *this, attempt_);
-    // Without a socket the timer reports the loss, so that the caller is not called back from here.
+    // Where no socket could be opened, the timer reports the loss, so that the listener is not called from
+    // here.
     transition_to(Phase::connecting, socket_.open() ? connect_timeout : 0);
 }
 
@@ -50,7 +51,7 @@
 
 void Watch::on_ready(std::uint64_t, short) {
     if (phase_ == Phase::connecting) {
-        if (socket_.connected() != 0) return lose("unreachable");
+        if (socket_.connected() != 0) return lose("cannot connect");
         transition_to(Phase::requesting, request_timeout);
     }
     if (!request_.empty()) return send_request();
@@ -59,7 +60,7 @@
 
 void Watch::send_request() {
     const auto sent = socket_.write(request_);
-    if (sent.error != 0) return lose("connection lost");
+    if (sent.error != 0) return lose("connection failed");
     request_.erase(0, sent.bytes);
     socket_.set_events(request_.empty() ? POLLIN : POLLOUT);
 }
@@ -69,17 +70,17 @@
     const auto [data, capacity] = buffer.room();
     for (int i = 0; i < reads_per_pass; ++i) {
         const auto received = socket_.read({data, capacity});
-        if (received.error != 0) return lose("connection lost");
-        if (received.ended) return lose("ended by discovery");
+        if (received.error != 0) return lose("connection failed");
+        if (received.ended) return lose("closed by discovery");
         if (received.bytes == 0) return;
         if (phase_ == Phase::streaming) deadline_ = loop_.now() + watch_timeout;
         bool lines_valid = true;
         const bool response_valid = response_.feed({data, received.bytes}, [&](std::string_view line) {
             lines_valid = lines_valid && handle_line(line);
         });
-        if (!response_valid) return lose("invalid response");
-        if (!lines_valid) return lose("not a list");
-        if (response_.at_end()) return lose("ended by discovery");
+        if (!response_valid) return lose("expected an HTTP response with status 200 and valid framing");
+        if (!lines_valid) return lose("received a line that is not an endpoint list");
+        if (response_.at_end()) return lose("closed by discovery");
     }
 }
 
@@ -94,15 +95,16 @@
     return true;
 }
 
-// A connection that was cut silently reports no error: only the deadline ends it.
+// A connection whose peer has vanished reports no error, so only the deadline ends it.
 void Watch::on_timer(std::uint64_t token) {
     if (token != attempt_ || !is_open()) return;
-    if (loop_.now() >= deadline_) return lose("silent");
+    if (loop_.now() >= deadline_) return lose("no connection or no data within the time limit");
     loop_.schedule(deadline_, *this, attempt_);
 }
 
 void Watch::lose(std::string_view reason) {
-    log_.info() << "watch on discovery lost: " << reason;
+    log_.info() << "watch on discovery at " << net::address_text(discovery_) << " lost: " << reason
+                << "; the current endpoint list stays in use";
     if (phase_ != Phase::streaming) ++counters_.discovery_failures;
     close();
     listener_.on_watch_lost();
--- a/src/discovery/watch.h
+++ b/src/discovery/watch.h
@@ -1,5 +1,5 @@
-// The watch on discovery: one HTTP request whose response stays open and streams changes of the endpoint
-// list, one JSON list a line; an empty line means that nothing has changed.
+/// The watch on discovery: one HTTP request whose response stays open and streams the changes of the endpoint
+/// list. Each line is a list in JSON; an empty line means that nothing has changed.
 #pragma once
 
 #include <cstdint>
@@ -16,22 +16,24 @@
 
 namespace lemonstair::discovery {
 
+/// Receives what the watch reports.
 class WatchListener {
   public:
     WatchListener() = default;
     WatchListener(const WatchListener&) = delete;
     WatchListener& operator=(const WatchListener&) = delete;
     virtual ~WatchListener() = default;
-    // False where the value is no list: the watch is then lost.
+    // Returns false where the value is not an endpoint list; the watch is then lost.
     virtual bool on_list(const json::Value& list) = 0;
-    // The response began with an empty line: the list has not changed since the revision asked for.
+    // The response began with an empty line: the list has not changed since the requested revision.
     virtual void on_unchanged() = 0;
-    // At each empty line: the list received last is current.
+    // Called at each empty line: the list received last is still current.
     virtual void on_still_current() = 0;
-    // The watch is over and has to be opened again; not called after stop() or redirect().
+    // The watch has ended and has to be opened again. Not called after stop() or redirect().
     virtual void on_watch_lost() = 0;
 };
 
+/// One watch at a time, on one discovery service. It does not reopen itself: its listener decides when to.
 class Watch final : public net::EventHandler {
   public:
     Watch(net::EventLoop& loop, net::BufferPool& pool, const net::Address& discovery, WatchListener& listener,
@@ -42,18 +44,19 @@
           listener_(listener),
           log_(log),
           counters_(counters) {}
-    // Asks for the changes after a revision, 0 for a complete list. Does nothing where the watch is open.
+    // Requests the changes after a revision; 0 requests a complete list. Does nothing where the watch is
+    // open.
     void open(std::uint64_t after_revision);
     void stop() { close(); }
     bool is_open() const { return phase_ != Phase::closed; }
-    // Discovery has another address: ends the watch on the old one. False where the address is the same.
+    // Sets the address of discovery and ends the watch on the old one. Returns false where it is the same.
     bool redirect(const net::Address& discovery);
 
     void on_ready(std::uint64_t token, short events) override;
     void on_timer(std::uint64_t token) override;
 
   private:
-    // requesting: until the first line of the response.
+    // requesting: connected, up to the first line of the response body.
     enum class Phase : std::uint8_t { closed, connecting, requesting, streaming };
     void send_request();
     void read();
@@ -69,8 +72,8 @@
     log::Log& log_;
     metrics::ResourceCounters& counters_;
     net::Socket socket_;
-    std::string request_;  // what is left to send
-    HttpLines response_;
+    std::string request_;  // the part that is still to be sent
+    HttpLineParser response_;
     json::Document document_;
     Phase phase_ = Phase::closed;
     net::Ticks deadline_ = 0, opened_at_ = 0;
--- a/src/health_check/health_checker.cpp
+++ b/src/health_check/health_checker.cpp
@@ -15,14 +15,14 @@
 
 namespace {
 
-// Tenths of a ms. An endpoint holds only so many connections, so unused ones are closed.
+// 20 s, in tenths of a millisecond. Endpoints limit their connections, so unused ones are closed.
 constexpr Ticks idle_timeout = 200000;
-constexpr int response_timeout_factor = 2;  // times the connect timeout
+constexpr int response_timeout_factor = 2;  // response timeout as a multiple of the connect timeout
 
-// The request lines; an endpoint answers either with PONG.
+// The request without and with a load report. An endpoint answers either with a PONG line.
 constexpr std::string_view ping_request = "PING\r\n", load_report_request = "STATS\r\n";
 
-// A local failure says nothing about the endpoint.
+// A local failure, such as a lack of descriptors, says nothing about the endpoint.
 Outcome outcome_of_connect(int error) {
     return net::is_local_failure(error) ? Outcome::not_sent : Outcome::unreachable;
 }
@@ -30,9 +30,9 @@
 }  // namespace
 
 bool decode_pong(std::string_view line, LoadReport& report) {
-    constexpr std::string_view word = "PONG";
-    if (line.substr(0, word.size()) != word) return false;
-    line.remove_prefix(word.size());
+    constexpr std::string_view keyword = "PONG";
+    if (line.substr(0, keyword.size()) != keyword) return false;
+    line.remove_prefix(keyword.size());
     if (line.empty()) return true;
     if (line.front() != ' ') return false;
     line.remove_prefix(1);
@@ -66,8 +66,8 @@
     waiting_.push_back(index);
 }
 
-// Where there are more endpoints than descriptors, the connection that has been idle longest is closed. False
-// where none is idle.
+// Makes sure that one more connection may be opened: at the limit, closes the connection that has been idle
+// longest. Returns false where none is idle.
 bool HealthChecker::reserve_connection() {
     if (open_connections_ < max_connections(connections_.size(), config_.max_descriptors)) return true;
     std::uint32_t oldest = discovery::EndpointDirectory::none;
@@ -105,8 +105,9 @@
     if (!std::exchange(connections_[index].timer_set, true)) schedule_timer(index);
 }
 
-// Timers cannot be cancelled, so there is one a connection. It fires again after the shortest wait that may
-// come: a timer for each check would pile up in the loop until the idle timeout.
+// Timers cannot be cancelled, so each connection has a single one, which fires again at least once in every
+// connect timeout, the shortest deadline that may be set meanwhile. With a timer for each check, the timers
+// would accumulate in the event loop until the idle timeout.
 void HealthChecker::schedule_timer(std::uint32_t index) {
     const Ticks interval = config_.connect_timeout;
     loop_.schedule(std::min(connections_[index].deadline, loop_.now() + interval), *this, token_of(index));
@@ -137,7 +138,8 @@
     set_deadline(index, loop_.now() + response_timeout_factor * config_.connect_timeout);
 }
 
-// False where the connection failed. What the system does not take at once is sent later.
+// Sends the rest of the request as far as the socket accepts it; the remainder is sent when the socket is
+// writable again. Returns false where the connection failed.
 bool HealthChecker::send_rest(std::uint32_t index) {
     Connection& connection = connections_[index];
     const auto sent = connection.socket.write(connection.request.substr(connection.sent_bytes));
@@ -169,7 +171,7 @@
             return fail(index, outcome_of_connect(error));
         return send_request(index);
     }
-    // The endpoint closes the connection, or sends something unasked.
+    // The endpoint has closed the connection or sent data without a request.
     if (connection.state == State::idle) return close(index);
     if (connection.sent_bytes < connection.request.size()) {
         send_rest(index);
@@ -202,8 +204,8 @@
     const bool may_be_stale =
         connections_[index].reused && outcome != Outcome::timed_out && outcome != Outcome::error;
     close(index);
-    // An idle connection may have died since its last use, which says nothing about the endpoint: a new one
-    // is tried.
+    // The connection may have been closed while it was idle, which says nothing about the endpoint's health,
+    // so the check is repeated on a new connection.
     if (may_be_stale) {
         connections_[index].reused = false;
         return connect(index);
@@ -217,7 +219,8 @@
     if (loop_.now() < connections_[index].deadline) return schedule_timer(index);
     const State state = connections_[index].state;
     if (state == State::idle) return close(index);
-    // The connection must not be reused: a late response would be taken for that of the next check.
+    // No retry on another connection. fail() closes this one, because a late response would be taken for that
+    // of the next check.
     connections_[index].reused = false;
     fail(index, state == State::requesting ? Outcome::timed_out : Outcome::unreachable);
 }
--- a/src/peer/codec.cpp
+++ b/src/peer/codec.cpp
@@ -16,30 +16,34 @@
     load_report_kind,
     affinity_target_kind,
     cross_zone_kind,
-    claim_kind,  // of older versions: skipped
+    claim_kind,  // sent by older versions only; ignored
     lease_request_kind,
     lease_grant_kind,
     endpoint_failure_kind,
     kinds_end
 };
+// Size of an item of each kind without its kind byte.
 constexpr std::array<std::size_t, kinds_end> body_bytes{
     0, 24, 8, 19, 0, load_total_bytes - 1, 4, 5, load_report_bytes - 1, affinity_target_bytes - 1,
-    8, 6,  8, 8,  12};  // after the kind byte
+    8, 6,  8, 8,  12};
 static_assert(kind_count == kinds_end);
-constexpr std::array<std::string_view, kinds_end> names{"sign",    "record", "ask",     "answer", "hello",
-                                                        "seen",    "lost",   "outcome", "report", "home",
-                                                        "crossed", "claim",  "want",    "lend",   "dead"};
-constexpr double load_steps = 1000;
+constexpr std::array<std::string_view, kinds_end> kind_names{
+    "sign",   "record", "ask",     "answer", "hello", "seen", "lost", "outcome",
+    "report", "home",   "crossed", "claim",  "want",  "lend", "dead"};
+constexpr double load_steps = 1000;  // per standard core
 
 std::uint64_t read_integer(const std::uint8_t* item, int width) {
     std::uint64_t value = 0;
     for (int i = 0; i < width; ++i) value |= std::uint64_t{item[i]} << (8 * i);
     return value;
 }
-std::uint64_t steps(double load) {  // loads saturate at 65 cores
+// A load as 16 bits, which saturate at 65 cores.
+std::uint64_t encode_load(double load) {
     return static_cast<std::uint64_t>(std::lround(std::clamp(load * load_steps, 0.0, 65535.0)));
 }
-double load_at(const std::uint8_t* item) { return static_cast<double>(read_integer(item, 2)) / load_steps; }
+double decode_load(const std::uint8_t* item) {
+    return static_cast<double>(read_integer(item, 2)) / load_steps;
+}
 }  // namespace
 
 void Message::clear() {
@@ -47,8 +51,8 @@
     size_ = 1;
 }
 
-bool Message::begin_item(std::size_t more, std::uint8_t kind) {
-    if (size_ + 1 + more > max_message_bytes) return false;
+bool Message::begin_item(std::size_t body_size, std::uint8_t kind) {
+    if (size_ + 1 + body_size > max_message_bytes) return false;
     buffer_[size_++] = kind;
     return true;
 }
@@ -61,7 +65,7 @@
                      double load) {
     if (!begin_item(body_bytes[record_kind], record_kind)) return false;
     append(key, 8), append(endpoint_id, 4), append(static_cast<std::uint64_t>(stamp), 6), append(group, 4);
-    append(steps(load), 2);
+    append(encode_load(load), 2);
     return true;
 }
 
@@ -94,13 +98,13 @@
 
 bool Message::load_report(std::uint32_t endpoint_id, bool healthy, double load) {
     if (!begin_item(body_bytes[load_report_kind], load_report_kind)) return false;
-    append(endpoint_id, 4), append(healthy ? 1 : 0, 1), append(steps(load), 2);
+    append(endpoint_id, 4), append(healthy ? 1 : 0, 1), append(encode_load(load), 2);
     return true;
 }
 
 bool Message::load_total(std::uint32_t endpoint_id, bool healthy, double load) {
     if (!begin_item(body_bytes[load_total_kind], load_total_kind)) return false;
-    append(endpoint_id, 4), append(healthy ? 1 : 0, 1), append(steps(load), 2);
+    append(endpoint_id, 4), append(healthy ? 1 : 0, 1), append(encode_load(load), 2);
     return true;
 }
 
@@ -142,11 +146,11 @@
         to[bytes[at]] += (1 + body_bytes[bytes[at]]) * times;
 }
 
-std::string_view kind_name(std::size_t kind) { return names[kind]; }
+std::string_view kind_name(std::size_t kind) { return kind_names[kind]; }
 
 namespace {
 
-// A message is checked as a whole before any item is handled: a malformed one has no effect.
+// The whole message is checked before any item is handled, so that a malformed one has no effect.
 bool is_well_formed(std::span<const std::uint8_t> bytes) {
     if (bytes.empty() || bytes.size() > max_message_bytes || bytes[0] != protocol_version) return false;
     for (std::size_t at = 1; at < bytes.size();) {
@@ -163,7 +167,7 @@
     switch (kind) {
         case record_kind:
             handler.on_record(read_integer(item, 8), read_u32(8), read_time(12), read_u32(18),
-                              load_at(item + 22));
+                              decode_load(item + 22));
             break;
         case lookup_kind:
             handler.on_lookup(read_integer(item, 8));
@@ -181,7 +185,7 @@
             handler.on_outcome(read_u32(0), item[4]);
             break;
         case load_report_kind:
-            handler.on_load_report(read_u32(0), item[4] != 0, load_at(item + 5));
+            handler.on_load_report(read_u32(0), item[4] != 0, decode_load(item + 5));
             break;
         case affinity_target_kind:
             handler.on_affinity_target(read_u32(0), read_u32(4));
@@ -203,7 +207,7 @@
                                         static_cast<std::uint32_t>(read_integer(item + 10, 2)));
             break;
         default:
-            handler.on_load_total(read_u32(0), item[4] != 0, load_at(item + 5));
+            handler.on_load_total(read_u32(0), item[4] != 0, decode_load(item + 5));
     }
 }
 
--- a/tests/parsers_test.cpp
+++ b/tests/parsers_test.cpp
@@ -71,7 +71,7 @@
         "7;x=y\r\n{\"a\":1}\r\n3\r\n\nhi\r\n4\r\n\r\n\nx\r\n1\r\n\n\r\n0\r\n\r\n";
     const std::vector<std::string> wanted{"{\"a\":1}", "hi", "", "x"};
     for (std::size_t cut = 0; cut <= text.size(); ++cut) {
-        discovery::HttpLines lines;
+        discovery::HttpLineParser lines;
         std::vector<std::string> got;
         const auto take = [&](std::string_view l) { got.emplace_back(l); };
         REQUIRE(lines.feed(std::string_view(text).substr(0, cut), take));
@@ -86,7 +86,7 @@
           std::string(9000, 'x'), head + "g\r\n", head + "-1\r\n", head + "1\r\nab\r\n",
           std::string("HTTP/1.1 200 OK\r\nno colon\r\n\r\n"),
           head + "500000\r\n" + std::string(5000000, 'x')}) {
-        discovery::HttpLines lines;
+        discovery::HttpLineParser lines;
         CHECK(!lines.feed(bad, [](std::string_view) {}));
     }
 }
--- a/tests/tunnel_ledger_test.py
+++ b/tests/tunnel_ledger_test.py
@@ -5,7 +5,7 @@
 import tempfile
 
 TOOL = pathlib.Path(__file__).resolve().parent.parent / "tools" / "tunnel_ledger.py"
-FIRST = """0.100 endpoint h1 at 127.0.0.1:1 is endpoint 11
+FIRST = """0.100 endpoint h1 at 127.0.0.1:1 added as number 11
 0.500 debug tunnel 0: free -> reading request
 0.500 debug tunnel 0 accepted: OPEN id1 key1 c=x,d=100,g=g1
 0.510 debug tunnel 0 attempt 1 at endpoint 11
