--- a/src/config/node_config.cpp
+++ b/src/config/node_config.cpp
@@ -4,6 +4,7 @@
 #include <charconv>
 
 #include "config/settings.h"
+#include "json/text.h"
 
 namespace lemonstair::config {
 
@@ -11,7 +12,7 @@
 
 constexpr std::uint64_t default_max_descriptors = 4096;
 constexpr double default_connect_timeout_s = 0.25;
-// The admin server gets one descriptor in so many, within limits.
+// The share of the node's descriptors that the admin server gets, within the limits below.
 constexpr std::size_t descriptors_per_admin_connection = 16;
 constexpr std::size_t min_admin_connections = 2, max_admin_connections = 24;
 constexpr std::size_t max_traffic_classes = 1000;
@@ -21,7 +22,7 @@
 
 net::Address parse_address(const json::Value& file, std::string_view key) {
     const auto address = net::parse_address(file.text(key));
-    if (!address) file.fail(key, "is not an address and a port");
+    if (!address) file.fail(key, "must be an address and a port");
     return *address;
 }
 
@@ -30,11 +31,13 @@
     return parse_address(file, key);
 }
 
-// One file may serve many processes, so the environment of this one takes precedence.
+// Many processes may share one file, so the environment of this process takes precedence.
 std::optional<net::Address> parse_admin_address(const json::Value& file, const Environment& environment) {
     if (!is_set(environment.admin_addr)) return parse_optional_address(file, "admin_addr");
     const auto address = net::parse_address(environment.admin_addr);
-    if (!address) throw json::Malformed("NODE_ADMIN_ADDR is not an address and a port");
+    if (!address)
+        throw json::Malformed("NODE_ADMIN_ADDR must be an address and a port, got " +
+                              json::quoted(environment.admin_addr));
     return address;
 }
 
@@ -44,11 +47,12 @@
     int fd = -1;
     const auto [stop, error] = std::from_chars(digits.data(), digits.data() + digits.size(), fd);
     if (error != std::errc{} || stop != digits.data() + digits.size() || fd < 0)
-        throw json::Malformed("NODE_INHERITED_FD is not the number of a descriptor");
+        throw json::Malformed("NODE_INHERITED_FD must be the number of a descriptor, got " +
+                              json::quoted(digits));
     return fd;
 }
 
-// The nodes of a machine may share a directory: the listen address tells their sockets apart.
+// The nodes of a machine may share a directory, so the path of each socket contains the listen address.
 std::string hot_restart_path(const json::Value& file, const Environment& environment) {
     if (!is_set(environment.tmpdir)) return {};
     std::string name(file.text("listen"));
@@ -61,20 +65,24 @@
     std::uint64_t seed = 0;
     const char* end = digits.data() + digits.size();
     const auto [stop, error] = std::from_chars(digits.data(), end, seed, 16);
-    if (digits.empty() || error != std::errc{} || stop != end) file.fail("seed", "is not hex digits");
+    if (digits.empty() || error != std::errc{} || stop != end)
+        file.fail("seed", "must be a 64-bit number in hex digits");
     return seed;
 }
 
 void check(const json::Value& settings, const BalancerConfig& config) {
-    if (config.traffic_classes.empty()) settings.fail("profiles", "names no profile");
-    if (config.traffic_classes.size() > max_traffic_classes) settings.fail("profiles", "holds too many");
+    if (config.traffic_classes.empty()) settings.fail("profiles", "must hold at least one profile");
+    if (config.traffic_classes.size() > max_traffic_classes)
+        settings.fail("profiles", "must hold at most " + std::to_string(max_traffic_classes) +
+                                      " profiles, got " + std::to_string(config.traffic_classes.size()));
     if (config.node_count == 0 || config.node_count > max_nodes)
-        settings.fail("balancers", "is out of range");
-    if (config.own_node >= config.node_count) settings.fail("me", "is not below 'balancers'");
-    if (config.limits.max_attempts < 1) settings.fail("max_setups", "is not 1 or more");
+        settings.fail("balancers", "must be from 1 to " + std::to_string(max_nodes));
+    if (config.own_node >= config.node_count)
+        settings.fail("me", "must be below 'balancers', which is " + std::to_string(config.node_count));
+    if (config.limits.max_attempts < 1) settings.fail("max_setups", "must be from 1 to 2147483647");
     for (const auto& traffic_class : config.traffic_classes)
         if (traffic_class.client_timeout <= 0 || traffic_class.latency_objective <= 0)
-            settings.fail("client_timeout", "or 'setup_goal' is not above 0");
+            settings.fail("client_timeout", "and 'setup_goal' of each profile must be at least 0.0001 s");
 }
 
 void parse_peers(const json::Value& file, NodeConfig& config) {
@@ -82,12 +90,15 @@
     config.peer_broadcast = parse_optional_address(file, "peers_all");
     file.for_each("peers", [&](const json::Value& entry) {
         const auto address = net::parse_address(entry.type() == json::Type::text ? entry.raw() : "");
-        if (!address) file.fail("peers", "holds what is not an address and a port");
+        if (!address) file.fail("peers", "must be a list of addresses with ports");
         config.peer_addresses.push_back(*address);
     });
     const bool has_peers = config.balancer.limits.gossip_enabled && config.balancer.node_count > 1;
     if (has_peers && (config.peer_addresses.size() != config.balancer.node_count || !config.peer_listen))
-        file.fail("peers", "does not name one address a node, or 'peer_listen' is missing");
+        file.fail("peers", "must list one address for each of the " +
+                               std::to_string(config.balancer.node_count) + " nodes, got " +
+                               std::to_string(config.peer_addresses.size()) +
+                               "; 'peer_listen' must be set, too");
 }
 
 void parse_names(const json::Value& settings, NodeConfig& config) {
@@ -95,7 +106,7 @@
         config.traffic_class_names.emplace_back(profile.text("name"));
     });
     settings.for_each("zones", [&](const json::Value& zone) {
-        if (zone.type() != json::Type::text) settings.fail("zones", "holds what is not a name");
+        if (zone.type() != json::Type::text) settings.fail("zones", "must be a list of strings");
         config.zone_names.emplace_back(zone.raw());
     });
 }
@@ -103,11 +114,11 @@
 }  // namespace
 
 NodeConfig parse_node_config(const json::Value& file, const Environment& environment) {
-    if (file.type() != json::Type::object) throw json::Malformed("the configuration is not an object");
+    if (file.type() != json::Type::object) throw json::Malformed("the configuration must be an object");
     NodeConfig config;
     const json::Value settings = file.object("settings").with_context("settings");
     const json::Value limits = file.object("limits");
-    if (!file.has("settings")) file.fail("settings", "is missing");
+    if (!file.has("settings")) file.fail("settings", "is missing, expected an object");
     config.balancer = parse_settings(settings, parse_seed(file));
     check(settings, config.balancer);
     config.name = file.text("name", "node");
@@ -121,15 +132,16 @@
     const json::Value setting_limits = settings.object("limits");
     config.connect_timeout =
         round_down_to_ticks(setting_limits.number("connect_timeout", default_connect_timeout_s));
-    if (config.connect_timeout <= 0) setting_limits.fail("connect_timeout", "is not above 0");
+    if (config.connect_timeout <= 0) setting_limits.fail("connect_timeout", "must be at least 0.0001 s");
     config.max_descriptors = limits.uint64("sockets", default_max_descriptors);
-    if (config.max_descriptors < min_descriptors) limits.fail("sockets", "is under 32: too few to serve");
+    if (config.max_descriptors < min_descriptors)
+        limits.fail("sockets", "must be at least 32, which a node needs to serve");
     if (config.admin)
         config.max_admin_connections =
             std::clamp<std::size_t>(config.max_descriptors / descriptors_per_admin_connection,
                                     min_admin_connections, max_admin_connections);
-    // A health check is answered at once whatever waits at its endpoint, so its answer says nothing about how
-    // long messages take there.
+    // An endpoint answers a health check at once, however many messages wait there. So the answer says
+    // nothing about the delay of messages.
     config.balancer.reports_message_delay = false;
     config.load_reports_enabled = settings.object("report").text("via", "none") != "none";
     return config;
@@ -144,8 +156,8 @@
     check_same("listen", current.listen == reloaded.listen);
     check_same("peer_listen", current.peer_listen == reloaded.peer_listen);
     check_same("admin_addr", current.admin == reloaded.admin);
-    // Tunnels, records and other nodes refer to nodes, zones and traffic classes by number. Each key is
-    // checked, so that all that differ are named.
+    // Tunnels, records and other nodes refer to nodes, zones and traffic classes by number, so these must not
+    // change. The operator & does not stop at the first difference, so that all keys that differ are named.
     const BalancerConfig &now = current.balancer, &next = reloaded.balancer;
     const bool compatible =
         check_same("balancers", now.node_count == next.node_count) &
--- a/src/config/node_config.h
+++ b/src/config/node_config.h
@@ -1,6 +1,6 @@
-// The configuration of a node: read from its file and its environment, checked and completed with defaults
-// here and nowhere else. The keys of the file and the settings appear only in this package; behind it, the
-// fields below are used.
+/// The configuration of a node. The file and the environment are decoded, checked and completed with defaults
+/// here and nowhere else. Only this directory knows the keys of the file and of the settings; all other code
+/// uses the fields below.
 #pragma once
 
 #include <cstdint>
@@ -16,38 +16,41 @@
 
 namespace lemonstair::config {
 
-// With fewer descriptors a node cannot serve.
+/// A node cannot serve with fewer descriptors.
 constexpr std::size_t min_descriptors = 32;
 
+/// The checked configuration of a node. Times are in ticks of a tenth of a millisecond.
 struct NodeConfig {
     BalancerConfig balancer;
     std::string name;
     std::vector<std::string> traffic_class_names, zone_names;  // in the order of the settings
     net::Address listen, discovery;
-    std::optional<net::Address> peer_listen;     // of gossip datagrams
-    std::optional<net::Address> peer_broadcast;  // reaches all peers with one datagram
-    std::vector<net::Address> peer_addresses;    // by node number, this node's own included
-    std::optional<net::Address> admin;           // of the admin server
-    std::size_t max_admin_connections = 0;       // descriptors are reserved for them
-    std::optional<int> inherited_listener;       // the clients' listening socket, where the platform holds it
-    std::string hot_restart_path;                // of the local socket; empty: no hot restart
-    Ticks connect_timeout = 0;                   // to endpoints
-    std::size_t max_descriptors = 0;             // that the node may hold
-    bool load_reports_enabled = false;           // endpoints report their load to health checks
+    std::optional<net::Address> peer_listen;     // receives gossip datagrams
+    std::optional<net::Address> peer_broadcast;  // a datagram to it reaches all peers
+    std::vector<net::Address> peer_addresses;    // by node number, including this node's own
+    std::optional<net::Address> admin;           // of the admin server; none: no admin server
+    std::size_t max_admin_connections = 0;       // for which descriptors are reserved
+    std::optional<int>
+        inherited_listener;        // descriptor of the clients' listening socket, if the platform opened it
+    std::string hot_restart_path;  // of the local socket; empty: no hot restart
+    Ticks connect_timeout = 0;     // to endpoints
+    std::size_t max_descriptors = 0;    // the most that the node may have open
+    bool load_reports_enabled = false;  // health checks ask endpoints for their load
 };
 
-// Environment variables; those that are set take precedence over the file.
+/// Environment variables. One that is set takes precedence over the file; null and empty mean that it is not
+/// set.
 struct Environment {
     const char* admin_addr = nullptr;    // $NODE_ADMIN_ADDR
     const char* inherited_fd = nullptr;  // $NODE_INHERITED_FD
     const char* tmpdir = nullptr;        // $TMPDIR
 };
 
-// Throws json::Malformed, which names the faulty key or variable.
+/// Decodes and checks the configuration. Throws json::Malformed, which names the invalid key or variable.
 NodeConfig parse_node_config(const json::Value& file, const Environment& environment = {});
 
-// Takes over from `reloaded` all that can change while the node serves. Returns the keys, separated by
-// commas, that differ but cannot change before a restart; these keep their current values.
+/// Copies from `reloaded` to `current` what can change while the node serves. Returns the keys, separated by
+/// commas, that differ but cannot change before a restart; these keep their current values.
 std::string apply_reload(NodeConfig& current, NodeConfig&& reloaded);
 
 }  // namespace lemonstair::config
--- a/src/config/settings.cpp
+++ b/src/config/settings.cpp
@@ -36,7 +36,7 @@
                       limits = settings.object("limits"), domain = settings.object("domain");
     std::size_t traffic_class = 0;
     domain.for_each("message_aim", [&](const json::Value& entry) {
-        if (std::isnan(entry.as_number())) domain.fail("message_aim", "holds what is not a number");
+        if (std::isnan(entry.as_number())) domain.fail("message_aim", "must be a list of numbers");
         if (traffic_class < config.traffic_classes.size())
             config.traffic_classes[traffic_class++].message_latency_objective =
                 round_down_to_ticks(entry.as_number());
--- a/src/http/headers.h
+++ b/src/http/headers.h
@@ -1,13 +1,13 @@
-// Helpers to parse HTTP/1.1 headers, for requests and responses.
+/// Helpers to parse the headers of HTTP/1.1 requests and responses.
 #pragma once
 
 #include <string_view>
 
 namespace lemonstair::http {
 
-// ASCII only.
+/// Ignores the case of ASCII letters only.
 bool equals_ignoring_case(std::string_view a, std::string_view b);
-// Without the blanks and tabs around it.
+/// The text without leading and trailing spaces and tabs.
 std::string_view trim(std::string_view text);
 
 }  // namespace lemonstair::http
--- a/src/http/request.cpp
+++ b/src/http/request.cpp
@@ -11,10 +11,10 @@
 
 // The characters of a method or a header name.
 bool is_token(std::string_view text) {
-    constexpr std::string_view others = "!#$%&'*+-.^_`|~";
+    constexpr std::string_view symbols = "!#$%&'*+-.^_`|~";
     return !text.empty() && std::all_of(text.begin(), text.end(), [&](char c) {
         return (c >= '0' && c <= '9') || (c >= 'A' && c <= 'Z') || (c >= 'a' && c <= 'z') ||
-               others.find(c) != std::string_view::npos;
+               symbols.find(c) != std::string_view::npos;
     });
 }
 
@@ -28,18 +28,18 @@
 void Request::feed(std::string_view bytes) {
     while (!bytes.empty() && part_ != Part::complete && error_ == RequestError::none) {
         if (part_ == Part::body) {
-            const std::size_t n = std::min<std::uint64_t>(body_bytes_left_, bytes.size());
-            body_bytes_left_ -= n;
-            bytes.remove_prefix(n);
+            const std::size_t size = std::min<std::uint64_t>(body_bytes_left_, bytes.size());
+            body_bytes_left_ -= size;
+            bytes.remove_prefix(size);
             if (body_bytes_left_ == 0) part_ = Part::complete;
             continue;
         }
         const auto end = bytes.find('\n');
-        const std::size_t n = std::min(end, bytes.size() - 1) + 1;
-        head_bytes_ += n;
+        const std::size_t size = std::min(end, bytes.size() - 1) + 1;
+        head_bytes_ += size;
         if (head_bytes_ > max_head_bytes) return fail(RequestError::header_too_large);
-        line_.append(bytes.substr(0, n));
-        bytes.remove_prefix(n);
+        line_.append(bytes.substr(0, size));
+        bytes.remove_prefix(size);
         if (end == std::string_view::npos) return;
         line_.pop_back();
         if (!line_.empty() && line_.back() == '\r') line_.pop_back();
@@ -83,12 +83,12 @@
     if (!equals_ignoring_case(name, "content-length")) return;
     const char* end = value.data() + value.size();
     const auto [stop, error] = std::from_chars(value.data(), end, body_bytes_left_);
-    const bool read = !value.empty() && stop == end && error == std::errc{};
-    // With two lengths, or one that is no number, the end of the request is ambiguous.
-    if (has_length_ || (!read && error != std::errc::result_out_of_range))
+    const bool is_valid = !value.empty() && stop == end && error == std::errc{};
+    // With two lengths, or one that is not a number, the end of the request is ambiguous.
+    if (has_length_ || (!is_valid && error != std::errc::result_out_of_range))
         return fail(RequestError::bad_request);
     has_length_ = true;
-    if (!read || body_bytes_left_ > max_body_bytes) fail(RequestError::content_too_large);
+    if (!is_valid || body_bytes_left_ > max_body_bytes) fail(RequestError::content_too_large);
 }
 
 void Request::finish_head() {
--- a/src/http/request.h
+++ b/src/http/request.h
@@ -1,5 +1,5 @@
-// Incremental parser of one HTTP/1.1 request. It holds no socket, accepts the bytes in pieces of any size,
-// and bounds all that a client can make it keep.
+/// Incremental parser of one HTTP/1.1 request. It owns no socket, accepts the bytes in pieces of any size,
+/// and limits the memory that a client can make it use.
 #pragma once
 
 #include <cstddef>
@@ -9,7 +9,7 @@
 
 namespace lemonstair::http {
 
-// Why a request cannot be parsed; the values are the HTTP statuses to respond with.
+/// Why a request cannot be parsed. The values are the HTTP status codes to respond with.
 enum class RequestError : std::uint16_t {
     none = 0,
     bad_request = 400,
@@ -19,18 +19,19 @@
     version_not_supported = 505
 };
 
+/// One request: fed with bytes until it is complete or has an error. The bytes of its body are skipped.
 class Request {
   public:
     static constexpr std::size_t max_head_bytes = 8192, max_body_bytes = 4096, max_fields = 64;
-    // Consumes the next bytes; those behind the request, or behind an error, are ignored.
+    // Parses the next bytes. Bytes after the end of the request, or after an error, are ignored.
     void feed(std::string_view bytes);
-    // Head and body have been received; never together with an error.
+    // The head and the body have been received. Never true together with an error.
     bool is_complete() const { return part_ == Part::complete; }
     RequestError error() const { return error_; }
     // No byte has been received yet.
     bool is_empty() const { return head_bytes_ == 0; }
     std::string_view method() const { return std::string_view(method_); }
-    // Without the query.
+    // The path of the request target, without the query.
     std::string_view path() const { return std::string_view(path_); }
 
   private:
--- a/src/json/json.cpp
+++ b/src/json/json.cpp
@@ -3,9 +3,12 @@
 #include <charconv>
 #include <cmath>
 
+#include "json/text.h"
+
 namespace lemonstair::json {
 
-// Parses a text into a document's items. The nesting depth is bounded, so that the recursion is.
+// Parses a text into the items of a document. The depth of nesting is limited, because each level is a level
+// of recursion.
 class Reader {
   public:
     Reader(Document& document, std::string_view text)
@@ -67,10 +70,10 @@
         document_.items_[self].next = static_cast<std::uint32_t>(document_.items_.size());
         return true;
     }
-    bool literal(std::string_view letters, Type type) {
-        if (std::string_view(at_, end_).substr(0, letters.size()) != letters) return false;
-        document_.items_[add_item(type)].raw = {at_, letters.size()};
-        at_ += letters.size();
+    bool literal(std::string_view word, Type type) {
+        if (std::string_view(at_, end_).substr(0, word.size()) != word) return false;
+        document_.items_[add_item(type)].raw = {at_, word.size()};
+        at_ += word.size();
         return true;
     }
     bool digits() {
@@ -128,10 +131,10 @@
                 out.push_back(raw[i]);
                 continue;
             }
-            constexpr std::string_view letters = "\"\\/bfnrt", meant = "\"\\/\b\f\n\r\t";
+            constexpr std::string_view escapes = "\"\\/bfnrt", meanings = "\"\\/\b\f\n\r\t";
             const char c = raw[++i];
-            if (const auto k = letters.find(c); k != std::string_view::npos) {
-                out.push_back(meant[k]);
+            if (const auto index = escapes.find(c); index != std::string_view::npos) {
+                out.push_back(meanings[index]);
                 continue;
             }
             std::uint32_t code = 0, low = 0;
@@ -171,41 +174,49 @@
 
 Value Document::root() const { return items_.empty() ? Value() : Value(*this, 0); }
 
-void Value::fail(std::string_view name, std::string_view what) const {
-    throw Malformed(std::string(context_).append(": field '").append(name).append("' ").append(what));
+void Value::fail(std::string_view name, std::string_view problem) const {
+    constexpr std::size_t max_shown_bytes = 64;
+    std::string message = std::string(context_).append(": field '").append(name).append("' ").append(problem);
+    const Value value = find(name);
+    if (value.type() == Type::text)
+        message.append(", got ").append(quoted(value.raw().substr(0, max_shown_bytes)));
+    else if (value.type() == Type::number || value.type() == Type::boolean)
+        message.append(", got ").append(value.raw().substr(0, max_shown_bytes));
+    throw Malformed(message);
 }
 
-Value Value::require(std::string_view name, Type type, const char* what) const {
-    const Value v = find(name);
-    if (v.type() == Type::null) fail(name, "is missing");
-    if (v.type() != type) fail(name, std::string("is not ").append(what));
-    return v;
+Value Value::require(std::string_view name, Type type, const char* expected) const {
+    const Value value = find(name);
+    if (value.type() == Type::null) fail(name, std::string("is missing, expected ").append(expected));
+    if (value.type() != type) fail(name, std::string("must be ").append(expected));
+    return value;
 }
 
 std::uint64_t Value::uint64(std::string_view name) const {
-    const auto raw = require(name, Type::number, "a whole number").raw();
+    const auto raw = require(name, Type::number, "a non-negative integer").raw();
     std::uint64_t n = 0;
     const auto [stop, error] = std::from_chars(raw.data(), raw.data() + raw.size(), n);
-    if (error != std::errc{} || stop != raw.data() + raw.size()) fail(name, "is not a whole number");
+    if (error != std::errc{} || stop != raw.data() + raw.size())
+        fail(name, "must be a non-negative integer of at most 64 bits");
     return n;
 }
 
 std::uint32_t Value::uint32(std::string_view name) const {
     const std::uint64_t n = uint64(name);
-    if (n > 0xffffffffULL) fail(name, "is too large");
+    if (n > 0xffffffffULL) fail(name, "must be at most 4294967295");
     return static_cast<std::uint32_t>(n);
 }
 
 double Value::as_number() const {
-    double x = NAN;
-    if (type() == Type::number) std::from_chars(raw().data(), raw().data() + raw().size(), x);
-    return x;
+    double number = NAN;
+    if (type() == Type::number) std::from_chars(raw().data(), raw().data() + raw().size(), number);
+    return number;
 }
 
 double Value::number(std::string_view name) const {
-    const double x = require(name, Type::number, "a number").as_number();
-    if (!std::isfinite(x)) fail(name, "is not a number");
-    return x;
+    const double number = require(name, Type::number, "a number").as_number();
+    if (!std::isfinite(number)) fail(name, "must be within the range of a double");
+    return number;
 }
 
 bool Value::flag(std::string_view name) const {
--- a/src/json/text.h
+++ b/src/json/text.h
@@ -1,4 +1,4 @@
-// Writing of JSON texts.
+/// Writer of JSON strings.
 #pragma once
 
 #include <string>
@@ -6,7 +6,7 @@
 
 namespace lemonstair::json {
 
-// The text escaped and in quotes.
+/// The text as a JSON string: escaped and in quotes.
 std::string quoted(std::string_view text);
 
 }  // namespace lemonstair::json
--- a/src/log/log.cpp
+++ b/src/log/log.cpp
@@ -27,34 +27,35 @@
 
 void LineBuffer::end_line() {
     line_.push_back('\n');
-    if (dropped_ > 0 && buffered_.size() + line_.size() < max_buffered_bytes / 2) {
-        buffered_.append("log lines dropped: ").append(std::to_string(dropped_)).append("\n");
-        dropped_ = 0;
+    if (dropped_lines_ > 0 && queued_.size() + line_.size() < max_queued_bytes / 2) {
+        queued_.append("log lines dropped: ").append(std::to_string(dropped_lines_)).append("\n");
+        dropped_lines_ = 0;
     }
-    if (buffered_.size() + line_.size() <= max_buffered_bytes)
-        buffered_.append(line_);
+    if (queued_.size() + line_.size() <= max_queued_bytes)
+        queued_.append(line_);
     else
-        ++dropped_;
+        ++dropped_lines_;
     line_.clear();
     flush();
 }
 
-// A pipe that poll reports as writable takes PIPE_BUF bytes without blocking, so no more are written at once.
+// A pipe that poll() reports as writable accepts PIPE_BUF bytes without blocking, so no more are written at
+// once.
 std::size_t DescriptorSink::write(std::string_view text) {
-    pollfd p{fd_, POLLOUT, 0};
-    if (::poll(&p, 1, 0) <= 0 || (p.revents & POLLOUT) == 0) return 0;
-    const ssize_t n = ::write(fd_, text.data(), std::min<std::size_t>(text.size(), PIPE_BUF));
-    return n > 0 ? static_cast<std::size_t>(n) : 0;
+    pollfd polled{fd_, POLLOUT, 0};
+    if (::poll(&polled, 1, 0) <= 0 || (polled.revents & POLLOUT) == 0) return 0;
+    const ssize_t written = ::write(fd_, text.data(), std::min<std::size_t>(text.size(), PIPE_BUF));
+    return written > 0 ? static_cast<std::size_t>(written) : 0;
 }
 
 void LineBuffer::flush() {
-    std::size_t sent = 0;
-    while (sent < buffered_.size()) {
-        const std::size_t n = sink_.write(std::string_view(buffered_).substr(sent));
-        if (n == 0) break;
-        sent += n;
+    std::size_t written = 0;
+    while (written < queued_.size()) {
+        const std::size_t accepted = sink_.write(std::string_view(queued_).substr(written));
+        if (accepted == 0) break;
+        written += accepted;
     }
-    buffered_.erase(0, sent);
+    queued_.erase(0, written);
 }
 
 }  // namespace lemonstair::log
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -1,5 +1,6 @@
-// The log: lines written with iostreams, filtered by level, into one sink. It never blocks: what the sink
-// does not take waits in a bounded buffer, and lines that do not fit there are dropped and counted.
+/// The log: lines are written with stream operators, filtered by level and passed to one sink. Logging never
+/// blocks: bytes that the sink does not accept wait in a buffer of limited size, and lines that do not fit
+/// into it are dropped and counted.
 #pragma once
 
 #include <cstdint>
@@ -13,22 +14,22 @@
 
 enum class Level : std::uint8_t { error, info, debug };
 
-// The level of that name; nothing for an unknown name.
+/// The level of this name; nothing for an unknown name.
 std::optional<Level> parse_level(std::string_view name);
 
-// Where a log's lines go.
+/// Destination of a log's lines.
 class Sink {
   public:
     Sink() = default;
     Sink(const Sink&) = delete;
     Sink& operator=(const Sink&) = delete;
     virtual ~Sink() = default;
-    // Writes a prefix of the text without blocking; the number of bytes written.
+    // Writes as much of the text as is possible without blocking, and returns the number of bytes written.
     virtual std::size_t write(std::string_view text) = 0;
 };
 
-// A descriptor. It may be shared with other processes, so it is not made non-blocking: that would affect
-// them.
+/// Writes to a file descriptor, which it does not own. The descriptor is not made non-blocking, because it
+/// may be shared with other processes, which this would affect.
 class DescriptorSink final : public Sink {
   public:
     explicit DescriptorSink(int fd) : fd_(fd) {}
@@ -38,11 +39,13 @@
     int fd_;
 };
 
-// Collects one line at a time and queues complete lines for the sink.
+/// Stream buffer that collects one line at a time and queues complete lines for the sink.
 class LineBuffer final : public std::streambuf {
   public:
     explicit LineBuffer(Sink& sink) : sink_(sink) {}
+    // Queues the current line, or drops it where the queue is full, and writes what the sink accepts.
     void end_line();
+    // Writes as many of the queued bytes as the sink accepts now.
     void flush();
 
   protected:
@@ -50,19 +53,20 @@
     std::streamsize xsputn(const char* text, std::streamsize n) override;
 
   private:
-    static constexpr std::size_t max_buffered_bytes = 1 << 16;
+    static constexpr std::size_t max_queued_bytes = 1 << 16;
     Sink& sink_;
-    std::string line_, buffered_;
-    std::uint64_t dropped_ = 0;
+    std::string line_, queued_;
+    std::uint64_t dropped_lines_ = 0;  // since the last line that reported them
 };
 
+/// A log that writes lines up to a level. Not thread-safe.
 class Log {
   public:
     Log(Level max_level, Sink& sink) : max_level_(max_level), buffer_(sink), out_(&buffer_) {}
-    // One line: ends when the object goes out of scope.
+    // A line, which ends when this object is destroyed.
     class Line {
       public:
-        // Null: the line is filtered out.
+        // A null log discards the line.
         explicit Line(Log* log) : log_(log) {}
         Line(const Line&) = delete;
         Line& operator=(const Line&) = delete;
--- a/tests/parsers_test.cpp
+++ b/tests/parsers_test.cpp
@@ -39,9 +39,9 @@
     json::Document d;
     REQUIRE(d.parse(R"({"n":"x","big":99999999999})"));
     const auto root = d.root().with_context("here");
-    CHECK_THROWS_WITH(root.uint64("m"), "here: field 'm' is missing");
-    CHECK_THROWS_WITH(root.number("n"), "here: field 'n' is not a number");
-    CHECK_THROWS_WITH(root.uint32("big"), "here: field 'big' is too large");
+    CHECK_THROWS_WITH(root.uint64("m"), "here: field 'm' is missing, expected a non-negative integer");
+    CHECK_THROWS_WITH(root.number("n"), "here: field 'n' must be a number, got \"x\"");
+    CHECK_THROWS_WITH(root.uint32("big"), "here: field 'big' must be at most 4294967295, got 99999999999");
 }
 
 TEST_CASE("an invalid configuration is refused with the name of the key") {
@@ -58,7 +58,8 @@
     refuse(R"("seed":"8c1f")", R"("seed":"8g1f")", "'seed'");
     refuse(R"("sockets":256)", R"("sockets":8)", "'sockets'");
     refuse(R"("me":0)", R"("me":1)", "'me'");
-    refuse(R"("effect":"read_like")", R"("effect":"magic")", "effect 'magic'");
+    refuse(R"("effect":"read_like")", R"("effect":"magic")",
+           "field 'effect' must be 'read_like' or 'idempotency_key' or 'non_idempotent', got \"magic\"");
     refuse(R"("client_timeout":3,)", "", "'client_timeout'");
     refuse(R"("max_setups":3)", R"("max_setups":0)", "'max_setups'");
     refuse(R"("settings")", R"("sittings")", "'settings'");
--- a/tests/wire.sh
+++ b/tests/wire.sh
@@ -20,7 +20,7 @@
 refuse unknown "never enlisted" '{"Batch":{"ts":1}}\n{"Riddle":{"who":0}}\n'
 refuse stranger "never enlisted" '{"Batch":{"ts":1}}\n{"ClientLeft":{"who":3,"ticket":1}}\n'
 refuse missing "'ts' is missing" '{"Batch":{}}\n'
-refuse mistyped "'ts' is not a number" '{"Batch":{"ts":"x"}}\n'
+refuse mistyped "'ts' must be a number, got \"x\"" '{"Batch":{"ts":"x"}}\n'
 refuse cut "within a batch" '{"Batch":{"ts":1}}\n'
 refuse half "within a line" '{"Batch"'
 exit $bad
