--- a/src/config/node_config.cpp
+++ b/src/config/node_config.cpp
@@ -90,7 +90,8 @@
     config.peer_broadcast = parse_optional_address(file, "peers_all");
     file.for_each("peers", [&](const json::Value& entry) {
         const auto address = net::parse_address(entry.type() == json::Type::text ? entry.raw() : "");
-        if (!address) file.fail("peers", "must be a list of addresses with ports");
+        if (!address)
+            file.fail("peers", "must be a list of addresses with ports, got " + json::quoted(entry.raw()));
         config.peer_addresses.push_back(*address);
     });
     const bool has_peers = config.balancer.limits.gossip_enabled && config.balancer.node_count > 1;
--- a/tests/node_discovery_test.cpp
+++ b/tests/node_discovery_test.cpp
@@ -1,4 +1,6 @@
-// The watch of the endpoint list and the reload of the configuration, on the loopback.
+// The watch on discovery and the reload of the configuration, on the loopback. A node that keeps an old
+// discovery address, trusts an outdated list or gives up a silent watch too late sends clients to endpoints
+// that drain or are gone; one that fails on an invalid file stops serving.
 #include <doctest/doctest.h>
 
 #include <array>
@@ -10,14 +12,14 @@
 
 using namespace fake;
 
-// Calls that a discovery gets: waits for one that asks for this.
-TestConnection called(NodeFixture& fixture, const TestListener& discovery, std::string_view asked) {
-    TestConnection e;
+// Waits for a request to discovery that contains this text.
+TestConnection accept_request(NodeFixture& fixture, const TestListener& discovery, std::string_view text) {
+    TestConnection connection;
     CHECK(fixture.run_until([&] {
-        if (!e.fd.open()) e = discovery.accept();
-        return e.fd.open() && e.has_received(asked);
+        if (!connection.fd.open()) connection = discovery.accept();
+        return connection.fd.open() && connection.has_received(text);
     }));
-    return e;
+    return connection;
 }
 
 std::string chunk(const std::string& line) {
@@ -26,20 +28,20 @@
     return size + line + "\n\r\n";
 }
 
-const std::string good_answer = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+const std::string response_head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 TEST_CASE(
-    "on SIGHUP a node polls the new discovery at once, accepts its revisions from the start and serves on") {
-    for (const bool leaving : {false, true}) {
+    "on SIGHUP a node calls the new discovery at once, accepts its lower revisions and keeps its tunnels") {
+    for (const bool shutting_down : {false, true}) {
         NodeFixture fixture({.mode = "pass", .sockets = 256, .probing = false});
         OpenTunnel tunnel = fixture.open_tunnel();
-        for (int i = 0; i < 3; ++i)  // the old one fails again and again: the next call to it would be late
-            called(fixture, fixture.discovery, "index=4 ").send("HTTP/1.1 503 Busy\r\n\r\n");
-        if (leaving) std::raise(SIGTERM);
-        const TestListener old = std::move(fixture.discovery);
+        for (int i = 0; i < 3; ++i)  // the old one keeps failing, so that the next call to it is delayed most
+            accept_request(fixture, fixture.discovery, "index=4 ").send("HTTP/1.1 503 Busy\r\n\r\n");
+        if (shutting_down) std::raise(SIGTERM);
+        const TestListener old_discovery = std::move(fixture.discovery);
         fixture.discovery = TestListener();
-        fixture.config_text.replace(fixture.config_text.find(old.name()), old.name().size(),
-                                    fixture.discovery.name());
+        fixture.config_text.replace(fixture.config_text.find(old_discovery.name()),
+                                    old_discovery.name().size(), fixture.discovery.name());
         std::raise(SIGHUP);
         std::raise(SIGHUP);
         TestConnection watch;
@@ -49,19 +51,20 @@
                 return watch.fd.open() && watch.has_received("index=0 ");
             },
             150));
-        watch.send(good_answer + chunk(R"({"revision":0,"complete":true,"members":[)" +
-                                       NodeFixture::member("a", fixture.host_a, "terminating") + "," +
-                                       NodeFixture::member("b", fixture.host_b) + "]}"));
+        watch.send(response_head + chunk(R"({"revision":0,"complete":true,"members":[)" +
+                                         NodeFixture::member("a", fixture.host_a, "terminating") + "," +
+                                         NodeFixture::member("b", fixture.host_b) + "]}"));
         fixture.run_for(50);
         for (int i = 0; i < 8; ++i) {
-            TestConnection c2 = fixture.connect_client("OPEN 1" + std::to_string(i) + " k c=chat,d=2000\r\n");
-            const TestListener* at = nullptr;
-            TestConnection h2 = fixture.accept_attempt(&at);
-            CHECK(at == &fixture.host_b);
-            h2.send("UP r\r\n");
-            fixture.run_until([&] { return c2.has_received("UP r\r\n"); });
+            TestConnection client =
+                fixture.connect_client("OPEN 1" + std::to_string(i) + " k c=chat,d=2000\r\n");
+            const TestListener* reached = nullptr;
+            TestConnection endpoint = fixture.accept_attempt(&reached);
+            CHECK(reached == &fixture.host_b);
+            endpoint.send("UP r\r\n");
+            fixture.run_until([&] { return client.has_received("UP r\r\n"); });
         }
-        std::raise(SIGHUP);  // nothing has changed: the watch stands
+        std::raise(SIGHUP);  // nothing has changed, so the watch stays open
         fixture.run_for(50);
         CHECK(!watch.is_closed());
         tunnel.host.send("still here\r\n");
@@ -69,52 +72,60 @@
     }
 }
 
-TEST_CASE("an invalid new configuration is logged with its key, and the old one is kept") {
-    std::array<int, 2> p{};
-    REQUIRE(::pipe(p.data()) == 0);
-    const net::Fd in(p[0]), out(p[1]);
+TEST_CASE("an invalid new configuration is logged with its key, and the old one stays in force") {
+    std::array<int, 2> pipe_ends{};
+    REQUIRE(::pipe(pipe_ends.data()) == 0);
+    const net::Fd in(pipe_ends[0]), out(pipe_ends[1]);
     NodeFixture fixture({.mode = "pass", .sockets = 256, .probing = false, .log = out.get()});
-    TestConnection watch = called(fixture, fixture.discovery, "index=4 ");
-    const std::string good = fixture.config_text;
-    const auto reread = [&](std::string_view part, std::string_view by) {
-        fixture.config_text = good;
-        fixture.config_text.replace(fixture.config_text.find(part), part.size(), by);
+    TestConnection watch = accept_request(fixture, fixture.discovery, "index=4 ");
+    const std::string valid_text = fixture.config_text;
+    // Reloads the valid configuration with one part replaced, and returns what the node logs.
+    const auto reload_with = [&](std::string_view part, std::string_view replacement) {
+        fixture.config_text = valid_text;
+        fixture.config_text.replace(fixture.config_text.find(part), part.size(), replacement);
         std::raise(SIGHUP);
         fixture.run_for(30);
         std::array<char, 4096> bytes;
-        const ssize_t n = ::read(in.get(), bytes.data(), bytes.size());
-        return std::string(bytes.data(), static_cast<std::size_t>(std::max<ssize_t>(n, 0)));
+        const ssize_t size = ::read(in.get(), bytes.data(), bytes.size());
+        return std::string(bytes.data(), static_cast<std::size_t>(std::max<ssize_t>(size, 0)));
     };
-    CHECK(reread(R"("discovery":"127)", R"("discovery":"x127)").find("'discovery'") != std::string::npos);
-    CHECK(reread(R"("known":)", R"("known")").find("not JSON") != std::string::npos);
-    CHECK(reread(R"("name":"chat")", R"("name":"talk")").find("profiles") != std::string::npos);
-    CHECK(reread(R"("listen":"127.0.0.1)", R"("listen":"127.0.0.2)").find("listen") != std::string::npos);
+    CHECK(reload_with(R"("discovery":"127)", R"("discovery":"x127)").find("'discovery'") !=
+          std::string::npos);
+    CHECK(reload_with(R"("known":)", R"("known")").find("not JSON") != std::string::npos);
+    CHECK(reload_with(R"("name":"chat")", R"("name":"talk")").find("profiles") != std::string::npos);
+    CHECK(reload_with(R"("listen":"127.0.0.1)", R"("listen":"127.0.0.2)").find("listen") !=
+          std::string::npos);
     CHECK(!watch.is_closed());
     CHECK(fixture.open_tunnel().client.fd.open());
 }
 
 TEST_CASE(
-    "the watch is kept, closed when silent, reopened after a backoff; broken and old lists do no harm") {
+    "the watch stays open, is closed when silent and reopened after a delay; invalid and outdated lists "
+    "remove "
+    "no endpoint") {
     NodeFixture fixture;
-    const auto call = [&](std::string_view asked) { return called(fixture, fixture.discovery, asked); };
-    for (const char* bad :
+    const auto next_request = [&](std::string_view text) {
+        return accept_request(fixture, fixture.discovery, text);
+    };
+    for (const char* invalid_response :
          {"HTTP/1.1 503 Busy\r\n\r\n", "nonsense\r\n", "HTTP/1.1 200 OK\r\n\r\n{\"revision\"\n"})
-        call("GET /api/targets?stream=1&index=4 ").send(bad);
-    TestConnection watch = call("index=4 ");
-    // An old list takes nothing away; a host that drains gets nothing new; an entry that cannot be read is
-    // passed over with no other taken for gone.
-    watch.send(good_answer + chunk(R"({"revision":3,"complete":true,"members":[]})") +
+        next_request("GET /api/targets?stream=1&index=4 ").send(invalid_response);
+    TestConnection watch = next_request("index=4 ");
+    // The outdated list, with revision 3, removes no endpoint. In list 6, the malformed entry is skipped, and
+    // endpoint b does not count as removed although it is not listed; endpoint a drains and gets no new
+    // tunnels.
+    watch.send(response_head + chunk(R"({"revision":3,"complete":true,"members":[]})") +
                chunk(R"({"revision":6,"complete":true,"members":[{"id":7},)" +
                      NodeFixture::member("a", fixture.host_a, "terminating") + "]}"));
     fixture.run_for(50);
     for (int i = 0; i < 8; ++i) {
-        TestConnection c = fixture.connect_client(fixture.open_line());
-        const TestListener* at = nullptr;
-        TestConnection h = fixture.accept_attempt(&at);
-        CHECK(at == &fixture.host_b);
-        h.send("UP r\r\n");
-        fixture.run_until([&] { return c.has_received("UP r\r\n"); });
+        TestConnection client = fixture.connect_client(fixture.open_line());
+        const TestListener* reached = nullptr;
+        TestConnection endpoint = fixture.accept_attempt(&reached);
+        CHECK(reached == &fixture.host_b);
+        endpoint.send("UP r\r\n");
+        fixture.run_until([&] { return client.has_received("UP r\r\n"); });
     }
-    CHECK(fixture.run_until([&] { return watch.is_closed(); }, 5500));  // no empty line for 5 s
-    call("index=6 ");
+    CHECK(fixture.run_until([&] { return watch.is_closed(); }, 5500));  // no empty line arrives
+    next_request("index=6 ");
 }
--- a/tests/parsers_test.cpp
+++ b/tests/parsers_test.cpp
@@ -1,4 +1,5 @@
-// The project's own parsers: cut at every byte, and on what they must refuse.
+// The parsers of JSON, of the configuration and of the lines and lists that others send. Input that is cut at
+// any byte or malformed must be refused, or ignored, and must never be read beyond its end.
 #include <doctest/doctest.h>
 
 #include "balancer_fixture.h"
@@ -11,34 +12,35 @@
 
 using namespace fake;
 
-TEST_CASE("a JSON text cut at any byte is refused; the whole one gives its fields") {
+TEST_CASE("a JSON text that is cut at any byte is refused, and the complete one yields its fields") {
     const std::string text =
         R"( {"a":[1,-2.5e1,{"b":null}],"t":"x\n\u00e9\ud83d\ude00","yes":true,"o":{"n":12},"e":[]} )";
-    json::Document d;
-    for (std::size_t n = 0; n + 1 < text.size(); ++n) CHECK(!d.parse(std::string_view(text).substr(0, n)));
-    REQUIRE(d.parse(text));
-    std::vector<double> seen;
-    d.root().for_each("a", [&](const json::Value& v) { seen.push_back(v.as_number()); });
-    REQUIRE(seen.size() == 3);
-    CHECK(seen[1] == -25);
-    CHECK(d.root().text("t") == "x\n\xc3\xa9\xf0\x9f\x98\x80");
-    CHECK(d.root().flag("yes"));
-    CHECK(d.root().object("o").uint64("n") == 12);
+    json::Document document;
+    for (std::size_t size = 0; size + 1 < text.size(); ++size)
+        CHECK(!document.parse(std::string_view(text).substr(0, size)));
+    REQUIRE(document.parse(text));
+    std::vector<double> numbers;
+    document.root().for_each("a", [&](const json::Value& value) { numbers.push_back(value.as_number()); });
+    REQUIRE(numbers.size() == 3);
+    CHECK(numbers[1] == -25);
+    CHECK(document.root().text("t") == "x\n\xc3\xa9\xf0\x9f\x98\x80");
+    CHECK(document.root().flag("yes"));
+    CHECK(document.root().object("o").uint64("n") == 12);
 }
 
-TEST_CASE("what is not JSON is refused") {
-    json::Document d;
-    for (const char* bad :
+TEST_CASE("a text that is not JSON is refused") {
+    json::Document document;
+    for (const char* invalid :
          {"", "{", "01", "+1", "1.", "1e", "\"\x01\"", "\"\\x\"", "\"\\ud800\"", "\"\\u12g4\"", "[1,]",
           "{\"a\"}", "{\"a\":1,}", "{1:2}", "tru", "nul", "[1 2]", "1 2", "'a'"})
-        CHECK_MESSAGE(!d.parse(bad), bad);
-    CHECK(!d.parse(std::string(100000, '[')));
+        CHECK_MESSAGE(!document.parse(invalid), invalid);
+    CHECK(!document.parse(std::string(100000, '[')));  // nested too deeply
 }
 
-TEST_CASE("a field that is missing or mistyped is named") {
-    json::Document d;
-    REQUIRE(d.parse(R"({"n":"x","big":99999999999})"));
-    const auto root = d.root().with_context("here");
+TEST_CASE("an error names the field that is missing or has the wrong type, and the value that came") {
+    json::Document document;
+    REQUIRE(document.parse(R"({"n":"x","big":99999999999})"));
+    const auto root = document.root().with_context("here");
     CHECK_THROWS_WITH(root.uint64("m"), "here: field 'm' is missing, expected a non-negative integer");
     CHECK_THROWS_WITH(root.number("n"), "here: field 'n' must be a number, got \"x\"");
     CHECK_THROWS_WITH(root.uint32("big"), "here: field 'big' must be at most 4294967295, got 99999999999");
@@ -46,13 +48,14 @@
 
 TEST_CASE("an invalid configuration is refused with the name of the key") {
     NodeFixture fixture;
-    const auto refuse = [&](std::string_view part, std::string_view by, const char* key) {
+    const auto refuse = [&](std::string_view part, std::string_view replacement, const char* key) {
         std::string text = fixture.config_text;
         REQUIRE(text.find(part) != std::string::npos);
-        text.replace(text.find(part), part.size(), by);
-        json::Document d;
-        REQUIRE(d.parse(text));
-        CHECK_THROWS_WITH_AS(config::parse_node_config(d.root()), doctest::Contains(key), json::Malformed);
+        text.replace(text.find(part), part.size(), replacement);
+        json::Document document;
+        REQUIRE(document.parse(text));
+        CHECK_THROWS_WITH_AS(config::parse_node_config(document.root()), doctest::Contains(key),
+                             json::Malformed);
     };
     refuse(R"("listen":"127)", R"("listen":"x127)", "'listen'");
     refuse(R"("seed":"8c1f")", R"("seed":"8g1f")", "'seed'");
@@ -66,103 +69,108 @@
     refuse(R"("balancers":1)", R"("balancers":0)", "'balancers'");
 }
 
-TEST_CASE("an HTTP answer cut at any byte gives the same lines; wrong framing is refused") {
+TEST_CASE("an HTTP response cut at any byte yields the same lines, and one with invalid framing is refused") {
     const std::string text =
         "HTTP/1.1 200 OK\r\nDate: x\r\ntransfer-encoding:  Chunked\r\n\r\n"
         "7;x=y\r\n{\"a\":1}\r\n3\r\n\nhi\r\n4\r\n\r\n\nx\r\n1\r\n\n\r\n0\r\n\r\n";
-    const std::vector<std::string> wanted{"{\"a\":1}", "hi", "", "x"};
+    const std::vector<std::string> expected{"{\"a\":1}", "hi", "", "x"};
     for (std::size_t cut = 0; cut <= text.size(); ++cut) {
-        discovery::HttpLineParser lines;
-        std::vector<std::string> got;
-        const auto take = [&](std::string_view l) { got.emplace_back(l); };
-        REQUIRE(lines.feed(std::string_view(text).substr(0, cut), take));
-        CHECK(lines.at_end() == (cut == text.size()));
-        REQUIRE(lines.feed(std::string_view(text).substr(cut), take));
-        CHECK(got == wanted);
-        CHECK(lines.at_end());
+        discovery::HttpLineParser parser;
+        std::vector<std::string> lines;
+        const auto on_line = [&](std::string_view line) { lines.emplace_back(line); };
+        REQUIRE(parser.feed(std::string_view(text).substr(0, cut), on_line));
+        CHECK(parser.at_end() == (cut == text.size()));
+        REQUIRE(parser.feed(std::string_view(text).substr(cut), on_line));
+        CHECK(lines == expected);
+        CHECK(parser.at_end());
     }
     const std::string head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    for (const std::string& bad :
+    for (const std::string& invalid :
          {std::string("HTTP/1.1 503 No\r\n"), std::string("HTTP/2 200 OK\r\n"), std::string("SSH-2.0\r\n"),
           std::string(9000, 'x'), head + "g\r\n", head + "-1\r\n", head + "1\r\nab\r\n",
           std::string("HTTP/1.1 200 OK\r\nno colon\r\n\r\n"),
           head + "500000\r\n" + std::string(5000000, 'x')}) {
-        discovery::HttpLineParser lines;
-        CHECK(!lines.feed(bad, [](std::string_view) {}));
+        discovery::HttpLineParser parser;
+        CHECK(!parser.feed(invalid, [](std::string_view) {}));
     }
 }
 
-TEST_CASE("a first line is read and written again with another wait; cut at any byte it does no harm") {
-    const std::vector<std::string> profiles{"chat", "feed"};
+TEST_CASE("a request line is parsed and rewritten with another time limit, and may be cut at any byte") {
+    const std::vector<std::string> traffic_classes{"chat", "feed"};
     const std::string line = "OPEN 9b1f 7f3a c=feed,d=1500.75,g=5c0f,r=1,mid=1,h=0.02";
-    const auto parsed = tunnel::parse_request_line(line, profiles, 100);
+    const auto parsed = tunnel::parse_request_line(line, traffic_classes, 100);
     REQUIRE(parsed.has_value());
-    const TunnelRequest& a = parsed->request;
-    CHECK(a.key == "7f3a");
-    CHECK(a.group == "5c0f");
-    CHECK(a.traffic_class == 1);
-    CHECK(a.mid_flow);
-    CHECK(a.expected_load == 0.02);
-    CHECK(a.deadline == 100 + 15007);  // a limit is rounded down
+    const TunnelRequest& request = parsed->request;
+    CHECK(request.key == "7f3a");
+    CHECK(request.group == "5c0f");
+    CHECK(request.traffic_class == 1);
+    CHECK(request.mid_flow);
+    CHECK(request.expected_load == 0.02);
+    CHECK(request.deadline == 100 + 15007);  // a limit is rounded down
     CHECK(parsed->current_endpoint.empty());
     net::BufferPool pool;
-    for (std::size_t n = 0; n <= line.size(); ++n) {
+    for (std::size_t size = 0; size <= line.size(); ++size) {
         net::Buffer out = pool.take();
-        static_cast<void>(tunnel::parse_request_line(std::string_view(line).substr(0, n), profiles, 100));
-        CHECK(tunnel::write_request_line(std::string_view(line).substr(0, n), 7999, out));
+        static_cast<void>(
+            tunnel::parse_request_line(std::string_view(line).substr(0, size), traffic_classes, 100));
+        CHECK(tunnel::write_request_line(std::string_view(line).substr(0, size), 7999, out));
     }
     net::Buffer out = pool.take();
     CHECK(tunnel::write_request_line(line, 7999, out));
     CHECK(out.view() == "OPEN 9b1f 7f3a c=feed,d=799,g=5c0f,r=1,mid=1,h=0.02\r\n");
 }
 
-TEST_CASE("the answer to a health check gives the values that it names") {
-    LoadReport r;
-    CHECK(health_check::decode_pong("PONG queue=2,x0=0.75,what=1,util=", r));
-    CHECK(r.queue == 2);
-    CHECK(r.load == 0.75);
-    CHECK(std::isnan(r.utilization));
-    CHECK(health_check::decode_pong("PONG", r));
-    CHECK(!health_check::decode_pong("ERR", r));
-    CHECK(!health_check::decode_pong("PONGx", r));
+TEST_CASE("the answer to a health check yields the valid values of the names that are known") {
+    LoadReport report;
+    CHECK(health_check::decode_pong("PONG queue=2,x0=0.75,what=1,util=", report));
+    CHECK(report.queue == 2);
+    CHECK(report.load == 0.75);
+    CHECK(std::isnan(report.utilization));
+    CHECK(health_check::decode_pong("PONG", report));
+    CHECK(!health_check::decode_pong("ERR", report));
+    CHECK(!health_check::decode_pong("PONGx", report));
     const std::string line = "PONG inflight=7,queue=2,util=0.61";
-    for (std::size_t n = 0; n < line.size(); ++n)
-        health_check::decode_pong(std::string_view(line).substr(0, n), r);
+    for (std::size_t size = 0; size < line.size(); ++size)
+        health_check::decode_pong(std::string_view(line).substr(0, size), report);
 }
 
 TEST_CASE(
-    "lists: changes apply on top, an old or repeated one is passed over, an unknown phase gets nothing") {
+    "a list of changes updates the directory, an outdated or repeated one does not, and an endpoint in an "
+    "unknown "
+    "phase gets no new tunnels") {
     const std::vector<std::string> zones{"z"};
     log::DescriptorSink nowhere(-1);
     log::Log log(log::Level::error, nowhere);
-    discovery::EndpointDirectory hosts(zones, log);
-    BalancerFixture n;
+    discovery::EndpointDirectory directory(zones, log);
+    BalancerFixture node;
     TestListener a, b;
-    const auto hear = [&](int revision, bool whole, const std::string& members, bool known = false) {
-        json::Document d;
+    const auto apply = [&](int revision, bool complete, const std::string& members, bool cached = false) {
+        json::Document document;
         const std::string text = R"({"revision":)" + std::to_string(revision) + R"(,"complete":)" +
-                                 (whole ? "true" : "false") + R"(,"members":[)" + members + "]}";
-        REQUIRE(d.parse(text));
-        return hosts.apply(d.root(), *n.balancer,
-                           known ? discovery::ListSource::cache : discovery::ListSource::discovery, n.now);
+                                 (complete ? "true" : "false") + R"(,"members":[)" + members + "]}";
+        REQUIRE(document.parse(text));
+        return directory.apply(document.root(), *node.balancer,
+                               cached ? discovery::ListSource::cache : discovery::ListSource::discovery,
+                               node.now);
     };
-    const auto goes_to = [&](std::uint64_t tun) {
-        n.on_request(tun);
-        return n.attempts.empty() || n.last_attempt().tunnel != tun ? ""
-               : hosts.index_of(n.last_attempt().endpoint) == 0     ? "a"
-                                                                    : "b";
+    // The id of the endpoint at which a new tunnel is attempted; empty: none.
+    const auto attempted_at = [&](std::uint64_t tunnel) {
+        node.on_request(tunnel);
+        return node.attempts.empty() || node.last_attempt().tunnel != tunnel ? ""
+               : directory.index_of(node.last_attempt().endpoint) == 0       ? "a"
+                                                                             : "b";
     };
-    CHECK(hear(4, true, NodeFixture::member("a", a) + "," + NodeFixture::member("b", b), true));
-    CHECK(hear(5, false, NodeFixture::member("a", a, "terminating")));
-    CHECK(hear(5, false, NodeFixture::member("b", b, "terminated")));  // heard before
-    CHECK(hear(2, true, NodeFixture::member("a", a)));
-    for (std::uint64_t t = 1; t < 9; ++t) CHECK(goes_to(t) == std::string("b"));
-    CHECK(hear(6, false, NodeFixture::member("a", a) + "," + NodeFixture::member("b", b, "on_holiday")));
-    for (std::uint64_t t = 11; t < 19; ++t) CHECK(goes_to(t) == std::string("a"));
-    json::Document d;
-    for (const char* broken : {"[]", "{}", R"({"revision":9})", R"({"revision":"x","members":[]})"}) {
-        REQUIRE(d.parse(broken));
-        CHECK(!hosts.apply(d.root(), *n.balancer, discovery::ListSource::discovery, n.now));
+    CHECK(apply(4, true, NodeFixture::member("a", a) + "," + NodeFixture::member("b", b), true));
+    CHECK(apply(5, false, NodeFixture::member("a", a, "terminating")));
+    CHECK(apply(5, false, NodeFixture::member("b", b, "terminated")));  // repeated
+    CHECK(apply(2, true, NodeFixture::member("a", a)));
+    for (std::uint64_t t = 1; t < 9; ++t) CHECK(attempted_at(t) == std::string("b"));
+    CHECK(apply(6, false, NodeFixture::member("a", a) + "," + NodeFixture::member("b", b, "on_holiday")));
+    for (std::uint64_t t = 11; t < 19; ++t) CHECK(attempted_at(t) == std::string("a"));
+    json::Document document;
+    for (const char* malformed : {"[]", "{}", R"({"revision":9})", R"({"revision":"x","members":[]})"}) {
+        REQUIRE(document.parse(malformed));
+        CHECK(!directory.apply(document.root(), *node.balancer, discovery::ListSource::discovery, node.now));
     }
-    CHECK(hosts.revision() == 6);
+    CHECK(directory.revision() == 6);
 }
