--- a/src/config/node_config.h
+++ b/src/config/node_config.h
@@ -30,12 +30,11 @@
     std::vector<net::Address> peer_addresses;    // by node number, including this node's own
     std::optional<net::Address> admin;           // of the admin server; none: no admin server
     std::size_t max_admin_connections = 0;       // for which descriptors are reserved
-    std::optional<int>
-        inherited_listener;        // descriptor of the clients' listening socket, if the platform opened it
-    std::string hot_restart_path;  // of the local socket; empty: no hot restart
-    Ticks connect_timeout = 0;     // to endpoints
-    std::size_t max_descriptors = 0;    // the most that the node may have open
-    bool load_reports_enabled = false;  // health checks ask endpoints for their load
+    std::optional<int> inherited_listener;       // the clients' listening socket, if the platform passed one
+    std::string hot_restart_path;                // of the local socket; empty: no hot restart
+    Ticks connect_timeout = 0;                   // to endpoints
+    std::size_t max_descriptors = 0;             // the most that the node may have open
+    bool load_reports_enabled = false;           // health checks ask endpoints for their load
 };
 
 /// Environment variables. One that is set takes precedence over the file; null and empty mean that it is not
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -15,8 +15,8 @@
 
 namespace lemonstair::config {
 
-// The tolerance is a fraction of a tick: without it, decimal fractions that have no exact binary form would
-// be rounded to the next tick.
+// The tolerance is a fraction of a tick. Without it, rounding would move decimal fractions that have no exact
+// binary form by a whole tick.
 constexpr double ticks_per_second = 10000.0, rounding_tolerance = 1e-3;
 inline Ticks round_down_to_ticks(double seconds) {
     return static_cast<Ticks>(std::floor(seconds * ticks_per_second + rounding_tolerance));
@@ -29,7 +29,7 @@
 BalancerConfig parse_settings(const json::Value& settings, std::uint64_t seed);
 
 /// Returns the value of a word in a table of all allowed words. Throws json::Malformed for any other word;
-/// the message names the key, the allowed words and the word that came.
+/// the message names the key, the allowed words and the rejected one.
 template <class T, std::size_t N>
 T decode_word(std::string_view word, const std::pair<std::string_view, T> (&words)[N], const char* key) {
     for (const auto& [name, value] : words)
--- a/src/discovery/endpoint_directory.cpp
+++ b/src/discovery/endpoint_directory.cpp
@@ -48,7 +48,7 @@
     try {
         revision = list.uint64("revision");
         complete = list.flag("complete");
-        if (!list.has("members")) list.fail("members", "is missing");
+        if (!list.has("members")) list.fail("members", "is missing, expected a list");
         const bool repeated = !cached && revision_ && revision == *revision_;
         if (repeated) {
             current_at_ = now;
--- a/src/discovery/start_times.h
+++ b/src/discovery/start_times.h
@@ -13,7 +13,7 @@
 class StartTimes {
   public:
     using Ticks = std::int64_t;
-    // 10 s: the longest time after which discovery lists a start, as long as it answers at all.
+    // 10 s, the longest time that discovery takes to list a start while it answers at all.
     static constexpr Ticks max_notice_delay = 100000;
 
     // Corrects the offset where `listed` would be in the future by more than max_notice_delay. Smaller errors
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 using backoff::request_timeout, backoff::connect_timeout, backoff::watch_timeout;
-constexpr int reads_per_pass = 64;  // leaves the event loop to others where discovery sends without pause
+constexpr int reads_per_pass = 64;  // limits the time that one pass of the event loop takes
 
 }  // namespace
 
--- a/src/health_check/health_checker.h
+++ b/src/health_check/health_checker.h
@@ -30,6 +30,7 @@
                                  const LoadReport& report) = 0;
 };
 
+/// Runs at most one check of each endpoint at a time.
 class HealthChecker final : public net::EventHandler {
   public:
     HealthChecker(net::EventLoop& loop, net::BufferPool& pool, const discovery::EndpointDirectory& endpoints,
--- a/src/json/json.cpp
+++ b/src/json/json.cpp
@@ -194,29 +194,29 @@
 
 std::uint64_t Value::uint64(std::string_view name) const {
     const auto raw = require(name, Type::number, "a non-negative integer").raw();
-    std::uint64_t n = 0;
-    const auto [stop, error] = std::from_chars(raw.data(), raw.data() + raw.size(), n);
+    std::uint64_t result = 0;
+    const auto [stop, error] = std::from_chars(raw.data(), raw.data() + raw.size(), result);
     if (error != std::errc{} || stop != raw.data() + raw.size())
         fail(name, "must be a non-negative integer of at most 64 bits");
-    return n;
+    return result;
 }
 
 std::uint32_t Value::uint32(std::string_view name) const {
-    const std::uint64_t n = uint64(name);
-    if (n > 0xffffffffULL) fail(name, "must be at most 4294967295");
-    return static_cast<std::uint32_t>(n);
+    const std::uint64_t result = uint64(name);
+    if (result > 0xffffffffULL) fail(name, "must be at most 4294967295");
+    return static_cast<std::uint32_t>(result);
 }
 
 double Value::as_number() const {
-    double number = NAN;
-    if (type() == Type::number) std::from_chars(raw().data(), raw().data() + raw().size(), number);
-    return number;
+    double result = NAN;
+    if (type() == Type::number) std::from_chars(raw().data(), raw().data() + raw().size(), result);
+    return result;
 }
 
 double Value::number(std::string_view name) const {
-    const double number = require(name, Type::number, "a number").as_number();
-    if (!std::isfinite(number)) fail(name, "must be within the range of a double");
-    return number;
+    const double result = require(name, Type::number, "a number").as_number();
+    if (!std::isfinite(result)) fail(name, "must be within the range of a double");
+    return result;
 }
 
 bool Value::flag(std::string_view name) const {
--- a/src/json/json.h
+++ b/src/json/json.h
@@ -58,7 +58,8 @@
         return value;
     }
     Type type() const { return document_ == nullptr ? Type::null : item().type; }
-    // The characters of a text, unescaped, of a number or of a boolean. Not for other types.
+    // The characters of a text (unescaped), a number or a boolean; empty for a list and an object. Must not
+    // be called on a null value.
     std::string_view raw() const { return item().raw; }
 
     bool has(std::string_view name) const { return find(name).type() != Type::null; }
--- a/src/peer/codec.h
+++ b/src/peer/codec.h
@@ -10,7 +10,7 @@
 namespace lemonstair::peer {
 
 inline constexpr std::size_t max_message_bytes = 256;
-/// Cost of a message beside its items, as the gossip budget charges it.
+/// Bytes that the cost of a message includes in addition to its items.
 inline constexpr std::size_t message_overhead_bytes = 17;
 inline constexpr std::uint8_t protocol_version = 2;
 /// Sizes of items, kind byte included.
