--- a/tests/node_discovery_test.cpp
+++ b/tests/node_discovery_test.cpp
@@ -35,7 +35,8 @@
     for (const bool shutting_down : {false, true}) {
         NodeFixture fixture({.mode = "pass", .sockets = 256, .probing = false});
         OpenTunnel tunnel = fixture.open_tunnel();
-        for (int i = 0; i < 3; ++i)  // the old one keeps failing, so that the next call to it is delayed most
+        // The old discovery keeps failing, so that the next call to it would come late.
+        for (int i = 0; i < 3; ++i)
             accept_request(fixture, fixture.discovery, "index=4 ").send("HTTP/1.1 503 Busy\r\n\r\n");
         if (shutting_down) std::raise(SIGTERM);
         const TestListener old_discovery = std::move(fixture.discovery);
@@ -100,9 +101,7 @@
 }
 
 TEST_CASE(
-    "the watch stays open, is closed when silent and reopened after a delay; invalid and outdated lists "
-    "remove "
-    "no endpoint") {
+    "the watch is closed when silent and reopened later; invalid and outdated lists remove no endpoint") {
     NodeFixture fixture;
     const auto next_request = [&](std::string_view text) {
         return accept_request(fixture, fixture.discovery, text);
--- a/tests/parsers_test.cpp
+++ b/tests/parsers_test.cpp
@@ -135,9 +135,7 @@
 }
 
 TEST_CASE(
-    "a list of changes updates the directory, an outdated or repeated one does not, and an endpoint in an "
-    "unknown "
-    "phase gets no new tunnels") {
+    "a list of changes applies, an outdated or repeated one does not; an unknown phase gets no tunnels") {
     const std::vector<std::string> zones{"z"};
     log::DescriptorSink nowhere(-1);
     log::Log log(log::Level::error, nowhere);
@@ -165,7 +163,7 @@
     CHECK(apply(5, false, NodeFixture::member("b", b, "terminated")));  // repeated
     CHECK(apply(2, true, NodeFixture::member("a", a)));
     for (std::uint64_t t = 1; t < 9; ++t) CHECK(attempted_at(t) == std::string("b"));
-    CHECK(apply(6, false, NodeFixture::member("a", a) + "," + NodeFixture::member("b", b, "on_holiday")));
+    CHECK(apply(6, false, NodeFixture::member("a", a) + "," + NodeFixture::member("b", b, "suspended")));
     for (std::uint64_t t = 11; t < 19; ++t) CHECK(attempted_at(t) == std::string("a"));
     json::Document document;
     for (const char* malformed : {"[]", "{}", R"({"revision":9})", R"({"revision":"x","members":[]})"}) {
