--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -51,7 +51,7 @@
 
 void Watch::on_ready(std::uint64_t, short) {
     if (phase_ == Phase::connecting) {
-        if (socket_.connected() != 0) return lose("cannot connect");
+        if (socket_.connect_error() != 0) return lose("cannot connect");
         transition_to(Phase::requesting, request_timeout);
     }
     if (!request_.empty()) return send_request();
@@ -66,8 +66,8 @@
 }
 
 void Watch::read() {
-    net::Buffer buffer = pool_.take();
-    const auto [data, capacity] = buffer.room();
+    net::Buffer buffer = pool_.acquire();
+    const auto [data, capacity] = buffer.free_space();
     for (int i = 0; i < reads_per_pass; ++i) {
         const auto received = socket_.read({data, capacity});
         if (received.error != 0) return lose("connection failed");
@@ -103,7 +103,7 @@
 }
 
 void Watch::lose(std::string_view reason) {
-    log_.info() << "watch on discovery at " << net::address_text(discovery_) << " lost: " << reason
+    log_.info() << "watch on discovery at " << net::format_address(discovery_) << " lost: " << reason
                 << "; the current endpoint list stays in use";
     if (phase_ != Phase::streaming) ++counters_.discovery_failures;
     close();
--- a/src/simulation/simulated_nodes.cpp
+++ b/src/simulation/simulated_nodes.cpp
@@ -101,7 +101,7 @@
     running.admin_address = simnet::Network::address(slot.machine, admin_port);
     if (slot.previous.process && slot.previous.admin_address == running.admin_address)
         running.admin_address = simnet::Network::address(slot.machine, admin_port + 1);
-    running.admin_text = net::address_text(running.admin_address);
+    running.admin_text = net::format_address(running.admin_address);
     return {.admin_addr = running.admin_text.c_str(),
             .inherited_fd = running.inherited.c_str(),
             .tmpdir = "/tmp"};
@@ -157,7 +157,7 @@
     ProcessSlot& slot = slots_[node];
     NodeProcess& running = slot.previous.process.get() == process ? slot.previous : slot.current;
     try {
-        const bool goes_on = running.node->turn();
+        const bool goes_on = running.node->run_once();
         check_descriptors(node);
         if (goes_on) return true;
         environment_->note("node left", node, slot.incarnation);
@@ -245,7 +245,7 @@
             continue;
         std::size_t clients = 0, calls = 0;
         slot.current.process->each_end([&](simnet::End end) { ++(end.side == 1 ? clients : calls); });
-        const auto holds = slot.current.node->holds();
+        const auto holds = slot.current.node->resource_usage();
         usage_.most_timers = std::max(usage_.most_timers, holds.timers);
         const auto check = [&](std::size_t held, std::size_t most, const char* what) {
             if (held > most)
--- a/tests/health_check_test.cpp
+++ b/tests/health_check_test.cpp
@@ -9,10 +9,10 @@
 
 TEST_CASE(
     "a health check reuses its connection, and opens a new one where the old one was closed while idle") {
-    NodeFixture fixture({.mode = "pass", .sockets = 256, .probing = true});
+    NodeFixture fixture({.mode = "pass", .max_descriptors = 256, .health_checks = true});
     const auto request_arrives = [&](TestConnection& connection) {
         return fixture.run_until([&] {
-            if (!connection.fd.open()) connection = fixture.host_a.accept();
+            if (!connection.fd.open()) connection = fixture.server_a.accept();
             return connection.fd.open() && connection.has_received("STATS\r\n");
         });
     };
--- a/tests/node_discovery_test.cpp
+++ b/tests/node_discovery_test.cpp
@@ -33,7 +33,7 @@
 TEST_CASE(
     "on SIGHUP a node calls the new discovery at once, accepts its lower revisions and keeps its tunnels") {
     for (const bool shutting_down : {false, true}) {
-        NodeFixture fixture({.mode = "pass", .sockets = 256, .probing = false});
+        NodeFixture fixture({.mode = "pass", .max_descriptors = 256, .health_checks = false});
         OpenTunnel tunnel = fixture.open_tunnel();
         // The old discovery keeps failing, so that the next call to it would come late.
         for (int i = 0; i < 3; ++i)
@@ -41,8 +41,8 @@
         if (shutting_down) std::raise(SIGTERM);
         const TestListener old_discovery = std::move(fixture.discovery);
         fixture.discovery = TestListener();
-        fixture.config_text.replace(fixture.config_text.find(old_discovery.name()),
-                                    old_discovery.name().size(), fixture.discovery.name());
+        fixture.config_text.replace(fixture.config_text.find(old_discovery.host_port()),
+                                    old_discovery.host_port().size(), fixture.discovery.host_port());
         std::raise(SIGHUP);
         std::raise(SIGHUP);
         TestConnection watch;
@@ -53,22 +53,22 @@
             },
             150));
         watch.send(response_head + chunk(R"({"revision":0,"complete":true,"members":[)" +
-                                         NodeFixture::member("a", fixture.host_a, "terminating") + "," +
-                                         NodeFixture::member("b", fixture.host_b) + "]}"));
+                                         NodeFixture::member("a", fixture.server_a, "terminating") + "," +
+                                         NodeFixture::member("b", fixture.server_b) + "]}"));
         fixture.run_for(50);
         for (int i = 0; i < 8; ++i) {
             TestConnection client =
                 fixture.connect_client("OPEN 1" + std::to_string(i) + " k c=chat,d=2000\r\n");
             const TestListener* reached = nullptr;
             TestConnection endpoint = fixture.accept_attempt(&reached);
-            CHECK(reached == &fixture.host_b);
+            CHECK(reached == &fixture.server_b);
             endpoint.send("UP r\r\n");
             fixture.run_until([&] { return client.has_received("UP r\r\n"); });
         }
         std::raise(SIGHUP);  // nothing has changed, so the watch stays open
         fixture.run_for(50);
         CHECK(!watch.is_closed());
-        tunnel.host.send("still here\r\n");
+        tunnel.server.send("still here\r\n");
         CHECK(fixture.run_until([&] { return tunnel.client.has_received("still here\r\n"); }));
     }
 }
@@ -77,7 +77,8 @@
     std::array<int, 2> pipe_ends{};
     REQUIRE(::pipe(pipe_ends.data()) == 0);
     const net::Fd in(pipe_ends[0]), out(pipe_ends[1]);
-    NodeFixture fixture({.mode = "pass", .sockets = 256, .probing = false, .log = out.get()});
+    NodeFixture fixture(
+        {.mode = "pass", .max_descriptors = 256, .health_checks = false, .log_descriptor = out.get()});
     TestConnection watch = accept_request(fixture, fixture.discovery, "index=4 ");
     const std::string valid_text = fixture.config_text;
     // Reloads the valid configuration with one part replaced, and returns what the node logs.
@@ -115,13 +116,13 @@
     // tunnels.
     watch.send(response_head + chunk(R"({"revision":3,"complete":true,"members":[]})") +
                chunk(R"({"revision":6,"complete":true,"members":[{"id":7},)" +
-                     NodeFixture::member("a", fixture.host_a, "terminating") + "]}"));
+                     NodeFixture::member("a", fixture.server_a, "terminating") + "]}"));
     fixture.run_for(50);
     for (int i = 0; i < 8; ++i) {
         TestConnection client = fixture.connect_client(fixture.open_line());
         const TestListener* reached = nullptr;
         TestConnection endpoint = fixture.accept_attempt(&reached);
-        CHECK(reached == &fixture.host_b);
+        CHECK(reached == &fixture.server_b);
         endpoint.send("UP r\r\n");
         fixture.run_until([&] { return client.has_received("UP r\r\n"); });
     }
--- a/tests/parsers_test.cpp
+++ b/tests/parsers_test.cpp
@@ -110,12 +110,12 @@
     CHECK(parsed->current_endpoint.empty());
     net::BufferPool pool;
     for (std::size_t size = 0; size <= line.size(); ++size) {
-        net::Buffer out = pool.take();
+        net::Buffer out = pool.acquire();
         static_cast<void>(
             tunnel::parse_request_line(std::string_view(line).substr(0, size), traffic_classes, 100));
         CHECK(tunnel::write_request_line(std::string_view(line).substr(0, size), 7999, out));
     }
-    net::Buffer out = pool.take();
+    net::Buffer out = pool.acquire();
     CHECK(tunnel::write_request_line(line, 7999, out));
     CHECK(out.view() == "OPEN 9b1f 7f3a c=feed,d=799,g=5c0f,r=1,mid=1,h=0.02\r\n");
 }
--- a/tests/peer_codec_test.cpp
+++ b/tests/peer_codec_test.cpp
@@ -106,6 +106,6 @@
     counters.count_attempt(lemonstair::Outcome::overloaded);
     CHECK(counters.gossip_datagrams == 9);
     std::ostringstream line;
-    lemonstair::metrics::write_added(line, counters, before);
+    lemonstair::metrics::write_difference(line, counters, before);
     CHECK(line.str() == " overloaded=1 datagrams=9 sign=9 hello=9 lost=45");
 }
