--- a/src/net/buffer_pool.h
+++ b/src/net/buffer_pool.h
@@ -1,5 +1,5 @@
-// Buffers of one size, reused through a pool. A buffer is a queue of bytes, appended at the end and taken
-// from the front; a default-constructed one holds no memory.
+// Buffers of one size, reused through a pool. A buffer is a queue of bytes: they are appended at the end and
+// consumed from the front.
 #pragma once
 
 #include <array>
@@ -12,11 +12,13 @@
 
 namespace lemonstair::net {
 
-// A line of 4 KiB, its line end, and the digits by which a rewritten line may grow.
+// Room for a line of 4 KiB, its line end, and the digits that may be added when the line is rewritten.
 constexpr std::size_t buffer_bytes = 4096 + 64;
 
 class BufferPool;
 
+// Holds no memory when default-constructed; BufferPool::acquire() returns one that does. The pool must
+// outlive its buffers.
 class Buffer {
   public:
     Buffer() = default;
@@ -29,14 +31,17 @@
         return *this;
     }
     ~Buffer() { release(); }
+    // Returns the memory to the pool; the buffer is empty afterwards.
     inline void release();
     bool is_allocated() const { return bytes_ != nullptr; }
     bool empty() const { return begin_ == end_; }
     std::string_view view() const {
         return is_allocated() ? std::string_view(bytes_->data() + begin_, end_ - begin_) : std::string_view{};
     }
+    // Removes the first `n` bytes; at most as many as view() has.
     void consume(std::size_t n) { begin_ += n; }
-    // The free space at the end, after moving the contents to the front.
+    // The free space behind the contents, as address and size; moves the contents to the front first. Call it
+    // only on an allocated buffer.
     std::pair<char*, std::size_t> free_space() {
         if (begin_ > 0) {
             std::memmove(bytes_->data(), bytes_->data() + begin_, end_ - begin_);
@@ -45,13 +50,15 @@
         }
         return {bytes_->data() + end_, bytes_->size() - end_};
     }
+    // Appends the first `n` bytes that were written to free_space().
     void commit(std::size_t n) { end_ += n; }
     void remove_suffix(std::size_t n) { end_ -= n; }
+    // Appends nothing and returns false where the text does not fit.
     bool append(std::string_view text) {
-        const auto [at, left] = free_space();
+        const auto [end, capacity] = free_space();
         if (text.empty()) return true;
-        if (text.size() > left) return false;
-        std::memcpy(at, text.data(), text.size());
+        if (text.size() > capacity) return false;
+        std::memcpy(end, text.data(), text.size());
         end_ += text.size();
         return true;
     }
@@ -72,24 +79,23 @@
 
 class BufferPool {
   public:
-    // Keeps at most `max_free` unused buffers; the others are freed after a burst.
+    // Keeps the memory of at most `max_free` unused buffers, so that what a burst needed is freed after it.
     explicit BufferPool(std::size_t max_free = 256) : max_free_(max_free) { free_.reserve(max_free); }
     BufferPool(const BufferPool&) = delete;
     BufferPool& operator=(const BufferPool&) = delete;
     ~BufferPool() = default;
     Buffer acquire() {
-        Buffer b;
-        b.pool_ = this;
+        Buffer buffer;
+        buffer.pool_ = this;
         if (free_.empty()) {
-            b.bytes_ = std::make_unique_for_overwrite<Buffer::Bytes>();
+            buffer.bytes_ = std::make_unique_for_overwrite<Buffer::Bytes>();
         } else {
-            b.bytes_ = std::move(free_.back());
+            buffer.bytes_ = std::move(free_.back());
             free_.pop_back();
         }
         ++in_use_;
-        return b;
+        return buffer;
     }
-    // Buffers in use.
     std::size_t in_use() const { return in_use_; }
 
   private:
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -13,7 +13,7 @@
 class Clock {
   public:
     Ticks now() const { return started_unix_ + tenths(Steady::now() - started_); }
-    // How far it is ahead of the monotonic clock, which all processes of the machine share.
+    // How far this clock is ahead of the monotonic clock, which all processes of the machine share.
     Ticks base() const { return started_unix_ - tenths(started_.time_since_epoch()); }
 
   private:
--- a/src/net/fd.h
+++ b/src/net/fd.h
@@ -1,4 +1,4 @@
-// Fd: owns one descriptor and closes it, through the system that opened it.
+// Fd owns a file descriptor and closes it through the System that opened it.
 #pragma once
 
 #include <utility>
@@ -10,7 +10,7 @@
 class Fd {
   public:
     Fd() = default;
-    // Without an owner the descriptor is closed by the kernel, otherwise by the owner.
+    // `owner` closes the descriptor; without an owner close(2) does.
     explicit Fd(int fd, System* owner = nullptr) : fd_(fd), owner_(owner) {}
     Fd(Fd&& other) noexcept : fd_(std::exchange(other.fd_, -1)), owner_(other.owner_) {}
     Fd& operator=(Fd&& other) noexcept {
--- a/src/net/kernel.h
+++ b/src/net/kernel.h
@@ -1,4 +1,5 @@
-// System of a real process: non-blocking TCP, UDP on IPv4 and Unix packet sockets, poll(2) and signalfd(2).
+// The System of a real process: non-blocking TCP and UDP over IPv4, local packet sockets, poll(2) and
+// signalfd(2).
 #pragma once
 
 #include "net/clock.h"
@@ -6,27 +7,30 @@
 
 namespace lemonstair::net {
 
-// Blocks the signals that a node handles; they stay pending until a node reads them.
+// Blocks the signals that a node handles; they stay pending until the node reads them. Throws
+// std::system_error.
 void block_signals();
 
-// The calls on streams for programs without a System. The first two throw std::system_error.
-Fd listen_on(const Address& at);
-Fd bind_datagrams(const Address& at);
+// The calls of System on streams and datagrams, for programs without a System. listen_on and bind_datagrams
+// throw std::system_error.
+Fd listen_on(const Address& address);
+Fd bind_datagrams(const Address& address);
 Fd connect_to(const Address& to);
 IoResult read_some(int fd, std::span<char> into);
 IoResult write_some(int fd, std::string_view text);
 
+// Implements each call of System with the system call of the Linux kernel.
 class Kernel : public System {
   public:
     Ticks now() override { return clock_.now(); }
     Ticks clock_base() override { return clock_.base(); }
     std::uint64_t processor_us() override;
-    int poll(std::span<pollfd> set, Ticks longest) override;
+    int poll(std::span<pollfd> descriptors, Ticks timeout) override;
     void close(int fd) override;
-    std::size_t descriptor_limit(std::size_t asked) override;
-    Fd listen_on(const Address& at) override { return net::listen_on(at); }
+    std::size_t descriptor_limit(std::size_t requested) override;
+    Fd listen_on(const Address& address) override { return net::listen_on(address); }
     void defer_accept(int listener) override;
-    Fd bind_datagrams(const Address& at) override { return net::bind_datagrams(at); }
+    Fd bind_datagrams(const Address& address) override { return net::bind_datagrams(address); }
     Fd connect_to(const Address& to) override { return net::connect_to(to); }
     Fd accept(int listener) override;
     Fd open_spare() override;
@@ -41,14 +45,14 @@
     std::ptrdiff_t send_to(int fd, const Address& to, std::span<const std::uint8_t> bytes) override;
     std::ptrdiff_t receive(int fd, Address& from, std::span<std::uint8_t> into) override;
     Fd inherited_listener(int fd) override;
-    Fd listen_local(const std::string& name) override;
-    Fd connect_local(const std::string& name) override;
+    Fd listen_local(const std::string& path) override;
+    Fd connect_local(const std::string& path) override;
     Fd accept_local(int listener) override;
     IoResult send_packet(int fd, std::string_view bytes, std::span<const int> descriptors) override;
     IoResult receive_packet(int fd, std::span<char> into, std::vector<Fd>& descriptors) override;
     Fd signals() override;
     int next_signal(int fd) override;
-    const char* read_file(const std::string& path, std::size_t longest, std::string& into) override;
+    const char* read_file(const std::string& path, std::size_t max_bytes, std::string& into) override;
 
   private:
     Clock clock_;
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,6 +1,6 @@
-// The event loop: polls descriptors and runs timers, in one thread. A descriptor has a numbered slot; the
-// slot's generation tells one use of it from the next, so that an event never reaches a handler that took the
-// slot later in the same pass.
+// The event loop polls descriptors and runs timers in one thread. Each descriptor has a numbered slot. The
+// slot's generation changes with each use, so that an event never reaches a handler that took the slot later
+// in the same pass.
 #pragma once
 
 #include <poll.h>
@@ -25,20 +25,21 @@
     virtual void on_timer(std::uint64_t token) = 0;
 };
 
-// `first`: handled before the others in a pass, for what must be answered soon under any load. The end of a
-// connection that was waited for with POLLRDHUP goes first too.
+// `first`: handled before the others in each pass, for descriptors that need a quick response under any load.
+// The end of a connection whose handler requested POLLRDHUP is handled first as well.
 enum class EventPriority : std::uint8_t { normal, first };
 
 class EventLoop {
   public:
     explicit EventLoop(System& system) : system_(system) {}
     System& system() const { return system_; }
+    // The time when the current handler was called, unless refresh() read the clock since.
     Ticks now() const { return now_; }
-    // Reads the clock again; now() is the time when the current handler was called.
     Ticks refresh() {
         update_time();
         return now_;
     }
+    // Registers a descriptor for poll events and returns its slot.
     std::uint32_t add(int fd, short events, EventHandler& handler, std::uint64_t token,
                       EventPriority priority = EventPriority::normal);
     void set_events(std::uint32_t slot, short events) {
@@ -46,17 +47,20 @@
         if (events != 0 && polled_[slot].fd < 0) polled_[slot].fd = ~polled_[slot].fd;
     }
     void remove(std::uint32_t slot);
-    // A timer cannot be cancelled: its handler tells by the token whether it still applies.
+    // Calls on_timer(token) at `deadline` or soon after. A timer cannot be cancelled: the handler decides by
+    // the token whether the timer still applies.
     void schedule(Ticks deadline, EventHandler& handler, std::uint64_t token) {
         timers_.push({deadline, next_order_++, &handler, token});
     }
     std::size_t timers() const { return timers_.size(); }
-    // Registered and reserved ones; and registered ones alone.
+    // Descriptors that are registered or reserved.
     std::size_t descriptors() const { return in_use() + reserved_; }
+    // Registered descriptors.
     std::size_t in_use() const { return polled_.size() - free_slots_.size(); }
+    // Counts this many descriptors as held, in place of those reserved before.
     void reserve_descriptors(std::size_t descriptors) { reserved_ = descriptors; }
-    // One pass: waits, then calls each handler whose descriptor is ready or whose timer is due, and `after`
-    // when it returns.
+    // One pass: waits for events, then calls each handler whose descriptor is ready or whose timer is due,
+    // and `after` when the handler returns.
     template <class After>
     void run_once(After&& after) {
         wait();
@@ -114,7 +118,8 @@
     std::uint64_t next_order_ = 0;
 };
 
-// A descriptor registered in an event loop; unregistered and closed by the destructor.
+// A descriptor registered in an event loop. The destructor unregisters and closes it; the loop must outlive
+// it.
 class Socket {
   public:
     Socket() = default;
--- a/src/net/transfer.cpp
+++ b/src/net/transfer.cpp
@@ -14,21 +14,21 @@
     if (colon == std::string_view::npos || colon == 0 || colon > 15) return std::nullopt;
     std::array<char, 16> host{};
     std::memcpy(host.data(), text.data(), colon);
-    Address out;
-    out.socket_address.sin_family = AF_INET;
+    Address address;
+    address.socket_address.sin_family = AF_INET;
     unsigned port = 0;
     const char* end = text.data() + text.size();
     const auto [stop, error] = std::from_chars(text.data() + colon + 1, end, port);
     if (error != std::errc{} || stop != end || port == 0 || port > 65535) return std::nullopt;
-    if (::inet_pton(AF_INET, host.data(), &out.socket_address.sin_addr) != 1) return std::nullopt;
-    out.socket_address.sin_port = htons(static_cast<std::uint16_t>(port));
-    return out;
+    if (::inet_pton(AF_INET, host.data(), &address.socket_address.sin_addr) != 1) return std::nullopt;
+    address.socket_address.sin_port = htons(static_cast<std::uint16_t>(port));
+    return address;
 }
 
-std::string format_address(const Address& at) {
+std::string format_address(const Address& address) {
     std::array<char, INET_ADDRSTRLEN> host{};
-    ::inet_ntop(AF_INET, &at.socket_address.sin_addr, host.data(), host.size());
-    return std::string(host.data()) + ":" + std::to_string(ntohs(at.socket_address.sin_port));
+    ::inet_ntop(AF_INET, &address.socket_address.sin_addr, host.data(), host.size());
+    return std::string(host.data()) + ":" + std::to_string(ntohs(address.socket_address.sin_port));
 }
 
 bool is_resource_exhausted(int error) {
