--- a/src/hot_restart/packet_channel.cpp
+++ b/src/hot_restart/packet_channel.cpp
@@ -54,7 +54,7 @@
     net::Fd fd = loop_.system().accept_local(accept_socket_.fd());
     if (!fd.open()) {
         if (!net::is_resource_exhausted(errno)) return;
-        // The connection stays pending: polling it without a free descriptor would spin.
+        // The connection stays pending. To poll for it without a free descriptor would make the loop spin.
         accept_socket_.set_events(0);
         return loop_.schedule(loop_.now() + accept_pause, *this, 0);
     }
@@ -65,7 +65,8 @@
     socket_ = net::Socket(loop_, std::move(fd), POLLIN, *this, ++connections_, net::EventPriority::first);
 }
 
-// A failure is reported by the next read: the caller of send() may be in the middle of a state change.
+// A failure is reported by the next read and not here, since the caller of send() may be in the middle of a
+// state change.
 void PacketChannel::write() {
     while (!queue_.empty()) {
         const auto sent =
--- a/src/hot_restart/packet_channel.h
+++ b/src/hot_restart/packet_channel.h
@@ -1,5 +1,5 @@
-// The connection between the old and the new process of a node: packets with descriptors over a local socket,
-// in order, none lost while both processes live. It interprets no packet.
+// The connection between the old and the new process of a node: packets with descriptors over a local socket.
+// They arrive in order, and none is lost while both processes run. The channel does not interpret packets.
 #pragma once
 
 #include <deque>
@@ -11,6 +11,7 @@
 
 namespace lemonstair::hot_restart {
 
+// Has at most one connection at a time.
 class PacketChannel final : public net::EventHandler {
   public:
     class Listener {
@@ -19,26 +20,27 @@
         Listener(const Listener&) = delete;
         Listener& operator=(const Listener&) = delete;
         virtual ~Listener() = default;
-        // The listener may move descriptors out; those left are closed.
+        // The listener may move descriptors out of the vector; those that remain are closed.
         virtual void on_packet(std::string_view packet, std::vector<net::Fd>& descriptors) = 0;
-        // The peer closed the connection or it failed; not called for an own disconnect().
+        // The peer closed the connection, or the connection failed. Not called after disconnect().
         virtual void on_disconnect() = 0;
-        // Another process connects: whether its connection becomes the channel's. If not, it gets the
-        // rejection packet.
+        // Called when another process connects. True: the channel uses this connection from now on; false:
+        // the process gets the rejection packet.
         virtual bool accepts_connection() = 0;
     };
-    // `path` names the local socket; `rejection` is the encoded packet for connections not accepted.
+    // `path` is that of the local socket; `rejection` is the encoded packet for connections that are not
+    // accepted.
     PacketChannel(net::EventLoop& loop, Listener& listener, std::string path, std::string rejection)
         : loop_(loop), listener_(listener), path_(std::move(path)), rejection_(std::move(rejection)) {}
-    // False where no process listens on the path.
+    // Connects to the process that listens on the path; false where there is none.
     bool connect();
     // Accepts connections from now on; false where the path cannot be bound.
     bool listen();
     void stop_listening() { accept_socket_.close(); }
     bool is_listening() const { return accept_socket_.open(); }
     bool is_connected() const { return socket_.open(); }
-    // Queues the packet; dropped where there is no connection. The descriptors must stay open until it is
-    // written.
+    // Queues the packet, or drops it where there is no connection. The descriptors must stay open until the
+    // packet is written.
     void send(std::string packet, std::vector<int> descriptors = {});
     void disconnect();
     std::size_t queued_packets() const { return queue_.size(); }
@@ -60,7 +62,7 @@
     net::Socket accept_socket_, socket_;
     std::deque<QueuedPacket> queue_;
     std::vector<char> read_buffer_;
-    std::uint64_t connections_ = 0;  // opened so far; also the event token of the current one
+    std::uint64_t connections_ = 0;  // opened so far; also the event token of the current connection
 };
 
 }  // namespace lemonstair::hot_restart
--- a/src/hot_restart/session.cpp
+++ b/src/hot_restart/session.cpp
@@ -9,9 +9,8 @@
 
 using net::Ticks;
 
-// Tenths of a ms. The platform gives a new process six seconds: one request may take two of them, and
-// requests that the old process rejects for now, being in a restart itself, are repeated until four have
-// passed.
+// Tenths of a ms. The platform gives a new process 6 s to become ready. One request may take 2 s of them.
+// Requests that the old process rejects because it takes part in a restart already are repeated for 4 s.
 constexpr Ticks request_timeout = 20000, start_timeout = 40000, offer_timeout = 50000;
 constexpr Ticks progress_interval = 2500, retry_pause = 2000;
 constexpr std::size_t max_tunnels_in_transfer = 16, descriptors_per_tunnel = 2, spare_descriptors = 8;
@@ -35,7 +34,8 @@
         return request_state();
     }
     if (enabled_ && !channel_.listen())
-        log_.error() << "hot restart: the local socket cannot be bound, no new process can take over";
+        log_.error()
+            << "hot restart: the local socket cannot be bound; continues, but no new process can take over";
     delegate_.begin({}, {});
 }
 
@@ -43,7 +43,7 @@
     send({.kind = PacketKind::request_state,
           .descriptors_held = static_cast<std::uint32_t>(delegate_.descriptors_held()),
           .payload = node_name_});
-    // A repeated request has only what is left of the whole wait.
+    // A repeated request gets only the time that is left until the start timeout.
     set_give_up_time(std::min(request_timeout, started_at_ + start_timeout - loop_.now()));
 }
 
@@ -68,14 +68,14 @@
         set_peer_descriptors(0);
         for (const auto number : std::exchange(in_transfer_, {})) delegate_.on_transfer_result(number, false);
     }
-    // A new process calls `begin` next, before its delegate may learn of anything else.
+    // A new process calls `begin` next; its delegate must not be called before that.
     if (from != Role::requesting_state) delegate_.on_role_changed(from, *to);
     return true;
 }
 
 void Session::abandon(std::string_view reason) {
     if (role_ == Role::standalone && !channel_.is_connected()) return;
-    log_.error() << "hot restart: connection to the other process abandoned, " << reason;
+    log_.error() << "hot restart abandoned, closing the connection to the other process: " << reason;
     channel_.disconnect();
     if (role_ == Role::requesting_state) return begin_without_state();
     transition(Event::disconnected);
@@ -93,8 +93,9 @@
     transition(Event::disconnected);
 }
 
-// An old process that is busy now, or whose rejection was lost with the connection, may accept soon. One that
-// died is not found by the retry.
+// Called on a rejection or a lost connection. An old process that takes part in another restart may accept a
+// later request, also where its rejection was lost with the connection. If the old process died, the retry
+// cannot connect and the node begins without its state.
 void Session::retry_later() {
     channel_.disconnect();
     endpoint_list_.clear();
@@ -104,7 +105,7 @@
     begin_without_state();
 }
 
-// A third process has to wait while a second one takes over.
+// Only one process at a time can take over; a third one has to wait.
 bool Session::accepts_connection() {
     if (role_ != Role::standalone || channel_.is_connected()) return false;
     set_give_up_time(offer_timeout);
@@ -115,14 +116,14 @@
     Packet packet;
     switch (decode(bytes, packet)) {
         case DecodeResult::ok:
-            if (!handle(packet, descriptors)) abandon("it sent a packet that is invalid in this role");
+            if (!handle(packet, descriptors)) abandon("the peer sent a packet that is invalid in this role");
             return;
         case DecodeResult::version_mismatch:
             if (role_ == Role::standalone) displaced_ = true;
             send({.kind = PacketKind::reject});
-            return abandon("it has another protocol version");
+            return abandon("the peer has another protocol version");
         case DecodeResult::malformed:
-            return abandon("it sent a malformed packet");
+            return abandon("the peer sent a malformed packet");
     }
 }
 
@@ -158,7 +159,7 @@
 bool Session::handle_request(const Packet& packet) {
     if (role_ != Role::standalone) return false;
     if (packet.payload != node_name_) {
-        abandon("it belongs to another node");
+        abandon("the peer belongs to another node");
         return true;
     }
     transition(Event::request_received);
@@ -171,7 +172,7 @@
     const bool retry_allowed = packet.flag;
     if (role_ == Role::requesting_state && retry_allowed) return retry_later();
     if (role_ == Role::offering_state) displaced_ = true;
-    abandon("it rejected the restart");
+    abandon("the peer rejected the restart");
 }
 
 bool Session::handle_state_part(const Packet& packet) {
@@ -180,18 +181,18 @@
     const std::size_t total = endpoint_list_.size() + balancer_state_.size() + packet.payload.size();
     if (total > max_state_bytes) return false;
     (is_list ? endpoint_list_ : balancer_state_).append(packet.payload);
-    // Older versions send no clock base.
+    // Older versions send no clock base, but 0.
     if (is_list && packet.number != 0) delegate_.on_peer_clock_base(static_cast<Ticks>(packet.number));
     return true;
 }
 
-// The old process stops accepting clients when it receives `ready`, and this one begins before it sends it:
-// at no moment are clients without a process that accepts them.
+// The old process stops accepting clients when it receives `ready`. This process begins before it sends
+// `ready`, so that at any moment a process accepts clients.
 bool Session::handle_state_complete(const Packet& packet) {
     if (role_ != Role::requesting_state) return false;
     peer_descriptors_ = packet.descriptors_held;
     if (packet.number != endpoint_list_.size() + balancer_state_.size()) {
-        abandon("its state is incomplete");
+        abandon("the peer's state is incomplete");
         return true;
     }
     delegate_.on_peer_descriptors(peer_descriptors_);
@@ -248,8 +249,8 @@
               .payload = bytes.substr(0, max_part_bytes)});
 }
 
-// Both processes hold the descriptors of a tunnel in transfer, so each one needs twice as many. One is always
-// allowed: without progress no descriptor would ever be freed.
+// Both processes hold the descriptors of a tunnel in transfer, so that each tunnel needs twice as many. One
+// tunnel is always allowed, since without progress no descriptor would ever be freed.
 std::size_t Session::max_in_transfer() const {
     const std::size_t held = delegate_.descriptors_held() + peer_descriptors_ + spare_descriptors;
     const std::size_t limit = delegate_.descriptor_limit();
@@ -258,7 +259,7 @@
 }
 
 void Session::transfer_tunnels() {
-    // The callbacks below may lead back here.
+    // The calls below may call this function again.
     if (!is_replaced(role_) || std::exchange(transferring_now_, true)) return;
     const std::size_t max_count = max_in_transfer();
     while (in_transfer_.size() < max_count && channel_.is_connected() && channel_.queued_packets() == 0) {
@@ -294,12 +295,12 @@
     progress_timer_set_ = role_ != Role::standalone || channel_.is_connected();
     if (!progress_timer_set_) return;
     loop_.schedule(loop_.now() + progress_interval, *this, progress_timer);
-    // A peer that is stuck, or connects and sends nothing more, must not block this process.
+    // A peer that is stuck, or that connects and sends nothing, must not block this process.
     const bool waiting =
         role_ == Role::requesting_state || role_ == Role::offering_state || role_ == Role::standalone;
     if (waiting && channel_.is_connected() && loop_.now() >= give_up_at_) {
         if (role_ == Role::requesting_state) send({.kind = PacketKind::reject});
-        return abandon("it does not answer");
+        return abandon("the peer did not answer in time");
     }
     if (role_ == Role::receiving || is_replaced(role_)) send_descriptors_held();
     transfer_tunnels();
--- a/src/hot_restart/session.h
+++ b/src/hot_restart/session.h
@@ -1,6 +1,6 @@
 // Hot restart: a new process of a node takes over from the old one without losing an open tunnel. The session
-// runs the protocol of packets.h in the order that state_machine.h allows and ends it where the peer stalls,
-// fails or breaks it. What the node itself does in each step is the Delegate's part.
+// runs the protocol of packets.h in the order that state_machine.h allows, and abandons the restart where the
+// peer stalls, fails or violates the protocol. The Delegate does what each step means for the node itself.
 #pragma once
 
 #include <cstdint>
@@ -17,14 +17,14 @@
 
 namespace lemonstair::hot_restart {
 
-// An open tunnel on its way to the other process. The descriptors remain the sender's.
+// An open tunnel in transfer to the other process. The sender keeps ownership of the descriptors.
 struct TransferredTunnel {
-    std::uint64_t number = 0;  // the tunnel's id in the sender
+    std::uint64_t number = 0;  // the tunnel's id in the sending process
     std::string bytes;         // its serialized state
     int client = -1, endpoint = -1;
 };
 
-// The process that restarts or is replaced.
+// The node whose process takes over or is replaced.
 class Delegate {
   public:
     Delegate() = default;
@@ -33,46 +33,47 @@
     virtual ~Delegate() = default;
     // Old process: writes the endpoint list and the balancer's state.
     virtual void export_state(std::string& endpoint_list, std::string& balancer_state) = 0;
-    // How far this process's clock is ahead of the monotonic one.
+    // How far this process's clock is ahead of the monotonic clock, in tenths of a ms.
     virtual net::Ticks clock_base() = 0;
-    // The same of the old process; called before `begin`.
+    // New process: the clock base of the old process; called before `begin`.
     virtual void on_peer_clock_base(net::Ticks base) = 0;
-    // This process becomes the node, with the old one's state or without one (both empty).
+    // This process becomes the node, with the state of the old process or without one (both are empty).
     virtual void begin(std::string_view endpoint_list, std::string_view balancer_state) = 0;
-    // Called after each change of role, except for those that `begin` follows.
+    // Called after each change of role, except for the changes that `begin` follows.
     virtual void on_role_changed(Role from, Role to) = 0;
-    // Old process: the next open tunnel that can be transferred; false where there is none. It is left as it
-    // is until its result is known.
+    // Old process: fills in the next open tunnel that can be transferred; false where there is none. The
+    // tunnel must then not change until on_transfer_result.
     virtual bool next_tunnel(TransferredTunnel& tunnel) = 0;
-    // Old process: the new one has the tunnel, or it remains here.
+    // Old process: the new process has the tunnel, or (not accepted) the tunnel remains in this one.
     virtual void on_transfer_result(std::uint64_t number, bool accepted) = 0;
-    // New process: false where the tunnel cannot be taken; the old process then keeps it.
+    // New process: false where the tunnel cannot be accepted; the old process then keeps it.
     virtual bool receive_tunnel(std::string_view bytes, net::Fd client, net::Fd endpoint) = 0;
     virtual bool has_tunnels() const = 0;
-    // Descriptors that this process holds, and those that both processes may hold together.
+    // Descriptors that this process holds, and the number that both processes may hold together.
     virtual std::size_t descriptors_held() const = 0;
     virtual std::size_t descriptor_limit() const = 0;
-    // The other process's count has changed; 0: there is none.
+    // The number of descriptors that the other process holds has changed; 0: there is no other process.
     virtual void on_peer_descriptors(std::size_t descriptors) = 0;
 };
 
 class Session final : public net::EventHandler, PacketChannel::Listener {
   public:
-    // `path` is where processes of this node meet; empty: hot restart is off.
+    // `path` is that of the local socket on which the processes of this node connect; empty: hot restart is
+    // off.
     Session(net::EventLoop& loop, Delegate& delegate, log::Log& log, std::string node_name, std::string path);
-    // Connects to an old process if there is one; otherwise the node begins at once. To be called once.
+    // Connects to an old process if there is one; otherwise the node begins at once. Must be called once.
     void start();
     Role role() const { return role_; }
-    // Another process of this node serves beside this one, because it could not take over.
+    // Another process of this node serves clients beside this one, because it could not take over from it.
     bool displaced() const { return displaced_; }
-    // Continues the transfer; called when more tunnels can be transferred.
+    // Continues the transfer. To be called when more tunnels can be transferred.
     void transfer_tunnels();
 
     void on_ready(std::uint64_t, short) override {}
     void on_timer(std::uint64_t token) override;
 
   private:
-    // The only place where the role changes; false where the event is invalid in this role.
+    // Changes the role; no other function does. False where the event is invalid in this role.
     bool transition(Event event);
     void request_state();
     void retry_later();
@@ -110,7 +111,7 @@
     Role role_ = Role::standalone;
     net::Ticks give_up_at_ = 0, started_at_ = 0, role_since_ = 0;
     std::string endpoint_list_, balancer_state_;  // received so far
-    std::set<std::uint64_t> in_transfer_;         // tunnels sent whose result is not known yet
+    std::set<std::uint64_t> in_transfer_;         // ids of tunnels sent whose result is not known yet
     std::size_t tunnels_sent_ = 0, tunnels_received_ = 0;
     std::size_t peer_descriptors_ = 0, reported_descriptors_ = 0;
 };
--- a/src/hot_restart/state_machine.h
+++ b/src/hot_restart/state_machine.h
@@ -1,5 +1,5 @@
-// The states of a hot restart: which role a process has while a new version takes over its node, and which
-// events change it. A pure transition table without sockets or timers; session.h drives it.
+// The states of a hot restart: the role that a process has while a new process takes over its node, and the
+// events that change the role. This is a transition table without sockets or timers; session.h drives it.
 #pragma once
 
 #include <cstdint>
@@ -8,42 +8,42 @@
 
 namespace lemonstair::hot_restart {
 
-// Sequence of the new process: standalone, requesting_state, receiving, standalone. Sequence of the old one:
-// standalone, offering_state, transferring, transferred, and its exit.
+// The new process goes through standalone, requesting_state, receiving and standalone; the old process
+// through standalone, offering_state, transferring and transferred, and exits.
 enum class Role : std::uint8_t {
     standalone,        // no other process takes part
-    requesting_state,  // new process: waits for the state of the old one
-    offering_state,    // old process: sends its state and is still the node
-    transferring,      // old process: replaced, still has tunnels to transfer
-    transferred,       // old process: replaced, no tunnels left
-    receiving          // new process: is the node, tunnels are still arriving
+    requesting_state,  // new process: waits for the state of the old process
+    offering_state,    // old process: has sent its state and is still the node
+    transferring,      // old process: is replaced and still has tunnels to transfer
+    transferred,       // old process: is replaced and has no tunnels left
+    receiving          // new process: is the node and still receives tunnels
 };
 
 enum class Event : std::uint8_t {
-    peer_found,        // new process: an old process is connected, the request is about to be sent
+    peer_found,        // new process: it is connected to an old process and about to send its request
     request_received,  // old process: a new process asked for the state
     state_received,    // new process: the state is complete
     peer_ready,        // old process: the new one has become the node
-    all_transferred,   // old process: no tunnel is left
-    tunnel_pending,    // old process: a tunnel that opened late can be transferred
+    all_transferred,   // old process: it has no tunnels left
+    tunnel_pending,    // old process: a tunnel can be transferred that opened after the others had left
     disconnected       // the connection is lost, or one side abandoned the restart
 };
 
 // The role's name in log lines.
 std::string_view name_of(Role role);
 
-// The role after `event`; nothing where the event is invalid in role `from`, so the peer is not to be
-// trusted.
+// The role after `event`; nothing where the event is invalid in role `from`. The peer then violates the
+// protocol.
 std::optional<Role> next(Role from, Event event);
 
-// Whether the process in this role is the node: accepts clients, answers PING, and talks to peers, discovery
-// and health checks. During a restart exactly one of the two processes is, but for the overlap between the
-// new one's start and the old one's receipt of `ready`.
+// Whether a process in this role is the node: it accepts clients, answers PING, exchanges gossip with peers,
+// follows discovery and sends health checks. During a restart exactly one of the two processes is the node,
+// except that both are from the moment when the new one begins until the old one receives `ready`.
 constexpr bool is_active(Role role) {
     return role == Role::standalone || role == Role::offering_state || role == Role::receiving;
 }
 
-// Whether the process has been replaced and hands its tunnels to its successor.
+// Whether a process in this role has been replaced and transfers its tunnels to the new process.
 constexpr bool is_replaced(Role role) { return role == Role::transferring || role == Role::transferred; }
 
 }  // namespace lemonstair::hot_restart
