--- a/example/example_server.cpp
+++ b/example/example_server.cpp
@@ -1,7 +1,7 @@
-// A server to try a node with: discovery and any number of endpoints in one process.
-//     lemonstair_example_server DISCOVERY HOST [HOST ...]        each an address and a port
-// An endpoint opens every tunnel and echoes its lines. The load that it reports is a tenth for each open
-// tunnel.
+// A server for trying out a node: discovery and any number of endpoints in one process.
+//     lemonstair_example_server DISCOVERY HOST [HOST ...]
+// Each argument is an address and a port, such as 127.0.0.1:8500. An endpoint opens every tunnel and echoes
+// its lines. The load that it reports is 0.1 for each open tunnel.
 #include <poll.h>
 #include <sys/socket.h>
 
@@ -25,13 +25,14 @@
 
 class ExampleServer final : public net::EventHandler {
   public:
-    // The first address is discovery's, the others are the endpoints'. Throws std::invalid_argument or
-    // std::system_error.
+    // The first address is that of discovery, the others are those of the endpoints. Throws
+    // std::invalid_argument for a text that is not an address, and std::system_error where an address cannot
+    // be bound.
     ExampleServer(net::EventLoop& loop, const std::vector<std::string>& addresses)
         : loop_(loop), open_tunnels_(addresses.size()) {
         for (const auto& name : addresses) {
             const auto address = net::parse_address(name);
-            if (!address) throw std::invalid_argument("'" + name + "' is not an address and a port");
+            if (!address) throw std::invalid_argument("'" + name + "' is not an IPv4 address and a port");
             const auto index = listeners_.size();
             listeners_.emplace_back(loop, loop.system().listen_on(*address), POLLIN, *this, index);
             if (index > 0)
@@ -59,7 +60,7 @@
         }
         if (closing || text.size() > 4096) close(it);
     }
-    // An empty line tells a watch that it is still current.
+    // Sends an empty line on each watch, so that the node knows that the watch is alive.
     void on_timer(std::uint64_t) override {
         for (auto& [token, connection] : connections_)
             if (connection.listener == discovery && connection.is_watch)
@@ -69,11 +70,12 @@
 
   private:
     static constexpr net::Ticks keep_alive_interval = 20000;  // tenths of a ms
-    static constexpr std::size_t discovery = 0;               // its listener; the others are endpoints
+    static constexpr std::size_t discovery = 0;  // index of its listener; the others are endpoints
+    // An accepted connection. A watch is a request to discovery whose response goes on with later changes.
     struct Connection {
         net::Socket socket;
-        std::size_t listener = 0;
-        std::string text;
+        std::size_t listener = 0;  // index of the listener that accepted it
+        std::string text;          // received and not yet handled
         bool is_tunnel = false, is_watch = false;
     };
     using Connections = std::map<std::uint64_t, Connection>;
@@ -88,21 +90,21 @@
         if (it->second.is_tunnel) --open_tunnels_[it->second.listener];
         connections_.erase(it);
     }
-    // False where the connection is to be closed.
+    // False where the text could not be sent completely; the connection is then to be closed.
     static bool send(Connection& connection, std::string_view text) {
         return connection.socket.write(text).bytes == text.size();
     }
-    // False where the connection is to be closed.
+    // Handles one line, with its line end. False where the connection is to be closed.
     bool handle_line(Connection& connection, const std::string& line) {
         if (connection.listener == discovery) {
-            if (line.substr(0, 4) != "GET ") return true;  // the request's headers
+            if (line.substr(0, 4) != "GET ") return true;  // a header line of the request
             const std::string list = R"({"revision":1,"complete":true,"members":[)" + endpoints_ + "]}\n";
-            std::ostringstream answer;
-            answer << "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                   << std::hex << list.size() << "\r\n"
-                   << list << "\r\n";
+            std::ostringstream response;
+            response << "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                     << std::hex << list.size() << "\r\n"
+                     << list << "\r\n";
             connection.is_watch = true;
-            return send(connection, answer.str());
+            return send(connection, response.str());
         }
         if (connection.is_tunnel) return send(connection, line);
         if (line.substr(0, 4) == "PING") return send(connection, "PONG\r\n");
@@ -116,7 +118,7 @@
         return send(connection, "UP toy-" + std::to_string(connection.listener) + "\r\n");
     }
     net::EventLoop& loop_;
-    std::vector<int> open_tunnels_;  // by listener
+    std::vector<int> open_tunnels_;  // number of open tunnels by listener
     std::vector<net::Socket> listeners_;
     std::string endpoints_;
     Connections connections_;
@@ -127,7 +129,8 @@
 
 int main(int argc, char** argv) {
     if (argc < 3) {
-        std::cerr << "usage: lemonstair_example_server DISCOVERY HOST [HOST ...]\n";
+        std::cerr << "usage: lemonstair_example_server DISCOVERY HOST [HOST ...], each an IPv4 address and a "
+                     "port\n";
         return 2;
     }
     try {
@@ -135,8 +138,8 @@
         net::EventLoop loop(kernel);
         ExampleServer server(loop, {argv + 1, argv + argc});
         for (;;) loop.run_once([] {});
-    } catch (const std::exception& e) {
-        std::cerr << "lemonstair_example_server: " << e.what() << '\n';
+    } catch (const std::exception& error) {
+        std::cerr << "lemonstair_example_server: " << error.what() << '\n';
         return 1;
     }
 }
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -13,14 +13,15 @@
 
 using net::Ticks;
 
-// Tenths of a ms. A connection that stays longer than this in a state is closed, give or take an interval.
+// Tenths of a ms. A connection that stays in a state for longer than its timeout is closed, at most one
+// `expiry_interval` late.
 constexpr Ticks reading_timeout = 20000, writing_timeout = 20000, closing_timeout = 5000;
 constexpr Ticks expiry_interval = 2500;
 constexpr Ticks eviction_log_interval = 100000, accept_pause = 200;
-// How long a connection may not be evicted, since the rest of its request may be on its way: nothing of it
-// has come; a part has come; nothing has come on a connection from before the crowd, whose network may be
-// slow.
-constexpr Ticks grace_before_request = 200, grace_within_request = 50, grace_before_crowd = 600;
+// Periods in which a connection is not evicted, since the rest of its request may be on its way: before the
+// first byte of the request; after a part of it; and before the first byte on a connection that was accepted
+// while more than half of the slots were free, whose client may only have a slow network.
+constexpr Ticks grace_before_request = 200, grace_within_request = 50, grace_if_early = 600;
 enum Timer : std::uint64_t { expiry_timer, accept_timer };
 constexpr int accepts_per_pass = 64, reads_per_pass = 4;
 constexpr std::uint64_t listener_token = ~std::uint64_t{0};
@@ -72,38 +73,40 @@
         if (open_connections_ == connections_.size() && !evict_one()) return;
         net::Fd fd = listener_.accept();
         if (!fd.open()) return net::is_resource_exhausted(errno) ? pause_accepting(accept_pause) : void();
-        const auto slot = std::find_if(connections_.begin(), connections_.end(),
-                                       [](const Connection& c) { return c.state == State::unused; });
+        const auto slot =
+            std::find_if(connections_.begin(), connections_.end(),
+                         [](const Connection& connection) { return connection.state == State::unused; });
         slot->socket =
             net::Socket(loop_, std::move(fd), POLLIN, *this,
                         static_cast<std::uint64_t>(slot - connections_.begin()), net::EventPriority::first);
-        slot->before_crowd = 2 * open_connections_ < connections_.size();
+        slot->is_early = 2 * open_connections_ < connections_.size();
         transition_to(*slot, State::reading);
         if (!std::exchange(expiry_timer_set_, true))
             loop_.schedule(loop_.now() + expiry_interval, *this, expiry_timer);
-        read(*slot);  // mostly the request is here already
+        read(*slot);  // the request has usually arrived already
     }
 }
 
-// Polling a pending connection that cannot be accepted yet would spin.
+// To poll for a pending connection that cannot be accepted yet would make the loop spin.
 void AdminServer::pause_accepting(Ticks duration) {
     listener_.set_events(0);
     loop_.schedule(loop_.now() + duration, *this, accept_timer);
 }
 
-// Thousands of connections without a complete request must not lock operators out. When all slots are taken,
-// the longest open one is closed: first those whose response is written, then those with a part of a request,
-// then those without one, each after its grace period, and last those still receiving a response. False where
-// none can be closed yet; accepting then pauses until one can.
+// Closes a connection when all slots are taken, so that thousands of connections without a complete request
+// do not lock operators out. In order of preference: connections whose response is written, those with a part
+// of a request, those without any part of one, and those that are still receiving a response. Among equals
+// the one goes first whose grace period ended earliest. False where no grace period has ended; accepting then
+// pauses until one has.
 bool AdminServer::evict_one() {
-    const auto rank = [](const Connection& c) {
-        if (c.state == State::closing) return 0;
-        if (c.state == State::writing) return 3;
-        return c.request.is_empty() ? 2 : 1;
+    const auto rank = [](const Connection& connection) {
+        if (connection.state == State::closing) return 0;
+        if (connection.state == State::writing) return 3;
+        return connection.request.is_empty() ? 2 : 1;
     };
-    const auto grace_period = [&](const Connection& c) -> Ticks {
-        if (rank(c) >= 2) return c.before_crowd ? grace_before_crowd : grace_before_request;
-        return rank(c) == 1 ? grace_within_request : 0;
+    const auto grace_period = [&](const Connection& connection) -> Ticks {
+        if (rank(connection) >= 2) return connection.is_early ? grace_if_early : grace_before_request;
+        return rank(connection) == 1 ? grace_within_request : 0;
     };
     const auto is_evicted_before = [&](const Connection& a, const Connection& b) {
         if (rank(a) != rank(b)) return rank(a) < rank(b);
@@ -120,7 +123,7 @@
     if (loop_.now() - eviction_logged_at_ > eviction_log_interval) {
         eviction_logged_at_ = loop_.now();
         log_.info() << "admin server: all " << open_connections_
-                    << " connections in use, oldest one evicted, " << evicted_ << " evicted so far";
+                    << " connections in use, one evicted for a new one, " << evicted_ << " evicted so far";
     }
     transition_to(candidate, State::unused);
     return true;
@@ -150,7 +153,7 @@
     if (result.error != 0) return transition_to(connection, State::unused);
     connection.response.erase(0, result.bytes);
     if (!connection.response.empty()) return connection.socket.set_events(POLLOUT);
-    // Closing with unread input causes a reset, which can overtake the response.
+    // Closing a socket with unread input sends a reset, which can reach the client before the response.
     connection.socket.shutdown_write();
     connection.socket.set_events(POLLIN);
     transition_to(connection, State::closing);
--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -1,6 +1,6 @@
-// The admin server: a small HTTP server for operators. Connections are few, use descriptors reserved for
-// them, and are served before clients in a pass of the event loop, so that a node full of clients still
-// answers.
+// The admin server: a small HTTP server for operators. Its connections are few. They use descriptors that are
+// reserved for them, and in each pass of the event loop they are handled before clients, so that a node full
+// of clients still answers its operators.
 #pragma once
 
 #include <cstdint>
@@ -14,11 +14,12 @@
 
 namespace lemonstair::admin {
 
+// A connection carries one request and its response.
 class AdminServer final : public net::EventHandler {
   public:
     AdminServer(net::EventLoop& loop, AdminHandler& handler, log::Log& log)
         : loop_(loop), handler_(handler), log_(log) {}
-    // Throws std::system_error where the address cannot be bound.
+    // Starts to accept connections; throws std::system_error where the address cannot be bound.
     void open(const net::Address& address, std::size_t max_connections);
     std::size_t open_connections() const { return open_connections_; }
 
@@ -26,15 +27,15 @@
     void on_timer(std::uint64_t token) override;
 
   private:
-    // unused: a free slot. closing: the response is written, further input is discarded until the client
-    // closes.
+    // unused: the slot is free. closing: the response is written, and further input is discarded until the
+    // client closes the connection.
     enum class State : std::uint8_t { unused, reading, writing, closing };
     struct Connection {
         net::Socket socket;
         http::Request request;
         std::string response;
         net::Ticks state_since = 0;
-        bool before_crowd = false;  // accepted while most slots were free
+        bool is_early = false;  // accepted while more than half of the slots were free
         State state = State::unused;
     };
     void accept();
@@ -51,7 +52,7 @@
     AdminHandler& handler_;
     log::Log& log_;
     net::Socket listener_;
-    std::vector<Connection> connections_;  // slots, as many as there may be connections
+    std::vector<Connection> connections_;  // one slot for each allowed connection
     std::size_t open_connections_ = 0;
     bool expiry_timer_set_ = false;
     std::uint64_t evicted_ = 0;
--- a/src/admin/metrics_page.h
+++ b/src/admin/metrics_page.h
@@ -1,4 +1,4 @@
-// The metrics page: counters and levels of a node as JSON, under the operators' names for them.
+// The metrics page: a node's counters and current levels as JSON, under the names that operators know.
 #pragma once
 
 #include <cstddef>
@@ -12,8 +12,8 @@
 
 struct MetricsSnapshot {
     const std::vector<std::string>& traffic_class_names;
-    const metrics::TunnelCounters& tunnels;  // of the same traffic classes, in the same order
-    std::size_t open_tunnels = 0;            // admitted and not ended
+    const metrics::TunnelCounters& tunnels;  // by the same traffic classes, in the same order
+    std::size_t open_tunnels = 0;            // admitted tunnels that have not ended
     std::uint32_t endpoints_listed = 0, endpoints_excluded = 0;
 };
 
--- a/src/admin/routes.cpp
+++ b/src/admin/routes.cpp
@@ -35,7 +35,7 @@
     return "";
 }
 
-// `allow`: the method of the Allow header; empty: no such header.
+// `allow` is the method of the Allow header; empty: the response has no such header.
 std::string response(int status, std::string_view body, std::string_view allow = {}) {
     std::string out = "HTTP/1.1 " + std::to_string(status) + " ";
     out.append(reason_phrase(status)).append("\r\nContent-Type: application/json\r\n");
@@ -44,7 +44,7 @@
     return out.append("\r\nConnection: close\r\n\r\n").append(body);
 }
 
-// 200 where the node is as asked for, 503 where it is not.
+// 200 where the node is in the requested state, 503 where it is not.
 std::string state_response(bool as_requested, const AdminHandler& handler) {
     return response(as_requested ? 200 : 503, R"({"state":)" + json::quoted(handler.phase()) + "}");
 }
@@ -56,7 +56,7 @@
         const int status = static_cast<int>(request.error());
         return response(status, R"({"error":)" + json::quoted(reason_phrase(status)) + "}");
     }
-    std::string_view allow;  // set once the path is known
+    std::string_view allow;  // the method of the requested path; empty while no route has that path
     for (const RouteEntry& entry : routes) {
         if (entry.path != request.path()) continue;
         allow = entry.method;
@@ -72,10 +72,12 @@
                 return state_response(handler.resume(), handler);
         }
     }
-    if (allow.empty()) return response(404, R"({"error":"no such call"})");
-    return response(405, R"({"error":"not called so"})", allow);
+    if (allow.empty()) return response(404, R"({"error":"no such path"})");
+    return response(405, R"({"error":"method not allowed, use )" + std::string(allow) + R"("})", allow);
 }
 
-std::string request_timeout_response() { return response(408, R"({"error":"the call was not said whole"})"); }
+std::string request_timeout_response() {
+    return response(408, R"({"error":"timed out before the request was complete"})");
+}
 
 }  // namespace lemonstair::admin
--- a/src/admin/routes.h
+++ b/src/admin/routes.h
@@ -1,4 +1,4 @@
-// The requests that operators make: the table of methods and paths, and the HTTP response to each.
+// The requests that operators can make: the table of methods and paths, and the HTTP response to each.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 enum class Route : std::uint8_t { health, metrics, drain, resume };
 
-// The node behind the admin server, which knows nothing else of it.
+// The node as the admin server uses it.
 class AdminHandler {
   public:
     AdminHandler() = default;
@@ -20,16 +20,17 @@
     virtual ~AdminHandler() = default;
     // Whether clients may be sent to this node.
     virtual bool ready() const = 0;
-    // The name of the node's phase, as operators see it.
+    // The node's phase, by the name that operators see.
     virtual std::string_view phase() const = 0;
     // The metrics as JSON; see metrics_page.h.
     virtual std::string metrics_page() const = 0;
-    // Both are idempotent and return whether the node is in the requested state now.
+    // Both are idempotent and return whether the node is now in the requested state.
     virtual bool drain() = 0;
     virtual bool resume() = 0;
 };
 
-// The complete HTTP response. The request must be complete or have an error.
+// Carries out the request and returns the complete HTTP response. The request must be complete or have an
+// error.
 std::string respond(const http::Request& request, AdminHandler& handler);
 // The response to a client whose request did not become complete in time.
 std::string request_timeout_response();
--- a/src/metrics/resource_counters.h
+++ b/src/metrics/resource_counters.h
@@ -1,5 +1,6 @@
-// What a node's work costs others, counted since its start: gossip, health checks, requests to discovery and
-// setup attempts. Once a second the node logs what was added; tools/fleet_costs.py adds these lines up.
+// Counters, since a node's start, of its processor time and of what it costs others: gossip, health checks,
+// requests to discovery and setup attempts. Once a second the node logs the increments; tools/fleet_costs.py
+// sums these lines over a fleet.
 #pragma once
 
 #include <array>
@@ -14,14 +15,15 @@
 namespace lemonstair::metrics {
 
 struct ResourceCounters {
-    std::uint64_t gossip_datagrams = 0;  // one for each receiver
-    peer::BytesByKind gossip_bytes{};    // by kind of item, counted for each receiver
-    std::uint64_t health_checks = 0, health_check_connections = 0;  // sent; connections opened for them
+    std::uint64_t gossip_datagrams = 0;  // a message counts once for each receiver
+    peer::BytesByKind gossip_bytes{};    // by kind of item; a message counts once for each receiver
+    std::uint64_t health_checks = 0, health_check_connections = 0;  // sent, and connections opened for them
     std::uint64_t discovery_requests = 0, discovery_failures = 0;
-    std::uint64_t discovery_wait_ms = 0;                  // from request to answer
+    std::uint64_t discovery_wait_ms = 0;                  // from a request to its response
     std::uint64_t setups = 0;                             // attempts begun
     std::array<std::uint64_t, outcome_count> attempts{};  // ended, by Outcome
-    // By Reason: final answers that open nothing, and attempts withdrawn before they were written.
+    // By Reason: final answers other than an opened tunnel, and attempts withdrawn before anything was
+    // written.
     std::array<std::uint64_t, reasons> by_reason{};
     Violations violations{};
     std::uint64_t processor_us = 0;
@@ -36,7 +38,7 @@
     bool operator==(const ResourceCounters&) const = default;
 };
 
-// Writes " name=difference" for each counter that differs between `now` and the earlier `before`.
+// Writes " name=difference" for each counter that differs between `now` and the earlier value `before`.
 void write_difference(std::ostream& out, const ResourceCounters& now, const ResourceCounters& before);
 
 }  // namespace lemonstair::metrics
--- a/src/metrics/tunnel_counters.h
+++ b/src/metrics/tunnel_counters.h
@@ -1,4 +1,4 @@
-// Final answers of tunnels since the node's start, by traffic class. A tunnel is counted once.
+// Counters of the final answers to clients since the node's start, by traffic class. Each tunnel counts once.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,7 @@
 
 namespace lemonstair::metrics {
 
-// The last answer that the client of a tunnel got; none: no answer yet, or it left before one.
+// The last answer that the client of a tunnel got; none: no answer yet, or the client left without one.
 enum class FinalAnswer : std::uint8_t { none, opened, declined, closed_with_error };
 
 struct TunnelCounters {
--- a/src/metrics/violations.h
+++ b/src/metrics/violations.h
@@ -1,5 +1,5 @@
-// Invariants: effects that no path of the program may have. Each is checked at the moment of the effect,
-// independently of the path that led there; a violation is counted and logged as an error with its tunnel.
+// Invariants: effects that no code path may have. Each is checked where the effect takes place, independently
+// of the code path that led there. A violation is counted and logged as an error with the tunnel's id.
 #pragma once
 
 #include <array>
@@ -10,10 +10,10 @@
 namespace lemonstair::metrics {
 
 enum class Invariant : std::uint8_t {
-    attempt_forbidden,            // an attempt's first byte was written against the attempt policy
-    concurrent_attempts,          // a second attempt of a tunnel began during the first
-    closed_without_answer,        // a client that had been read, or had sent something, got no answer
-    answered_twice,               // a client got a second final answer
+    attempt_forbidden,      // an attempt's first byte was written although the attempt policy forbids it
+    concurrent_attempts,    // an attempt for a tunnel began while another one was in flight
+    closed_without_answer,  // the connection of a client that had sent something was closed unanswered
+    answered_twice,         // a client got a second final answer
     exited_with_pending_answers,  // the process ended while clients waited for an answer
     count
 };
@@ -27,7 +27,7 @@
     return invariant < Invariant::count ? names[static_cast<std::size_t>(invariant)] : "unknown";
 }
 
-// How each such log line begins; tests, the simulation and the soak search for it.
+// The beginning of the log line of a violation; tests, the simulation and the soak test search for it.
 constexpr std::string_view violation_prefix = "invariant violated: ";
 
 using Violations = std::array<std::uint64_t, invariant_count>;
