--- a/tools/upgrades.py
+++ b/tools/upgrades.py
@@ -1,14 +1,16 @@
 #!/usr/bin/env python3
-"""Upgrades of a real node under load, on loopback: how many connections notice.
+"""Upgrades a real node under load, on loopback, and counts the connections and calls that an upgrade disturbs.
 
-Plays the platform: holds the clients' listening socket, starts `lemonstair` with it as descriptor 5, and again and
-again a new process beside the old one, which has SIGTERM once the new one says yes and SIGKILL 3.7 s later. Clients
-come all the time, open tunnels through `lemonstair_example_server`, and talk. Counts what an upgrade must not bring: connections
-refused, reset, or left without an answer, and lines lost. Bounded in time; binds to 127.0.0.0/8 alone; ends what it
-started. Exit status: 0 none noticed, 1 some did, 2 wrong use.
+The tool plays the platform. It holds the listening socket for clients and starts `lemonstair` with it as descriptor 5. For
+each upgrade it starts a new process beside the old one. Once the new process is ready, the old one gets SIGTERM, and
+SIGKILL 3.7 s later. Meanwhile clients connect at a constant rate, open tunnels through the node to
+`lemonstair_example_server`, and send lines. An upgrade must not cause any of what is counted: connections refused, reset,
+moved or left without an answer, lost lines, and unanswered calls to the admin server. The run time is bounded, the tool
+binds to addresses in 127.0.0.0/8 only, and it ends each process that it started. Exit status: 0: none was disturbed; 1: some
+were, or the run failed; 2: wrong arguments.
 
     tools/upgrades.py build --upgrades 10 --rate 100
-    tools/upgrades.py build --other ../before/build/lemonstair     # two versions hand over to each other in turn
+    tools/upgrades.py build --other ../before/build/lemonstair     # the two versions replace each other in turn
 """
 import argparse
 import asyncio
@@ -22,35 +24,40 @@
 import time
 
 LISTENER_FD = 5
-MEAN_TUNNEL_SECONDS = 3.5  # how long a client keeps its tunnel
+MEAN_TUNNEL_SECONDS = 3.5  # mean time for which a client keeps its tunnel
 
 
 class Ports:
-    """Ports for others to listen on, on an address of this run's own. On 127.0.0.1 a port found free is taken again by
-    the next connection that goes out; from here none goes out, and no port is given twice."""
+    """Free ports for other programs to listen on, at a loopback address that only this run uses.
+
+    On 127.0.0.1 the next outgoing connection could use a port that was found free. From this address no connection goes
+    out, and no port is returned twice.
+    """
 
     def __init__(self):
-        own = os.getpid()
-        self.host = f"127.{64 + (own >> 14 & 0x3f)}.{own >> 7 & 0x7f}.{1 + (own & 0x7f)}"
-        self.given = set()
+        pid = os.getpid()
+        self.host = f"127.{64 + (pid >> 14 & 0x3f)}.{pid >> 7 & 0x7f}.{1 + (pid & 0x7f)}"
+        self.returned = set()
 
     def free(self):
         while True:
-            with socket.socket() as s:
-                s.bind((self.host, 0))
-                port = s.getsockname()[1]
-            if port not in self.given:
-                self.given.add(port)
+            with socket.socket() as probe:
+                probe.bind((self.host, 0))
+                port = probe.getsockname()[1]
+            if port not in self.returned:
+                self.returned.add(port)
                 return port
 
 
 class Platform:
+    """The listening socket, the configuration, the log of all processes, and the processes themselves."""
+
     def __init__(self, build, other, folder, rate):
         self.build, self.folder = build, folder
-        # Programs that take turns: each new process runs the next one.
+        # Each new process runs the next program in turn.
         self.programs = [os.path.join(build, "lemonstair")] + ([other] if other else [])
         self.nodes_started = 0
-        # Discovery and so many hosts that the servers' load (a tenth for each tunnel) gives no reason to move or decline.
+        # Discovery, and enough endpoints that their load (0.1 for each tunnel) is no reason to move or decline clients.
         self.ports = Ports()
         self.server_ports = [self.ports.free() for _ in range(1 + max(2, int(rate * MEAN_TUNNEL_SECONDS * 0.1 / 0.4)))]
         self.started = []
@@ -59,37 +66,38 @@
         self.listener.bind(("127.0.0.1", 0))
         self.listener.listen(1024)
         self.port = self.listener.getsockname()[1]
-        with open(os.path.join(os.path.dirname(__file__), "..", "example", "node.json"), encoding="utf-8") as f:
-            config = json.load(f)
+        with open(os.path.join(os.path.dirname(__file__), "..", "example", "node.json"), encoding="utf-8") as file:
+            config = json.load(file)
         config["listen"] = f"127.0.0.1:{self.port}"
         config["discovery"] = f"{self.ports.host}:{self.server_ports[0]}"
         self.config = os.path.join(folder, "node.json")
-        with open(self.config, "w", encoding="utf-8") as f:
-            json.dump(config, f)
+        with open(self.config, "w", encoding="utf-8") as file:
+            json.dump(config, file)
         self.log = open(os.path.join(folder, "log"), "ab")
 
-    def run(self, command, **more):
-        process = subprocess.Popen(command, stdin=subprocess.DEVNULL, stdout=self.log, stderr=self.log, **more)
+    def run(self, command, **arguments):
+        process = subprocess.Popen(command, stdin=subprocess.DEVNULL, stdout=self.log, stderr=self.log, **arguments)
         self.started.append(process)
         return process
 
     def start_example_server(self):
-        addresses = [f"{self.ports.host}:{p}" for p in self.server_ports]
+        addresses = [f"{self.ports.host}:{port}" for port in self.server_ports]
         server = self.run([os.path.join(self.build, "lemonstair_example_server")] + addresses)
-        begun = time.monotonic()
+        started = time.monotonic()
         while True:
             try:
                 socket.create_connection((self.ports.host, self.server_ports[-1]), 1).close()
                 return
             except OSError:
-                if server.poll() is not None or time.monotonic() - begun > 6:
-                    sys.exit("lemonstair_example_server does not listen; its log is above")
+                if server.poll() is not None or time.monotonic() - started > 6:
+                    sys.exit("lemonstair_example_server did not listen within 6 s; its log is above")
                 time.sleep(0.01)
 
     def start_node(self):
+        """Starts a process of the node; returns it and the port of its admin server."""
         admin = self.ports.free()
 
-        def hand_down():
+        def pass_listener():
             os.dup2(self.listener.fileno(), LISTENER_FD)
 
         environment = {"NODE_CONFIG": self.config, "TMPDIR": self.folder, "NODE_INHERITED_FD": str(LISTENER_FD),
@@ -97,7 +105,7 @@
         program = self.programs[self.nodes_started % len(self.programs)]
         self.nodes_started += 1
         return self.run([program], env=environment, pass_fds=[LISTENER_FD],
-                        close_fds=True, preexec_fn=hand_down), admin
+                        close_fds=True, preexec_fn=pass_listener), admin
 
     def stop_all(self):
         for process in self.started:
@@ -109,7 +117,7 @@
 
 
 async def call(host, port, method, path):
-    """The status and the body of one call; 0 where there is no answer within a second."""
+    """Status and body of one HTTP request to the admin server; status 0 where there is no response within a second."""
     try:
         reader, writer = await asyncio.wait_for(asyncio.open_connection(host, port), 1)
         writer.write(f"{method} {path} HTTP/1.1\r\nHost: n\r\n\r\n".encode())
@@ -121,6 +129,8 @@
 
 
 class Load:
+    """Clients that open tunnels and send lines, and counts of what happens to them."""
+
     def __init__(self, port):
         self.port, self.number, self.stopped = port, 0, False
         self.counts = dict(opened=0, declined=0, refused=0, reset=0, unread=0, moved=0, lines=0, lines_lost=0)
@@ -165,7 +175,7 @@
             writer.close()
 
     async def connect_clients(self, rate):
-        """Arrivals by the clock, whatever becomes of those before."""
+        """Starts clients at a constant rate, regardless of how earlier ones fare, until `stopped` is set."""
         clients, started, arrived = [], time.monotonic(), 0
         while not self.stopped:
             while arrived < (time.monotonic() - started) * rate:
@@ -180,22 +190,22 @@
     platform.start_example_server()
     old, admin = platform.start_node()
     load = Load(platform.port)
-    begun = time.monotonic()
+    started = time.monotonic()
     while (await call(host, admin, "GET", "/healthcheck"))[0] != 200:
-        if time.monotonic() - begun > 6:
-            sys.exit("the node does not say yes; its log is above")
+        if time.monotonic() - started > 6:
+            sys.exit("the node was not ready within 6 s; its log is above")
         await asyncio.sleep(0.02)
     arrivals = asyncio.ensure_future(load.connect_clients(options.rate))
     await asyncio.sleep(1)
-    readies, unanswered_calls = [], 0
+    ready_seconds, unanswered_calls = [], 0
     for _ in range(options.upgrades):
         new, new_admin = platform.start_node()
         started = time.monotonic()
         while (await call(host, new_admin, "GET", "/healthcheck"))[0] != 200:
             if time.monotonic() - started > 6:
-                sys.exit("a new process does not say yes within 6 s")
+                sys.exit("a new process was not ready within 6 s; the log is above")
             await asyncio.sleep(0.01)
-        readies.append(time.monotonic() - started)
+        ready_seconds.append(time.monotonic() - started)
         old.send_signal(signal.SIGTERM)
         signalled = time.monotonic()
         while old.poll() is None and time.monotonic() - signalled < 3.7:
@@ -208,18 +218,18 @@
     load.stopped = True
     await arrivals
     counts = load.counts
-    noticed = sum(counts[n] for n in ("refused", "reset", "unread", "moved", "lines_lost")) + unanswered_calls
+    disturbed = sum(counts[name] for name in ("refused", "reset", "unread", "moved", "lines_lost")) + unanswered_calls
     print(f"{options.upgrades} upgrades at {options.rate:g} clients a second: ready after "
-          f"{max(readies) * 1000:.0f} ms at most; " + ", ".join(f"{n} {v}" for n, v in counts.items()) +
+          f"{max(ready_seconds) * 1000:.0f} ms at most; " + ", ".join(f"{name} {count}" for name, count in counts.items()) +
           f", calls unanswered {unanswered_calls}")
-    print(f"{noticed} connections or calls noticed an upgrade")
-    return 0 if noticed == 0 and counts["opened"] > 0 else 1
+    print(f"{disturbed} connections or calls were disturbed by an upgrade")
+    return 0 if disturbed == 0 and counts["opened"] > 0 else 1
 
 
 def main():
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
-    parser.add_argument("build", help="the folder with lemonstair and lemonstair_example_server")
-    parser.add_argument("--other", help="the program of another version: processes of both take turns")
+    parser.add_argument("build", help="the folder that holds lemonstair and lemonstair_example_server")
+    parser.add_argument("--other", help="the program of another version; the two versions replace each other in turn")
     parser.add_argument("--upgrades", type=int, default=10)
     parser.add_argument("--rate", type=float, default=100, help="clients a second")
     parser.add_argument("--pause", type=float, default=0.3, help="seconds between upgrades")
@@ -231,8 +241,8 @@
         finally:
             platform.stop_all()
             if sys.exc_info()[0] is not None:
-                with open(os.path.join(folder, "log"), encoding="utf-8", errors="replace") as f:
-                    sys.stderr.write(f.read()[-4000:])
+                with open(os.path.join(folder, "log"), encoding="utf-8", errors="replace") as log:
+                    sys.stderr.write(log.read()[-4000:])
 
 
 if __name__ == "__main__":
