--- a/tests/event_loop_test.cpp
+++ b/tests/event_loop_test.cpp
@@ -1,4 +1,5 @@
-// The event loop on the kernel.
+// The event loop on real descriptors. A handler may close another descriptor whose event is pending in the
+// same pass; the event must not reach the handler that then takes over the slot.
 #include <doctest/doctest.h>
 
 #include <array>
@@ -8,32 +9,33 @@
 
 using namespace fake;
 
-TEST_CASE("an event of a loop pass never reaches a handler that took the descriptor's slot in that pass") {
+TEST_CASE("an event never reaches a handler that took the slot of a closed descriptor in the same pass") {
     net::Kernel kernel;
     net::EventLoop loop(kernel);
-    struct Both final : net::EventHandler {
-        std::vector<std::uint64_t> called;
+    // Closes the other socket when called and registers `idle` in its slot.
+    struct SlotReuser final : net::EventHandler {
+        std::vector<std::uint64_t> called_tokens;
         std::vector<net::Socket> sockets;
         net::EventLoop* loop = nullptr;
-        net::Fd quiet;
+        net::Fd idle;  // never readable
         void on_ready(std::uint64_t token, short) override {
-            called.push_back(token);
-            sockets[1 - token].close();  // and its slot goes to one that has nothing to read
-            sockets[1 - token] = net::Socket(*loop, std::move(quiet), POLLIN, *this, 9);
+            called_tokens.push_back(token);
+            sockets[1 - token].close();  // frees the slot for the next socket
+            sockets[1 - token] = net::Socket(*loop, std::move(idle), POLLIN, *this, 9);
         }
         void on_timer(std::uint64_t) override {}
-    } both;
-    both.loop = &loop;
-    std::array<int, 2> x{}, y{}, z{};
-    REQUIRE(::pipe(x.data()) == 0);
-    REQUIRE(::pipe(y.data()) == 0);
-    REQUIRE(::pipe(z.data()) == 0);
-    const net::Fd wx(x[1]), wy(y[1]), wz(z[1]);
-    both.quiet = net::Fd(z[0]);
-    both.sockets.emplace_back(loop, net::Fd(x[0]), POLLIN, both, 0);
-    both.sockets.emplace_back(loop, net::Fd(y[0]), POLLIN, both, 1);
-    CHECK(::write(wx.get(), "x", 1) == 1);
-    CHECK(::write(wy.get(), "x", 1) == 1);
+    } handler;
+    handler.loop = &loop;
+    std::array<int, 2> first{}, second{}, third{};
+    REQUIRE(::pipe(first.data()) == 0);
+    REQUIRE(::pipe(second.data()) == 0);
+    REQUIRE(::pipe(third.data()) == 0);
+    const net::Fd first_writer(first[1]), second_writer(second[1]), third_writer(third[1]);
+    handler.idle = net::Fd(third[0]);
+    handler.sockets.emplace_back(loop, net::Fd(first[0]), POLLIN, handler, 0);
+    handler.sockets.emplace_back(loop, net::Fd(second[0]), POLLIN, handler, 1);
+    CHECK(::write(first_writer.get(), "x", 1) == 1);
+    CHECK(::write(second_writer.get(), "x", 1) == 1);
     loop.run_once([] {});
-    CHECK(both.called == std::vector<std::uint64_t>{0});
+    CHECK(handler.called_tokens == std::vector<std::uint64_t>{0});
 }
--- a/tests/wire.sh
+++ b/tests/wire.sh
@@ -1,20 +1,21 @@
 #!/usr/bin/env bash
-# The adapter on a hand-written transcript, and on input that is not the wire.
+# Runs the simulator adapter on a hand-written transcript, and on invalid input, which it must refuse with exit status 1, one
+# line on standard error, and no output.
 set -u
 adapter=$1 here=$2 bad=0
-expect() {  # name, wanted, got
-    [ "$2" = "$3" ] || { echo "$1: wanted: $2"; echo "$1: got: $3"; bad=1; }
+expect() {  # name, expected, actual
+    [ "$2" = "$3" ] || { echo "$1: expected: $2"; echo "$1: actual: $3"; bad=1; }
 }
 got=$("$adapter" < "$here/wire_in.txt" | grep -v -e WakeMe -e SayLog); code=$?
 expect transcript "$(cat "$here/wire_out.txt")" "$got"
-refuse() {  # name, words of the message, input
-    local told out
-    told=$(printf '%b' "$3" | "$adapter" 2>&1 >/dev/null); code=$?
+refuse() {  # name, part of the message, input
+    local message out
+    message=$(printf '%b' "$3" | "$adapter" 2>&1 >/dev/null); code=$?
     out=$(printf '%b' "$3" | "$adapter" 2>/dev/null | head -c 1)
     expect "$1: exit" 1 "$code"
-    expect "$1: lines" 1 "$(printf '%s\n' "$told" | wc -l)"
+    expect "$1: lines" 1 "$(printf '%s\n' "$message" | wc -l)"
     expect "$1: nothing on the wire" "" "$out"
-    case $told in *"$2"*) ;; *) echo "$1: message lacks '$2': $told"; bad=1 ;; esac
+    case $message in *"$2"*) ;; *) echo "$1: message lacks '$2': $message"; bad=1 ;; esac
 }
 refuse garbage "not JSON" 'nonsense\n'
 refuse unknown "never enlisted" '{"Batch":{"ts":1}}\n{"Riddle":{"who":0}}\n'
