--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -1,5 +1,6 @@
-// The admin server and the metrics page: calls whole, in pieces, wrong and by thousands; the figures;
-// clients sent away.
+// The admin server, its metrics page and the drain that operators start with it. Guards against requests that
+// are misread because they arrive in pieces or are invalid, against connections that lock operators out,
+// against wrong counters, and against clients that a drain loses.
 #include <doctest/doctest.h>
 
 #include <chrono>
@@ -13,7 +14,7 @@
 
 namespace {
 
-struct Answers final : admin::AdminHandler {
+struct FakeNode final : admin::AdminHandler {
     bool is_ready = true;
     bool ready() const override { return is_ready; }
     std::string_view phase() const override { return is_ready ? "serving" : "drained"; }
@@ -22,54 +23,55 @@
     bool resume() override { return is_ready = true; }
 };
 
-std::string answer_to(std::string_view bytes) {
+// The response to these bytes; empty while they are not a complete request.
+std::string response_to(std::string_view bytes) {
     http::Request request;
     request.feed(bytes);
-    Answers node;
+    FakeNode node;
     return request.is_complete() || request.error() != http::RequestError::none
                ? admin::respond(request, node)
                : "";
 }
 
-int status_of(std::string_view answer) {
-    return answer.size() < 12 ? 0 : std::stoi(std::string(answer.substr(9, 3)));
+int status_of(std::string_view response) {
+    return response.size() < 12 ? 0 : std::stoi(std::string(response.substr(9, 3)));
 }
 
-std::string long_head() { return "GET /stats HTTP/1.1\r\nX: " + std::string(9000, 'x'); }
-std::string many_fields() {
-    std::string call = "GET /stats HTTP/1.1\r\n";
-    for (int i = 0; i < 100; ++i) call += "X: y\r\n";
-    return call + "\r\n";
+std::string request_with_long_header() { return "GET /stats HTTP/1.1\r\nX: " + std::string(9000, 'x'); }
+std::string request_with_many_headers() {
+    std::string request = "GET /stats HTTP/1.1\r\n";
+    for (int i = 0; i < 100; ++i) request += "X: y\r\n";
+    return request + "\r\n";
 }
 
-NodeFixture::Options operated(int sockets = 256) { return {.sockets = sockets, .admin = true}; }
+NodeFixture::Options with_admin_server(int sockets = 256) { return {.sockets = sockets, .admin = true}; }
 
-// A figure behind its name in an answer; -1: there is none.
-long figure(const std::string& answer, const std::string& name) {
-    const auto at = answer.find("\"" + name + "\":");
-    return at == std::string::npos ? -1 : std::stol(answer.substr(at + name.size() + 3));
+// The first number with this key in a metrics page; -1: there is none.
+long metric(const std::string& page, const std::string& name) {
+    const auto position = page.find("\"" + name + "\":");
+    return position == std::string::npos ? -1 : std::stol(page.substr(position + name.size() + 3));
 }
 
 }  // namespace
 
-TEST_CASE("an admin request is read the same whatever byte it is cut at") {
-    for (const std::string call : {"GET /stats?x=1 HTTP/1.1\r\nHost: n\r\nAccept: */*\r\n\r\n",
-                                   "\r\nPOST /healthcheck/fail HTTP/1.1\r\nContent-LENGTH: 3 \r\n\r\nabc",
-                                   "GET /healthcheck HTTP/1.0\n\n"}) {
-        for (std::size_t at = 0; at <= call.size(); ++at) {
+TEST_CASE("an admin request is parsed the same wherever its bytes are split") {
+    for (const std::string bytes : {"GET /stats?x=1 HTTP/1.1\r\nHost: n\r\nAccept: */*\r\n\r\n",
+                                    "\r\nPOST /healthcheck/fail HTTP/1.1\r\nContent-LENGTH: 3 \r\n\r\nabc",
+                                    "GET /healthcheck HTTP/1.0\n\n"}) {
+        for (std::size_t split = 0; split <= bytes.size(); ++split) {
             http::Request request;
-            request.feed(std::string_view(call).substr(0, at));
-            CHECK(request.is_complete() == (at == call.size()));
-            request.feed(std::string_view(call).substr(at));
+            request.feed(std::string_view(bytes).substr(0, split));
+            CHECK(request.is_complete() == (split == bytes.size()));
+            request.feed(std::string_view(bytes).substr(split));
             REQUIRE(request.is_complete());
             CHECK(request.error() == http::RequestError::none);
-            CHECK(status_of(answer_to(call)) == 200);
+            CHECK(status_of(response_to(bytes)) == 200);
         }
     }
 }
 
-TEST_CASE("an invalid request gets its status, with Content-Length and Connection: close") {
-    const std::pair<std::string, int> calls[] = {
+TEST_CASE("each kind of invalid request gets its status, with Content-Length and Connection: close") {
+    const std::pair<std::string, int> requests[] = {
         {"GET /nothing HTTP/1.1\r\n\r\n", 404},
         {"GET /healthcheck/fail HTTP/1.1\r\n\r\n", 405},
         {"DELETE /stats HTTP/1.1\r\n\r\n", 405},
@@ -89,23 +91,25 @@
         {"POST /healthcheck/ok HTTP/1.1\r\nContent-Length: 99999999999999999999999\r\n\r\n", 413},
         {"POST /healthcheck/ok HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", 411},
         {"POST /healthcheck/ok HTTP/1.1\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n", 400},
-        {long_head(), 431},
-        {many_fields(), 431}};
-    for (const auto& row : calls) {
-        const std::string& call = row.first;
+        {request_with_long_header(), 431},
+        {request_with_many_headers(), 431}};
+    for (const auto& row : requests) {
+        const std::string& request = row.first;
         const int status = row.second;
-        const std::string answer = answer_to(call);
-        CAPTURE(call.substr(0, 80));
-        CHECK(status_of(answer) == status);
-        const auto head = answer.find("\r\n\r\n");
-        REQUIRE(head != std::string::npos);
-        CHECK(answer.find("Content-Length: " + std::to_string(answer.size() - head - 4) + "\r\n") < head);
-        CHECK(answer.find("\r\nConnection: close\r\n") < head);
-        CHECK((answer.find("\r\nAllow: ") < head) == (status == 405));
+        const std::string response = response_to(request);
+        CAPTURE(request.substr(0, 80));
+        CHECK(status_of(response) == status);
+        const auto header_end = response.find("\r\n\r\n");
+        REQUIRE(header_end != std::string::npos);
+        CHECK(response.find("Content-Length: " + std::to_string(response.size() - header_end - 4) + "\r\n") <
+              header_end);
+        CHECK(response.find("\r\nConnection: close\r\n") < header_end);
+        CHECK((response.find("\r\nAllow: ") < header_end) == (status == 405));
     }
 }
 
-TEST_CASE("an invalid request keeps little memory, however much follows") {
+TEST_CASE("a request with a header that is too large is invalid, and stays so however many bytes follow") {
+    // Without a limit a client could make the node use up its memory.
     http::Request request;
     request.feed("GET /stats HTTP/1.1\r\n");
     for (int i = 0; i < 10000; ++i) request.feed("xxxxxxxxxxxxxxxx");
@@ -114,22 +118,23 @@
 }
 
 TEST_CASE(
-    "a draining node is not ready at once, and ready again after the drain is undone; both are idempotent") {
-    NodeFixture fixture(operated());
+    "a node is not ready as soon as it drains, and ready again after the drain is undone; both are "
+    "idempotent") {
+    NodeFixture fixture(with_admin_server());
     CHECK(status_of(fixture.get("/healthcheck")) == 200);
     for (int i = 0; i < 2; ++i) CHECK(status_of(fixture.post("/healthcheck/fail")) == 200);
     CHECK(status_of(fixture.get("/healthcheck")) == 503);
-    TestConnection front = fixture.connect_client("PING\r\n");
-    CHECK(fixture.run_until([&] { return front.has_received("\r\n"); }));
-    CHECK(front.received != "PONG\r\n");
+    TestConnection front_client = fixture.connect_client("PING\r\n");
+    CHECK(fixture.run_until([&] { return front_client.has_received("\r\n"); }));
+    CHECK(front_client.received != "PONG\r\n");
     for (int i = 0; i < 2; ++i) CHECK(status_of(fixture.post("/healthcheck/ok")) == 200);
     CHECK(status_of(fixture.get("/healthcheck")) == 200);
-    front = fixture.connect_client("PING\r\n");
-    CHECK(fixture.run_until([&] { return front.has_received("PONG\r\n"); }));
+    front_client = fixture.connect_client("PING\r\n");
+    CHECK(fixture.run_until([&] { return front_client.has_received("PONG\r\n"); }));
 }
 
 TEST_CASE("a node in a graceful shutdown is not ready, and its drain cannot be undone") {
-    NodeFixture fixture(operated());
+    NodeFixture fixture(with_admin_server());
     OpenTunnel tunnel = fixture.open_tunnel();
     std::raise(SIGTERM);
     fixture.run_for(20);
@@ -139,120 +144,125 @@
     CHECK(fixture.get("/healthcheck").find("leaving") != std::string::npos);
 }
 
-TEST_CASE("metrics are what clients and hosts saw, zeros included") {
-    NodeFixture fixture(operated());
-    std::string f = fixture.get("/stats");
+TEST_CASE("metrics agree with what clients and endpoints saw, and include zeros") {
+    NodeFixture fixture(with_admin_server());
+    std::string page = fixture.get("/stats");
     for (const char* name :
          {"fulfilled", "throttled", "faulted", "relayed", "open_requests", "out_of_rotation"})
-        CHECK(figure(f, name) == 0);
-    CHECK(figure(f, "registry_entries") == 2);
-    CHECK(f.find(R"({"operations":{"chat":{)") != std::string::npos);
+        CHECK(metric(page, name) == 0);
+    CHECK(metric(page, "registry_entries") == 2);
+    CHECK(page.find(R"({"operations":{"chat":{)") != std::string::npos);
     OpenTunnel tunnel = fixture.open_tunnel();
     OpenTunnel second = fixture.open_tunnel();
-    TestConnection waits = fixture.connect_client(fixture.open_line());
-    TestConnection asked = fixture.accept_attempt();
-    f = fixture.get("/stats");
-    CHECK(figure(f, "fulfilled") == 2);
-    CHECK(figure(f, "relayed") == 3);
-    CHECK(f.find(R"(},"relayed":3,)") != std::string::npos);  // of all classes, beside each class's own
-    CHECK(figure(f, "open_requests") == 3);
-    asked.send("BUSY\r\n");
+    TestConnection waiting_client = fixture.connect_client(fixture.open_line());
+    TestConnection attempt = fixture.accept_attempt();
+    page = fixture.get("/stats");
+    CHECK(metric(page, "fulfilled") == 2);
+    CHECK(metric(page, "relayed") == 3);
+    CHECK(page.find(R"(},"relayed":3,)") !=
+          std::string::npos);  // the sum over all traffic classes, besides the number of each class
+    CHECK(metric(page, "open_requests") == 3);
+    attempt.send("BUSY\r\n");
     for (int i = 0; i < 2; ++i) fixture.accept_attempt().send("BUSY\r\n");
-    CHECK(fixture.run_until([&] { return waits.has_received("BUSY\r\n"); }));
+    CHECK(fixture.run_until([&] { return waiting_client.has_received("BUSY\r\n"); }));
     tunnel.client.shutdown_write();
     CHECK(fixture.run_until([&] { return tunnel.host.is_closed(); }));
     tunnel.host.shutdown_write();
     CHECK(fixture.run_until([&] { return tunnel.client.is_closed(); }));
-    TestConnection bad = fixture.connect_client("OPEN 1 k c=nothing,d=2000\r\n");
-    CHECK(fixture.run_until([&] { return bad.has_received("ERR\r\n"); }));
-    f = fixture.get("/stats");
-    CHECK(figure(f, "fulfilled") == 2);
-    CHECK(figure(f, "throttled") == 1);
-    CHECK(figure(f, "faulted") == 0);
-    CHECK(figure(f, "relayed") == 5);
-    CHECK(figure(f, "open_requests") == 1);
+    TestConnection invalid_client = fixture.connect_client("OPEN 1 k c=nothing,d=2000\r\n");
+    CHECK(fixture.run_until([&] { return invalid_client.has_received("ERR\r\n"); }));
+    page = fixture.get("/stats");
+    CHECK(metric(page, "fulfilled") == 2);
+    CHECK(metric(page, "throttled") == 1);
+    CHECK(metric(page, "faulted") == 0);
+    CHECK(metric(page, "relayed") == 5);
+    CHECK(metric(page, "open_requests") == 1);
 }
 
-TEST_CASE("an attempt that fails for good counts once, and a client that sends another command is not lost") {
-    NodeFixture fixture(operated());
-    TestConnection c = fixture.connect_client(fixture.open_line());
-    TestConnection h = fixture.accept_attempt();
-    c.send("PING\r\n");
-    CHECK(fixture.run_until([&] { return c.has_received("ERR\r\n"); }));
-    const std::string f = fixture.get("/stats");
-    CHECK(figure(f, "faulted") == 1);
-    CHECK(figure(f, "open_requests") == 0);
+TEST_CASE("a client that sends another command during its attempt gets ERR, and is counted once as faulted") {
+    NodeFixture fixture(with_admin_server());
+    TestConnection client = fixture.connect_client(fixture.open_line());
+    TestConnection attempt = fixture.accept_attempt();
+    client.send("PING\r\n");
+    CHECK(fixture.run_until([&] { return client.has_received("ERR\r\n"); }));
+    const std::string page = fixture.get("/stats");
+    CHECK(metric(page, "faulted") == 1);
+    CHECK(metric(page, "open_requests") == 0);
 }
 
-TEST_CASE("hundreds of idle or partial admin requests block neither admin connections nor clients") {
-    NodeFixture fixture(operated(64));
-    std::vector<TestConnection> slow;
+TEST_CASE(
+    "hundreds of admin connections that are idle or sent part of a request block neither operators nor "
+    "clients") {
+    NodeFixture fixture(with_admin_server(64));
+    std::vector<TestConnection> incomplete;
     for (int i = 0; i < 300; ++i) {
-        slow.push_back(fixture.connect_admin(i % 2 == 0 ? "" : "GET /hea"));
+        incomplete.push_back(fixture.connect_admin(i % 2 == 0 ? "" : "GET /hea"));
         if (i % 50 == 0) fixture.run_for(1);
     }
-    const auto from = std::chrono::steady_clock::now();
+    const auto start = std::chrono::steady_clock::now();
     for (int i = 0; i < 5; ++i) CHECK(status_of(fixture.get("/stats")) == 200);
-    CHECK(std::chrono::steady_clock::now() - from < std::chrono::seconds(1));
+    CHECK(std::chrono::steady_clock::now() - start < std::chrono::seconds(1));
     OpenTunnel tunnel = fixture.open_tunnel();
     CHECK(fixture.run_until(
         [&] {
-            return std::all_of(slow.begin(), slow.end(), [](TestConnection& e) { return e.is_closed(); });
+            return std::all_of(incomplete.begin(), incomplete.end(),
+                               [](TestConnection& connection) { return connection.is_closed(); });
         },
         9000));
-    TestConnection half = fixture.connect_admin("GET /hea");
-    CHECK(fixture.run_until([&] { return half.is_closed(); }, 4000));
-    CHECK(status_of(half.received) == 408);
+    TestConnection last = fixture.connect_admin("GET /hea");
+    CHECK(fixture.run_until([&] { return last.is_closed(); }, 4000));
+    CHECK(status_of(last.received) == 408);
 }
 
 TEST_CASE("an admin connection that never stops sending, or never reads, is closed") {
-    NodeFixture fixture(operated());
-    TestConnection talks = fixture.connect_admin("GET /stats HTTP/1.1\r\n\r\n"),
-                   reads_nothing = fixture.connect_admin("GET /stats HTTP/1.1\r\n\r\n");
+    NodeFixture fixture(with_admin_server());
+    TestConnection sending = fixture.connect_admin("GET /stats HTTP/1.1\r\n\r\n"),
+                   not_reading = fixture.connect_admin("GET /stats HTTP/1.1\r\n\r\n");
     CHECK(fixture.run_until([&] {
-        for (int i = 0; i < 10; ++i) talks.send(std::string(1000, 'x'));
-        return talks.is_closed() && talks.has_received("200 OK");
+        for (int i = 0; i < 10; ++i) sending.send(std::string(1000, 'x'));
+        return sending.is_closed() && sending.has_received("200 OK");
     }));
     fixture.run_for(800);
     char byte = 0;
-    CHECK(::recv(reads_nothing.fd.get(), &byte, 1, MSG_PEEK) ==
-          1);  // its answer is there, and the node is done
+    CHECK(::recv(not_reading.fd.get(), &byte, 1, MSG_PEEK) ==
+          1);  // the response has arrived, and the node has closed its side
     CHECK(fixture.node->holds().callers == 0);
 }
 
 TEST_CASE(
-    "a node full of clients still answers its operators, and tunnels never take the desk's descriptors") {
-    NodeFixture fixture(operated(64));
-    std::vector<std::pair<TestConnection, TestConnection>> open;
+    "a node full of clients still answers its operators, and tunnels never use the admin server's "
+    "descriptors") {
+    NodeFixture fixture(with_admin_server(64));
+    std::vector<std::pair<TestConnection, TestConnection>> opened;
     std::vector<TestConnection> declined;
     for (int i = 0; i < 40; ++i) {
-        TestConnection c = fixture.connect_client(fixture.open_line());
-        TestConnection h;
+        TestConnection client = fixture.connect_client(fixture.open_line());
+        TestConnection attempt;
         fixture.run_until([&] {
-            for (const TestListener* d : {&fixture.host_a, &fixture.host_b})
-                if (!h.fd.open()) h = d->accept();
-            return (h.fd.open() && h.has_received("\n")) || c.is_closed();
+            for (const TestListener* host : {&fixture.host_a, &fixture.host_b})
+                if (!attempt.fd.open()) attempt = host->accept();
+            return (attempt.fd.open() && attempt.has_received("\n")) || client.is_closed();
         });
-        if (!h.fd.open()) {
-            declined.push_back(std::move(c));
+        if (!attempt.fd.open()) {
+            declined.push_back(std::move(client));
             continue;
         }
-        h.send("UP r\r\n");
-        CHECK(fixture.run_until([&] { return c.has_received("UP r\r\n"); }));
-        open.emplace_back(std::move(c), std::move(h));
+        attempt.send("UP r\r\n");
+        CHECK(fixture.run_until([&] { return client.has_received("UP r\r\n"); }));
+        opened.emplace_back(std::move(client), std::move(attempt));
     }
     CHECK(!declined.empty());
     std::vector<TestConnection> idle;
     idle.reserve(40);
     for (int i = 0; i < 40; ++i) idle.push_back(fixture.connect_client());
-    const std::string f = fixture.get("/stats");
-    CHECK(figure(f, "open_requests") == static_cast<long>(open.size()));
-    CHECK(figure(f, "fulfilled") == static_cast<long>(open.size()));
-    CHECK(figure(f, "throttled") == static_cast<long>(declined.size()));
+    const std::string page = fixture.get("/stats");
+    CHECK(metric(page, "open_requests") == static_cast<long>(opened.size()));
+    CHECK(metric(page, "fulfilled") == static_cast<long>(opened.size()));
+    CHECK(metric(page, "throttled") == static_cast<long>(declined.size()));
 }
 
 TEST_CASE("an admin address that is invalid or in use fails the start and names the key") {
-    NodeFixture fixture(operated());
+    NodeFixture fixture(with_admin_server());
     std::string text = fixture.config_text;
     json::Document file;
     text.replace(text.find(fixture.admin_address), fixture.admin_address.size(), "nowhere");
@@ -261,11 +271,11 @@
                          json::Malformed);
     CHECK_THROWS_WITH_AS(config::parse_node_config(file.root(), {.admin_addr = "x:y"}),
                          doctest::Contains("NODE_ADMIN_ADDR"), json::Malformed);
-    // The environment goes before the file.
+    // The environment variable takes precedence over the file.
     CHECK(config::parse_node_config(file.root(), {.admin_addr = "127.0.0.1:7"}).admin ==
           net::parse_address("127.0.0.1:7"));
-    TestListener taken;
-    text.replace(text.find("nowhere"), 7, taken.name());
+    TestListener occupied;
+    text.replace(text.find("nowhere"), 7, occupied.name());
     text.replace(text.find(fixture.address), fixture.address.size(), TestListener().name());
     REQUIRE(file.parse(text));
     CHECK_THROWS_WITH_AS(node::Node(fixture.kernel, config::parse_node_config(file.root()),
@@ -274,43 +284,46 @@
 }
 
 TEST_CASE("without an admin address there is no listener and no descriptor reserved") {
-    NodeFixture with(operated()), without;
+    NodeFixture with(with_admin_server()), without;
     CHECK(config::parse_node_config(without.file.root()).max_admin_connections == 0);
     CHECK(config::parse_node_config(with.file.root()).max_admin_connections > 0);
     CHECK(!without.connect_admin("GET /stats HTTP/1.1\r\n\r\n").has_received("HTTP"));
     CHECK(without.node->holds().descriptors < with.node->holds().descriptors);
 }
 
-TEST_CASE("a draining node migrates its clients between lines, keeps running, and accepts clients again") {
+TEST_CASE(
+    "a draining node migrates its clients between lines, keeps running, and accepts clients again when told "
+    "to") {
     NodeFixture fixture({.mode = "proxy", .admin = true});
     OpenTunnel tunnel = fixture.open_tunnel();
     OpenTunnel second = fixture.open_tunnel();
-    second.host.send("half a li");  // its host is in the middle of a line, and then says nothing more
+    second.host.send("half a li");  // its endpoint sends part of a line and nothing more
     CHECK(fixture.run_until([&] { return second.client.has_received("half a li"); }));
-    TestConnection waits = fixture.connect_client(fixture.open_line());
-    TestConnection asked = fixture.accept_attempt();
+    TestConnection waiting_client = fixture.connect_client(fixture.open_line());
+    TestConnection attempt = fixture.accept_attempt();
     CHECK(status_of(fixture.post("/healthcheck/fail")) == 200);
-    const auto from = std::chrono::steady_clock::now();
-    // Who came before the no is served, and moved when it is open.
-    asked.send("UP r\r\n");
-    CHECK(fixture.run_until([&] { return waits.has_received("UP r\r\n"); }));
+    const auto start = std::chrono::steady_clock::now();
+    // A client that connected before the drain gets its tunnel, and is migrated once it is open.
+    attempt.send("UP r\r\n");
+    CHECK(fixture.run_until([&] { return waiting_client.has_received("UP r\r\n"); }));
     CHECK(fixture.run_until(
-        [&] { return tunnel.client.is_closed() && waits.is_closed() && second.client.is_closed(); }, 4000));
-    CHECK(std::chrono::steady_clock::now() - from < std::chrono::milliseconds(3500));
+        [&] { return tunnel.client.is_closed() && waiting_client.is_closed() && second.client.is_closed(); },
+        4000));
+    CHECK(std::chrono::steady_clock::now() - start < std::chrono::milliseconds(3500));
     CHECK(tunnel.client.received == "MOVE\r\n");
-    CHECK(waits.received == "UP r\r\nMOVE\r\n");
+    CHECK(waiting_client.received == "UP r\r\nMOVE\r\n");
     CHECK(!tunnel.client.reset);
     CHECK(tunnel.host.is_closed());
     fixture.run_for(1200);
     CHECK(fixture.running);
-    CHECK(figure(fixture.get("/stats"), "open_requests") == 0);
+    CHECK(metric(fixture.get("/stats"), "open_requests") == 0);
     CHECK(status_of(fixture.post("/healthcheck/ok")) == 200);
     OpenTunnel third = fixture.open_tunnel();
     fixture.run_for(1500);
     CHECK(!third.client.is_closed());
 }
 
-TEST_CASE("a drain that is undone half way migrates nobody from then on") {
+TEST_CASE("a drain that is undone half way migrates no client from then on") {
     NodeFixture fixture({.mode = "proxy", .admin = true});
     OpenTunnel tunnel = fixture.open_tunnel();
     fixture.post("/healthcheck/fail");
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -1,5 +1,6 @@
-// A new version takes over a node under load: who takes clients, who answers, what goes over,
-// and what happens where one of the two is stuck, foreign, or dies half way.
+// A new process takes over a node under load. Guards against clients that both processes or neither accept or
+// answer, against tunnels or bytes lost in the transfer, and against a restart that harms the node when the
+// other process is stuck, invalid, or dies half way.
 #include <doctest/doctest.h>
 
 #include <csignal>
@@ -14,100 +15,102 @@
 
 namespace {
 
-NodeFixture::Options upgraded(const std::string& mode = "pass", int sockets = 256) {
+NodeFixture::Options restartable(const std::string& mode = "pass", int sockets = 256) {
     return {.mode = mode, .sockets = sockets, .admin = true, .inherits_listener = true};
 }
 
 std::string state_of(NodeFixture& fixture) {
-    const std::string answer = fixture.get("/healthcheck");
-    const auto at = answer.find("\"state\":\"");
-    return at == std::string::npos ? answer : answer.substr(at + 9, answer.find('"', at + 9) - at - 9);
+    const std::string response = fixture.get("/healthcheck");
+    const auto key = response.find("\"state\":\"");
+    return key == std::string::npos ? response
+                                    : response.substr(key + 9, response.find('"', key + 9) - key - 9);
 }
 
-// What the old process has handed over entirely, the new one holds.
-bool all_over(NodeFixture& fixture) {
+// Whether the old process has transferred all tunnels, and the new one has at least one.
+bool all_transferred(NodeFixture& fixture) {
     return fixture.next->holds().tunnels > 0 && fixture.node->holds().tunnels == 0;
 }
 
-// A process at the other end of the line, played by the test.
-struct Stranger {
+// The peer of a node's process on the hot restart socket, played by the test.
+struct FakePeer {
     net::Kernel kernel;
     net::Fd fd;
-    std::string name;
-    explicit Stranger(NodeFixture& fixture) : name(fixture.parse_config().hot_restart_path) {}
-    bool call() {
-        fd = kernel.connect_local(name);
+    std::string path;
+    explicit FakePeer(NodeFixture& fixture) : path(fixture.parse_config().hot_restart_path) {}
+    bool connect() {
+        fd = kernel.connect_local(path);
         return fd.open();
     }
     void send(std::string_view bytes) { kernel.send_packet(fd.get(), bytes, {}); }
     void send(const hot_restart::Packet& packet) { send(hot_restart::encode(packet)); }
-    // The kinds of all that came, and whether the line is over.
-    std::vector<hot_restart::PacketKind> heard;
-    bool over = false;
-    bool hear(NodeFixture& fixture, const std::function<bool()>& enough, int ms = 3000) {
-        std::vector<char> room(hot_restart::max_packet_bytes);
+    std::vector<hot_restart::PacketKind> received_kinds;
+    bool disconnected = false;
+    // Receives packets until the condition holds; false where it does not within this time.
+    bool receive_until(NodeFixture& fixture, const std::function<bool()>& condition, int ms = 3000) {
+        std::vector<char> buffer(hot_restart::max_packet_bytes);
         return fixture.run_until(
             [&] {
                 for (;;) {
                     std::vector<net::Fd> descriptors;
-                    const auto got = kernel.receive_packet(fd.get(), room, descriptors);
-                    over = over || got.ended || got.error != 0;
-                    if (got.bytes == 0) break;
+                    const auto result = kernel.receive_packet(fd.get(), buffer, descriptors);
+                    disconnected = disconnected || result.ended || result.error != 0;
+                    if (result.bytes == 0) break;
                     hot_restart::Packet packet;
-                    if (hot_restart::decode({room.data(), got.bytes}, packet) ==
+                    if (hot_restart::decode({buffer.data(), result.bytes}, packet) ==
                         hot_restart::DecodeResult::ok)
-                        heard.push_back(packet.kind);
+                        received_kinds.push_back(packet.kind);
                 }
-                return enough();
+                return condition();
             },
             ms);
     }
-    bool has(hot_restart::PacketKind kind) const {
-        return std::find(heard.begin(), heard.end(), kind) != heard.end();
+    bool has_received(hot_restart::PacketKind kind) const {
+        return std::find(received_kinds.begin(), received_kinds.end(), kind) != received_kinds.end();
     }
 };
 
 }  // namespace
 
-TEST_CASE("in every pair of states of two processes exactly one is the node") {
-    const std::pair<Role, Role> together[] = {{Role::offering_state, Role::requesting_state},
-                                              {Role::transferring, Role::receiving},
-                                              {Role::transferred, Role::receiving}};
-    for (const auto& [old, fresh] : together)
-        CHECK(hot_restart::is_active(old) != hot_restart::is_active(fresh));
+TEST_CASE("in every pair of roles of two processes exactly one process is the node") {
+    const std::pair<Role, Role> pairs[] = {{Role::offering_state, Role::requesting_state},
+                                           {Role::transferring, Role::receiving},
+                                           {Role::transferred, Role::receiving}};
+    for (const auto& [old_role, new_role] : pairs)
+        CHECK(hot_restart::is_active(old_role) != hot_restart::is_active(new_role));
     CHECK(next(Role::standalone, Event::request_received) == Role::offering_state);
     CHECK(next(Role::offering_state, Event::peer_ready) == Role::transferring);
     CHECK(!next(Role::standalone, Event::peer_ready));
     CHECK(!next(Role::receiving, Event::peer_ready));
-    for (const Role s : {Role::requesting_state, Role::offering_state, Role::transferring, Role::transferred,
-                         Role::receiving})
-        CHECK(next(s, Event::disconnected) == Role::standalone);
+    for (const Role role : {Role::requesting_state, Role::offering_state, Role::transferring,
+                            Role::transferred, Role::receiving})
+        CHECK(next(role, Event::disconnected) == Role::standalone);
 }
 
-TEST_CASE("a packet cut at any byte, or with one more, is torn; one of another version is told from it") {
-    const hot_restart::Packet said{.kind = hot_restart::PacketKind::tunnel,
+TEST_CASE(
+    "a packet that is truncated or too long is malformed; one of another version is a version mismatch") {
+    const hot_restart::Packet sent{.kind = hot_restart::PacketKind::tunnel,
                                    .flag = true,
                                    .descriptors_held = 7,
                                    .number = 1ULL << 40,
                                    .payload = "abc"};
-    const std::string whole = hot_restart::encode(said);
-    hot_restart::Packet read;
-    REQUIRE(hot_restart::decode(whole, read) == hot_restart::DecodeResult::ok);
-    CHECK((read.kind == said.kind && read.flag && read.descriptors_held == 7 && read.number == said.number &&
-           read.payload == "abc"));
-    for (std::size_t n = 0; n < whole.size(); ++n)
-        CHECK(hot_restart::decode(whole.substr(0, n), read) == hot_restart::DecodeResult::malformed);
-    CHECK(hot_restart::decode(whole + "x", read) == hot_restart::DecodeResult::malformed);
-    std::string other = whole;
-    other[4] = 99;
-    CHECK(hot_restart::decode(other, read) == hot_restart::DecodeResult::version_mismatch);
-    other = whole;
-    other[5] = 0;
-    CHECK(hot_restart::decode(other, read) == hot_restart::DecodeResult::malformed);
+    const std::string bytes = hot_restart::encode(sent);
+    hot_restart::Packet decoded;
+    REQUIRE(hot_restart::decode(bytes, decoded) == hot_restart::DecodeResult::ok);
+    CHECK((decoded.kind == sent.kind && decoded.flag && decoded.descriptors_held == 7 &&
+           decoded.number == sent.number && decoded.payload == "abc"));
+    for (std::size_t length = 0; length < bytes.size(); ++length)
+        CHECK(hot_restart::decode(bytes.substr(0, length), decoded) == hot_restart::DecodeResult::malformed);
+    CHECK(hot_restart::decode(bytes + "x", decoded) == hot_restart::DecodeResult::malformed);
+    std::string changed = bytes;
+    changed[4] = 99;  // the version
+    CHECK(hot_restart::decode(changed, decoded) == hot_restart::DecodeResult::version_mismatch);
+    changed = bytes;
+    changed[5] = 0;  // the kind
+    CHECK(hot_restart::decode(changed, decoded) == hot_restart::DecodeResult::malformed);
 }
 
-TEST_CASE("open tunnels are transferred with partly read lines, and neither side notices") {
-    NodeFixture fixture(upgraded());
+TEST_CASE("open tunnels are transferred with partly read lines, and neither client nor endpoint notices") {
+    NodeFixture fixture(restartable());
     OpenTunnel tunnel = fixture.open_tunnel();
     OpenTunnel second = fixture.open_tunnel();
     tunnel.client.send("half a ");
@@ -115,14 +118,14 @@
     CHECK(fixture.run_until(
         [&] { return tunnel.host.has_received("half a ") && second.client.has_received("LOAD 1"); }));
     fixture.upgrade();
-    CHECK(fixture.run_until([&] { return all_over(fixture); }));
+    CHECK(fixture.run_until([&] { return all_transferred(fixture); }));
     CHECK(fixture.next->holds().tunnels == 2);
     tunnel.client.send("line\r\n");
     second.host.send("20\r\n");
     CHECK(fixture.run_until([&] {
         return tunnel.host.has_received("half a line\r\n") && second.client.has_received("LOAD 120\r\n");
     }));
-    // The old one leaves, and nothing of it is felt.
+    // The old process exits, and the tunnels are not affected.
     std::raise(SIGTERM);
     CHECK(fixture.run_until([&] { return !fixture.running; }, 4000));
     fixture.retire_old_node();
@@ -134,8 +137,8 @@
     CHECK(!tunnel.host.reset);
 }
 
-TEST_CASE("bytes that one side has not read are transferred too, none lost and none twice") {
-    NodeFixture fixture(upgraded());
+TEST_CASE("bytes that the client has not read yet arrive after the transfer, none lost and none twice") {
+    NodeFixture fixture(restartable());
     OpenTunnel tunnel = fixture.open_tunnel();
     std::string sent;
     for (int i = 0; i < 30000; ++i) {
@@ -146,140 +149,140 @@
     }
     REQUIRE(sent.size() > 100000);
     fixture.upgrade();
-    CHECK(fixture.run_until([&] { return all_over(fixture); }));
-    fixture.running = false;  // it has nothing left to do
+    CHECK(fixture.run_until([&] { return all_transferred(fixture); }));
+    fixture.running = false;  // the old process has nothing left to do
     CHECK(fixture.run_until([&] {
         tunnel.client.receive();
         return tunnel.client.received.size() >= sent.size();
     }));
-    const bool same = tunnel.client.received.substr(0, sent.size()) == sent;
-    CHECK(same);
+    const bool same_bytes = tunnel.client.received.substr(0, sent.size()) == sent;
+    CHECK(same_bytes);
 }
 
 TEST_CASE(
     "an attempt in flight is answered by the process that started it; its tunnel is transferred when open") {
-    NodeFixture fixture(upgraded());
-    TestConnection c = fixture.connect_client(fixture.open_line());
-    TestConnection h = fixture.accept_attempt();
+    NodeFixture fixture(restartable());
+    TestConnection client = fixture.connect_client(fixture.open_line());
+    TestConnection attempt = fixture.accept_attempt();
     fixture.upgrade();
     CHECK(fixture.run_until([&] { return state_of(fixture) == "serving"; }));
     CHECK(fixture.node->holds().tunnels == 1);
-    h.send("UP r\r\n");
-    CHECK(fixture.run_until([&] { return c.has_received("UP r\r\n"); }));
-    CHECK(fixture.run_until([&] { return all_over(fixture); }));
-    h.send("on\r\n");
-    CHECK(fixture.run_until([&] { return c.has_received("on\r\n"); }));
-    CHECK(c.received == "UP r\r\non\r\n");
+    attempt.send("UP r\r\n");
+    CHECK(fixture.run_until([&] { return client.has_received("UP r\r\n"); }));
+    CHECK(fixture.run_until([&] { return all_transferred(fixture); }));
+    attempt.send("on\r\n");
+    CHECK(fixture.run_until([&] { return client.has_received("on\r\n"); }));
+    CHECK(client.received == "UP r\r\non\r\n");
 }
 
 TEST_CASE("each client that connects during hot restarts is answered by one process") {
-    NodeFixture fixture(upgraded());
+    NodeFixture fixture(restartable());
     int answered = 0;
     for (int round = 0; round < 3; ++round) {
-        std::vector<TestConnection> waiting, at_host;
-        const auto come = [&] {
-            waiting.push_back(fixture.connect_client(fixture.open_line()));
+        std::vector<TestConnection> clients, attempts;
+        const auto connect_one = [&] {
+            clients.push_back(fixture.connect_client(fixture.open_line()));
             fixture.run_for(1);
-            for (const TestListener* d : {&fixture.host_a, &fixture.host_b})
-                for (TestConnection e = d->accept(); e.fd.open(); e = d->accept())
-                    at_host.push_back(std::move(e));
-            for (TestConnection& e : at_host)
-                if (e.has_received("\n") && e.received.substr(0, 4) == "OPEN")
-                    e.send("UP r\r\n"), e.received = "said";
+            for (const TestListener* host : {&fixture.host_a, &fixture.host_b})
+                for (TestConnection attempt = host->accept(); attempt.fd.open(); attempt = host->accept())
+                    attempts.push_back(std::move(attempt));
+            for (TestConnection& attempt : attempts)
+                if (attempt.has_received("\n") && attempt.received.substr(0, 4) == "OPEN")
+                    attempt.send("UP r\r\n"), attempt.received = "answered";
         };
-        for (int i = 0; i < 5; ++i) come();
+        for (int i = 0; i < 5; ++i) connect_one();
         fixture.upgrade();
-        for (int i = 0; i < 10; ++i) come();
+        for (int i = 0; i < 10; ++i) connect_one();
         std::raise(SIGTERM);
         CHECK(fixture.run_until(
             [&] {
-                for (const TestListener* d : {&fixture.host_a, &fixture.host_b})
-                    for (TestConnection e = d->accept(); e.fd.open(); e = d->accept())
-                        at_host.push_back(std::move(e));
-                for (TestConnection& e : at_host)
-                    if (e.has_received("\n") && e.received.substr(0, 4) == "OPEN")
-                        e.send("UP r\r\n"), e.received = "said";
+                for (const TestListener* host : {&fixture.host_a, &fixture.host_b})
+                    for (TestConnection attempt = host->accept(); attempt.fd.open(); attempt = host->accept())
+                        attempts.push_back(std::move(attempt));
+                for (TestConnection& attempt : attempts)
+                    if (attempt.has_received("\n") && attempt.received.substr(0, 4) == "OPEN")
+                        attempt.send("UP r\r\n"), attempt.received = "answered";
                 return !fixture.running;
             },
             4000));
         fixture.retire_old_node();
-        for (TestConnection& e : waiting) {
-            CHECK(fixture.run_until([&] { return e.has_received("UP r\r\n"); }));
-            CHECK(e.received == "UP r\r\n");
-            CHECK(!e.is_closed());
+        for (TestConnection& client : clients) {
+            CHECK(fixture.run_until([&] { return client.has_received("UP r\r\n"); }));
+            CHECK(client.received == "UP r\r\n");
+            CHECK(!client.is_closed());
             ++answered;
         }
-        CHECK(fixture.run_until([&] { return fixture.node->holds().tunnels == waiting.size(); }));
-        waiting.clear();
-        at_host.clear();
+        CHECK(fixture.run_until([&] { return fixture.node->holds().tunnels == clients.size(); }));
+        clients.clear();
+        attempts.clear();
         CHECK(fixture.run_until([&] { return fixture.node->holds().tunnels == 0; }));
     }
     CHECK(answered == 45);
 }
 
-TEST_CASE("when a new process dies after it agreed, the old one stays the node") {
-    NodeFixture fixture(upgraded());
+TEST_CASE("when a new process dies after it took over, the old one becomes the node again") {
+    NodeFixture fixture(restartable());
     OpenTunnel tunnel = fixture.open_tunnel();
     fixture.upgrade();
-    CHECK(fixture.run_until([&] { return all_over(fixture); }));
-    auto late = fixture.connect_client(fixture.open_line());
-    fixture.next.reset();  // with what it had taken
+    CHECK(fixture.run_until([&] { return all_transferred(fixture); }));
+    auto late_client = fixture.connect_client(fixture.open_line());
+    fixture.next.reset();  // with the tunnels transferred to it
     fixture.next_running = false;
-    TestConnection h2 = fixture.accept_attempt();
-    h2.send("UP r\r\n");
-    CHECK(fixture.run_until([&] { return late.has_received("UP r\r\n"); }));
-    TestConnection front = fixture.connect_client("PING\r\n");
-    CHECK(fixture.run_until([&] { return front.has_received("PONG\r\n"); }));
+    TestConnection attempt = fixture.accept_attempt();
+    attempt.send("UP r\r\n");
+    CHECK(fixture.run_until([&] { return late_client.has_received("UP r\r\n"); }));
+    TestConnection front_client = fixture.connect_client("PING\r\n");
+    CHECK(fixture.run_until([&] { return front_client.has_received("PONG\r\n"); }));
 }
 
-TEST_CASE("an old process that is stuck does not keep the new one from serving") {
-    NodeFixture fixture(upgraded());
-    fixture.running = false;  // it is not called any more
+TEST_CASE("an old process that is stuck does not prevent the new one from serving") {
+    NodeFixture fixture(restartable());
+    fixture.running = false;  // the old process does not run any more
     fixture.upgrade();
     CHECK(fixture.run_until([&] { return state_of(fixture) == "serving"; }, 4000));
     OpenTunnel tunnel = fixture.open_tunnel();
     CHECK(fixture.next->holds().tunnels == 1);
-    // When it goes on it finds that it was replaced, and leaves the clients to the other when it is told to
-    // go.
+    // When it runs again it finds that the new process serves. On SIGTERM it leaves new clients to that
+    // process. It must exit all the same.
     fixture.running = true;
     fixture.run_for(50);
     std::raise(SIGTERM);
     CHECK(fixture.run_until([&] { return !fixture.running; }, 4000));
 }
 
-TEST_CASE("a stale socket of a dead process is not taken for a process") {
-    NodeFixture fixture(upgraded());
-    const std::string name = fixture.parse_config().hot_restart_path;
+TEST_CASE("a socket file that a dead process left behind does not hold up the start") {
+    NodeFixture fixture(restartable());
+    const std::string path = fixture.parse_config().hot_restart_path;
     fixture.running = false;
     fixture.node.reset();
-    REQUIRE(std::filesystem::exists(name));
+    REQUIRE(std::filesystem::exists(path));
     fixture.upgrade();
     CHECK(state_of(fixture) == "serving");
 }
 
-TEST_CASE("foreign, truncated and unexpected packets end the channel and nothing else") {
-    NodeFixture fixture(upgraded());
+TEST_CASE("foreign, truncated and unexpected packets close the channel and have no other effect") {
+    NodeFixture fixture(restartable());
     OpenTunnel tunnel = fixture.open_tunnel();
-    Stranger stranger(fixture);
-    const std::string hello = hot_restart::encode(
+    FakePeer peer(fixture);
+    const std::string request = hot_restart::encode(
         {.kind = hot_restart::PacketKind::request_state, .descriptors_held = 10, .payload = "n0"});
-    std::vector<std::string> words{
+    std::vector<std::string> packets{
         "",
         "GET / HTTP/1.1\r\n\r\n",
         std::string(40000, 'x'),
-        hello.substr(0, 9),
+        request.substr(0, 9),
         hot_restart::encode({.kind = hot_restart::PacketKind::request_state, .payload = "another node"}),
         hot_restart::encode({.kind = hot_restart::PacketKind::ready}),
         hot_restart::encode({.kind = hot_restart::PacketKind::tunnel_result, .number = 3}),
         hot_restart::encode({.kind = hot_restart::PacketKind::tunnel, .payload = "x"})};
-    words[0] = hello;
-    words[0][4] = 99;
-    for (const std::string& word : words) {
-        REQUIRE(stranger.call());
-        stranger.over = false;
-        stranger.send(word);
-        CAPTURE(word.substr(0, 20));
-        CHECK(stranger.hear(fixture, [&] { return stranger.over; }));
+    packets[0] = request;
+    packets[0][4] = 99;  // another protocol version
+    for (const std::string& packet : packets) {
+        REQUIRE(peer.connect());
+        peer.disconnected = false;
+        peer.send(packet);
+        CAPTURE(packet.substr(0, 20));
+        CHECK(peer.receive_until(fixture, [&] { return peer.disconnected; }));
     }
     tunnel.host.send("on\r\n");
     CHECK(fixture.run_until([&] { return tunnel.client.has_received("on\r\n"); }));
@@ -287,41 +290,44 @@
     CHECK(state_of(fixture) == "serving");
 }
 
-TEST_CASE("a new process that stops after its greeting, or dies, changes nothing; the next one may start") {
-    NodeFixture fixture(upgraded());
+TEST_CASE(
+    "a new process that stops after its request, or dies, changes nothing, and the next one can take over") {
+    NodeFixture fixture(restartable());
     OpenTunnel tunnel = fixture.open_tunnel();
-    Stranger stranger(fixture), third(fixture);
-    REQUIRE(stranger.call());
-    stranger.send({.kind = hot_restart::PacketKind::request_state, .descriptors_held = 10, .payload = "n0"});
-    CHECK(stranger.hear(fixture, [&] { return stranger.has(hot_restart::PacketKind::state_complete); }));
-    CHECK(stranger.has(hot_restart::PacketKind::balancer_state_part));
+    FakePeer second(fixture), third(fixture);
+    REQUIRE(second.connect());
+    second.send({.kind = hot_restart::PacketKind::request_state, .descriptors_held = 10, .payload = "n0"});
+    CHECK(second.receive_until(fixture,
+                               [&] { return second.has_received(hot_restart::PacketKind::state_complete); }));
+    CHECK(second.has_received(hot_restart::PacketKind::balancer_state_part));
     CHECK(state_of(fixture) == "serving");
-    // A third one meanwhile is told to wait.
-    REQUIRE(third.call());
-    CHECK(third.hear(fixture, [&] { return third.has(hot_restart::PacketKind::reject); }));
-    stranger.fd.close();
+    // A third process is rejected meanwhile.
+    REQUIRE(third.connect());
+    CHECK(third.receive_until(fixture, [&] { return third.has_received(hot_restart::PacketKind::reject); }));
+    second.fd.close();
     fixture.run_for(5);
-    REQUIRE(third.call());
+    REQUIRE(third.connect());
     third.send({.kind = hot_restart::PacketKind::request_state, .descriptors_held = 10, .payload = "n0"});
-    CHECK(third.hear(fixture, [&] { return third.has(hot_restart::PacketKind::state_complete); }));
+    CHECK(third.receive_until(fixture,
+                              [&] { return third.has_received(hot_restart::PacketKind::state_complete); }));
     third.send({.kind = hot_restart::PacketKind::ready});
-    CHECK(third.hear(fixture, [&] { return third.has(hot_restart::PacketKind::tunnel); }));
-    third.fd.close();  // before it has said that it has the tunnel
+    CHECK(third.receive_until(fixture, [&] { return third.has_received(hot_restart::PacketKind::tunnel); }));
+    third.fd.close();  // before it reported that it accepted the tunnel
     CHECK(fixture.run_until([&] { return state_of(fixture) == "serving"; }));
     tunnel.host.send("on\r\n");
     CHECK(fixture.run_until([&] { return tunnel.client.has_received("on\r\n"); }));
     CHECK(fixture.run_until([&] { return true; }));
 }
 
-TEST_CASE("a third version that is started during an upgrade waits for its turn") {
-    NodeFixture fixture(upgraded());
+TEST_CASE("a third process that starts during a hot restart waits until that is complete") {
+    NodeFixture fixture(restartable());
     OpenTunnel tunnel = fixture.open_tunnel();
     fixture.upgrade();
-    CHECK(fixture.run_until([&] { return all_over(fixture); }));
+    CHECK(fixture.run_until([&] { return all_transferred(fixture); }));
     auto second = std::move(fixture.next);
     fixture.upgrade();
     std::raise(SIGTERM);
-    fixture.running = fixture.node->turn();  // who reads it first is told
+    fixture.running = fixture.node->turn();  // the old process reads the signal, since it runs first
     CHECK(fixture.run_until(
         [&] {
             second->turn();
@@ -333,34 +339,36 @@
     CHECK(fixture.run_until([&] { return tunnel.client.has_received("on\r\n"); }));
 }
 
-TEST_CASE("what the listener's number names must be a listening socket, else the start ends and says so") {
-    NodeFixture fixture(upgraded());
-    const auto with = [&](const char* fd) {
+TEST_CASE(
+    "an inherited descriptor that is not a listening TCP socket fails the start and names the variable") {
+    NodeFixture fixture(restartable());
+    const auto start_with = [&](const char* fd) {
         return node::Node(fixture.kernel,
                           config::parse_node_config(fixture.file.root(), {.inherited_fd = fd}),
                           fixture.file.root().inner("known"), fixture.log, {});
     };
     for (const char* fd : {"x", "-1", "5x"})
-        CHECK_THROWS_WITH_AS(with(fd), doctest::Contains("NODE_INHERITED_FD"), json::Malformed);
+        CHECK_THROWS_WITH_AS(start_with(fd), doctest::Contains("NODE_INHERITED_FD"), json::Malformed);
     const net::Fd plain(::socket(AF_INET, SOCK_STREAM, 0)), udp(::socket(AF_INET, SOCK_DGRAM, 0)),
         file = fixture.kernel.open_spare();
     for (const int fd : {900, plain.get(), udp.get(), file.get()})
-        CHECK_THROWS_WITH_AS(with(std::to_string(fd).c_str()), doctest::Contains("NODE_INHERITED_FD"),
+        CHECK_THROWS_WITH_AS(start_with(std::to_string(fd).c_str()), doctest::Contains("NODE_INHERITED_FD"),
                              json::Malformed);
 }
 
 TEST_CASE("without an inherited listener there is no hot restart socket, and no descriptor reserved for it") {
-    NodeFixture with(upgraded()), without(NodeFixture::Options{.admin = true});
+    NodeFixture with(restartable()), without(NodeFixture::Options{.admin = true});
     CHECK(without.parse_config().hot_restart_path.empty());
     CHECK(without.node->holds().descriptors + 1 == with.node->holds().descriptors);
 }
 
-TEST_CASE("a hot restart while draining, in proxy mode, migrates nobody once clients are transferred") {
-    NodeFixture fixture(upgraded("proxy"));
+TEST_CASE(
+    "a hot restart during a drain, in proxy mode, migrates no client once the tunnels are transferred") {
+    NodeFixture fixture(restartable("proxy"));
     OpenTunnel tunnel = fixture.open_tunnel();
     CHECK(fixture.post("/healthcheck/fail").substr(9, 3) == "200");
     fixture.upgrade();
-    CHECK(fixture.run_until([&] { return all_over(fixture); }));
+    CHECK(fixture.run_until([&] { return all_transferred(fixture); }));
     CHECK(state_of(fixture) == "serving");
     std::raise(SIGTERM);
     CHECK(fixture.run_until([&] { return !fixture.running; }, 4000));
@@ -370,20 +378,22 @@
 }
 
 TEST_CASE("with few descriptors both processes together stay within the limit") {
-    NodeFixture fixture(upgraded("pass", 64));
-    std::vector<OpenTunnel> open;
-    open.reserve(12);
-    for (int i = 0; i < 12; ++i) open.push_back(fixture.open_tunnel());
+    NodeFixture fixture(restartable("pass", 64));
+    std::vector<OpenTunnel> tunnels;
+    tunnels.reserve(12);
+    for (int i = 0; i < 12; ++i) tunnels.push_back(fixture.open_tunnel());
     fixture.upgrade();
-    std::size_t most = 0;
+    std::size_t max_descriptors = 0;
     CHECK(fixture.run_until([&] {
-        most = std::max(most, fixture.node->holds().descriptors + fixture.next->holds().descriptors);
-        return all_over(fixture);
+        max_descriptors =
+            std::max(max_descriptors, fixture.node->holds().descriptors + fixture.next->holds().descriptors);
+        return all_transferred(fixture);
     }));
-    CHECK(fixture.next->holds().tunnels == open.size());
-    CHECK(most + 12 <=
-          64 + 8);  // twice what both have outside their loops, and the admin server's, which are reserved
-    for (OpenTunnel& tunnel : open) {
+    CHECK(fixture.next->holds().tunnels == tunnels.size());
+    // 12: each process holds 6 descriptors outside its event loop. 8: descriptors that are reserved for an
+    // admin server and counted in both processes.
+    CHECK(max_descriptors + 12 <= 64 + 8);
+    for (OpenTunnel& tunnel : tunnels) {
         tunnel.host.send("on\r\n");
         CHECK(fixture.run_until([&] { return tunnel.client.has_received("on\r\n"); }));
     }
