--- a/src/hot_restart/session.cpp
+++ b/src/hot_restart/session.cpp
@@ -10,7 +10,8 @@
 using net::Ticks;
 
 // Tenths of a ms. The platform gives a new process 6 s to become ready. One request may take 2 s of them.
-// Requests that the old process rejects because it takes part in a restart already are repeated for 4 s.
+// Requests that the old process rejects because it takes part in a restart already are repeated for 4 s. An
+// old process waits 5 s until a connected peer has requested its state and become ready.
 constexpr Ticks request_timeout = 20000, start_timeout = 40000, offer_timeout = 50000;
 constexpr Ticks progress_interval = 2500, retry_pause = 2000;
 constexpr std::size_t max_tunnels_in_transfer = 16, descriptors_per_tunnel = 2, spare_descriptors = 8;
--- a/src/hot_restart/session.h
+++ b/src/hot_restart/session.h
@@ -1,6 +1,6 @@
 // Hot restart: a new process of a node takes over from the old one without losing an open tunnel. The session
 // runs the protocol of packets.h in the order that state_machine.h allows, and abandons the restart where the
-// peer stalls, fails or violates the protocol. The Delegate does what each step means for the node itself.
+// peer stalls, fails or violates the protocol. The Delegate carries out each step for the node itself.
 #pragma once
 
 #include <cstdint>
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -33,7 +33,7 @@
   public:
     explicit EventLoop(System& system) : system_(system) {}
     System& system() const { return system_; }
-    // The time when the current handler was called, unless refresh() read the clock since.
+    // The time that was read when the current handler was called, or by refresh() since.
     Ticks now() const { return now_; }
     Ticks refresh() {
         update_time();
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -390,8 +390,8 @@
         return all_transferred(fixture);
     }));
     CHECK(fixture.next->holds().tunnels == tunnels.size());
-    // 12: each process holds 6 descriptors outside its event loop. 8: descriptors that are reserved for an
-    // admin server and counted in both processes.
+    // 12: each process holds 6 descriptors outside its event loop. 8: the sum includes the 4 descriptors that
+    // each process reserves for its admin server.
     CHECK(max_descriptors + 12 <= 64 + 8);
     for (OpenTunnel& tunnel : tunnels) {
         tunnel.host.send("on\r\n");
