--- a/tools/tunnel_ledger.py
+++ b/tools/tunnel_ledger.py
@@ -5,9 +5,9 @@
     tools/tunnel_ledger.py LOGS --follow KEY     all events of the client with this key, on every node
 
 LOGS is a folder with one file NAME.log for each node. A tunnel is `new`, `again` (its client reconnects after a lost
-connection or a move) or `mid` (mid-flow: its packets so far went through another node). The second part of a row has the
-levels at the end of the interval, by age of the endpoint: the number of endpoints (`hosts`), the tunnels open on them
-(`held`), and the copies of groups (`copies`, one for each pair of group and endpoint that has a tunnel of the group).
+connection or a move) or `mid` (mid-flow: it is open already, and now goes through another node). The second part of a row
+has the levels at the end of the interval, by age of the endpoint: the number of endpoints (`hosts`), the tunnels open on
+them (`held`), and the copies of groups (`copies`, one for each pair of group and endpoint that has a tunnel of the group).
 The age is from the endpoint list: `old`, `young` (started since), `draining` or `gone`. A node that is killed does not log
 the end of its tunnels, so that they remain in `held`.
 """
