--- a/src/metrics/resource_counters.h
+++ b/src/metrics/resource_counters.h
@@ -24,7 +24,7 @@
     std::array<std::uint64_t, outcome_count> attempts{};  // ended, by Outcome
     // By Reason: final answers other than an opened tunnel, and attempts withdrawn before anything was
     // written.
-    std::array<std::uint64_t, reasons> by_reason{};
+    std::array<std::uint64_t, reason_count> by_reason{};
     Violations violations{};
     std::uint64_t processor_us = 0;
 
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -44,7 +44,9 @@
     return request + "\r\n";
 }
 
-NodeFixture::Options with_admin_server(int sockets = 256) { return {.sockets = sockets, .admin = true}; }
+NodeFixture::Options with_admin_server(int max_descriptors = 256) {
+    return {.max_descriptors = max_descriptors, .admin = true};
+}
 
 // The first number with this key in a metrics page; -1: there is none.
 long metric(const std::string& page, const std::string& name) {
@@ -166,8 +168,8 @@
     for (int i = 0; i < 2; ++i) fixture.accept_attempt().send("BUSY\r\n");
     CHECK(fixture.run_until([&] { return waiting_client.has_received("BUSY\r\n"); }));
     tunnel.client.shutdown_write();
-    CHECK(fixture.run_until([&] { return tunnel.host.is_closed(); }));
-    tunnel.host.shutdown_write();
+    CHECK(fixture.run_until([&] { return tunnel.server.is_closed(); }));
+    tunnel.server.shutdown_write();
     CHECK(fixture.run_until([&] { return tunnel.client.is_closed(); }));
     TestConnection invalid_client = fixture.connect_client("OPEN 1 k c=nothing,d=2000\r\n");
     CHECK(fixture.run_until([&] { return invalid_client.has_received("ERR\r\n"); }));
@@ -226,7 +228,7 @@
     char byte = 0;
     CHECK(::recv(not_reading.fd.get(), &byte, 1, MSG_PEEK) ==
           1);  // the response has arrived, and the node has closed its side
-    CHECK(fixture.node->holds().callers == 0);
+    CHECK(fixture.node->resource_usage().admin_connections == 0);
 }
 
 TEST_CASE(
@@ -239,8 +241,8 @@
         TestConnection client = fixture.connect_client(fixture.open_line());
         TestConnection attempt;
         fixture.run_until([&] {
-            for (const TestListener* host : {&fixture.host_a, &fixture.host_b})
-                if (!attempt.fd.open()) attempt = host->accept();
+            for (const TestListener* server : {&fixture.server_a, &fixture.server_b})
+                if (!attempt.fd.open()) attempt = server->accept();
             return (attempt.fd.open() && attempt.has_received("\n")) || client.is_closed();
         });
         if (!attempt.fd.open()) {
@@ -275,20 +277,20 @@
     CHECK(config::parse_node_config(file.root(), {.admin_addr = "127.0.0.1:7"}).admin ==
           net::parse_address("127.0.0.1:7"));
     TestListener occupied;
-    text.replace(text.find("nowhere"), 7, occupied.name());
-    text.replace(text.find(fixture.address), fixture.address.size(), TestListener().name());
+    text.replace(text.find("nowhere"), 7, occupied.host_port());
+    text.replace(text.find(fixture.address), fixture.address.size(), TestListener().host_port());
     REQUIRE(file.parse(text));
     CHECK_THROWS_WITH_AS(node::Node(fixture.kernel, config::parse_node_config(file.root()),
-                                    file.root().inner("known"), fixture.log, {}),
+                                    file.root().object("known"), fixture.log, {}),
                          doctest::Contains("admin_addr"), json::Malformed);
 }
 
 TEST_CASE("without an admin address there is no listener and no descriptor reserved") {
     NodeFixture with(with_admin_server()), without;
-    CHECK(config::parse_node_config(without.file.root()).max_admin_connections == 0);
-    CHECK(config::parse_node_config(with.file.root()).max_admin_connections > 0);
+    CHECK(config::parse_node_config(without.config_document.root()).max_admin_connections == 0);
+    CHECK(config::parse_node_config(with.config_document.root()).max_admin_connections > 0);
     CHECK(!without.connect_admin("GET /stats HTTP/1.1\r\n\r\n").has_received("HTTP"));
-    CHECK(without.node->holds().descriptors < with.node->holds().descriptors);
+    CHECK(without.node->resource_usage().descriptors < with.node->resource_usage().descriptors);
 }
 
 TEST_CASE(
@@ -297,7 +299,7 @@
     NodeFixture fixture({.mode = "proxy", .admin = true});
     OpenTunnel tunnel = fixture.open_tunnel();
     OpenTunnel second = fixture.open_tunnel();
-    second.host.send("half a li");  // its endpoint sends part of a line and nothing more
+    second.server.send("half a li");  // its endpoint sends part of a line and nothing more
     CHECK(fixture.run_until([&] { return second.client.has_received("half a li"); }));
     TestConnection waiting_client = fixture.connect_client(fixture.open_line());
     TestConnection attempt = fixture.accept_attempt();
@@ -313,7 +315,7 @@
     CHECK(tunnel.client.received == "MOVE\r\n");
     CHECK(waiting_client.received == "UP r\r\nMOVE\r\n");
     CHECK(!tunnel.client.reset);
-    CHECK(tunnel.host.is_closed());
+    CHECK(tunnel.server.is_closed());
     fixture.run_for(1200);
     CHECK(fixture.running);
     CHECK(metric(fixture.get("/stats"), "open_requests") == 0);
@@ -332,7 +334,7 @@
     fixture.run_for(2000);
     CHECK(!tunnel.client.is_closed());
     tunnel.client.send("still here\r\n");
-    CHECK(fixture.run_until([&] { return tunnel.host.has_received("still here\r\n"); }));
+    CHECK(fixture.run_until([&] { return tunnel.server.has_received("still here\r\n"); }));
 }
 
 TEST_CASE("with packet passthrough a draining node keeps open tunnels") {
@@ -341,7 +343,7 @@
     fixture.post("/healthcheck/fail");
     fixture.run_for(2500);
     CHECK(!tunnel.client.is_closed());
-    tunnel.host.send("on\r\n");
+    tunnel.server.send("on\r\n");
     CHECK(fixture.run_until([&] { return tunnel.client.has_received("on\r\n"); }));
 }
 
--- a/tests/hot_restart_test.cpp
+++ b/tests/hot_restart_test.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-NodeFixture::Options restartable(const std::string& mode = "pass", int sockets = 256) {
-    return {.mode = mode, .sockets = sockets, .admin = true, .inherits_listener = true};
+NodeFixture::Options restartable(const std::string& mode = "pass", int max_descriptors = 256) {
+    return {.mode = mode, .max_descriptors = max_descriptors, .admin = true, .inherits_listener = true};
 }
 
 std::string state_of(NodeFixture& fixture) {
@@ -28,7 +28,7 @@
 
 // Whether the old process has transferred all tunnels, and the new one has at least one.
 bool all_transferred(NodeFixture& fixture) {
-    return fixture.next->holds().tunnels > 0 && fixture.node->holds().tunnels == 0;
+    return fixture.next->resource_usage().tunnels > 0 && fixture.node->resource_usage().tunnels == 0;
 }
 
 // The peer of a node's process on the hot restart socket, played by the test.
@@ -114,27 +114,27 @@
     OpenTunnel tunnel = fixture.open_tunnel();
     OpenTunnel second = fixture.open_tunnel();
     tunnel.client.send("half a ");
-    second.host.send("LOAD 1");
+    second.server.send("LOAD 1");
     CHECK(fixture.run_until(
-        [&] { return tunnel.host.has_received("half a ") && second.client.has_received("LOAD 1"); }));
+        [&] { return tunnel.server.has_received("half a ") && second.client.has_received("LOAD 1"); }));
     fixture.upgrade();
     CHECK(fixture.run_until([&] { return all_transferred(fixture); }));
-    CHECK(fixture.next->holds().tunnels == 2);
+    CHECK(fixture.next->resource_usage().tunnels == 2);
     tunnel.client.send("line\r\n");
-    second.host.send("20\r\n");
+    second.server.send("20\r\n");
     CHECK(fixture.run_until([&] {
-        return tunnel.host.has_received("half a line\r\n") && second.client.has_received("LOAD 120\r\n");
+        return tunnel.server.has_received("half a line\r\n") && second.client.has_received("LOAD 120\r\n");
     }));
     // The old process exits, and the tunnels are not affected.
     std::raise(SIGTERM);
     CHECK(fixture.run_until([&] { return !fixture.running; }, 4000));
     fixture.retire_old_node();
-    tunnel.host.send("still\r\n");
+    tunnel.server.send("still\r\n");
     CHECK(fixture.run_until([&] { return tunnel.client.has_received("still\r\n"); }));
     CHECK(!tunnel.client.is_closed());
     tunnel.client.shutdown_write();
-    CHECK(fixture.run_until([&] { return tunnel.host.is_closed(); }));
-    CHECK(!tunnel.host.reset);
+    CHECK(fixture.run_until([&] { return tunnel.server.is_closed(); }));
+    CHECK(!tunnel.server.reset);
 }
 
 TEST_CASE("bytes that the client has not read yet arrive after the transfer, none lost and none twice") {
@@ -143,7 +143,7 @@
     std::string sent;
     for (int i = 0; i < 30000; ++i) {
         const std::string line = std::to_string(i) + std::string(200, 'x') + "\r\n";
-        if (net::write_some(tunnel.host.fd.get(), line).bytes < line.size()) break;
+        if (net::write_some(tunnel.server.fd.get(), line).bytes < line.size()) break;
         sent += line;
         if (i % 1000 == 0) fixture.run_for(1);
     }
@@ -166,7 +166,7 @@
     TestConnection attempt = fixture.accept_attempt();
     fixture.upgrade();
     CHECK(fixture.run_until([&] { return state_of(fixture) == "serving"; }));
-    CHECK(fixture.node->holds().tunnels == 1);
+    CHECK(fixture.node->resource_usage().tunnels == 1);
     attempt.send("UP r\r\n");
     CHECK(fixture.run_until([&] { return client.has_received("UP r\r\n"); }));
     CHECK(fixture.run_until([&] { return all_transferred(fixture); }));
@@ -183,8 +183,8 @@
         const auto connect_one = [&] {
             clients.push_back(fixture.connect_client(fixture.open_line()));
             fixture.run_for(1);
-            for (const TestListener* host : {&fixture.host_a, &fixture.host_b})
-                for (TestConnection attempt = host->accept(); attempt.fd.open(); attempt = host->accept())
+            for (const TestListener* server : {&fixture.server_a, &fixture.server_b})
+                for (TestConnection attempt = server->accept(); attempt.fd.open(); attempt = server->accept())
                     attempts.push_back(std::move(attempt));
             for (TestConnection& attempt : attempts)
                 if (attempt.has_received("\n") && attempt.received.substr(0, 4) == "OPEN")
@@ -196,8 +196,9 @@
         std::raise(SIGTERM);
         CHECK(fixture.run_until(
             [&] {
-                for (const TestListener* host : {&fixture.host_a, &fixture.host_b})
-                    for (TestConnection attempt = host->accept(); attempt.fd.open(); attempt = host->accept())
+                for (const TestListener* server : {&fixture.server_a, &fixture.server_b})
+                    for (TestConnection attempt = server->accept(); attempt.fd.open();
+                         attempt = server->accept())
                         attempts.push_back(std::move(attempt));
                 for (TestConnection& attempt : attempts)
                     if (attempt.has_received("\n") && attempt.received.substr(0, 4) == "OPEN")
@@ -212,10 +213,10 @@
             CHECK(!client.is_closed());
             ++answered;
         }
-        CHECK(fixture.run_until([&] { return fixture.node->holds().tunnels == clients.size(); }));
+        CHECK(fixture.run_until([&] { return fixture.node->resource_usage().tunnels == clients.size(); }));
         clients.clear();
         attempts.clear();
-        CHECK(fixture.run_until([&] { return fixture.node->holds().tunnels == 0; }));
+        CHECK(fixture.run_until([&] { return fixture.node->resource_usage().tunnels == 0; }));
     }
     CHECK(answered == 45);
 }
@@ -241,7 +242,7 @@
     fixture.upgrade();
     CHECK(fixture.run_until([&] { return state_of(fixture) == "serving"; }, 4000));
     OpenTunnel tunnel = fixture.open_tunnel();
-    CHECK(fixture.next->holds().tunnels == 1);
+    CHECK(fixture.next->resource_usage().tunnels == 1);
     // When it runs again it finds that the new process serves. On SIGTERM it leaves new clients to that
     // process. It must exit all the same.
     fixture.running = true;
@@ -284,7 +285,7 @@
         CAPTURE(packet.substr(0, 20));
         CHECK(peer.receive_until(fixture, [&] { return peer.disconnected; }));
     }
-    tunnel.host.send("on\r\n");
+    tunnel.server.send("on\r\n");
     CHECK(fixture.run_until([&] { return tunnel.client.has_received("on\r\n"); }));
     OpenTunnel second = fixture.open_tunnel();
     CHECK(state_of(fixture) == "serving");
@@ -314,7 +315,7 @@
     CHECK(third.receive_until(fixture, [&] { return third.has_received(hot_restart::PacketKind::tunnel); }));
     third.fd.close();  // before it reported that it accepted the tunnel
     CHECK(fixture.run_until([&] { return state_of(fixture) == "serving"; }));
-    tunnel.host.send("on\r\n");
+    tunnel.server.send("on\r\n");
     CHECK(fixture.run_until([&] { return tunnel.client.has_received("on\r\n"); }));
     CHECK(fixture.run_until([&] { return true; }));
 }
@@ -327,15 +328,16 @@
     auto second = std::move(fixture.next);
     fixture.upgrade();
     std::raise(SIGTERM);
-    fixture.running = fixture.node->turn();  // the old process reads the signal, since it runs first
+    fixture.running = fixture.node->run_once();  // the old process reads the signal, since it runs first
     CHECK(fixture.run_until(
         [&] {
-            second->turn();
+            second->run_once();
             if (!fixture.running) fixture.node.reset();
-            return !fixture.running && state_of(fixture) == "serving" && fixture.next->holds().tunnels == 1;
+            return !fixture.running && state_of(fixture) == "serving" &&
+                   fixture.next->resource_usage().tunnels == 1;
         },
         6000));
-    tunnel.host.send("on\r\n");
+    tunnel.server.send("on\r\n");
     CHECK(fixture.run_until([&] { return tunnel.client.has_received("on\r\n"); }));
 }
 
@@ -344,8 +346,8 @@
     NodeFixture fixture(restartable());
     const auto start_with = [&](const char* fd) {
         return node::Node(fixture.kernel,
-                          config::parse_node_config(fixture.file.root(), {.inherited_fd = fd}),
-                          fixture.file.root().inner("known"), fixture.log, {});
+                          config::parse_node_config(fixture.config_document.root(), {.inherited_fd = fd}),
+                          fixture.config_document.root().object("known"), fixture.log, {});
     };
     for (const char* fd : {"x", "-1", "5x"})
         CHECK_THROWS_WITH_AS(start_with(fd), doctest::Contains("NODE_INHERITED_FD"), json::Malformed);
@@ -359,7 +361,7 @@
 TEST_CASE("without an inherited listener there is no hot restart socket, and no descriptor reserved for it") {
     NodeFixture with(restartable()), without(NodeFixture::Options{.admin = true});
     CHECK(without.parse_config().hot_restart_path.empty());
-    CHECK(without.node->holds().descriptors + 1 == with.node->holds().descriptors);
+    CHECK(without.node->resource_usage().descriptors + 1 == with.node->resource_usage().descriptors);
 }
 
 TEST_CASE(
@@ -383,18 +385,18 @@
     tunnels.reserve(12);
     for (int i = 0; i < 12; ++i) tunnels.push_back(fixture.open_tunnel());
     fixture.upgrade();
-    std::size_t max_descriptors = 0;
+    std::size_t peak_descriptors = 0;
     CHECK(fixture.run_until([&] {
-        max_descriptors =
-            std::max(max_descriptors, fixture.node->holds().descriptors + fixture.next->holds().descriptors);
+        peak_descriptors = std::max(peak_descriptors, fixture.node->resource_usage().descriptors +
+                                                          fixture.next->resource_usage().descriptors);
         return all_transferred(fixture);
     }));
-    CHECK(fixture.next->holds().tunnels == tunnels.size());
+    CHECK(fixture.next->resource_usage().tunnels == tunnels.size());
     // 12: each process holds 6 descriptors outside its event loop. 8: the sum includes the 4 descriptors that
     // each process reserves for its admin server.
-    CHECK(max_descriptors + 12 <= 64 + 8);
+    CHECK(peak_descriptors + 12 <= 64 + 8);
     for (OpenTunnel& tunnel : tunnels) {
-        tunnel.host.send("on\r\n");
+        tunnel.server.send("on\r\n");
         CHECK(fixture.run_until([&] { return tunnel.client.has_received("on\r\n"); }));
     }
 }
