--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -52,7 +52,7 @@
     }
 }
 
-// The only place where a connection's state changes.
+// Changes the connection's state; no other function does.
 void AdminServer::transition_to(Connection& connection, State state) {
     const bool was_open = connection.state != State::unused, is_open = state != State::unused;
     if (is_open != was_open) {
