--- a/tools/upgrades.py
+++ b/tools/upgrades.py
@@ -90,7 +90,7 @@
                 return
             except OSError:
                 if server.poll() is not None or time.monotonic() - started > 6:
-                    sys.exit("lemonstair_example_server did not listen within 6 s; its log is above")
+                    sys.exit("lemonstair_example_server exited or did not listen within 6 s; its log is above")
                 time.sleep(0.01)
 
     def start_node(self):
