--- a/src/tunnel/acceptor.cpp
+++ b/src/tunnel/acceptor.cpp
@@ -16,21 +16,21 @@
 
 namespace {
 
-constexpr Ticks accept_pause = 200, pause_logged_every = 50 * accept_pause;
+constexpr Ticks accept_pause = 200, min_pause_log_interval = 50 * accept_pause;
 // How long a client may take to send its request.
 constexpr Ticks request_timeout = 25000, request_timeout_after_check = 10000;
 constexpr Ticks request_timeout_reject_only = 5000;
-// How long a tunnel that is open at its endpoint already may take to be resumed there.
+// How long it may take to resume a tunnel that is already open at its endpoint.
 constexpr Ticks resume_timeout = 400000;
-// Some clients are accepted without a descriptor to serve them, only to be told that the node is full: in the
-// listener's queue they would have no answer in their time.
+// Connections accepted only to tell the client that the node is full. In the listener's queue the client
+// would get no answer before its timeout.
 constexpr std::size_t max_reject_only = 6;
 constexpr int max_readiness_checks = 16;
 constexpr int max_accepts_per_pass = 64;
 
-// Asks the system, since the client may have left while its request waited in the queue of a process that was
-// stopped, or that is new. An end behind further bytes shows in the next pass, before any endpoint is sent
-// the request.
+// Asks the system, because the client may have disconnected while its request was queued at a process that
+// was suspended or has just started. An end behind unread bytes is noticed in the next pass, before the
+// request is sent to an endpoint.
 bool has_disconnected(const Tunnel& tunnel) {
     std::array<char, 1> next{};
     const auto peeked = tunnel.client.peek(next);
@@ -51,8 +51,8 @@
 
 void Acceptor::update_listener_events() { listener_.set_events(accepting_ && !paused_ ? POLLIN : 0); }
 
-// True where the system said that no client waits; false where some may, whatever kept them from being
-// accepted.
+// Returns true if the system has reported an empty queue (or accepting is off), false if clients may still be
+// waiting.
 bool Acceptor::accept_pending() {
     for (int i = 0; i < max_accepts_per_pass && accepting_; ++i) {
         switch (accept_one()) {
@@ -72,7 +72,7 @@
     const DescriptorBudget& descriptors = registry_.descriptors;
     const bool exhausted = !make_descriptors_available();
     if (exhausted && registry_.reject_only_count() >= max_reject_only) return AcceptResult::blocked;
-    // The system does not know what two processes of a node are granted together.
+    // The system does not enforce the limit that two processes of a node share.
     if (descriptors.sibling_held() > 0 && descriptors.is_low(DescriptorBudget::outside_loop))
         return AcceptResult::blocked;
     net::Fd client = listener_.accept();
@@ -81,10 +81,11 @@
     return AcceptResult::more;
 }
 
-// False where a further client cannot be served for want of descriptors, even with one idle connection less.
+// Closes an idle connection if descriptors are scarce. Returns false if there are still too few to serve
+// another client.
 bool Acceptor::make_descriptors_available() {
     const DescriptorBudget& descriptors = registry_.descriptors;
-    // Each pass of the loop costs as much as there are connections: idle ones may be a part of them only.
+    // The cost of a loop pass grows with the number of connections: idle ones may hold only a part of them.
     const bool crowded = registry_.reading_request_count() > registry_.config.max_descriptors / 4;
     if (!crowded && !descriptors.is_low(DescriptorBudget::reserved)) return true;
     return completion_.evict_idle_connection() || !descriptors.is_low(DescriptorBudget::reserved);
@@ -112,7 +113,7 @@
         id, *registry_.find(id),
         registry_.loop.now() +
             (purpose == AcceptedFor::rejection ? request_timeout_reject_only : request_timeout));
-    // Mostly the request has arrived with the connection: read now, it never counts as idle.
+    // The request has usually arrived with the connection. Read at once, the connection never counts as idle.
     on_tunnel_ready(id, Side::client, POLLIN);
 }
 
@@ -124,7 +125,7 @@
     return work;
 }
 
-// Also where the first bytes are still with the system.
+// Includes requests whose first bytes have not been read from the system yet.
 bool Acceptor::any_request_begun() {
     for (std::uint32_t index = 0; index < registry_.tunnels.places(); ++index) {
         if (!registry_.tunnels.used(index)) continue;
@@ -137,14 +138,14 @@
     return false;
 }
 
-// A client that cannot be accepted keeps the listener readable: without a pause the loop would spin.
+// A client that cannot be accepted keeps the listener readable, so without a pause the loop would spin.
 void Acceptor::pause_accepting() {
     if (paused_) return;
     paused_ = true;
     const Ticks now = registry_.loop.now();
-    if (now - paused_at_ > pause_logged_every)
-        registry_.log.error() << "no descriptor for another client, " << registry_.loop.descriptors()
-                              << " in use";
+    if (now - paused_at_ > min_pause_log_interval)
+        registry_.log.error() << "no descriptor to accept another client, " << registry_.loop.descriptors()
+                              << " in use; accept is retried shortly";
     paused_at_ = now;
     update_listener_events();
     registry_.loop.schedule(now + accept_pause, *this, 0);
@@ -159,7 +160,7 @@
     Tunnel& tunnel = *registry_.find(id);
     net::Buffer& answer = tunnel.downstream.buffer;
     if (!answer.empty() && !write_or_buffer(tunnel, {})) return completion_.close_now(id);
-    if (!answer.empty()) return;  // nothing is read until the client has taken its answer
+    if (!answer.empty()) return;  // no input is read before the answer to a readiness check is written
     if (!tunnel.request_buffer.held()) tunnel.request_buffer = registry_.pool.take();
     const auto [data, space] = tunnel.request_buffer.room();
     const auto got = tunnel.client.read({data, space});
@@ -179,7 +180,7 @@
     if (tunnel.request_buffer.empty()) tunnel.request_buffer.give_back();
 }
 
-// Reads once more before it gives up: the request may have arrived since the last pass.
+// Reads once more before the request times out: it may have arrived since the last pass.
 void Acceptor::on_tunnel_timer(TunnelId id) {
     if (registry_.loop.now() < registry_.find(id)->state_deadline) return;
     on_tunnel_ready(id, Side::client, POLLIN);
@@ -202,7 +203,7 @@
         completion_.close_now(id);
         return LineResult::left_stage;
     }
-    // Connections that are kept open after a check slow down each pass of the loop: they get less time.
+    // Connections kept open after a readiness check slow down each loop pass, so they get a shorter timeout.
     const Ticks deadline = registry_.loop.now() + request_timeout_after_check;
     if (deadline < tunnel.state_deadline) registry_.set_state_deadline(id, tunnel, deadline);
     return LineResult::keep_reading;
@@ -217,7 +218,8 @@
     const auto input = tunnel.request_buffer.view();
     if (!parsed || begins_command(input.substr(input.find('\n') + 1)) ||
         !claim_id(tunnel, parsed->id, parsed->request.mid_flow)) {
-        registry_.log.debug() << "a client's request line is rejected";
+        registry_.log.debug() << "request line of a client rejected: malformed, followed by another command, "
+                                 "or its id is in use";
         completion_.reject_protocol_error(id);
         return LineResult::left_stage;
     }
@@ -241,7 +243,7 @@
     return LineResult::left_stage;
 }
 
-// What the system does not take at once is buffered. False where the connection is broken.
+// Buffers what the system does not take at once. Returns false if the connection is broken.
 bool Acceptor::write_or_buffer(Tunnel& tunnel, std::string_view text) {
     net::Buffer& answer = tunnel.downstream.buffer;
     if (!answer.held()) answer = registry_.pool.take();
@@ -254,9 +256,9 @@
     return true;
 }
 
-// False where the id is that of a tunnel that is open or was lately: its endpoint would take both for one.
-// Allowed are packets that come back mid-flow, and the id of a tunnel whose client is gone though this pass
-// has yet to see it.
+// Returns false if the id belongs to a tunnel that is open or was open recently: the endpoint would take both
+// for the same tunnel. A mid-flow request may reuse the id of a recently open tunnel, and also that of an
+// admitted tunnel whose client has disconnected without this process having handled it yet.
 bool Acceptor::claim_id(Tunnel& tunnel, std::string_view id, bool mid_flow) {
     tunnel.id_hash = hash_text(id) | 1;
     const std::uint32_t index = registry_.by_id_hash.find(tunnel.id_hash);
--- a/src/tunnel/acceptor.h
+++ b/src/tunnel/acceptor.h
@@ -10,18 +10,20 @@
 
 namespace lemonstair::tunnel {
 
-// The stage of tunnels in TunnelState::reading_request.
+// The stage for TunnelState::reading_request.
 class Acceptor final : public net::EventHandler {
   public:
     Acceptor(TunnelRegistry& registry, Admission& admission, Completion& completion)
         : registry_(registry), admission_(admission), completion_(completion) {}
-    // Clients connect to a socket of the node's own, or to one that it inherits from the platform. Both throw
-    // std::system_error where there is no such socket.
+    // Listens on a socket of its own, or on one that the platform passed to the process. Both throw
+    // std::system_error if that fails.
     void listen_on(const net::Address& address) { listen_on(registry_.loop.system().listen_on(address)); }
     void listen_on(int inherited) { listen_on(registry_.loop.system().inherited_listener(inherited)); }
-    // While clients are not accepted they wait in the listener's queue, for this process or another one.
+    // Clients that are not accepted stay in the listener's queue, for this process or another one of the
+    // node.
     void set_accepting(bool accepting);
-    // What an exit at this moment would leave unanswered; accepts who waits in the listener's queue.
+    // What would be left unanswered if the process exited now. Accepts the clients in the listener's queue
+    // first.
     attempt_policy::Obligations outstanding_work();
 
     void on_ready(std::uint64_t, short) override { static_cast<void>(accept_pending()); }
--- a/src/tunnel/admission.cpp
+++ b/src/tunnel/admission.cpp
@@ -10,7 +10,7 @@
 
 std::size_t Admission::capacity() const {
     const std::size_t granted = registry_.descriptors.granted();
-    // A sixteenth for connections that have yet to send their request.
+    // A sixteenth is for connections that have not sent their request yet.
     const std::size_t reserved = DescriptorBudget::reserved + registry_.config.max_admin_connections +
                                  registry_.descriptors.sibling_reserve() +
                                  health_check::max_connections(registry_.endpoints.size(), granted) +
@@ -26,7 +26,7 @@
     const bool full = registry_.admitted_count() >= capacity();
     registry_.transition_to(id, TunnelState::awaiting_placement);
     registry_.by_id_hash.put(tunnel.id_hash, static_cast<std::uint32_t>(id));
-    tunnel.client.set_events(POLLIN | POLLRDHUP);  // to see a second command, which no client may send here
+    tunnel.client.set_events(POLLIN | POLLRDHUP);  // to notice a second command, which is a protocol error
     if (full) {
         ++registry_.totals.over_capacity;
         registry_.resource_counters.count_reason(Reason::node_full);
--- a/src/tunnel/admission.h
+++ b/src/tunnel/admission.h
@@ -1,4 +1,4 @@
-// Decides whether the node has the capacity for one more tunnel, and hands its request to the balancer.
+// Decides whether the node has the capacity for another tunnel, and passes its request to the balancer.
 #pragma once
 
 #include <string_view>
@@ -13,10 +13,11 @@
   public:
     Admission(TunnelRegistry& registry, Dispatcher& dispatcher, Completion& completion)
         : registry_(registry), dispatcher_(dispatcher), completion_(completion) {}
-    // Admits the tunnel or rejects it. `current_endpoint`: the id of the endpoint at which it is open
-    // already; empty for a new one.
+    // Admits or rejects a tunnel. `current_endpoint`: the id of the endpoint at which it is already open;
+    // empty for a new tunnel.
     void admit(TunnelId id, TunnelRequest request, std::string_view current_endpoint);
-    // Tunnels that the granted descriptors allow: two each, beside what the node needs for itself.
+    // How many tunnels the granted descriptors allow: two for each tunnel, after those that the node itself
+    // needs.
     std::size_t capacity() const;
 
   private:
--- a/src/tunnel/dispatcher.h
+++ b/src/tunnel/dispatcher.h
@@ -1,5 +1,5 @@
-// Carries out the balancer's decisions: an attempt, a final answer, a migration. Those that come for a tunnel
-// that is gone, or waits no longer, are dropped.
+// Executes the balancer's decisions: an attempt, a final answer or a migration. A decision is ignored if its
+// tunnel no longer exists, or is no longer in the state in which the decision applies.
 #pragma once
 
 #include "tunnel/attempt.h"
@@ -13,13 +13,13 @@
   public:
     Dispatcher(TunnelRegistry& registry, AttemptRunner& attempts, Relay& relay, Completion& completion)
         : registry_(registry), attempts_(attempts), relay_(relay), completion_(completion) {}
-    // `endpoint`: its number for the balancer. `max_wait`: see AttemptRunner::start.
+    // `endpoint`: its number at the balancer. `max_wait`: see AttemptRunner::start.
     void start_attempt(TunnelId id, std::uint32_t endpoint, Ticks max_wait);
-    // `retry_after`: advice for the client; 0: none.
+    // `retry_after`: when the client may retry; 0: no advice.
     void reject(TunnelId id, Ticks retry_after);
     void fail(TunnelId id);
     void migrate(TunnelId id);
-    // A tunnel that is open at its endpoint already; there is nothing for the balancer to decide.
+    // For a tunnel that is already open at its endpoint: does not involve the balancer.
     void resume(TunnelId id) { attempts_.resume(id); }
 
   private:
--- a/src/tunnel/request_line.cpp
+++ b/src/tunnel/request_line.cpp
@@ -14,7 +14,7 @@
 constexpr double max_wait_ms = 1e9;
 constexpr Ticks ticks_per_ms = 10;
 
-// The text before `separator`, or all of it; cuts it off `rest`, with the separator.
+// Returns the text before `separator`, or all of it, and removes it and the separator from `rest`.
 std::string_view cut(std::string_view& rest, char separator) {
     const auto end = std::min(rest.find(separator), rest.size());
     const auto part = rest.substr(0, end);
@@ -32,14 +32,14 @@
     return std::all_of(text.begin(), text.end(), [](char c) { return c >= 0x20 && c < 0x7f; });
 }
 
-// The parameters of a request, as far as they were read.
+// Parses the list of parameters into a RequestLine.
 struct Parameters {
     const std::vector<std::string>& traffic_classes;
     RequestLine& line;
     double wait_ms = -1;
     bool has_traffic_class = false;
 
-    // Unknown names are allowed; false where a known one has a value that it cannot have.
+    // Returns false if a known parameter has an invalid value; unknown ones are ignored.
     bool read(std::string_view name, std::string_view value) {
         namespace parameter = wire::parameter;
         if (name == parameter::traffic_class) return read_traffic_class(value);
@@ -61,7 +61,7 @@
         return has_traffic_class;
     }
 
-    // "name=value,name=value". False where it is no such list, or a value is wrong.
+    // Reads "name=value,name=value". Returns false if the list is malformed or a value invalid.
     bool read_list(std::string_view list) {
         while (!list.empty()) {
             const std::string_view entry = cut(list, ',');
--- a/src/tunnel/request_line.h
+++ b/src/tunnel/request_line.h
@@ -1,4 +1,4 @@
-// The request line of a client: parsed into what the balancer decides by, and rewritten for the endpoint.
+// The request line of a client: parses it for the balancer, and rewrites it for the endpoint.
 #pragma once
 
 #include <optional>
@@ -11,22 +11,24 @@
 
 namespace lemonstair::tunnel {
 
-// The views show the line that was parsed.
+// A parsed request line. The views refer to the text that was parsed.
 struct RequestLine {
     TunnelRequest request;
-    std::string_view id;                // that the client gave the tunnel
-    std::string_view current_endpoint;  // id of the endpoint at which it is open already; empty: none
+    std::string_view id;                // the client's id of the tunnel
+    std::string_view current_endpoint;  // id of the endpoint at which the tunnel is already open, or empty
 };
 
-// `line` without its end; `traffic_classes` by number. Nothing where it is no request.
+// Parses a line without its line end; `now` is the base of the deadline, and an index into `traffic_classes`
+// is the class in the result. Returns nullopt if the line is not a valid request.
 std::optional<RequestLine> parse_request_line(std::string_view line,
                                               const std::vector<std::string>& traffic_classes, Ticks now);
 
-// Whether a client's bytes begin a command: only its first line may be one.
+// Whether these bytes of a client are a command or the beginning of one. Only its first line may be a
+// command.
 bool begins_command(std::string_view bytes);
 
-// Appends the line, with its end, as it was but for the time that the node will still wait. False where it
-// does not fit.
+// Appends the line and a line end to `into`, with the wait parameter replaced by `wait`, the time that the
+// node will still wait. Returns false if it does not fit.
 bool write_request_line(std::string_view line, Ticks wait, net::Buffer& into);
 
 }  // namespace lemonstair::tunnel
--- a/src/tunnel/stages.h
+++ b/src/tunnel/stages.h
@@ -1,5 +1,5 @@
-// The stages that a tunnel passes. The events and timers of a tunnel's sockets go to the stage that its state
-// names.
+// The stages that a tunnel passes through, and the dispatch of socket events and timers to the stage that is
+// responsible for the tunnel's current state.
 #pragma once
 
 #include "tunnel/acceptor.h"
@@ -13,6 +13,8 @@
 
 namespace lemonstair::tunnel {
 
+// Owns the registry and all stages. The token of an event is the tunnel's id and, in its lowest bit, the side
+// whose socket is ready.
 class TunnelStages final : public net::EventHandler {
   public:
     TunnelStages(net::EventLoop& loop, const config::NodeConfig& config,
@@ -38,14 +40,14 @@
     Acceptor acceptor{registry, admission, completion};
 
   private:
-    // Calls call(stage) with the stage of the tunnel's state; not where the tunnel is gone.
+    // Calls call(stage) with the stage for the tunnel's state. Does nothing if the tunnel no longer exists.
     template <class Call>
     void at_stage(TunnelId id, Call&& call) {
         const Tunnel* tunnel = registry.find(id);
         if (tunnel == nullptr) return;
         switch (tunnel->state) {
             case TunnelState::free:
-            case TunnelState::transferring:  // its sockets are not polled
+            case TunnelState::transferring:  // its sockets are not polled and its timers do not apply
                 return;
             case TunnelState::reading_request:
                 return call(acceptor);
--- a/src/tunnel/tunnel_registry.cpp
+++ b/src/tunnel/tunnel_registry.cpp
@@ -51,8 +51,8 @@
     return id_of(index);
 }
 
-// Clients give each connection a new id: that of a tunnel open lately is remembered, so that it cannot be
-// opened twice.
+// Clients use a new id for each connection. The ids of recently open tunnels are remembered, so that none of
+// them can be opened a second time.
 void TunnelRegistry::release_id(const Tunnel& tunnel, std::uint32_t index) {
     if (by_id_hash.find(tunnel.id_hash) != index) return;
     by_id_hash.drop(tunnel.id_hash);
@@ -65,8 +65,8 @@
     by_id_hash.put(tunnel.id_hash, recently_closed);
 }
 
-// A tunnel counts once, when its client has its final answer; a request without a traffic class counts
-// nowhere.
+// Each tunnel is counted once, when its client gets its final answer. A request without a valid traffic class
+// is not counted.
 void TunnelRegistry::count_final_answer(Tunnel& tunnel, TunnelState to) {
     if (!tunnel.answer_uncounted) return;
     if (to == TunnelState::open) tunnel.final_answer = metrics::FinalAnswer::opened;
@@ -85,7 +85,8 @@
     return !tunnel.client.open() || tunnel.client.peer_closed();
 }
 
-// A connection that is closed without a final line: its client must be gone, or have sent nothing.
+// Checks the invariant that a connection is closed without a final line only if its client has disconnected
+// or has sent nothing.
 void TunnelRegistry::check_close(TunnelId id, const Tunnel& tunnel, TunnelState to) {
     if (to != TunnelState::free || !tunnel.client.open()) return;
     if (awaits_answer(tunnel.state) && !client_disconnected(tunnel))
@@ -120,7 +121,7 @@
     const bool was_reject_only = tunnel.reject_only;
     reject_only_count_ -= was_reject_only ? 1 : 0;
     tunnels.give_back(static_cast<std::uint32_t>(id));
-    // The descriptor that it gave back came from the spares.
+    // The descriptor that this tunnel has freed was one of the spares.
     if (was_reject_only) descriptors.refill_spares();
 }
 
--- a/src/tunnel/tunnel_registry.h
+++ b/src/tunnel/tunnel_registry.h
@@ -1,6 +1,6 @@
-// The registry of all tunnels of this process, and what their stages share: loop, buffers, balancer, endpoint
-// directory, counters. Every change of a tunnel's state goes through transition_to, which checks and counts
-// it.
+// The registry of all tunnels of this process, and the context that their stages share: event loop, buffers,
+// balancer, endpoint directory and counters. All state changes go through transition_to, which checks and
+// counts them.
 #pragma once
 
 #include <array>
@@ -22,31 +22,33 @@
 
 namespace lemonstair::tunnel {
 
-// A tunnel's number: its slot, and above it the serial of the slot's use, so that a late event of one tunnel
-// never reaches the next. The balancer uses the same number; with the side it is the token of a socket.
+// The id of a tunnel: its slot in the low 32 bits, and above it the serial number of the slot's use, so that
+// a late event of one tunnel never reaches the next tunnel in the slot. The balancer uses the same id.
 using TunnelId = std::uint64_t;
 enum class Side : std::uint8_t { client, endpoint };
 
-// A client is accepted for rejection where there are no descriptors to serve it: it is only told so.
+// A client is accepted for rejection if there are no descriptors to serve it: it is only told that the node
+// is full.
 enum class AcceptedFor : std::uint8_t { service, rejection };
 
-// Since the start of this process.
+// Totals since the start of this process.
 struct TunnelTotals {
     std::uint64_t accepted = 0;         // requests that were read
-    std::uint64_t opened = 0;           // attempts that an endpoint took
-    std::uint64_t rejected = 0;         // told that nothing was done
+    std::uint64_t opened = 0;           // attempts that an endpoint accepted
+    std::uint64_t rejected = 0;         // clients told that nothing was done for them
     std::uint64_t failed = 0;           // closed with an error
-    std::uint64_t over_capacity = 0;    // of those rejected: the node was full
-    std::uint64_t migrated = 0;         // clients that were sent away from an open tunnel
-    std::uint64_t stalled = 0;          // of those migrated: the endpoint answered no line any more
-    std::uint64_t protocol_errors = 0;  // closed with an error for what the client sent
-    std::uint64_t evicted = 0;          // idle connections that were closed for their descriptors
+    std::uint64_t over_capacity = 0;    // of those rejected: because the node was full
+    std::uint64_t migrated = 0;         // clients of open tunnels told to reconnect elsewhere
+    std::uint64_t stalled = 0;          // of those migrated: because the endpoint no longer answered
+    std::uint64_t protocol_errors = 0;  // closed with an error because of invalid client input
+    std::uint64_t evicted = 0;          // idle connections closed to free their descriptors
 };
 
+// Members that the stages use directly are public; the counts follow from the state changes.
 class TunnelRegistry {
   public:
     static constexpr Ticks no_deadline = std::numeric_limits<Ticks>::max() / 4;
-    // In `by_id_hash`: the id belonged to a tunnel that was open lately.
+    // Value in `by_id_hash`: the id belongs to a tunnel that was open recently.
     static constexpr std::uint32_t recently_closed = IdIndex::none - 1;
 
     TunnelRegistry(net::EventLoop& event_loop, net::EventHandler& handler,
@@ -64,44 +66,46 @@
     TunnelId id_of(std::uint32_t index) const {
         return TunnelId{tunnels.serial(index) & 0x7fffffffU} << 32 | index;
     }
-    // Null where the tunnel is gone.
+    // Null if the tunnel no longer exists.
     Tunnel* find(TunnelId id) {
         const auto index = static_cast<std::uint32_t>(id);
         return tunnels.used(index) && id_of(index) == id ? &tunnels[index] : nullptr;
     }
-    // A tunnel for an accepted client, in no state yet: a transition must follow.
+    // Adds a tunnel for an accepted client. Its state is still `free`: the caller must call transition_to
+    // next.
     TunnelId add(net::Fd client, AcceptedFor purpose);
-    // Calls visit(index, tunnel) for each tunnel in use, in the order of slots.
+    // Calls visit(index, tunnel) for each tunnel, in the order of slots.
     template <class Visit>
     void for_each(Visit&& visit) {
         for (std::uint32_t index = 0; index < tunnels.places(); ++index)
             if (tunnels.used(index)) visit(index, tunnels[index]);
     }
-    // A socket of a tunnel, whose events go to the stage that the tunnel's state names.
+    // Wraps a descriptor of a tunnel; its events go to the stage for the tunnel's state.
     net::Socket make_socket(TunnelId id, Side side, net::Fd fd, short events) {
         return {loop, std::move(fd), events, event_handler, id << 1 | static_cast<std::uint64_t>(side)};
     }
-    // The balancer, its clock set to the loop's.
+    // The balancer, with its clock set to the loop's time.
     Balancer& balancer_now() {
         balancer->set_time(loop.now());
         return *balancer;
     }
-    // The stage of the tunnel is called at `deadline`; an earlier timer that is still out is told by this.
+    // Calls the tunnel's stage at `deadline`. Timers cannot be cancelled: a stage recognizes an outdated one
+    // by comparing the time with state_deadline.
     void set_state_deadline(TunnelId id, Tunnel& tunnel, Ticks deadline) {
         tunnel.state_deadline = deadline;
         loop.schedule(deadline, event_handler, id << 1);
     }
     void transition_to(TunnelId id, TunnelState to);
-    // Counts and logs an effect that the code must never have.
+    // Counts and logs the violation of an invariant.
     void report_violation(metrics::Invariant rule, TunnelId id, std::string_view detail);
-    // Whether the client has ended its sending or its connection; asks the system.
+    // Whether the client has closed its sending side or its connection; asks the system.
     bool client_disconnected(const Tunnel& tunnel) const;
-    // Once there are descriptors again: lets a tunnel that was accepted only to be rejected be served. False
-    // where there are none.
+    // If descriptors have become free, turns a tunnel that was accepted only for rejection into one that is
+    // served. Returns false if none are free.
     bool try_serve_reject_only(Tunnel& tunnel);
 
     std::size_t tunnel_count() const { return tunnel_count_; }
-    // From a complete request to the final line.
+    // Tunnels from their complete request to their final line.
     std::size_t admitted_count() const { return admitted_count_; }
     std::size_t closing_count() const { return closing_count_; }
     std::size_t reading_request_count() const { return tunnel_count_ - admitted_count_ - closing_count_; }
@@ -117,11 +121,11 @@
     DescriptorBudget descriptors;
     net::BufferPool pool;
     Slab<Tunnel> tunnels;
-    IdIndex by_id_hash;  // admitted tunnels -> slot; ids of tunnels open lately -> recently_closed
+    IdIndex by_id_hash;  // admitted tunnels -> slot; ids of recently open tunnels -> recently_closed
     metrics::TunnelCounters tunnel_counters;
     TunnelTotals totals;
-    bool ready = false;  // the answer to a readiness check
-    // While the node drains: final answers are due, and migrated tunnels are closed, by these.
+    bool ready = false;  // whether a readiness check succeeds
+    // While the node shuts down: when all final answers must be given, and all migrated tunnels closed.
     Ticks answer_deadline = no_deadline, close_deadline = no_deadline;
 
   private:
@@ -133,7 +137,7 @@
     std::size_t admitted_count_ = 0;
     std::size_t closing_count_ = 0;
     std::size_t reject_only_count_ = 0;
-    std::array<std::uint64_t, 1024> recent_id_hashes_{};  // a ring
+    std::array<std::uint64_t, 1024> recent_id_hashes_{};  // ring buffer
     std::size_t next_recent_ = 0;
 };
 
--- a/src/tunnel/wire_protocol.h
+++ b/src/tunnel/wire_protocol.h
@@ -1,5 +1,5 @@
-// The line protocol of clients and endpoints: its words, and the term of ours that each one becomes. No other
-// file of this package contains a word of the wire.
+// The line protocol of clients and endpoints: its keywords, and the types that they are parsed into. No other
+// file of this module contains a keyword of the protocol.
 #pragma once
 
 #include <charconv>
@@ -10,17 +10,17 @@
 
 namespace lemonstair::tunnel::wire {
 
-// The longest line that either side may send, without its end; bytes.
+// The longest line that either side may send, in bytes without the line end.
 constexpr std::size_t longest_line = 4096;
 constexpr std::string_view line_end = "\r\n";
 
-// From the client: a request for a tunnel ("OPEN <id> <key> <name>=<value>,..."), or whether the node is
-// ready.
+// From the client: a request for a tunnel ("OPEN <id> <key> <name>=<value>,..."), or a check whether the node
+// is ready.
 constexpr std::string_view request_prefix = "OPEN ";
 constexpr std::string_view readiness_check = "PING";
 constexpr std::string_view readiness_check_line = "PING\r\n";
 
-// The names in a request's list of parameters.
+// The names of the request's parameters.
 namespace parameter {
 constexpr std::string_view traffic_class = "c";
 constexpr std::string_view wait_ms = "d";
@@ -31,34 +31,34 @@
 constexpr std::string_view expected_load = "h";
 constexpr std::string_view flag_set = "1";
 }  // namespace parameter
-// How the parameter begins that is rewritten for the endpoint.
+// The start of the parameter that is rewritten for the endpoint.
 constexpr std::string_view wait_prefix = "d=";
 
-// To the client. The retry advice, in ms, follows the prefix.
+// To the client. After rejected_prefix comes the time, in ms, after which it may retry.
 constexpr std::string_view ready_line = "PONG\r\n";
 constexpr std::string_view rejected_line = "BUSY\r\n";
 constexpr std::string_view rejected_prefix = "BUSY ";
 constexpr std::string_view failed_line = "ERR\r\n";
 constexpr std::string_view migrate_line = "MOVE\r\n";
 
-// Whether a line is this word, alone or with something behind a blank.
+// Whether a line consists of this word, or of this word, a space and more text.
 constexpr bool has_word(std::string_view line, std::string_view word) {
     return line.substr(0, word.size()) == word && (line.size() == word.size() || line[word.size()] == ' ');
 }
 
-// The endpoint's first line: what it answers to a request.
+// The endpoint's first line: its answer to the request.
 enum class Answer : std::uint8_t { opened, finished, overloaded, migrate, error, unknown };
 
 constexpr Answer read_answer(std::string_view line) {
     if (has_word(line, "UP")) return Answer::opened;
-    if (has_word(line, "BYE")) return Answer::finished;  // opened, and served to its end already
+    if (has_word(line, "BYE")) return Answer::finished;  // opened, and already served to its end
     if (has_word(line, "BUSY")) return Answer::overloaded;
     if (has_word(line, "MOVE")) return Answer::migrate;
     if (has_word(line, "ERR")) return Answer::error;
     return Answer::unknown;
 }
 
-// A line of the endpoint on an open tunnel.
+// The kinds of lines that an endpoint sends on an open tunnel.
 enum class Message : std::uint8_t { load, finished, migrate, other };
 
 constexpr std::string_view load_prefix = "LOAD ";
@@ -70,7 +70,7 @@
     return Message::other;
 }
 
-// The load that a Message::load tells, in millionths of a standard core; nothing where it is no such number.
+// The load in a Message::load, in millionths of a standard core; nullopt unless it is a finite number >= 0.
 inline std::optional<double> read_load(std::string_view line) {
     double load = 0;
     const char* end = line.data() + line.size();
