--- a/src/tunnel/attempt.cpp
+++ b/src/tunnel/attempt.cpp
@@ -15,15 +15,16 @@
 
 namespace {
 
-// Between two attempts to resume a tunnel.
+// Pause between two attempts to resume a tunnel.
 constexpr Ticks resume_pause = 3000;
-// With no more descriptors left than these, the next may be past the limit: some are outside the loop.
+// If no more descriptors than these are left, another one may exceed the limit, since some are not counted by
+// the event loop.
 constexpr std::size_t min_descriptors_left = 6;
-// Of an answer that is unknown.
+// How much of an unknown answer is logged.
 constexpr std::size_t logged_answer_bytes = 40;
 
 Outcome connect_outcome(int error) {
-    // Without a descriptor or a port of its own this node knows nothing of the endpoint.
+    // A failure of this node, such as a lack of descriptors or ports, says nothing about the endpoint.
     return net::is_local_failure(error) ? Outcome::not_sent : Outcome::unreachable;
 }
 
@@ -43,7 +44,7 @@
 }
 
 RequestLine AttemptRunner::request_of(const Tunnel& tunnel) const {
-    // It was parsed when it was accepted, so it cannot fail here.
+    // The line was valid when it was accepted, so parsing it again cannot fail.
     return parse_request_line(net::first_line(tunnel.request_buffer.view()),
                               registry_.config.traffic_class_names, registry_.loop.now())
         .value_or(RequestLine{});
@@ -53,7 +54,8 @@
     Tunnel& tunnel = *registry_.find(id);
     tunnel.resuming = true;
     tunnel.endpoint_index = registry_.endpoints.index_of(request_of(tunnel).current_endpoint);
-    // The list that this node started with may be older than the tunnel: discovery will name the endpoint.
+    // The endpoint list of a node that has just started may be older than the tunnel. Wait until discovery
+    // lists the endpoint.
     if (tunnel.endpoint_index == discovery::EndpointDirectory::none)
         return registry_.set_state_deadline(id, tunnel, registry_.loop.now() + resume_pause);
     tunnel.attempts = 1;
@@ -93,11 +95,11 @@
     if ((events & ended) != 0) return completion_.on_client_disconnected(id);
     Tunnel& tunnel = *registry_.find(id);
     if (client_sent_command(tunnel)) return completion_.reject_protocol_error(id);
-    tunnel.client.set_events(
-        POLLRDHUP);  // what it sent is for the endpoint, and is read once the tunnel opens
+    // What the client has sent is for the endpoint and is read once the tunnel is open.
+    tunnel.client.set_events(POLLRDHUP);
 }
 
-// False where the attempt is over.
+// Returns false if the attempt has ended.
 bool AttemptRunner::on_connected(TunnelId id) {
     Tunnel& tunnel = *registry_.find(id);
     if (const int error = tunnel.endpoint.connected(); error != 0) {
@@ -115,9 +117,9 @@
     return true;
 }
 
-// Asks the balancer in the instant before the first byte, with a fresh clock: the connection may have taken
-// long to come up, or the process may have been held up. False where the attempt is withdrawn, or the client
-// is gone.
+// Asks the balancer, with the clock read again, immediately before the first byte is written: connecting may
+// have taken long, or the process may have been suspended. Returns false if the attempt is withdrawn or the
+// client has disconnected.
 bool AttemptRunner::may_write(TunnelId id) {
     const Tunnel& tunnel = *registry_.find(id);
     if (registry_.client_disconnected(tunnel)) {
@@ -130,12 +132,13 @@
     if (reason == Reason::allowed) return true;
     registry_.resource_counters.count_reason(reason);
     registry_.log.debug() << "tunnel " << static_cast<std::uint32_t>(id) << " attempt " << tunnel.attempts
-                          << " is withdrawn: " << name_of(reason);
+                          << " withdrawn before its request was sent: " << name_of(reason);
     on_failed(id, Outcome::withdrawn);
     return false;
 }
 
-// Until the system has its last byte the request cannot have run; from then on it may have.
+// The endpoint cannot have executed the request until the system has accepted its last byte; after that it
+// may have.
 void AttemptRunner::write_request(TunnelId id) {
     Tunnel& tunnel = *registry_.find(id);
     const auto sent = tunnel.endpoint.write(tunnel.upstream.buffer.view());
@@ -150,7 +153,8 @@
     registry_.set_state_deadline(id, tunnel, tunnel.attempt_deadline);
 }
 
-// Invariant: bytes were written only while the attempt policy allowed it, by a clock read after the write.
+// Checks the invariant that bytes are written only while the attempt policy allows it, by the time after the
+// write.
 void AttemptRunner::check_write_allowed(TunnelId id) {
     const Tunnel& tunnel = *registry_.find(id);
     if (!tunnel.tracked) return;
@@ -174,7 +178,7 @@
     if (line_too_long) on_failed(id, Outcome::error);
 }
 
-// A client may not send commands without waiting for the answer to its first: none of them reaches an
+// A client must not send another command before the first one is answered. Such a command never reaches an
 // endpoint.
 bool AttemptRunner::client_sent_command(const Tunnel& tunnel) {
     std::array<char, 8> next{};
@@ -194,7 +198,9 @@
         case wire::Answer::error:
             return on_failed(id, Outcome::error);
         case wire::Answer::unknown:
-            registry_.log.error() << "endpoint answered an attempt with '"
+            registry_.log.error() << "endpoint "
+                                  << registry_.endpoints[registry_.find(id)->endpoint_index].number
+                                  << " sent an unknown answer, counted as an error: '"
                                   << line.substr(0, logged_answer_bytes) << "'";
             return on_failed(id, Outcome::error);
     }
@@ -214,12 +220,12 @@
         registry_.balancer_now().on_opened(id, tunnel.attempts - 1, endpoint,
                                            registry_.loop.now() - tunnel.attempt_started);
     }
-    // The endpoint has its own copy of the request line: only what the client sent after it is relayed.
+    // The request line has been sent to the endpoint already: only the bytes after it are relayed.
     tunnel.request_buffer.take(tunnel.request_buffer.view().find('\n') + 1);
     relay_.begin(id);
 }
 
-// Closes the connection at once: nothing that the endpoint sent on it may reach the client.
+// Closes the connection at once, so that nothing the endpoint has sent on it can reach the client.
 void AttemptRunner::on_failed(TunnelId id, Outcome outcome) {
     Tunnel& tunnel = *registry_.find(id);
     registry_.resource_counters.count_attempt(outcome);
@@ -258,14 +264,16 @@
     if (tunnel.state == TunnelState::awaiting_placement) {
         if (!tunnel.resuming || tunnel.state_deadline == 0) return;
         if (now < tunnel.deadline) return resume(id);
-        registry_.log.error() << "a tunnel that was open before the start was not resumed by its endpoint";
+        registry_.log.error() << "tunnel " << static_cast<std::uint32_t>(id)
+                              << " was open before this node started, but its endpoint did not resume it in "
+                                 "time; closing it with an error";
         return completion_.fail(id);
     }
     if (tunnel.state == TunnelState::awaiting_answer) return on_failed(id, Outcome::timed_out);
-    // An endpoint that had next to no time to accept, since the client had none left, is not to blame.
+    // Failing to connect does not count against the endpoint if the client had almost no time left.
     const Ticks objective = registry_.config.balancer.traffic_classes[tunnel.traffic_class].latency_objective;
-    const Ticks fair = std::min(registry_.config.connect_timeout, attempt_policy::fair_wait(objective));
-    const bool had_time = now - tunnel.attempt_started >= fair;
+    const Ticks min_wait = std::min(registry_.config.connect_timeout, attempt_policy::fair_wait(objective));
+    const bool had_time = now - tunnel.attempt_started >= min_wait;
     on_failed(id, had_time ? Outcome::unreachable : Outcome::withdrawn);
 }
 
--- a/src/tunnel/completion.cpp
+++ b/src/tunnel/completion.cpp
@@ -15,13 +15,13 @@
 namespace {
 
 constexpr Ticks ticks_per_ms = 10;
-// How long a peer may take to close after this node has.
+// How long a peer may take to close its side after this node has closed its own.
 constexpr Ticks close_timeout = 10000, close_timeout_reject_only = 3000;
-// What a peer sends after the final line is discarded up to here; more waits unread until the close is over.
+// Limit for input after the final line. Input beyond it stays unread until the close times out.
 constexpr std::uint32_t max_discarded_bytes = 1 << 20;
-// A connection that is younger than this is not idle yet.
+// A connection counts as idle after this time.
 constexpr Ticks min_idle_reading = 200, min_idle_closing = 2000;
-constexpr Ticks eviction_logged_every = 10000;
+constexpr Ticks min_eviction_log_interval = 10000;
 
 }  // namespace
 
@@ -52,7 +52,7 @@
     send_final_line(id, line);
 }
 
-// The system may take a part of the line only: the rest is buffered.
+// If the system takes only a part of the line, the rest is buffered.
 void Completion::send_final_line(TunnelId id, std::string_view line) {
     Tunnel& tunnel = *registry_.find(id);
     if (tunnel.state == TunnelState::closing)
@@ -94,7 +94,7 @@
     fail(id);
 }
 
-// Connections whose request is awaited go before closing ones; among equals the one idle for longest.
+// Prefers connections that wait for their request to closing ones, and then the one idle for longest.
 bool Completion::find_idle(IdleConnection& longest) {
     const Ticks now = registry_.loop.now();
     bool found = false;
@@ -103,29 +103,29 @@
         const bool reading = tunnel.state == TunnelState::reading_request;
         const bool better_found = found && !longest.closing;
         if (!reading && (!closing || better_found)) return;
-        // A client that sends its request in pieces is not idle between them.
+        // A client that sends its request in pieces is not idle between two pieces.
         const Ticks idle_since =
             closing ? tunnel.state_since : std::max(tunnel.state_since, tunnel.last_input_at);
         if (now - idle_since < (closing ? min_idle_closing : min_idle_reading)) return;
         if (found && longest.closing == closing && idle_since >= longest.idle_since) return;
         std::array<char, 1> next{};
-        if (reading && tunnel.client.peek(next).bytes > 0) return;  // it is read in this pass
+        if (reading && tunnel.client.peek(next).bytes > 0) return;  // its input is read in this pass
         found = true;
         longest = {registry_.id_of(index), idle_since, closing};
     });
     return found;
 }
 
-// Clients that connect by hundreds and send nothing, or do not close when told to, must not keep out others,
-// nor hold the descriptors that attempts need.
+// Hundreds of clients that send nothing, or do not close their side, must not keep other clients out, nor
+// hold the descriptors that attempts need.
 bool Completion::evict_idle_connection() {
     IdleConnection longest;
     if (!find_idle(longest)) return false;
     ++registry_.totals.evicted;
     const Ticks now = registry_.loop.now();
-    if (now - std::exchange(evicted_at_, now) > eviction_logged_every)
-        registry_.log.info() << "descriptors run short, " << registry_.loop.descriptors() << " in use, "
-                             << registry_.admitted_count() << " tunnels: idle connections are closed";
+    if (now - std::exchange(evicted_at_, now) > min_eviction_log_interval)
+        registry_.log.info() << "descriptors are running out, " << registry_.loop.descriptors() << " in use, "
+                             << registry_.admitted_count() << " tunnels; closing idle connections";
     close_now(longest.id);
     return true;
 }
@@ -179,9 +179,10 @@
     if (registry_.loop.now() >= registry_.find(id)->state_deadline) close_now(id);
 }
 
-// A peer may send on at full speed: its bytes are not copied, and no more than max_discarded_bytes are read.
+// A peer may continue to send at full speed, so its bytes are not copied and only max_discarded_bytes are
+// read.
 void Completion::discard_input(Tunnel& tunnel, net::Socket& socket) {
-    // Nothing is awaited from it any more, so it can only have broken.
+    // The socket is no longer polled for input, so this event means that the connection is broken.
     if (tunnel.discarded_bytes >= max_discarded_bytes) return socket.close();
     const auto got = socket.discard();
     if (got.ended || got.error != 0) return socket.close();
--- a/src/tunnel/completion.h
+++ b/src/tunnel/completion.h
@@ -1,5 +1,5 @@
-// The last stage: a tunnel's final answer, the orderly close of both connections, and the report of its end
-// to the balancer.
+// The last stage of a tunnel: its final answer, the orderly close of both connections, and the report of its
+// end to the balancer.
 #pragma once
 
 #include <string_view>
@@ -8,32 +8,34 @@
 
 namespace lemonstair::tunnel {
 
-// The stage of tunnels in TunnelState::closing.
+// The stage for TunnelState::closing. Its functions may be called from any other stage.
 class Completion {
   public:
     explicit Completion(TunnelRegistry& registry) : registry_(registry) {}
-    // Final answers to a client that waits: "nothing was done, try again" (after `retry_after`; 0: no
-    // advice), and "failed, it may have been done".
+    // Final answers to a waiting client. reject: nothing was done, and the client may retry, after
+    // `retry_after` unless that is 0. fail: the request may have been executed.
     void reject(TunnelId id, Ticks retry_after);
     void fail(TunnelId id);
-    // The client has not sent a whole request in its time. One that has sent a readiness check is told
-    // nothing.
+    // The client has not sent a complete request in time. It is rejected; if it has sent a readiness check,
+    // the connection is closed without an answer.
     void expire_request(TunnelId id);
-    // The client closed while it waited for its answer.
+    // The client disconnected while it waited for its answer.
     void on_client_disconnected(TunnelId id);
-    // The client sent what no client may send: closed with an error.
+    // The client violated the protocol: closes the tunnel with an error.
     void reject_protocol_error(TunnelId id);
-    // Closes the connection that has been idle for longest: one whose client has sent nothing yet, else one
-    // that is closing. False where there is none that has had a moment to send or to close.
+    // Closes the connection that has been idle for longest: one that waits for its request, or else one that
+    // is closing. Connections that are idle only for a moment are spared; returns false if there are no
+    // others.
     bool evict_idle_connection();
     // Reports the end of an open tunnel to the balancer, once.
     void report_end(TunnelId id, Outcome outcome);
     // Writes the final line, then closes gracefully.
     void send_final_line(TunnelId id, std::string_view line);
-    // All bytes are written: ends both sending sides, and reads what still comes until the peers have closed.
-    // Closing with unread input would make a reset, and that can overtake the last line.
+    // To be called when all bytes are written: shuts down both connections for writing, then discards input
+    // until the peers have closed. Closing with unread input would send a reset, which can overtake the last
+    // line.
     void close_gracefully(TunnelId id);
-    // Both connections at once.
+    // Closes both connections at once.
     void close_now(TunnelId id);
     void on_tunnel_ready(TunnelId id, Side side, short events);
     void on_tunnel_timer(TunnelId id);
--- a/src/tunnel/endpoint_monitor.cpp
+++ b/src/tunnel/endpoint_monitor.cpp
@@ -6,14 +6,16 @@
 
 namespace {
 
-// Clients send a line every few seconds, and a healthy endpoint answers at once: a tunnel that had no line
-// for `stalled_after`, and has awaited one for half of it, will not get one.
+// Clients send a line every few seconds, and a healthy endpoint answers at once. A tunnel has stalled if the
+// endpoint has sent no line for `stalled_after` and the client has waited for one for half of that time.
 constexpr Ticks stalled_after = 60000, stalled_unanswered_for = 30000;
-// Long before that an endpoint is reported from which no tunnel has had a line.
+// An endpoint is reported much earlier if it has sent no line on any of its tunnels.
 constexpr Ticks unresponsive_after = 5000;
-constexpr Ticks slow_reported_every = 10000;
+constexpr Ticks min_slow_report_interval = 10000;
+// An answer is slow if it takes longer than the strictest message latency objective divided by
+// slow_threshold_divisor, or than max_slow_threshold if that is less.
 constexpr Ticks max_slow_threshold = 10000;
-constexpr int slow_fraction = 3;  // of the strictest objective for messages
+constexpr int slow_threshold_divisor = 3;
 constexpr Ticks ticks_per_ms = 10;
 
 }  // namespace
@@ -22,7 +24,7 @@
     : registry_(registry), slow_threshold_(max_slow_threshold) {
     for (const TrafficClass& traffic_class : registry.config.balancer.traffic_classes) {
         const Ticks objective = traffic_class.message_latency_objective;
-        if (objective > 0) slow_threshold_ = std::min(slow_threshold_, objective / slow_fraction);
+        if (objective > 0) slow_threshold_ = std::min(slow_threshold_, objective / slow_threshold_divisor);
     }
 }
 
@@ -40,24 +42,25 @@
     activity.last_line_at = std::max(activity.last_line_at, line_at);
 }
 
-// Reports from time to time while answers are slow, and once more when they no longer are.
+// Reports at intervals while answers are slow, and once more when they are fast again.
 void EndpointMonitor::on_answer(TunnelId id, std::uint32_t endpoint_index, Ticks took) {
     Activity& activity = activity_of(endpoint_index);
     const Ticks now = registry_.loop.now();
     const bool slow = took > slow_threshold_;
-    if (slow && now - activity.slow_reported_at < slow_reported_every) return;
+    if (slow && now - activity.slow_reported_at < min_slow_report_interval) return;
     if (!slow && !activity.reported_slow) return;
     activity.slow_reported_at = now;
     activity.reported_slow = slow;
     const std::uint32_t endpoint = registry_.endpoints[endpoint_index].number;
-    registry_.log.debug() << "a message takes " << took / ticks_per_ms << " ms at endpoint " << endpoint;
+    registry_.log.debug() << "message answered after " << took / ticks_per_ms << " ms by endpoint "
+                          << endpoint;
     registry_.balancer_now().on_slow_messages(id, endpoint, took);
 }
 
 void EndpointMonitor::add_wait(TunnelId id, const Tunnel& tunnel) {
     Waits& waits = waits_[tunnel.endpoint_index];
     ++waits.open_tunnels;
-    // Where its client takes nothing the endpoint is not to blame.
+    // If the client does not read, the delay is not the endpoint's fault.
     if (tunnel.unanswered_lines == 0 || !tunnel.downstream.buffer.empty()) return;
     const Ticks now = registry_.loop.now();
     const Ticks wait = now - tunnel.unanswered_since;
@@ -67,7 +70,8 @@
     waits.longest = std::max(waits.longest, wait);
 }
 
-// One tunnel that has stopped does not speak for its endpoint: where there are others, two must have waited.
+// A single stuck tunnel does not prove that its endpoint is unresponsive: if the endpoint has several
+// tunnels, at least two of them must have waited that long.
 void EndpointMonitor::report_unresponsive() {
     for (std::uint32_t index = 0; index < waits_.size(); ++index) {
         const Waits& waits = waits_[index];
--- a/src/tunnel/endpoint_monitor.h
+++ b/src/tunnel/endpoint_monitor.h
@@ -1,5 +1,5 @@
-// Watches how endpoints answer on open tunnels: reports slow answers and endpoints that have fallen silent to
-// the balancer, and finds tunnels that no longer get answers.
+// Monitors how endpoints answer on open tunnels: reports slow answers and unresponsive endpoints to the
+// balancer, and finds tunnels that no longer get answers.
 #pragma once
 
 #include <vector>
@@ -8,18 +8,18 @@
 
 namespace lemonstair::tunnel {
 
-// Endpoints are named by their index in the directory.
+// Endpoints are identified by their index in the endpoint directory.
 class EndpointMonitor {
   public:
     explicit EndpointMonitor(TunnelRegistry& registry);
-    // A line that was not a load report has come from the endpoint now.
+    // The endpoint has just sent a line that is not a load report.
     void on_line(std::uint32_t endpoint_index);
-    // Another process saw a line at `line_at`, on a tunnel that it transferred to this one.
+    // The process that transferred a tunnel to this one had received a line on it at `line_at`.
     void on_transferred_line(std::uint32_t endpoint_index, Ticks line_at);
-    // The endpoint has answered a line of the client, which took so long.
+    // The endpoint has answered a line of the client after `took`.
     void on_answer(TunnelId id, std::uint32_t endpoint_index, Ticks took);
-    // To be called every few tenths of a second: reports silent endpoints, and returns the open tunnels that
-    // have stalled. The list stays valid until the next call.
+    // To be called several times a second: reports unresponsive endpoints to the balancer and returns the
+    // open tunnels that have stalled. The list is valid until the next call.
     const std::vector<TunnelId>& check();
 
   private:
@@ -28,7 +28,8 @@
         Ticks slow_reported_at = 0;
         bool reported_slow = false;
     };
-    // Of an endpoint's tunnels, those that have waited longest with no line on any tunnel since.
+    // The two longest waits of an endpoint's tunnels, counting only waits that began after the endpoint's
+    // last line on any tunnel.
     struct Waits {
         Ticks longest = 0, second_longest = 0;
         int open_tunnels = 0;
@@ -38,8 +39,8 @@
     void report_unresponsive();
 
     TunnelRegistry& registry_;
-    std::vector<Activity> activities_;  // by endpoint
-    std::vector<Waits> waits_;          // by endpoint
+    std::vector<Activity> activities_;  // by endpoint index
+    std::vector<Waits> waits_;          // by endpoint index
     std::vector<TunnelId> stalled_;
     Ticks slow_threshold_;
 };
--- a/src/tunnel/relay.cpp
+++ b/src/tunnel/relay.cpp
@@ -12,9 +12,9 @@
 
 namespace {
 
-// When one side has ended, the other gets this long to take the last bytes and end too.
+// After one side has ended, how long the other may take to read the last bytes and end too.
 constexpr Ticks close_wait_endpoint_ended = 8000, close_wait_client_ended = 30000;
-// How long a migration waits for the line of one side to end.
+// How long a migration waits for the current line of one side to end.
 constexpr Ticks max_migration_wait = 8000;
 constexpr int max_reads_per_pass = 4;
 constexpr double load_units_per_core = 1e6;
@@ -37,8 +37,9 @@
     direction.partial_line_bytes = static_cast<std::uint32_t>(size);
 }
 
-// The client's end is no fault of the endpoint, and an endpoint that said why it ends has given its reason.
-void blame_client(Tunnel& tunnel) {
+// A tunnel that the client ends is not a failure of the endpoint. If the endpoint has already sent a reason
+// for the end, that reason stays.
+void attribute_end_to_client(Tunnel& tunnel) {
     if (tunnel.outcome == Outcome::connection_lost) tunnel.outcome = Outcome::cancelled;
 }
 
@@ -71,7 +72,8 @@
     const auto readable = POLLIN | POLLHUP | POLLERR;
     if ((events & POLLOUT) != 0 && !write(id, side)) return;
     if ((events & readable) != 0 && !direction.source_ended && !read(id, side)) return;
-    // What a side that broke had sent cannot all be read while the other side takes nothing.
+    // The connection is broken, and its remaining bytes cannot all be read while the other side does not
+    // read.
     if ((events & POLLERR) != 0 && (direction.source_ended || direction.buffer.held())) {
         on_broken(id, side);
         return;
@@ -79,7 +81,7 @@
     update(id);
 }
 
-// False once the tunnel is gone.
+// Returns false if the tunnel no longer exists.
 bool Relay::read(TunnelId id, Side from) {
     Tunnel& tunnel = *registry_.find(id);
     Direction& direction = direction_from(tunnel, from);
@@ -100,7 +102,7 @@
             scan_client_bytes(tunnel, {data, got.bytes});
         else
             scan_endpoint_bytes(id, {data, got.bytes});
-        // What follows the end of the current line would begin one that a migrated tunnel cannot end.
+        // Bytes after the current line are dropped: they belong to a line that the migration would cut off.
         if (tunnel.state == TunnelState::migrating && direction.partial_line_bytes < got.bytes) {
             direction.buffer.cut_end(direction.partial_line_bytes);
             direction.partial_line_bytes = 0;
@@ -113,7 +115,7 @@
     return true;
 }
 
-// False once the tunnel is gone.
+// Returns false if the tunnel no longer exists.
 bool Relay::write(TunnelId id, Side to) {
     Tunnel& tunnel = *registry_.find(id);
     net::Buffer& buffer = direction_to(tunnel, to).buffer;
@@ -133,7 +135,7 @@
     tunnel.unanswered_lines += lines;
 }
 
-// Keeps the beginning of each line only: none that has a meaning for this node is longer.
+// Keeps only the start of each line: no line that this node interprets is longer.
 void Relay::scan_endpoint_bytes(TunnelId id, std::string_view bytes) {
     Tunnel& tunnel = *registry_.find(id);
     update_partial_line(tunnel.downstream, bytes);
@@ -154,7 +156,7 @@
 void Relay::handle_endpoint_line(TunnelId id, std::string_view line) {
     Tunnel& tunnel = *registry_.find(id);
     const wire::Message message = wire::read_message(line);
-    // Endpoints that answer nothing report their load too, so a report is no sign that the endpoint answers.
+    // An endpoint that no longer answers may still report its load, so a report does not count as an answer.
     if (message == wire::Message::load) {
         const auto load = wire::read_load(line);
         if (load && tunnel.tracked) registry_.balancer_now().on_load_changed(id, *load / load_units_per_core);
@@ -175,8 +177,8 @@
     tunnel.unanswered_since = now;
 }
 
-// After bytes were read or written, or the state has changed: finishes the tunnel where it is due, else sets
-// what each socket is polled for.
+// To be called after bytes were read or written, or the state has changed: ends or migrates the tunnel if it
+// is time to, otherwise updates the events that each socket is polled for.
 void Relay::update(TunnelId id) {
     Tunnel& tunnel = *registry_.find(id);
     forward_ends(tunnel);
@@ -184,7 +186,7 @@
     update_events(tunnel);
 }
 
-// An end is forwarded behind the last byte.
+// The end of one side is forwarded after its last byte.
 void Relay::forward_ends(Tunnel& tunnel) {
     for (const Side side : {Side::client, Side::endpoint}) {
         Direction& direction = direction_from(tunnel, side);
@@ -194,19 +196,19 @@
     }
 }
 
-// True where the tunnel has left this stage.
+// Returns true if the tunnel has left this stage.
 bool Relay::finish_ended(TunnelId id) {
     Tunnel& tunnel = *registry_.find(id);
     if (!tunnel.downstream.source_ended) return false;
-    if (tunnel.upstream.source_ended) blame_client(tunnel);
+    if (tunnel.upstream.source_ended) attribute_end_to_client(tunnel);
     completion_.report_end(id, tunnel.outcome);
     if (!tunnel.downstream.end_forwarded) return false;
-    // The endpoint has ended: nobody is there for what the client still sends.
+    // The endpoint has ended, so what the client still sends has no receiver.
     completion_.close_gracefully(id);
     return true;
 }
 
-// True where the tunnel has left this stage.
+// Returns true if the tunnel has left this stage.
 bool Relay::finish_migration(TunnelId id) {
     const Tunnel& tunnel = *registry_.find(id);
     if (tunnel.state != TunnelState::migrating) return false;
@@ -221,8 +223,8 @@
     return true;
 }
 
-// A side is read while the other takes its bytes, and of a migrating tunnel no further than to the line's
-// end.
+// A side is read while the other takes its bytes. A migrating tunnel is read only to the end of the current
+// line.
 void Relay::update_events(Tunnel& tunnel) {
     const bool migrating = tunnel.state == TunnelState::migrating;
     const auto is_read = [&](const Direction& direction) {
@@ -236,10 +238,10 @@
     tunnel.endpoint.set_events(events(tunnel.downstream, tunnel.upstream));
 }
 
-// False: the tunnel is gone.
+// Ends the tunnel with a reset of the other side. Always returns false: the tunnel no longer exists.
 bool Relay::on_broken(TunnelId id, Side side) {
     Tunnel& tunnel = *registry_.find(id);
-    if (side == Side::client) blame_client(tunnel);
+    if (side == Side::client) attribute_end_to_client(tunnel);
     completion_.report_end(id, tunnel.outcome);
     socket_of(tunnel, other(side)).reset();
     completion_.close_now(id);
@@ -250,21 +252,21 @@
     Tunnel& tunnel = *registry_.find(id);
     if (registry_.loop.now() < tunnel.state_deadline) return;
     if (tunnel.state == TunnelState::migrating && !tunnel.migration_forced) {
-        // The line towards the endpoint does not end: the client is migrated without waiting for it.
+        // The client's current line has not ended in time: no longer wait for it.
         tunnel.migration_forced = true;
         registry_.set_state_deadline(id, tunnel, registry_.loop.now() + migration_wait());
         return update(id);
     }
     const bool ending = tunnel.downstream.source_ended || tunnel.upstream.source_ended;
     if (tunnel.state == TunnelState::open && !ending) return;
-    if (tunnel.upstream.source_ended) blame_client(tunnel);
+    if (tunnel.upstream.source_ended) attribute_end_to_client(tunnel);
     completion_.report_end(id, tunnel.outcome);
     if (tunnel.downstream.buffer.empty()) return completion_.close_gracefully(id);
-    tunnel.client.reset();  // it does not take what the endpoint has sent
+    tunnel.client.reset();  // it does not read what the endpoint has sent
     completion_.close_now(id);
 }
 
-// There are two such waits in a migration, and a node that drains has no time for longer ones.
+// A migration has up to two such waits, and both must end before the deadline of a node that shuts down.
 Ticks Relay::migration_wait() const {
     const Ticks left = registry_.close_deadline - registry_.loop.now();
     return std::clamp<Ticks>(left / 2, 0, max_migration_wait);
@@ -274,8 +276,8 @@
     Tunnel& tunnel = *registry_.find(id);
     const bool ending = tunnel.downstream.source_ended || tunnel.upstream.source_ended;
     if (tunnel.state != TunnelState::open || ending) return;
-    // A forced migration is the endpoint's fault.
-    if (!tunnel.migration_forced) blame_client(tunnel);
+    // A migration is forced because the endpoint does not respond.
+    if (!tunnel.migration_forced) attribute_end_to_client(tunnel);
     registry_.transition_to(id, TunnelState::migrating);
     registry_.set_state_deadline(id, tunnel, registry_.loop.now() + migration_wait());
     update(id);
--- a/src/tunnel/relay.h
+++ b/src/tunnel/relay.h
@@ -1,4 +1,5 @@
-// Relays the bytes of open tunnels both ways, follows the lines that they consist of, and migrates clients.
+// Relays the bytes of open tunnels in both directions, tracks the lines that they consist of, and migrates
+// clients.
 #pragma once
 
 #include <string_view>
@@ -9,19 +10,19 @@
 
 namespace lemonstair::tunnel {
 
-// The stage of tunnels in TunnelState::open and TunnelState::migrating.
+// The stage for TunnelState::open and TunnelState::migrating.
 class Relay {
   public:
     Relay(TunnelRegistry& registry, Completion& completion)
         : registry_(registry), completion_(completion), monitor_(registry) {}
-    // The endpoint has opened the tunnel: its answer, and what came behind, is in the downstream buffer.
+    // The endpoint has opened the tunnel. Its answer, and what it sent after it, is in the downstream buffer.
     void begin(TunnelId id);
-    // A tunnel that was transferred from another process, or could not be transferred there.
+    // For a tunnel that was received from another process, or could not be transferred to it.
     void resume(TunnelId id);
-    // Sends the client away, to come back elsewhere, as soon as both directions stand between two lines.
+    // Tells the client to reconnect elsewhere, as soon as both directions are at the end of a line.
     void migrate(TunnelId id);
-    // To be called every few tenths of a second: finds endpoints that have fallen silent, and migrates the
-    // clients of stalled tunnels.
+    // To be called several times a second: reports unresponsive endpoints, and migrates the clients of
+    // stalled tunnels.
     void check_endpoints();
     void on_tunnel_ready(TunnelId id, Side side, short events);
     void on_tunnel_timer(TunnelId id);
--- a/src/tunnel/transfer.cpp
+++ b/src/tunnel/transfer.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// The order and width of these fields are the format: another version of the program reads them.
+// The order and width of these fields are the serialized format: another version of the program reads them.
 template <class Io, class AnyTunnel>
 void transfer_fields(Io& io, AnyTunnel& tunnel) {
     io.value(tunnel.id_hash);
@@ -23,12 +23,13 @@
     io.value(tunnel.resuming);
 }
 
-// A transferred tunnel, read and checked; the views show the bytes that it was read from.
+// The parsed state of a transferred tunnel. The views refer to the bytes that were read.
 struct Received {
     Tunnel tunnel;
     std::string_view line_prefix, upstream, downstream, balancer_state;
 };
 
+// Returns false if the state is invalid.
 bool read(serialization::Reader& in, std::size_t traffic_classes, Ticks clock_shift, Received& into) {
     transfer_fields(in, into.tunnel);
     for (Ticks* time :
@@ -45,7 +46,7 @@
 
 }  // namespace
 
-// One that is closing or migrating ends here, within seconds.
+// Closing and migrating tunnels stay in this process: they end within seconds.
 bool Transfer::is_transferable(const Tunnel& tunnel) {
     return tunnel.state == TunnelState::open && !tunnel.not_transferable && !tunnel.upstream.source_ended &&
            !tunnel.downstream.source_ended && tunnel.outcome == Outcome::connection_lost;
--- a/src/tunnel/transfer.h
+++ b/src/tunnel/transfer.h
@@ -1,5 +1,5 @@
-// Transfers open tunnels to, and from, another process of this node, with the bytes that are half read.
-// Neither the client nor the endpoint notices.
+// Transfers open tunnels to another process of this node, or receives them from it, with the bytes that are
+// still buffered. Neither the client nor the endpoint notices.
 #pragma once
 
 #include <string>
@@ -14,18 +14,19 @@
   public:
     Transfer(TunnelRegistry& registry, Relay& relay, Completion& completion)
         : registry_(registry), relay_(relay), completion_(completion) {}
-    // The next open tunnel that can be transferred, in no order, and its state in `bytes`; it is frozen until
-    // complete() or cancel(). False where there is none.
+    // Finds an open tunnel that can be transferred, in no particular order, and appends its state to `bytes`.
+    // The tunnel is suspended until complete() or cancel(). Returns false if there is none.
     bool next_transferable(TunnelId& id, std::string& bytes);
-    // The other process has it.
+    // The other process has taken the tunnel over.
     void complete(TunnelId id);
-    // The other process is gone, or cannot take it: it stays open here. `may_retry`: it may be transferred
-    // later.
+    // The other process has exited, or cannot take the tunnel over: it stays open here. `may_retry`: whether
+    // it may be transferred later.
     void cancel(TunnelId id, bool may_retry);
-    // By how much this process's clock is ahead of that of the process that transfers.
+    // How far the clock of this process is ahead of the clock of the sending process.
     void set_clock_shift(Ticks shift) { clock_shift_ = shift; }
     Ticks clock_shift() const { return clock_shift_; }
-    // Adopts a tunnel of another process. False where it cannot be; the descriptors are closed then.
+    // Continues a tunnel of another process. Returns false, and closes the descriptors, if its state is
+    // invalid or its endpoint unknown.
     bool adopt(std::string_view bytes, net::Fd client, net::Fd endpoint);
 
   private:
@@ -35,7 +36,7 @@
     TunnelRegistry& registry_;
     Relay& relay_;
     Completion& completion_;
-    std::uint32_t next_index_ = 0;  // the slot at which the search goes on
+    std::uint32_t next_index_ = 0;  // the slot at which the next search begins
     Ticks clock_shift_ = 0;
 };
 
