--- a/src/node/balancer_runner.cpp
+++ b/src/node/balancer_runner.cpp
@@ -30,7 +30,7 @@
     if (state.empty()) return;
     if (stages_.registry.balancer_now().restore_state(state, stages_.transfer.clock_shift())) return;
     stages_.registry.log.error()
-        << "hot restart: the state of the old process cannot be read, the balancer begins anew";
+        << "hot restart: the balancer state of the old process is invalid; starting without it";
     make_balancer(endpoint_list);
 }
 
--- a/src/node/config_reloader.cpp
+++ b/src/node/config_reloader.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// A discovery service that has moved must be in use 4 s after SIGHUP: retries take a part of that.
+// A discovery service that has moved must be in use 4 s after SIGHUP, and retries take up part of that time.
 constexpr Ticks retry_interval = 2500, retry_for = 25000;
 
 }  // namespace
@@ -27,22 +27,25 @@
 }
 
 void ConfigReloader::on_timer(std::uint64_t) {
-    if (retry_at_ == 0 || loop_.now() < retry_at_) return;  // a later SIGHUP has its own retries
+    if (retry_at_ == 0 || loop_.now() < retry_at_)
+        return;  // outdated: a later SIGHUP has restarted the retries
     retry_at_ = 0;
     if (!try_reload(Attempt::retry)) schedule_retry();
 }
 
-// False where the file cannot be taken.
+// Returns false if the file cannot be read or is invalid.
 bool ConfigReloader::try_reload(Attempt attempt) {
-    std::string unchanged_keys;
+    std::string restart_keys;
     try {
-        unchanged_keys = config::apply_reload(config_, read_());
+        restart_keys = config::apply_reload(config_, read_());
     } catch (const json::Malformed& error) {
-        if (attempt == Attempt::first) log_.error() << "new configuration not taken: " << error.what();
-        log_.debug() << "the configuration is read again in a moment: " << error.what();
+        if (attempt == Attempt::first)
+            log_.error() << "configuration reload failed, the old configuration stays in force: "
+                         << error.what();
+        log_.debug() << "configuration reload will be retried: " << error.what();
         return false;
     }
-    on_reloaded_(unchanged_keys);
+    on_reloaded_(restart_keys);
     return true;
 }
 
--- a/src/node/config_reloader.h
+++ b/src/node/config_reloader.h
@@ -1,5 +1,6 @@
-// Reads the configuration again on SIGHUP. A file that cannot be read, or is faulty, is tried again for a
-// while: it may be half written. Until one can be taken the old configuration stays in force.
+// Reloads the configuration on SIGHUP. If the file cannot be read or is invalid, the reload is retried for
+// some time, since the file may still be being written. Until it succeeds the old configuration stays in
+// force.
 #pragma once
 
 #include <functional>
@@ -13,10 +14,11 @@
 
 class ConfigReloader final : public net::EventHandler {
   public:
-    // Throws json::Malformed, which names the faulty key.
+    // Throws json::Malformed, whose text names the invalid key.
     using Read = std::function<config::NodeConfig()>;
-    // Is called once the new configuration is in force; with the keys that changed and need a restart.
-    using OnReloaded = std::function<void(const std::string& unchanged_keys)>;
+    // Called when the new configuration is in force, with the changed keys that take effect only after a
+    // restart.
+    using OnReloaded = std::function<void(const std::string& restart_keys)>;
     ConfigReloader(net::EventLoop& loop, config::NodeConfig& config, log::Log& log, Read read,
                    OnReloaded on_reloaded)
         : loop_(loop),
@@ -25,7 +27,7 @@
           read_(std::move(read)),
           on_reloaded_(std::move(on_reloaded)) {}
     void reload();
-    // For a SIGHUP that comes before there is a balancer: reload_deferred() answers it.
+    // For a SIGHUP before there is a balancer: notes the reload, and reload_deferred() performs it.
     void defer() { deferred_ = true; }
     void reload_deferred();
     void on_ready(std::uint64_t, short) override {}
@@ -42,7 +44,7 @@
     Read read_;
     OnReloaded on_reloaded_;
     bool deferred_ = false;
-    Ticks retry_at_ = 0;  // 0: no retry is due
+    Ticks retry_at_ = 0;  // 0: no retry is scheduled
     Ticks retry_until_ = 0;
 };
 
--- a/src/node/deferred_actions.h
+++ b/src/node/deferred_actions.h
@@ -1,5 +1,5 @@
-// The balancer's decisions, kept until the call into the balancer has returned: carried out at once, an
-// attempt that fails immediately would call the balancer from within itself.
+// Keeps the balancer's decisions until the call into the balancer has returned. If they were executed at
+// once, an attempt that fails immediately would call the balancer from within its own call.
 #pragma once
 
 #include <cstdint>
@@ -14,8 +14,8 @@
 
 namespace lemonstair::node {
 
-// Carried out later: attempts, final answers, migrations, health checks and list requests. Timers, gossip and
-// log lines cannot call back and are carried out at once.
+// Deferred are attempts, final answers, migrations, health checks and list requests. Timers, gossip and log
+// lines cannot call back into the balancer and are executed at once.
 class DeferredActions final : public BalancerDelegate {
   public:
     enum class Kind : std::uint8_t {
@@ -28,25 +28,25 @@
     };
     struct Action {
         Kind kind;
-        std::uint32_t endpoint = 0;  // of start_attempt, check_health
+        std::uint32_t endpoint = 0;  // its number; of start_attempt and check_health
         std::uint64_t tunnel = 0;
-        Ticks span = 0;  // max_wait of start_attempt, retry_after of reject
+        Ticks span = 0;  // max_wait of start_attempt; retry_after of reject
     };
     DeferredActions(net::EventLoop& loop, PeerLink& peers, log::Log& log, metrics::ResourceCounters& counters)
         : loop_(loop), peers_(peers), log_(log), counters_(counters) {}
-    // Before a balancer is made: timers of the one before it are ignored from now on.
+    // To be called before a balancer is created: from now on the timers of the previous one are ignored.
     void retire_balancer() {
         if (!timer_targets_.empty()) timer_targets_.back()->balancer = nullptr;
         timer_targets_.push_back(std::make_unique<TimerTarget>(loop_));
     }
-    // Timers that were set since the last retire_balancer() go to this one.
+    // The balancer that receives the timers set since the last retire_balancer().
     void set_balancer(Balancer& balancer) { timer_targets_.back()->balancer = &balancer; }
-    // Calls carry_out(action) for each in turn, also for those that it adds.
-    template <class CarryOut>
-    void run_all(CarryOut&& carry_out) {
+    // Calls execute(action) for each action in order, including those that are added meanwhile.
+    template <class Execute>
+    void run_all(Execute&& execute) {
         for (std::size_t i = 0; i < actions_.size(); ++i) {
             const Action action = actions_[i];
-            carry_out(action);
+            execute(action);
         }
         actions_.clear();
     }
@@ -61,7 +61,7 @@
     void report_reason(std::uint64_t tunnel, Reason reason) override {
         counters_.count_reason(reason);
         log_.debug() << "tunnel " << static_cast<std::uint32_t>(tunnel)
-                     << " is given up: " << name_of(reason);
+                     << " will not be opened: " << name_of(reason);
     }
     void migrate(std::uint64_t tunnel) override { actions_.push_back({Kind::migrate, 0, tunnel}); }
     void check_health(std::uint32_t endpoint) override { actions_.push_back({Kind::check_health, endpoint}); }
@@ -76,7 +76,7 @@
     void log(std::string_view line) override { log_.info() << line; }
 
   private:
-    // Timers cannot be unset: each balancer has a target of its own, which outlives it.
+    // Timers cannot be cancelled, so each balancer has its own target, which outlives it.
     struct TimerTarget final : net::EventHandler {
         explicit TimerTarget(net::EventLoop& event_loop) : loop(event_loop) {}
         void on_ready(std::uint64_t, short) override {}
@@ -92,7 +92,7 @@
     PeerLink& peers_;
     log::Log& log_;
     metrics::ResourceCounters& counters_;
-    std::vector<std::unique_ptr<TimerTarget>> timer_targets_;  // the last one is in use
+    std::vector<std::unique_ptr<TimerTarget>> timer_targets_;  // the last one belongs to the current balancer
     std::vector<Action> actions_;
 };
 
--- a/src/node/drain_controller.cpp
+++ b/src/node/drain_controller.cpp
@@ -15,7 +15,7 @@
     schedule_ = shutdown ? DrainSchedule::on_shutdown(registry.config.balancer) : DrainSchedule::on_drain();
     started_ = registry.loop.now();
     schedule_check(started_ + DrainSchedule::migrate_from);
-    // A drained node stays and serves who comes, however long that lasts: it has no deadlines.
+    // A drained node keeps serving new clients for an unlimited time, so it has no deadlines.
     if (!shutdown) return;
     registry.close_deadline = started_ + schedule_.close_deadline;
     stages_.attempts.set_answer_deadline(started_ + schedule_.answer_deadline);
@@ -26,37 +26,39 @@
     stages_.registry.loop.schedule(when, *this, 0);
 }
 
-// Often, since the last tunnels to open are to be migrated in what is left of the time.
+// Checks often, because tunnels that open late must be migrated in the little time that is left.
 void DrainController::on_timer(std::uint64_t) {
     const Ticks now = stages_.registry.loop.now();
     if (mode_ == DrainMode::none || now < next_check_) return;
     schedule_check(now + DrainSchedule::check_interval);
     const bool handed_over = is_handed_over_();
     if (mode_ == DrainMode::shutdown && is_empty(handed_over) && may_exit()) return on_finished_();
-    // The other process takes the tunnels over, and their clients notice nothing.
+    // The other process takes the tunnels over without their clients noticing.
     if (handed_over) return;
-    // Packets that pass go on through another node: a migration would only break what goes on unbroken.
+    // With packet passthrough the tunnels continue through another node, and a migration would only interrupt
+    // them.
     if (!stages_.registry.config.balancer.packet_passthrough) migrate_some();
 }
 
-// Once another process has taken this one's place each connection counts, also one without a request yet.
+// If another process has replaced this one, every connection counts, including those that have not sent a
+// request.
 bool DrainController::is_empty(bool handed_over) const {
     const tunnel::TunnelRegistry& registry = stages_.registry;
     if (handed_over) return registry.tunnel_count() == 0;
     return registry.admitted_count() + registry.closing_count() == 0;
 }
 
-// A client that could not be accepted in time must not keep the process for ever.
+// A client that cannot be accepted must not keep the process alive beyond its deadline.
 bool DrainController::may_exit() {
     const tunnel::TunnelRegistry& registry = stages_.registry;
     const Reason reason = attempt_policy::may_exit(stages_.acceptor.outstanding_work());
     if (reason != Reason::allowed)
-        registry.log.debug() << registry.config.name << ": does not exit yet, " << name_of(reason);
+        registry.log.debug() << registry.config.name << ": cannot exit yet: " << name_of(reason);
     const bool too_late = registry.loop.now() >= registry.close_deadline;
     return reason == Reason::allowed || (reason == Reason::queue_unread && too_late);
 }
 
-// As many as it takes to be through in time, so that not all clients reconnect at once.
+// Migrates just enough tunnels per round to finish in time, so that the clients do not all reconnect at once.
 void DrainController::migrate_some() {
     tunnel::TunnelRegistry& registry = stages_.registry;
     const Ticks left = std::max<Ticks>(started_ + schedule_.migrate_until - registry.loop.now(), 0);
--- a/src/node/drain_schedule.h
+++ b/src/node/drain_schedule.h
@@ -1,6 +1,6 @@
-// When each step of a graceful drain has to be finished. It all follows from the platform's protocol and the
-// longest client timeout of the settings, here and nowhere else: with client deadlines of half a second the
-// process is killed sooner than with those of three. Times are tenths of a ms since the drain began.
+// The deadlines of the steps of a graceful drain, in ticks (0.1 ms) since its start. All of them are derived
+// here, from the shutdown protocol of the platform and the longest client timeout in the settings: the
+// shorter the client timeouts, the sooner the process is killed.
 #pragma once
 
 #include <algorithm>
@@ -10,15 +10,16 @@
 namespace lemonstair::node {
 
 struct DrainSchedule {
-    // SIGKILL follows SIGTERM after the longest client deadline, of which no more than this counts, and a
-    // grace.
+    // SIGKILL follows SIGTERM after the longest client timeout, of which at most max_client_deadline counts,
+    // plus the grace.
     static constexpr Ticks max_client_deadline = 30000, kill_grace = 7000;
-    // After a drain by operators a connection that was not migrated by then counts as lost.
+    // In a drain by operators, a connection that is not migrated by then counts as lost.
     static constexpr Ticks drain_limit = 40000;
-    // New clients still come for up to 0.4 s; they are migrated with the others, spread over some time so
+    // New clients still arrive for up to 0.4 s. They are migrated with the others, spread over some time so
     // that they do not all reconnect at once.
     static constexpr Ticks migrate_from = 5000, max_migration = 10000;
-    // Reserved at the end: for final lines to reach clients, and for lines that are stuck half way.
+    // Reserved at the end: for final lines to reach the clients, and for tunnels whose current line does not
+    // end.
     static constexpr Ticks reserve_for_answers = 2500, reserve_for_stuck_lines = 1000;
     static constexpr Ticks check_interval = 500;
 
@@ -30,9 +31,9 @@
     }
     static DrainSchedule on_drain() { return DrainSchedule(drain_limit); }
 
-    Ticks answer_deadline;  // each waiting client has its final answer
-    Ticks migrate_until;    // each migration has begun
-    Ticks close_deadline;   // each migrated tunnel is closed
+    Ticks answer_deadline;  // every waiting client has its final answer
+    Ticks migrate_until;    // every migration has begun
+    Ticks close_deadline;   // every migrated tunnel is closed
 
   private:
     explicit DrainSchedule(Ticks end)
--- a/src/node/endpoint_list_client.cpp
+++ b/src/node/endpoint_list_client.cpp
@@ -21,12 +21,12 @@
 
 bool EndpointListClient::follow_config() {
     const bool moved = watch_.redirect(registry_.config.discovery);
-    // Another service counts revisions by itself.
+    // Each discovery service has its own revision numbers.
     if (moved) registry_.endpoints.reset_revision();
     return moved;
 }
 
-// Until the new watch brings a list the last one stands.
+// The last list stays in use until the new watch delivers one.
 void EndpointListClient::reopen() {
     if (watch_.is_open()) return;
     backoff_.on_success();
@@ -52,14 +52,14 @@
     backoff_.on_success();
 }
 
-// Where discovery must be polled the balancer asks for the next call; else the watch is opened again after a
-// pause with jitter, so that not all nodes call discovery at once when it is back.
+// If discovery must be polled, the balancer requests the next call. Otherwise the watch is reopened after a
+// pause with jitter, so that not all nodes call discovery at the same moment when it recovers.
 void EndpointListClient::on_watch_lost() {
     notify_balancer(EndpointListKind::failed);
     if (registry_.config.balancer.must_poll) return;
-    const double drawn = static_cast<double>(random_() - std::minstd_rand::min());
-    const double chance = drawn / static_cast<double>(std::minstd_rand::max());
-    registry_.loop.schedule(registry_.loop.now() + backoff_.on_failure(chance), *this, 0);
+    const double random_value = static_cast<double>(random_() - std::minstd_rand::min());
+    const double fraction = random_value / static_cast<double>(std::minstd_rand::max());
+    registry_.loop.schedule(registry_.loop.now() + backoff_.on_failure(fraction), *this, 0);
 }
 
 }  // namespace lemonstair::node
--- a/src/node/endpoint_list_client.h
+++ b/src/node/endpoint_list_client.h
@@ -1,5 +1,5 @@
-// Follows discovery's endpoint list: keeps a watch open, passes what it brings to the directory and the
-// balancer, and calls again, after a growing pause, when the watch is lost.
+// Follows the endpoint list of discovery: keeps a watch open, passes its updates to the endpoint directory
+// and the balancer, and reopens a lost watch with exponential backoff.
 #pragma once
 
 #include <functional>
@@ -16,20 +16,22 @@
 
 class EndpointListClient final : public net::EventHandler, discovery::WatchListener {
   public:
-    // `owns_node`: whether this process is the one of its node that calls discovery.
+    // `owns_node`: returns whether this process, of the two in a hot restart, is the one that calls
+    // discovery.
     EndpointListClient(tunnel::TunnelRegistry& registry, std::function<bool()> owns_node);
-    // Opens the watch, unless it is open or being opened.
+    // Opens the watch unless it is open or being opened.
     void open() { watch_.open(registry_.endpoints.revision()); }
-    // The same, where discovery notifies; where it must be polled the balancer asks for each call.
+    // Opens the watch if discovery sends updates by itself. If it must be polled, the balancer requests each
+    // call.
     void open_if_notified();
     void open_if_owner();
     bool is_open() const { return watch_.is_open(); }
     void stop() { watch_.stop(); }
-    // After a new configuration: where discovery has moved, the old watch is closed. Returns whether it has.
+    // Applies a new configuration: if discovery has moved, closes the old watch and returns true.
     bool follow_config();
-    // Opens a watch after a reload, at once whatever failures there were; an open one stays.
+    // After a reload: opens a watch at once, without backoff from earlier failures. An open one stays open.
     void reopen();
-    // Tells the balancer what became of the list, without entries.
+    // Reports an event of the endpoint list to the balancer, without entries.
     void notify_balancer(EndpointListKind kind);
 
     void on_ready(std::uint64_t, short) override {}
--- a/src/node/main.cpp
+++ b/src/node/main.cpp
@@ -1,5 +1,6 @@
-// lemonstair: one node. Its configuration is the JSON file that NODE_CONFIG names; LEMONSTAIR_LOG is the
-// log's level: error, info or debug.
+// lemonstair: one node of the load balancer. Its configuration is the JSON file named by the first argument
+// or by NODE_CONFIG. LEMONSTAIR_LOG sets the log level: error, info (the default) or debug. Exits with status
+// 1 and an error message if the node cannot start.
 #include <chrono>
 #include <csignal>
 #include <cstdlib>
@@ -23,11 +24,13 @@
     const char* name = std::getenv("LEMONSTAIR_LOG");
     if (name == nullptr) return lemonstair::log::Level::info;
     const auto level = lemonstair::log::parse_level(name);
-    if (!level) throw Malformed("LEMONSTAIR_LOG is not error, info or debug");
+    if (!level)
+        throw Malformed(
+            std::string("LEMONSTAIR_LOG: expected error, info or debug, got '").append(name).append("'"));
     return *level;
 }
 
-// The file may be replaced in just this moment: a start must not end because of that.
+// The file may be in the middle of being replaced, which must not prevent the start.
 lemonstair::config::NodeConfig read_with_retry(lemonstair::config::ConfigSource& source) {
     constexpr int max_attempts = 20;
     constexpr auto retry_interval = std::chrono::milliseconds(100);
@@ -48,7 +51,8 @@
         std::signal(SIGPIPE, SIG_IGN);
         lemonstair::net::hold_signals();
         const char* path = argc > 1 ? argv[1] : std::getenv("NODE_CONFIG");
-        if (path == nullptr) throw Malformed("NODE_CONFIG is not set and no file is named");
+        if (path == nullptr)
+            throw Malformed("no configuration file: NODE_CONFIG is not set and no argument names a file");
         lemonstair::log::Descriptor errors(2);
         lemonstair::log::Log log(log_level(), errors);
         lemonstair::net::Kernel kernel;
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -16,15 +16,16 @@
 constexpr Ticks check_endpoints_interval = 2500;
 enum Timer : std::uint64_t { check_endpoints_timer, peer_link_timer };
 
-// At the start descriptors or memory may be short for a moment.
+// Retries for the listening sockets, since descriptors or memory may be exhausted for a moment.
 constexpr int max_listen_attempts = 20;
 constexpr Ticks listen_retry_interval = 1000;
 
-// Descriptors left free for another process of this node: what a new one needs to start, and what either may
-// take before it has reported it. Without them both together could hold more than is granted.
+// Descriptors left free for another process of this node: what a new process needs to start, and what a
+// running one may take before it has reported that. Without them both together could exceed the limit.
 constexpr std::size_t reserve_for_new_process = 16, reserve_for_sibling = 8;
 
-// Calls open() until it succeeds; throws json::Malformed, which names the key, where it cannot.
+// Calls open() and retries local failures. Throws json::Malformed with the name of the key if it keeps
+// failing.
 template <class Open>
 void open_with_retry(net::System& system, const char* key, Open&& open) {
     for (int attempt = 1;; ++attempt) {
@@ -97,7 +98,7 @@
 
 bool Node::run_once() {
     loop_.run_once([this] {
-        balancer_.run_actions([this](const DeferredActions::Action& action) { carry_out(action); });
+        balancer_.run_actions([this](const DeferredActions::Action& action) { execute(action); });
     });
     log_.write_out();
     return phase_ != Phase::stopped;
@@ -107,8 +108,9 @@
     tunnel::TunnelRegistry& registry = stages_.registry;
     const std::size_t unfinished = registry.admitted_count() + registry.closing_count();
     if (to == Phase::stopped && phase_ != Phase::starting && unfinished > 0 && !is_handed_over())
-        registry.report_violation(metrics::Invariant::exited_with_pending_answers, 0,
-                                  std::to_string(unfinished) + " tunnels unfinished");
+        registry.report_violation(
+            metrics::Invariant::exited_with_pending_answers, 0,
+            std::to_string(unfinished) + " tunnels without a final answer or a completed close");
     log_.info() << config_.name << ": " << name_of(phase_) << " -> " << name_of(to) << ", "
                 << endpoints_.size() << " endpoints known, " << registry.tunnel_count()
                 << " tunnels, capacity " << stages_.admission.capacity();
@@ -117,7 +119,7 @@
     drain_.set_mode(drain_mode(to));
 }
 
-// Signals.
+// Called for the descriptor that delivers signals.
 void Node::on_ready(std::uint64_t, short) {
     while (const int signal = loop_.system().next_signal(signals_.fd())) {
         if (signal != SIGHUP)
@@ -131,7 +133,8 @@
 
 void Node::shut_down() {
     if (phase_ == Phase::starting) return transition_to(Phase::stopped);
-    // A process that could not take this one's place serves beside it: new clients are left to it.
+    // A process that could not take over serves beside this one, and from now on all new clients are left to
+    // it.
     if (hot_restart_.displaced()) stages_.acceptor.set_accepting(false);
     if (phase_ == Phase::serving || phase_ == Phase::drained) transition_to(Phase::shutting_down);
 }
@@ -145,7 +148,7 @@
     stages_.relay.check_endpoints();
 }
 
-void Node::carry_out(const DeferredActions::Action& action) {
+void Node::execute(const DeferredActions::Action& action) {
     switch (action.kind) {
         case DeferredActions::Kind::start_attempt:
             return stages_.dispatcher.start_attempt(action.tunnel, action.endpoint, action.span);
@@ -171,28 +174,29 @@
     stages_.registry.balancer_now().on_health_check(endpoint, outcome, took, report);
 }
 
-// The new configuration is in force already: tells the balancer, and calls discovery at once where it has
-// moved or no watch is open.
-void Node::on_config_reloaded(const std::string& unchanged_keys) {
-    if (!unchanged_keys.empty()) log_.error() << "not changed before the next start: " << unchanged_keys;
+// config_ holds the new configuration already. Passes it to the balancer, and calls discovery at once if it
+// has moved or no watch is open.
+void Node::on_config_reloaded(const std::string& restart_keys) {
+    if (!restart_keys.empty())
+        log_.error() << "configuration reload: these keys take effect only after a restart: " << restart_keys;
     stages_.registry.balancer_now().update_config(config_.balancer);
     const bool moved = endpoint_list_.follow_config();
-    log_.info() << "configuration read again" << (moved ? ", discovery has moved" : "") << ", capacity "
+    log_.info() << "configuration reloaded" << (moved ? ", discovery has moved" : "") << ", capacity "
                 << stages_.admission.capacity();
     endpoint_list_.reopen();
 }
 
-// Hot restart: the node's place is this process's, alone or after another process, whose list and state are
+// This process becomes the node: alone, or in place of another process, whose endpoint list and state are
 // given.
-void Node::begin(std::string_view list, std::string_view memory) {
-    balancer_.start(list, memory);
+void Node::begin(std::string_view endpoint_list, std::string_view balancer_state) {
+    balancer_.start(endpoint_list, balancer_state);
     const bool alone = hot_restart_.role() == hot_restart::Role::standalone;
     if (!config_.hot_restart_path.empty())
         stages_.registry.descriptors.set_sibling_reserve(alone ? reserve_for_new_process
                                                                : reserve_for_sibling);
     start_serving();
-    // The other process may have had its list for some time: it is asked for at once.
-    if (!list.empty() && !endpoint_list_.is_open()) endpoint_list_.open();
+    // The list of the other process may be out of date, so discovery is called at once.
+    if (!endpoint_list.empty() && !endpoint_list_.is_open()) endpoint_list_.open();
     transition_to(Phase::serving);
     config_reloader_.reload_deferred();
 }
@@ -203,7 +207,7 @@
     stages_.registry.descriptors.set_sibling_reserve(alone ? reserve_for_new_process : reserve_for_sibling);
     if (hot_restart::is_active(from) == hot_restart::is_active(to)) return;
     if (!hot_restart::is_active(to)) return stop_serving();
-    // The new process died just after it had taken over: this one is the node again.
+    // The new process has died just after taking over: this one acts as the node again.
     stages_.registry.balancer_now().resume_ownership();
     start_serving();
     endpoint_list_.notify_balancer(EndpointListKind::moved);
@@ -222,9 +226,9 @@
     health_checker_.stop();
 }
 
-// A process with open tunnels that becomes the node again must not end because it has no descriptor just
-// then: it tries again, and hears of no other node meanwhile. At the start an address that cannot be had is a
-// faulty configuration.
+// A process with open tunnels that becomes the node again must not exit for a momentary lack of descriptors:
+// it retries, and receives no gossip meanwhile. At the start, an address that cannot be used is a
+// configuration error.
 void Node::open_peer_link() {
     try {
         peers_.open();
@@ -232,26 +236,26 @@
         const bool transient = net::is_local_failure(error.code().value());
         if (!transient && phase_ == Phase::starting)
             throw json::Malformed(std::string("configuration: field 'peer_listen': ").append(error.what()));
-        log_.error() << "no socket for the other nodes yet: " << error.what();
+        log_.error() << "cannot open the socket for gossip, will retry: " << error.what();
         loop_.schedule(loop_.now() + listen_retry_interval, *this, peer_link_timer);
     }
 }
 
-void Node::export_state(std::string& list, std::string& memory) {
-    list = endpoints_.to_json();
-    stages_.registry.balancer_now().serialize_state(memory);
+void Node::export_state(std::string& endpoint_list, std::string& balancer_state) {
+    endpoint_list = endpoints_.to_json();
+    stages_.registry.balancer_now().serialize_state(balancer_state);
 }
 
-bool Node::next_tunnel(hot_restart::TransferredTunnel& into) {
-    if (!stages_.transfer.next_transferable(into.number, into.bytes)) return false;
-    const tunnel::Tunnel& tunnel = *stages_.registry.find(into.number);
-    into.client = tunnel.client.fd();
-    into.endpoint = tunnel.endpoint.fd();
+bool Node::next_tunnel(hot_restart::TransferredTunnel& next) {
+    if (!stages_.transfer.next_transferable(next.number, next.bytes)) return false;
+    const tunnel::Tunnel& tunnel = *stages_.registry.find(next.number);
+    next.client = tunnel.client.fd();
+    next.endpoint = tunnel.endpoint.fd();
     return true;
 }
 
-void Node::on_transfer_result(std::uint64_t number, bool taken) {
-    if (taken) return stages_.transfer.complete(number);
+void Node::on_transfer_result(std::uint64_t number, bool accepted) {
+    if (accepted) return stages_.transfer.complete(number);
     stages_.transfer.cancel(number, !is_handed_over());
 }
 
@@ -270,7 +274,7 @@
                                       .endpoints_excluded = endpoints.excluded});
 }
 
-// True also for a node that shuts down: it sends its clients away already.
+// Succeeds also for a node that is shutting down, since it is migrating its clients already.
 bool Node::drain() {
     if (phase_ == Phase::serving) transition_to(Phase::drained);
     return true;
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,4 +1,4 @@
-// The node: owns its parts, wires them together, and takes them through its phases from start to exit.
+// The node: owns its components, connects them, and leads them through the phases from start to exit.
 #pragma once
 
 #include <cstdint>
@@ -23,24 +23,24 @@
 
 namespace lemonstair::node {
 
-// drained: operators sent the clients away, and the node serves again when they say so.
+// drained: operators have sent the clients to other nodes; the node serves again when they request it.
 enum class Phase : std::uint8_t { starting, serving, drained, shutting_down, stopped };
 
-// For operators and log lines.
+// The name shown to operators and in log lines; differs from the enum value's name for the last two.
 std::string_view name_of(Phase phase);
 
 class Node final : health_check::Listener, admin::AdminHandler, hot_restart::Delegate, net::EventHandler {
   public:
-    // `initial_endpoints`: the configuration's endpoint list, or no object. Throws json::Malformed, which
-    // names the faulty key, where an address cannot be listened at.
+    // `initial_endpoints`: the configuration's endpoint list; ignored unless it is a JSON object. Throws
+    // json::Malformed, whose text names the key, if the node cannot listen on an address.
     Node(net::System& system, config::NodeConfig config, const json::Value& initial_endpoints, log::Log& log,
          ConfigReloader::Read read_config, BalancerRunner::Factory make_balancer = Balancer::start);
-    // Until the node has stopped.
+    // Runs until the node has stopped.
     void run();
-    // One pass of the loop; false once the node has stopped.
+    // Runs one pass of the event loop. Returns false once the node has stopped.
     bool run_once();
 
-    // What the node holds now; an empty node holds nothing but its periodic timers.
+    // What the node uses now. A node without connections uses only its periodic timers and a few descriptors.
     struct ResourceUsage {
         std::size_t tunnels, buffers, timers, admin_connections, descriptors;
     };
@@ -57,12 +57,12 @@
     void start_serving();
     void stop_serving();
     void open_peer_link();
-    // Whether this process is its node: one of two during a hot restart.
+    // Whether this process acts as the node: during a hot restart only one of the two processes does.
     bool owns_node() const { return hot_restart::is_active(hot_restart_.role()); }
     bool is_handed_over() const { return hot_restart::is_replaced(hot_restart_.role()); }
-    void carry_out(const DeferredActions::Action& action);
+    void execute(const DeferredActions::Action& action);
     void check_health(std::uint32_t endpoint);
-    void on_config_reloaded(const std::string& unchanged_keys);
+    void on_config_reloaded(const std::string& restart_keys);
 
     void on_health_check(std::uint32_t endpoint, Outcome outcome, Ticks took,
                          const LoadReport& report) override;
@@ -71,15 +71,15 @@
     std::string metrics_page() const override;
     bool drain() override;
     bool resume() override;
-    void export_state(std::string& list, std::string& memory) override;
-    void begin(std::string_view list, std::string_view memory) override;
+    void export_state(std::string& endpoint_list, std::string& balancer_state) override;
+    void begin(std::string_view endpoint_list, std::string_view balancer_state) override;
     void on_role_changed(hot_restart::Role from, hot_restart::Role to) override;
     net::Ticks clock_base() override { return loop_.system().clock_base(); }
     void on_peer_clock_base(net::Ticks base) override {
         stages_.transfer.set_clock_shift(clock_base() - base);
     }
-    bool next_tunnel(hot_restart::TransferredTunnel& into) override;
-    void on_transfer_result(std::uint64_t number, bool taken) override;
+    bool next_tunnel(hot_restart::TransferredTunnel& next) override;
+    void on_transfer_result(std::uint64_t number, bool accepted) override;
     bool receive_tunnel(std::string_view bytes, net::Fd client, net::Fd endpoint) override;
     bool has_tunnels() const override { return stages_.registry.tunnel_count() > 0; }
     std::size_t descriptors_held() const override {
--- a/src/node/peer_link.cpp
+++ b/src/node/peer_link.cpp
@@ -24,7 +24,7 @@
         socket_ = net::Socket(loop_, loop_.system().bind_datagrams(*config_.peer_listen), POLLIN, *this, 0);
 }
 
-// A datagram that cannot be sent now is lost: the balancer relies on none.
+// A datagram that cannot be sent now is dropped: the balancer does not rely on delivery.
 void PeerLink::send(const net::Address& address, std::span<const std::uint8_t> bytes, std::size_t receivers) {
     if (!socket_.open() || bytes.size() > max_datagram_bytes) return;
     counters_.count_gossip(bytes, receivers);
@@ -42,7 +42,7 @@
 }
 
 void PeerLink::on_ready(std::uint64_t, short) {
-    // One byte more than allowed, to tell a datagram that is too long.
+    // One byte more than allowed, to detect datagrams that are too long.
     std::array<std::uint8_t, max_datagram_bytes + 1> bytes{};
     for (int i = 0; i < max_reads_per_pass; ++i) {
         net::Address sender;
@@ -50,7 +50,7 @@
         if (received < 0) return;
         const auto size = static_cast<std::size_t>(received);
         if (size > max_datagram_bytes) continue;
-        // Only the configured addresses are peers: what others send is ignored.
+        // Datagrams from addresses that are not configured are ignored.
         for (std::uint32_t node = 0; node < config_.peer_addresses.size(); ++node)
             if (node != config_.balancer.own_node && config_.peer_addresses[node] == sender)
                 on_datagram_(node, {bytes.data(), size});
--- a/src/node/status_log.cpp
+++ b/src/node/status_log.cpp
@@ -33,11 +33,11 @@
                          << " (" << totals.stalled << " stalled), idle connections closed " << totals.evicted;
 }
 
-// tools/fleet_costs.py reads this line.
+// tools/fleet_costs.py parses this line.
 void StatusLog::log_resources() {
     registry_.loop.schedule(registry_.loop.now() + resources_interval, *this, resources_timer);
     metrics::ResourceCounters& counters = registry_.resource_counters;
-    if (counters == logged_) return;  // nothing but processor time
+    if (counters == logged_) return;  // only processor time has changed, which is not worth a line
     counters.processor_us = registry_.loop.system().processor_us();
     std::ostringstream added;
     metrics::write_added(added, counters, logged_);
--- a/src/node/status_log.h
+++ b/src/node/status_log.h
@@ -1,4 +1,4 @@
-// The node's periodic log lines: the tunnel totals, and what it used in the last second.
+// The node's periodic log lines: tunnel totals every 10 s, and the resources used in each second.
 #pragma once
 
 #include "health_check/health_checker.h"
@@ -22,7 +22,7 @@
 
     tunnel::TunnelRegistry& registry_;
     const health_check::HealthChecker& health_checker_;
-    metrics::ResourceCounters logged_;  // as of the last line
+    metrics::ResourceCounters logged_;  // the counters at the time of the last line
 };
 
 }  // namespace lemonstair::node
--- a/tests/simulation_test.cpp
+++ b/tests/simulation_test.cpp
@@ -158,7 +158,7 @@
 TEST_CASE("SIGHUP in a graceful shutdown, and one with half a file") {
     std::string trace;
     const Verdict v = play_file("reload_while_leaving", &trace);
-    CHECK(count(trace, "new configuration not taken") == 2);
+    CHECK(count(trace, "configuration reload failed") == 2);
     CHECK(count(trace, "node left") == 1);
     CHECK(v.clients.moved > 0);
 }
