--- a/tests/client_disconnect_test.cpp
+++ b/tests/client_disconnect_test.cpp
@@ -1,5 +1,6 @@
-// Clients that disconnect while something is owed to them: nothing is forwarded for them any more. Both
-// events are ready before the node's next pass.
+// Clients that disconnect while the node is still working on their request: from then on nothing is sent to a
+// server for them. Each test makes the disconnect and the event that would lead to a write ready before the
+// node's next pass, in either order.
 #include <doctest/doctest.h>
 
 #include <array>
@@ -13,130 +14,135 @@
 
 namespace {
 
-enum class Leaves { ends, resets, ends_behind_bytes };
+enum class Disconnect { shutdown, reset, shutdown_after_bytes };
 
-void leave(TestConnection& client, Leaves how) {
-    if (how == Leaves::resets) return client.abort();
-    if (how == Leaves::ends_behind_bytes) client.send("more\r\n");
+void disconnect(TestConnection& client, Disconnect how) {
+    if (how == Disconnect::reset) return client.abort();
+    if (how == Disconnect::shutdown_after_bytes) client.send("more\r\n");
     client.shutdown_write();
 }
 
-// What reaches the hosts from now on, for as long as the term says and a bit.
-std::string sent_on(NodeFixture& fixture, std::vector<TestConnection>& ends) {
+// All bytes that reach the servers within 0.4 s: the latency objective of an attempt, 0.3 s, and a margin.
+std::string bytes_at_servers(NodeFixture& fixture, std::vector<TestConnection>& connections) {
     fixture.run_until(
         [&] {
-            for (const TestListener* d : {&fixture.server_a, &fixture.server_b})
-                for (TestConnection e = d->accept(); e.fd.open(); e = d->accept())
-                    ends.push_back(std::move(e));
+            for (const TestListener* server : {&fixture.server_a, &fixture.server_b})
+                for (TestConnection connection = server->accept(); connection.fd.open();
+                     connection = server->accept())
+                    connections.push_back(std::move(connection));
             return false;
         },
         400);
     std::string all;
-    for (TestConnection& e : ends) {
-        e.receive();
-        all += e.received;
+    for (TestConnection& connection : connections) {
+        connection.receive();
+        all += connection.received;
     }
     return all;
 }
 
-// A client whose slot in the loop stands behind that of its host's connection to come, or before it.
-TestConnection client_in_slot(NodeFixture& fixture, bool host_first) {
-    TestConnection before = fixture.connect_client();
+// A client whose slot in the event loop comes after, or before, the slot of the connection to its server. The
+// slots determine the order in which a pass handles the events of the two.
+TestConnection client_in_slot(NodeFixture& fixture, bool server_first) {
+    TestConnection earlier = fixture.connect_client();
     fixture.run_for(20);
-    if (!host_first) before = {};
+    if (!server_first) earlier = {};
     fixture.run_for(20);
-    TestConnection c = fixture.connect_client();
+    TestConnection client = fixture.connect_client();
     fixture.run_for(20);
-    before = {};  // and its slot is the next one's
+    earlier = {};  // its slot becomes free for the server's connection
     fixture.run_for(20);
-    return c;
+    return client;
 }
 
 }  // namespace
 
 TEST_CASE("a client that disconnected during connect is not forwarded, whichever event is handled first") {
-    for (const bool host_first : {false, true})
-        for (const Leaves how : {Leaves::ends, Leaves::resets, Leaves::ends_behind_bytes}) {
+    for (const bool server_first : {false, true})
+        for (const Disconnect how :
+             {Disconnect::shutdown, Disconnect::reset, Disconnect::shutdown_after_bytes}) {
             NodeFixture fixture;
-            TestConnection c = client_in_slot(fixture, host_first);
-            c.send(fixture.open_line());
-            std::vector<TestConnection> ends;
-            REQUIRE(fixture.run_until([&] {  // the connection has been asked for: the node is connecting
-                for (const TestListener* d : {&fixture.server_a, &fixture.server_b})
-                    if (TestConnection e = d->accept(); e.fd.open()) ends.push_back(std::move(e));
-                return !ends.empty();
+            TestConnection client = client_in_slot(fixture, server_first);
+            client.send(fixture.open_line());
+            std::vector<TestConnection> connections;
+            REQUIRE(fixture.run_until([&] {  // the server has the connection: the node is connecting
+                for (const TestListener* server : {&fixture.server_a, &fixture.server_b})
+                    if (TestConnection connection = server->accept(); connection.fd.open())
+                        connections.push_back(std::move(connection));
+                return !connections.empty();
             }));
-            REQUIRE(!ends.front().has_received("OPEN"));
-            leave(c, how);
+            REQUIRE(!connections.front().has_received("OPEN"));
+            disconnect(client, how);
             stall(350);
-            CHECK(sent_on(fixture, ends) == "");
+            CHECK(bytes_at_servers(fixture, connections) == "");
             CHECK(fixture.node->resource_usage().tunnels == 0);
         }
 }
 
 TEST_CASE("a client that has disconnected before its line is read is not forwarded") {
-    for (const bool host_first : {false, true})
-        for (const Leaves how : {Leaves::ends, Leaves::resets, Leaves::ends_behind_bytes}) {
+    for (const bool server_first : {false, true})
+        for (const Disconnect how :
+             {Disconnect::shutdown, Disconnect::reset, Disconnect::shutdown_after_bytes}) {
             NodeFixture fixture;
-            TestConnection c = client_in_slot(fixture, host_first);
-            c.send(fixture.open_line());
-            leave(c, how);
-            stall(350);  // the process was stopped, or had much to do
-            std::vector<TestConnection> ends;
-            CHECK(sent_on(fixture, ends) == "");
-            CHECK(ends.empty());  // no host is even called
+            TestConnection client = client_in_slot(fixture, server_first);
+            client.send(fixture.open_line());
+            disconnect(client, how);
+            stall(350);  // as if the process was suspended or overloaded
+            std::vector<TestConnection> connections;
+            CHECK(bytes_at_servers(fixture, connections) == "");
+            CHECK(connections.empty());  // the node has not even connected to a server
             CHECK(fixture.node->resource_usage().tunnels == 0);
         }
 }
 
-TEST_CASE("a client that disconnected as its first host answered BUSY is not retried on another") {
-    for (const bool host_first : {false, true})
-        for (const Leaves how : {Leaves::ends, Leaves::resets, Leaves::ends_behind_bytes}) {
+TEST_CASE("a client that disconnected as its first server answered BUSY is not retried on another") {
+    for (const bool server_first : {false, true})
+        for (const Disconnect how :
+             {Disconnect::shutdown, Disconnect::reset, Disconnect::shutdown_after_bytes}) {
             NodeFixture fixture;
-            TestConnection c = client_in_slot(fixture, host_first);
-            c.send(fixture.open_line());
+            TestConnection client = client_in_slot(fixture, server_first);
+            client.send(fixture.open_line());
             const TestListener* at = nullptr;
-            TestConnection h = fixture.accept_attempt(&at);
-            h.send("BUSY\r\n");
-            leave(c, how);
+            TestConnection server = fixture.accept_attempt(&at);
+            server.send("BUSY\r\n");
+            disconnect(client, how);
             stall(350);
-            std::vector<TestConnection> ends;
-            CHECK(sent_on(fixture, ends) == "");
+            std::vector<TestConnection> connections;
+            CHECK(bytes_at_servers(fixture, connections) == "");
             CHECK(fixture.node->resource_usage().tunnels == 0);
         }
 }
 
-TEST_CASE("when the client disconnects with its line half written, the rest is not sent") {
-    for (const Leaves how : {Leaves::ends, Leaves::resets, Leaves::ends_behind_bytes}) {
+TEST_CASE("when the client disconnects while its line is half written to a server, the rest is not sent") {
+    for (const Disconnect how : {Disconnect::shutdown, Disconnect::reset, Disconnect::shutdown_after_bytes}) {
         NodeFixture fixture;
         fixture.kernel.cut_lines_at = 7;
-        TestConnection c = fixture.connect_client(fixture.open_line());
-        TestConnection h;
+        TestConnection client = fixture.connect_client(fixture.open_line());
+        TestConnection server;
         REQUIRE(fixture.run_until([&] {
-            for (const TestListener* d : {&fixture.server_a, &fixture.server_b})
-                if (!h.fd.open()) h = d->accept();
-            if (!h.fd.open() || !h.has_received("OPEN ")) return false;
-            leave(c, how);  // before the pass that writes the rest
+            for (const TestListener* listener : {&fixture.server_a, &fixture.server_b})
+                if (!server.fd.open()) server = listener->accept();
+            if (!server.fd.open() || !server.has_received("OPEN ")) return false;
+            disconnect(client, how);  // before the pass that would write the rest
             return true;
         }));
         stall(350);
         fixture.run_for(50);
-        h.receive();
-        CHECK(h.received.find('\n') == std::string::npos);
-        CHECK(h.is_closed());
+        server.receive();
+        CHECK(server.received.find('\n') == std::string::npos);
+        CHECK(server.is_closed());
     }
 }
 
-TEST_CASE(
-    "a client that disconnected while it was queued for an endpoint is not forwarded when there is one") {
-    for (const Leaves how : {Leaves::ends, Leaves::resets, Leaves::ends_behind_bytes}) {
+TEST_CASE("a client that disconnected while it waited for an endpoint is not forwarded when one is listed") {
+    for (const Disconnect how : {Disconnect::shutdown, Disconnect::reset, Disconnect::shutdown_after_bytes}) {
         NodeFixture fixture;
         TestConnection watch;
         REQUIRE(fixture.run_until([&] {
             if (!watch.fd.open()) watch = fixture.discovery.accept();
             return watch.fd.open() && watch.has_received("\r\n\r\n");
         }));
-        const auto tell = [&](const char* phase, int revision) {
+        const auto send_list = [&](const char* phase, int revision) {
             const std::string list = R"({"revision":)" + std::to_string(revision) +
                                      R"(,"complete":true,"members":[)" +
                                      NodeFixture::member("a", fixture.server_a, phase) + "," +
@@ -146,15 +152,15 @@
             watch.send(std::string(size.data()) + list + "\r\n");
         };
         watch.send("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        tell("terminating", 5);
+        send_list("terminating", 5);
         fixture.run_for(30);
-        TestConnection c = fixture.connect_client(fixture.open_line());
+        TestConnection client = fixture.connect_client(fixture.open_line());
         REQUIRE(fixture.run_until([&] { return fixture.node->resource_usage().tunnels == 1; }));
         fixture.run_for(20);
-        leave(c, how);
-        tell("in_service", 6);  // both are ready before the node's next pass
-        std::vector<TestConnection> ends;
-        CHECK(sent_on(fixture, ends) == "");
+        disconnect(client, how);
+        send_list("in_service", 6);  // the disconnect and the list are ready before the node's next pass
+        std::vector<TestConnection> connections;
+        CHECK(bytes_at_servers(fixture, connections) == "");
         CHECK(fixture.node->resource_usage().tunnels == 0);
     }
 }
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -1,5 +1,5 @@
-// A real node on the loopback, in the thread of the test, between clients, hosts and a discovery that the
-// test plays.
+// A real node on the loopback interface that runs in the thread of the test. The test itself acts as its
+// clients, servers and discovery service.
 #pragma once
 #include <netinet/in.h>
 #include <poll.h>
@@ -32,30 +32,32 @@
 
 using namespace lemonstair;
 
-// Blocks the thread of the test, and so each node in it.
+// Blocks the thread of the test, and with it all nodes that run in it.
 inline void stall(int ms) { std::this_thread::sleep_for(std::chrono::milliseconds(ms)); }
 
-// One end of a connection, held by a test: a client's, a host's, discovery's or an operator's.
+// The test's end of a connection, as a client, server, discovery service or operator.
 struct TestConnection {
     net::Fd fd;
-    std::string received;  // all that has come, less what the test has cleared
+    std::string received;  // all bytes received since the test last cleared it
     bool ended = false, reset = false;
 
     void send(std::string_view text) { net::write_some(fd.get(), text); }
     void shutdown_write() { ::shutdown(fd.get(), SHUT_WR); }
+    // Closes the connection with a reset.
     void abort() {
-        const linger at_once{1, 0};
-        ::setsockopt(fd.get(), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+        const linger reset_at_once{1, 0};
+        ::setsockopt(fd.get(), SOL_SOCKET, SO_LINGER, &reset_at_once, sizeof reset_at_once);
         fd.close();
     }
+    // Reads what has arrived.
     void receive() {
         std::array<char, 8192> bytes;
         for (;;) {
-            const auto r = net::read_some(fd.get(), bytes);
-            ended = ended || r.ended;
-            reset = reset || r.error != 0;
-            if (r.bytes == 0) return;
-            received.append(bytes.data(), r.bytes);
+            const auto result = net::read_some(fd.get(), bytes);
+            ended = ended || result.ended;
+            reset = reset || result.error != 0;
+            if (result.bytes == 0) return;
+            received.append(bytes.data(), result.bytes);
         }
     }
     bool has_received(std::string_view text) {
@@ -68,7 +70,8 @@
     }
 };
 
-// A listening socket on the loopback that a test accepts from: a host's or discovery's.
+// A listening socket on the loopback interface, of a server or the discovery service. A temporary one also
+// serves to find a free port.
 struct TestListener {
     net::Fd fd;
     net::Address address;
@@ -80,19 +83,20 @@
         ::getsockname(fd.get(), reinterpret_cast<sockaddr*>(&address.at), &size);
     }
     std::string host_port() const { return "127.0.0.1:" + std::to_string(ntohs(address.at.sin_port)); }
+    // The next connection in the queue; its fd is not open if there is none.
     TestConnection accept() const {
         return {net::Fd(::accept4(fd.get(), nullptr, nullptr, SOCK_NONBLOCK)), {}};
     }
 };
 
-// The kernel, with calls that fail when a test says so. With `shared`, nodes take turns in one thread and no
-// poll lasts over 1 ms, so that none delays the others.
+// The kernel, with injected faults. With `shared`, several nodes run alternately in one thread, so no poll
+// lasts longer than 1 ms.
 struct FaultyKernel final : net::Kernel {
     bool shared = false;
-    std::function<void()>
-        after_poll;  // runs once, after a poll has returned: the current pass does not see what it does
-    std::size_t cut_lines_at = 0;  // the first write of an OPEN line takes so many bytes; 0: all
-    // The next so many calls fail with this error.
+    // Runs once, after the next poll has returned: the current pass does not see its effects.
+    std::function<void()> after_poll;
+    std::size_t cut_lines_at = 0;  // the first write of an OPEN line takes only this many bytes; 0: all
+    // The next `calls` calls fail with `error`, an errno.
     struct InjectedFailure {
         int calls = 0, error = 0;
         bool fail_next() {
@@ -103,11 +107,11 @@
         }
     };
     InjectedFailure poll_failures, accept_failures, connect_failures, listen_failures;
-    net::Fd listen_on(const net::Address& at) override {
+    net::Fd listen_on(const net::Address& address) override {
         if (listen_failures.fail_next()) throw std::system_error(errno, std::generic_category(), "listen");
-        return Kernel::listen_on(at);
+        return Kernel::listen_on(address);
     }
-    std::function<int(int fd)> connection_error;  // replaces the outcome of a connect
+    std::function<int(int fd)> connection_error;  // replaces Kernel::connected
     Ticks clock_ahead = 0;
     Ticks now() override { return Kernel::now() + clock_ahead; }
     Ticks clock_base() override { return Kernel::clock_base() + clock_ahead; }
@@ -120,9 +124,9 @@
     int connected(int fd) override { return connection_error ? connection_error(fd) : Kernel::connected(fd); }
     int poll(std::span<pollfd> set, Ticks longest) override {
         if (!set.empty() && poll_failures.fail_next()) return -1;
-        const int n = Kernel::poll(set, shared ? std::min<Ticks>(longest, 10) : longest);
+        const int ready = Kernel::poll(set, shared ? std::min<Ticks>(longest, 10) : longest);
         if (after_poll) std::exchange(after_poll, nullptr)();
-        return n;
+        return ready;
     }
     net::IoResult write_some(int fd, std::string_view text) override {
         if (cut_lines_at > 0 && text.substr(0, 5) == "OPEN ")
@@ -131,36 +135,38 @@
     }
 };
 
-// A client and its host's end, with the tunnel open between them.
+// An open tunnel: the client's connection and the server's.
 struct OpenTunnel {
     TestConnection client, server;
 };
 
+// Starts a node that knows the endpoints "a" and "b", which are server_a and server_b. Discovery does not
+// answer unless the test accepts its connection.
 struct NodeFixture {
     struct Options {
-        std::string mode = "pass";
+        std::string mode = "pass";  // "pass": packet passthrough; "proxy": without it
         int max_descriptors = 256;
         bool health_checks = false;
         int log_descriptor = -1;
         bool admin = false;
-        bool inherits_listener = false;    // the clients' listener is handed down to the process
-        std::string client_timeout = "3";  // of clients, in s
-        std::string drain_grace = "3";     // of a drain, in s
-        std::string slow_start = "";       // further keys of the rules
+        bool inherits_listener = false;    // the node is started with the listening socket for clients
+        std::string client_timeout = "3";  // in s
+        std::string drain_grace = "3";     // in s
+        std::string slow_start = "";       // more keys of the rules, as JSON
     };
     TestListener server_a, server_b, discovery;
     std::string address = TestListener().host_port(), admin_address = TestListener().host_port();
-    FaultyKernel kernel, next_kernel;  // next_kernel: of the new version in a hot restart
+    FaultyKernel kernel, next_kernel;  // next_kernel: of the new process in a hot restart
     log::Descriptor log_sink;
     log::Log log;
     json::Document config_document;
     std::string config_text;
-    net::Fd listener;  // the inherited one, if any
-    std::string restart_folder;
-    std::unique_ptr<node::Node> node, next;  // next: the new version, started beside it
+    net::Fd listener;                        // of Options::inherits_listener
+    std::string restart_folder;              // for the socket of a hot restart
+    std::unique_ptr<node::Node> node, next;  // next: the new process in a hot restart
     bool running = true, next_running = false;
     int requests_made = 0;
-    int failing_reads = 0;  // the next so many reloads of the configuration fail
+    int failing_reads = 0;  // so many of the next reloads fail
 
     NodeFixture() : NodeFixture(Options{}) {}
     explicit NodeFixture(const Options& options, Ticks clock_ahead = 0,
@@ -213,32 +219,33 @@
                                                 return config::parse_node_config(config_document.root());
                                             });
     }
-    // Starts a new version beside the old one, with an admin address of its own.
+    // Begins a hot restart: starts a new process, with its own admin address, beside the old one.
     void upgrade() {
         const std::string old_address = std::exchange(admin_address, TestListener().host_port());
-        if (const auto at = config_text.find(old_address); at != std::string::npos)
-            config_text.replace(at, old_address.size(), admin_address);
+        if (const auto position = config_text.find(old_address); position != std::string::npos)
+            config_text.replace(position, old_address.size(), admin_address);
         config_document.parse(config_text);
         next = start(next_kernel);
         next_running = kernel.shared = next_kernel.shared = true;
     }
-    // After the old version has exited: the new one is the node.
+    // To be called when the old process has exited: the new one becomes `node`.
     void retire_old_node() {
         node = std::move(next);
         running = std::exchange(next_running, false);
     }
-    static std::string member(std::string_view id, const TestListener& at,
+    // An entry of the endpoint list.
+    static std::string member(std::string_view id, const TestListener& server,
                               std::string_view state = "in_service") {
-        return std::string(R"({"id":")").append(id).append(R"(","host_port":")").append(at.host_port()) +
+        return std::string(R"({"id":")").append(id).append(R"(","host_port":")").append(server.host_port()) +
                std::string(R"(","locality":"z","phase":")")
                    .append(state)
                    .append(R"(","size":1,"up_since_ms":0})");
     }
-    // Runs the event loop of the node (and of the new version) until the condition holds; false if it does
-    // not within `ms`.
-    bool run_until(const std::function<bool()>& holds, int ms = 3000) {
+    // Runs the event loops of the node and of the new process until the condition holds. Returns false if it
+    // does not within `ms`.
+    bool run_until(const std::function<bool()>& condition, int ms = 3000) {
         const auto end = std::chrono::steady_clock::now() + std::chrono::milliseconds(ms);
-        while (!holds()) {
+        while (!condition()) {
             if (std::chrono::steady_clock::now() > end) return false;
             if (running) running = node->run_once();
             if (next_running) next_running = next->run_once();
@@ -248,26 +255,27 @@
     void run_for(int ms) {
         run_until([] { return false; }, ms);
     }
+    // Connects and sends `line`, if any.
     TestConnection connect_client(std::string_view line = "") const {
-        TestConnection e{net::connect_to(*net::parse_address(address)), {}};
-        pollfd up{e.fd.get(), POLLOUT, 0};
-        ::poll(&up, 1, 1000);
-        if (!line.empty()) e.send(line);
-        return e;
+        TestConnection client{net::connect_to(*net::parse_address(address)), {}};
+        pollfd connected{client.fd.get(), POLLOUT, 0};
+        ::poll(&connected, 1, 1000);
+        if (!line.empty()) client.send(line);
+        return client;
     }
     // A connection to the admin server.
     TestConnection connect_admin(std::string_view call = "") const {
-        TestConnection e{net::connect_to(*net::parse_address(admin_address)), {}};
-        pollfd up{e.fd.get(), POLLOUT, 0};
-        ::poll(&up, 1, 1000);
-        if (!call.empty()) e.send(call);
-        return e;
+        TestConnection operator_connection{net::connect_to(*net::parse_address(admin_address)), {}};
+        pollfd connected{operator_connection.fd.get(), POLLOUT, 0};
+        ::poll(&connected, 1, 1000);
+        if (!call.empty()) operator_connection.send(call);
+        return operator_connection;
     }
-    // The complete answer to an admin request.
+    // Sends an admin request and returns the complete response.
     std::string call_admin(std::string_view text) {
-        TestConnection e = connect_admin(text);
-        run_until([&] { return e.is_closed(); });
-        return e.received;
+        TestConnection connection = connect_admin(text);
+        run_until([&] { return connection.is_closed(); });
+        return connection.received;
     }
     std::string get(const std::string& path) {
         return call_admin("GET " + path + " HTTP/1.1\r\nHost: n\r\n\r\n");
@@ -275,28 +283,29 @@
     std::string post(const std::string& path) {
         return call_admin("POST " + path + " HTTP/1.1\r\nHost: n\r\nContent-Length: 0\r\n\r\n");
     }
-    // Accepts the next attempt at whichever host it reaches, which `at` is set to.
+    // Accepts the next attempt at either server and receives its request line. Sets `at` to that server.
     TestConnection accept_attempt(const TestListener** at = nullptr) {
-        TestConnection e;
+        TestConnection attempt;
         run_until([&] {
-            for (const TestListener* d : {&server_a, &server_b}) {
-                if (e.fd.open()) break;
-                e = d->accept();
-                if (at != nullptr) *at = d;
+            for (const TestListener* server : {&server_a, &server_b}) {
+                if (attempt.fd.open()) break;
+                attempt = server->accept();
+                if (at != nullptr) *at = server;
             }
-            return e.fd.open() && e.has_received("\n");
+            return attempt.fd.open() && attempt.has_received("\n");
         });
-        return e;
+        return attempt;
     }
-    // An OPEN line with a new id.
+    // A request line with a new id.
     std::string open_line() { return "OPEN " + std::to_string(++requests_made) + " k c=chat,d=2000\r\n"; }
+    // Opens a tunnel at either server.
     OpenTunnel open_tunnel() {
-        TestConnection c = connect_client(open_line()), h = accept_attempt();
-        h.send("UP r\r\n");
-        run_until([&] { return c.has_received("UP r\r\n"); });
-        c.received.clear();
-        h.received.clear();
-        return {std::move(c), std::move(h)};
+        TestConnection client = connect_client(open_line()), server = accept_attempt();
+        server.send("UP r\r\n");
+        run_until([&] { return client.has_received("UP r\r\n"); });
+        client.received.clear();
+        server.received.clear();
+        return {std::move(client), std::move(server)};
     }
 };
 
