--- a/tests/node_input_test.cpp
+++ b/tests/node_input_test.cpp
@@ -1,4 +1,5 @@
-// Input of clients and hosts that a node takes, refuses or ignores.
+// Input of clients and servers, split at any byte or invalid. Bad input must end only its own connection, and
+// the node must never forward a command or an id that the protocol forbids.
 #include <doctest/doctest.h>
 
 #include <string>
@@ -8,105 +9,112 @@
 
 using namespace fake;
 
-TEST_CASE("a first line may come cut at any byte") {
+TEST_CASE("a first line may arrive split at any byte") {
     NodeFixture fixture;
-    for (std::size_t at = 1, size = 99; at < size; ++at) {
+    for (std::size_t split = 1, size = 99; split < size; ++split) {
         const std::string line = "PING\r\n" + fixture.open_line();
         size = line.size();
-        TestConnection c = fixture.connect_client(line.substr(0, at));
+        TestConnection client = fixture.connect_client(line.substr(0, split));
         fixture.run_for(1);
-        c.send(line.substr(at));
-        TestConnection h = fixture.accept_attempt();
-        h.send("UP r\r\n");
-        REQUIRE(fixture.run_until([&] { return c.has_received("UP r\r\n"); }));
-        CHECK(c.received == "PONG\r\nUP r\r\n");
+        client.send(line.substr(split));
+        TestConnection server = fixture.accept_attempt();
+        server.send("UP r\r\n");
+        REQUIRE(fixture.run_until([&] { return client.has_received("UP r\r\n"); }));
+        CHECK(client.received == "PONG\r\nUP r\r\n");
     }
 }
 
-TEST_CASE("a client that sends on after its bad line, or reconnects with it, has its ERR and costs little") {
+TEST_CASE(
+    "a client that keeps sending after an invalid line, or reconnects with it, gets ERR and uses few "
+    "resources") {
     NodeFixture fixture({.mode = "pass", .max_descriptors = 256, .health_checks = false});
-    TestConnection rude = fixture.connect_client("frob\r\n");
+    TestConnection misbehaving = fixture.connect_client("frob\r\n");
     const std::string more(1 << 16, 'x');
     std::size_t sent = 0;
     CHECK(fixture.run_until([&] {
-        const auto r = net::write_some(rude.fd.get(), more);
-        sent += r.bytes;
-        return rude.has_received("ERR\r\n") && rude.ended;
+        const auto result = net::write_some(misbehaving.fd.get(), more);
+        sent += result.bytes;
+        return misbehaving.has_received("ERR\r\n") && misbehaving.ended;
     }));
-    CHECK(fixture.run_until([&] { return net::write_some(rude.fd.get(), more).error != 0; }, 2000));
+    CHECK(fixture.run_until([&] { return net::write_some(misbehaving.fd.get(), more).error != 0; }, 2000));
     CHECK(sent < (16 << 20));
-    std::vector<TestConnection> rest;
-    rest.reserve(300);
-    for (int i = 0; i < 300; ++i) rest.push_back(fixture.connect_client("frob\r\n"));
+    std::vector<TestConnection> others;
+    others.reserve(300);
+    for (int i = 0; i < 300; ++i) others.push_back(fixture.connect_client("frob\r\n"));
     CHECK(fixture.open_tunnel().client.fd.open());
     CHECK(fixture.run_until([&] {
-        return std::all_of(rest.begin(), rest.end(), [](TestConnection& e) { return e.is_closed(); });
+        return std::all_of(others.begin(), others.end(),
+                           [](TestConnection& client) { return client.is_closed(); });
     }));
 }
 
 TEST_CASE(
-    "commands behind a first line, or the id of another's open tunnel, are neither passed on nor served") {
+    "a command after the first line, or the id of another open tunnel, is neither forwarded nor served") {
     NodeFixture fixture;
     const std::string line = fixture.open_line();
-    TestConnection c = fixture.connect_client(line), h = fixture.accept_attempt();
-    h.send("UP r\r\n");
-    REQUIRE(fixture.run_until([&] { return c.has_received("UP r\r\n"); }));
-    const auto nothing_at_hosts = [&] {
+    TestConnection client = fixture.connect_client(line), server = fixture.accept_attempt();
+    server.send("UP r\r\n");
+    REQUIRE(fixture.run_until([&] { return client.has_received("UP r\r\n"); }));
+    const auto nothing_at_servers = [&] {
         return !fixture.server_a.accept().fd.open() && !fixture.server_b.accept().fd.open();
     };
-    TestConnection twin = fixture.connect_client(line),
-                   many = fixture.connect_client(fixture.open_line() + fixture.open_line());
+    TestConnection same_id = fixture.connect_client(line),
+                   two_commands = fixture.connect_client(fixture.open_line() + fixture.open_line());
     TestConnection pings = fixture.connect_client();
     for (int i = 0; i < 100; ++i) pings.send("PING\r\n");
-    CHECK(fixture.run_until([&] { return twin.is_closed() && many.is_closed() && pings.is_closed(); }));
-    CHECK(twin.received == "ERR\r\n");
-    CHECK(many.received == "ERR\r\n");
-    CHECK(nothing_at_hosts());
-    TestConnection late = fixture.connect_client(fixture.open_line()), out = fixture.accept_attempt();
-    late.send("OPEN 2 k c=chat,d=9\r\n");
-    CHECK(fixture.run_until([&] { return late.is_closed() && out.is_closed(); }));
-    CHECK(late.received == "ERR\r\n");
-    CHECK(nothing_at_hosts());
-    c.abort();  // an id is spent with its tunnel; only packets that come back mid-flow go on under it
-    TestConnection again = fixture.connect_client(line);
-    CHECK(fixture.run_until([&] { return again.is_closed(); }));
-    CHECK(again.received == "ERR\r\n");
-    CHECK(nothing_at_hosts());
-    TestConnection back = fixture.connect_client(line.substr(0, line.size() - 2) + ",mid=1\r\n");
-    TestConnection h2 = fixture.accept_attempt();
-    h2.send("UP r\r\n");
-    CHECK(fixture.run_until([&] { return back.has_received("UP r\r\n"); }));
-    back.abort();  // nor does it matter that the node has yet to hear that they went elsewhere before
-    back = fixture.connect_client(line.substr(0, line.size() - 2) + ",mid=1\r\n");
+    CHECK(fixture.run_until(
+        [&] { return same_id.is_closed() && two_commands.is_closed() && pings.is_closed(); }));
+    CHECK(same_id.received == "ERR\r\n");
+    CHECK(two_commands.received == "ERR\r\n");
+    CHECK(nothing_at_servers());
+    TestConnection second_command = fixture.connect_client(fixture.open_line()),
+                   attempt = fixture.accept_attempt();
+    second_command.send("OPEN 2 k c=chat,d=9\r\n");
+    CHECK(fixture.run_until([&] { return second_command.is_closed() && attempt.is_closed(); }));
+    CHECK(second_command.received == "ERR\r\n");
+    CHECK(nothing_at_servers());
+    // After the end of a tunnel its id may be used only by packets that come back mid-flow.
+    client.abort();
+    TestConnection reused_id = fixture.connect_client(line);
+    CHECK(fixture.run_until([&] { return reused_id.is_closed(); }));
+    CHECK(reused_id.received == "ERR\r\n");
+    CHECK(nothing_at_servers());
+    TestConnection mid_flow = fixture.connect_client(line.substr(0, line.size() - 2) + ",mid=1\r\n");
+    TestConnection next_server = fixture.accept_attempt();
+    next_server.send("UP r\r\n");
+    CHECK(fixture.run_until([&] { return mid_flow.has_received("UP r\r\n"); }));
+    // The node has not yet handled the end of the earlier connection when the packets come back.
+    mid_flow.abort();
+    mid_flow = fixture.connect_client(line.substr(0, line.size() - 2) + ",mid=1\r\n");
     fixture.accept_attempt().send("UP r\r\n");
-    CHECK(fixture.run_until([&] { return back.has_received("UP r\r\n"); }));
+    CHECK(fixture.run_until([&] { return mid_flow.has_received("UP r\r\n"); }));
 }
 
-TEST_CASE("bad input ends its own connection and nothing else") {
+TEST_CASE("invalid input ends its own connection and no other") {
     NodeFixture fixture;
     OpenTunnel tunnel = fixture.open_tunnel();
     const std::string endless(9000, 'x');
-    for (const std::string& bad :
+    for (const std::string& invalid :
          {endless, std::string("OPEN\r\n"), std::string("OPEN 1 k c=no,d=5\r\n"),
           std::string("OPEN 1 k c=chat,d=-1\r\n"), std::string("OPEN 1 k c=chat,d=99999999999999999999\r\n"),
           std::string("OPEN 1 k c=chat,d=soon\r\n"), std::string("OPEN 1 k c=chat,d=\r\n"),
           std::string("OPEN  k c=chat,d=5\r\n"), std::string("OPEN k c=chat,d=5\r\n"),
           std::string("OPEN 1 k\x01 c=chat,d=5\r\n"), std::string("\0\xff\r\n", 4)}) {
-        TestConnection e = fixture.connect_client(bad);
-        CHECK(fixture.run_until([&] { return e.is_closed(); }));
-        CHECK(e.received.substr(0, 3) != "UP ");
+        TestConnection client = fixture.connect_client(invalid);
+        CHECK(fixture.run_until([&] { return client.is_closed(); }));
+        CHECK(client.received.substr(0, 3) != "UP ");
     }
-    TestConnection cut = fixture.connect_client("OPEN 1 k c=ch");
-    cut.shutdown_write();
-    CHECK(fixture.run_until([&] { return cut.is_closed(); }));
-    TestConnection c2 = fixture.connect_client(fixture.open_line());
-    fixture.accept_attempt().send(
-        endless);  // a host's answer without end is no answer: another host is asked
-    TestConnection h2 = fixture.accept_attempt();
-    h2.send("UP r\r\n");
-    CHECK(fixture.run_until([&] { return c2.has_received("UP r\r\n"); }));
-    h2.send(endless);
-    CHECK(fixture.run_until([&] { return c2.is_closed(); }));
+    TestConnection incomplete = fixture.connect_client("OPEN 1 k c=ch");
+    incomplete.shutdown_write();
+    CHECK(fixture.run_until([&] { return incomplete.is_closed(); }));
+    TestConnection client = fixture.connect_client(fixture.open_line());
+    // An answer that does not end within the longest line counts as a failure, and the other server is tried.
+    fixture.accept_attempt().send(endless);
+    TestConnection other_server = fixture.accept_attempt();
+    other_server.send("UP r\r\n");
+    CHECK(fixture.run_until([&] { return client.has_received("UP r\r\n"); }));
+    other_server.send(endless);
+    CHECK(fixture.run_until([&] { return client.is_closed(); }));
     tunnel.server.send("still here\r\n");
     CHECK(fixture.run_until([&] { return tunnel.client.has_received("still here\r\n"); }));
 }
--- a/tests/node_migration_test.cpp
+++ b/tests/node_migration_test.cpp
@@ -1,4 +1,5 @@
-// Clients that a node asks to migrate: in a graceful shutdown, or since their host does not respond.
+// Clients that a node tells to migrate: in a graceful shutdown, or because their server no longer responds.
+// They must be told at the end of a line, and in time.
 #include <doctest/doctest.h>
 
 #include <chrono>
@@ -10,7 +11,8 @@
 using namespace fake;
 
 TEST_CASE(
-    "in a graceful shutdown the node serves new clients, migrates all between lines and exits when empty") {
+    "in a graceful shutdown the node serves new clients, migrates all at the end of a line and exits when "
+    "empty") {
     NodeFixture fixture({.mode = "proxy", .max_descriptors = 256, .health_checks = false});
     OpenTunnel tunnel = fixture.open_tunnel();
     tunnel.server.send("half a ");
@@ -43,12 +45,12 @@
     CHECK(fixture.run_until([&] { return !fixture.running; }));
 }
 
-TEST_CASE("clients of a host that sends no line any more are migrated within seconds") {
+TEST_CASE("clients of a server that no longer sends lines are migrated within seconds") {
     NodeFixture fixture;
     OpenTunnel tunnel = fixture.open_tunnel();
     tunnel.client.send("hello\r\n");
     for (int i = 0; i < 16 && !tunnel.client.is_closed(); ++i) {
-        tunnel.server.send("LOAD 100\r\n");  // it still tells its load
+        tunnel.server.send("LOAD 100\r\n");  // it still reports its load
         fixture.run_until([&] { return tunnel.client.is_closed(); }, 250);
     }
     CHECK(tunnel.client.is_closed());
@@ -57,13 +59,13 @@
 }
 
 TEST_CASE(
-    "a tunnel whose lines go unanswered is migrated within 7 s, though others on that host are answered") {
+    "a tunnel whose lines are not answered is migrated within 7 s, even if its server answers on others") {
     NodeFixture fixture;
     fixture.server_b.fd.close();
     OpenTunnel tunnel = fixture.open_tunnel();
     OpenTunnel other = fixture.open_tunnel();
     tunnel.client.send("hello\r\n");
-    const auto quiet_for = [&](int ms) {
+    const auto stays_open_for = [&](int ms) {
         for (; ms > 0 && !tunnel.client.is_closed(); ms -= 500) {
             other.client.send("line\r\n");
             other.server.send("line\r\n");
@@ -71,20 +73,21 @@
         }
         return !tunnel.client.is_closed();
     };
-    CHECK(quiet_for(4000));
-    CHECK(!quiet_for(2500));
+    CHECK(stays_open_for(4000));
+    CHECK(!stays_open_for(2500));
     CHECK(tunnel.client.received == "MOVE\r\n");
     CHECK(!other.client.is_closed());
 }
 
-TEST_CASE("a tunnel that goes unanswered is migrated within 7 s of its last line, not of the first") {
+TEST_CASE(
+    "an unanswered tunnel is migrated within 7 s of the server's last line, not of the client's first") {
     NodeFixture fixture;
     fixture.server_b.fd.close();
     OpenTunnel tunnel = fixture.open_tunnel();
     OpenTunnel other = fixture.open_tunnel();
     const auto begin = std::chrono::steady_clock::now();
-    for (int ms = 0; ms < 6800 && !tunnel.client.is_closed();
-         ms += 100) {  // the other goes on: the host is not to blame
+    // The other tunnel is answered, so the server as a whole does not count as unresponsive.
+    for (int ms = 0; ms < 6800 && !tunnel.client.is_closed(); ms += 100) {
         if (ms % 2000 == 1900) tunnel.client.send("hello\r\n");
         if (ms % 2000 == 900) other.client.send("line\r\n");
         if (ms % 2000 == 1000) other.server.send("line\r\n");
