--- a/src/node/endpoint_list_client.h
+++ b/src/node/endpoint_list_client.h
@@ -31,7 +31,7 @@
     bool follow_config();
     // After a reload: opens a watch at once, without backoff from earlier failures. An open one stays open.
     void reopen();
-    // Reports an event of the endpoint list to the balancer, without entries.
+    // Tells the balancer what has happened to the endpoint list, without changing its entries.
     void notify_balancer(EndpointListKind kind);
 
     void on_ready(std::uint64_t, short) override {}
--- a/src/tunnel/acceptor.h
+++ b/src/tunnel/acceptor.h
@@ -32,6 +32,7 @@
     void on_tunnel_timer(TunnelId id);
 
   private:
+    // blocked: clients may be waiting, but none can be accepted before a pause.
     enum class AcceptResult : std::uint8_t { more, queue_empty, blocked };
     enum class LineResult : std::uint8_t { keep_reading, left_stage };
 
--- a/src/tunnel/admission.h
+++ b/src/tunnel/admission.h
@@ -16,8 +16,7 @@
     // Admits or rejects a tunnel. `current_endpoint`: the id of the endpoint at which it is already open;
     // empty for a new tunnel.
     void admit(TunnelId id, TunnelRequest request, std::string_view current_endpoint);
-    // How many tunnels the granted descriptors allow: two for each tunnel, after those that the node itself
-    // needs.
+    // How many tunnels the granted descriptors allow. Each tunnel takes two, and the node itself needs some.
     std::size_t capacity() const;
 
   private:
--- a/src/tunnel/completion.h
+++ b/src/tunnel/completion.h
@@ -24,8 +24,7 @@
     // The client violated the protocol: closes the tunnel with an error.
     void reject_protocol_error(TunnelId id);
     // Closes the connection that has been idle for longest: one that waits for its request, or else one that
-    // is closing. Connections that are idle only for a moment are spared; returns false if there are no
-    // others.
+    // is closing. Returns false if there is none that has been idle for a minimum time.
     bool evict_idle_connection();
     // Reports the end of an open tunnel to the balancer, once.
     void report_end(TunnelId id, Outcome outcome);
--- a/src/tunnel/request_line.h
+++ b/src/tunnel/request_line.h
@@ -18,8 +18,8 @@
     std::string_view current_endpoint;  // id of the endpoint at which the tunnel is already open, or empty
 };
 
-// Parses a line without its line end; `now` is the base of the deadline, and an index into `traffic_classes`
-// is the class in the result. Returns nullopt if the line is not a valid request.
+// Parses a line without its line end. The result's deadline counts from `now`, and its traffic class is an
+// index into `traffic_classes`. Returns nullopt if the line is not a valid request.
 std::optional<RequestLine> parse_request_line(std::string_view line,
                                               const std::vector<std::string>& traffic_classes, Ticks now);
 
--- a/src/tunnel/tunnel.h
+++ b/src/tunnel/tunnel.h
@@ -17,8 +17,7 @@
 enum class TunnelState : std::uint8_t {
     free,                // the slot is not in use
     reading_request,     // waits for the client's request line
-    awaiting_placement,  // waits for the balancer to choose an endpoint, or the next one after a failed
-                         // attempt
+    awaiting_placement,  // waits for the balancer to choose an endpoint, also after a failed attempt
     connecting,          // attempt: the connection to the endpoint is being established
     sending_request,     // attempt: the request line is being written
     awaiting_answer,     // attempt: waits for the first line of the endpoint
