--- a/src/metrics/resource_counters.cpp
+++ b/src/metrics/resource_counters.cpp
@@ -13,14 +13,14 @@
 
 }  // namespace
 
-void write_added(std::ostream& out, const ResourceCounters& now, const ResourceCounters& before) {
+void write_difference(std::ostream& out, const ResourceCounters& now, const ResourceCounters& before) {
     const auto write = [&](std::string_view name, std::uint64_t current, std::uint64_t earlier) {
         if (current != earlier) out << ' ' << name << '=' << current - earlier;
     };
     write("setups", now.setups, before.setups);
     for (std::size_t i = 0; i < outcome_count; ++i)
         write(outcome_names[i], now.attempts[i], before.attempts[i]);
-    for (std::size_t i = 0; i < reasons; ++i)
+    for (std::size_t i = 0; i < reason_count; ++i)
         write("reason_" + std::string(name_of(static_cast<Reason>(i))), now.by_reason[i],
               before.by_reason[i]);
     for (std::size_t i = 0; i < invariant_count; ++i)
--- a/src/tunnel/tunnel_registry.h
+++ b/src/tunnel/tunnel_registry.h
@@ -64,12 +64,12 @@
           tunnel_counters(node_config.traffic_class_names.size()) {}
 
     TunnelId id_of(std::uint32_t index) const {
-        return TunnelId{tunnels.serial(index) & 0x7fffffffU} << 32 | index;
+        return TunnelId{tunnels.generation(index) & 0x7fffffffU} << 32 | index;
     }
     // Null if the tunnel no longer exists.
     Tunnel* find(TunnelId id) {
         const auto index = static_cast<std::uint32_t>(id);
-        return tunnels.used(index) && id_of(index) == id ? &tunnels[index] : nullptr;
+        return tunnels.in_use(index) && id_of(index) == id ? &tunnels[index] : nullptr;
     }
     // Adds a tunnel for an accepted client. Its state is still `free`: the caller must call transition_to
     // next.
@@ -77,8 +77,8 @@
     // Calls visit(index, tunnel) for each tunnel, in the order of slots.
     template <class Visit>
     void for_each(Visit&& visit) {
-        for (std::uint32_t index = 0; index < tunnels.places(); ++index)
-            if (tunnels.used(index)) visit(index, tunnels[index]);
+        for (std::uint32_t index = 0; index < tunnels.slot_count(); ++index)
+            if (tunnels.in_use(index)) visit(index, tunnels[index]);
     }
     // Wraps a descriptor of a tunnel; its events go to the stage for the tunnel's state.
     net::Socket make_socket(TunnelId id, Side side, net::Fd fd, short events) {
--- a/tests/clock_skew_test.cpp
+++ b/tests/clock_skew_test.cpp
@@ -34,7 +34,7 @@
         NodeFixture fixture({.slow_start = R"(,"cold":2,"cold_from":0.1,"fall":1.0,"tip_multiple":1)"},
                             ahead);
         Watch watch(fixture);
-        watch.tell(
+        watch.send_list(
             NodeFixture::member("a", fixture.server_a) + "," + NodeFixture::member("b", fixture.server_b),
             true);
         fixture.run_for(20);
@@ -42,7 +42,7 @@
         const auto started = std::chrono::duration_cast<std::chrono::milliseconds>(unix_now).count();
         std::string member = NodeFixture::member("a", fixture.server_a);
         member.replace(member.find("\"up_since_ms\":0"), 15, "\"up_since_ms\":" + std::to_string(started));
-        watch.tell(member, false);
+        watch.send_list(member, false);
         fixture.run_for(30);
         CHECK(opened_at_first(fixture, 30) <= 5);
         fixture.run_for(2600);
--- a/tests/deadline_race_test.cpp
+++ b/tests/deadline_race_test.cpp
@@ -53,7 +53,7 @@
     TestConnection client = fixture.connect_client(fixture.open_line());
     fixture.kernel.connection_error = [&](int fd) {
         stall(150);
-        return fixture.kernel.Kernel::connected(fd);
+        return fixture.kernel.Kernel::connect_error(fd);
     };
     // The drain and the connection that is up are both ready before the next pass.
     std::vector<TestConnection> hosts;
@@ -62,9 +62,9 @@
             if (TestConnection e = d->accept(); e.fd.open()) hosts.push_back(std::move(e));
         return !hosts.empty();
     }));
-    watch.tell(NodeFixture::member("a", fixture.server_a, "terminating") + "," +
-                   NodeFixture::member("b", fixture.server_b, "terminating"),
-               true);
+    watch.send_list(NodeFixture::member("a", fixture.server_a, "terminating") + "," +
+                        NodeFixture::member("b", fixture.server_b, "terminating"),
+                    true);
     fixture.run_for(500);
     for (TestConnection& host : hosts) CHECK(!host.has_received("OPEN"));
     CHECK(fixture.run_until([&] { return client.has_received("\r\n"); }));
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -76,13 +76,15 @@
     net::Fd fd;
     net::Address address;
     TestListener() {
-        address.at.sin_family = AF_INET;
-        address.at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+        address.socket_address.sin_family = AF_INET;
+        address.socket_address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
         fd = net::listen_on(address);
-        socklen_t size = sizeof address.at;
-        ::getsockname(fd.get(), reinterpret_cast<sockaddr*>(&address.at), &size);
+        socklen_t size = sizeof address.socket_address;
+        ::getsockname(fd.get(), reinterpret_cast<sockaddr*>(&address.socket_address), &size);
+    }
+    std::string host_port() const {
+        return "127.0.0.1:" + std::to_string(ntohs(address.socket_address.sin_port));
     }
-    std::string host_port() const { return "127.0.0.1:" + std::to_string(ntohs(address.at.sin_port)); }
     // The next connection in the queue; its fd is not open if there is none.
     TestConnection accept() const {
         return {net::Fd(::accept4(fd.get(), nullptr, nullptr, SOCK_NONBLOCK)), {}};
@@ -111,7 +113,7 @@
         if (listen_failures.fail_next()) throw std::system_error(errno, std::generic_category(), "listen");
         return Kernel::listen_on(address);
     }
-    std::function<int(int fd)> connection_error;  // replaces Kernel::connected
+    std::function<int(int fd)> connection_error;  // replaces Kernel::connect_error
     Ticks clock_ahead = 0;
     Ticks now() override { return Kernel::now() + clock_ahead; }
     Ticks clock_base() override { return Kernel::clock_base() + clock_ahead; }
@@ -121,7 +123,9 @@
     net::Fd connect_to(const net::Address& to) override {
         return connect_failures.fail_next() ? net::Fd() : Kernel::connect_to(to);
     }
-    int connected(int fd) override { return connection_error ? connection_error(fd) : Kernel::connected(fd); }
+    int connect_error(int fd) override {
+        return connection_error ? connection_error(fd) : Kernel::connect_error(fd);
+    }
     int poll(std::span<pollfd> set, Ticks longest) override {
         if (!set.empty() && poll_failures.fail_next()) return -1;
         const int ready = Kernel::poll(set, shared ? std::min<Ticks>(longest, 10) : longest);
@@ -157,7 +161,7 @@
     TestListener server_a, server_b, discovery;
     std::string address = TestListener().host_port(), admin_address = TestListener().host_port();
     FaultyKernel kernel, next_kernel;  // next_kernel: of the new process in a hot restart
-    log::Descriptor log_sink;
+    log::DescriptorSink log_sink;
     log::Log log;
     json::Document config_document;
     std::string config_text;
@@ -210,7 +214,7 @@
                                      .tmpdir = restart_folder.empty() ? nullptr : restart_folder.c_str()});
     }
     std::unique_ptr<node::Node> start(net::System& system) {
-        return std::make_unique<node::Node>(system, parse_config(), config_document.root().inner("known"),
+        return std::make_unique<node::Node>(system, parse_config(), config_document.root().object("known"),
                                             log, [this] {
                                                 if (failing_reads > 0 && failing_reads-- > 0)
                                                     throw json::Malformed("cannot be read");
--- a/tests/peer_link_test.cpp
+++ b/tests/peer_link_test.cpp
@@ -29,8 +29,9 @@
     link.open();
     const auto send = [&](const net::Fd& sender, std::size_t size) {
         const std::string text(size, 'x');
-        ::sendto(sender.get(), text.data(), size, 0, reinterpret_cast<const sockaddr*>(&own.address.at),
-                 sizeof own.address.at);
+        ::sendto(sender.get(), text.data(), size, 0,
+                 reinterpret_cast<const sockaddr*>(&own.address.socket_address),
+                 sizeof own.address.socket_address);
     };
     const net::Fd peer = net::bind_datagrams(other.address),
                   stranger = net::bind_datagrams(TestListener().address);
--- a/tests/system_fault_test.cpp
+++ b/tests/system_fault_test.cpp
@@ -73,9 +73,9 @@
             sockaddr_in address{};
             socklen_t size = sizeof address;
             ::getpeername(fd, reinterpret_cast<sockaddr*>(&address), &size);
-            return address.sin_port == fixture.server_a.address.at.sin_port
+            return address.sin_port == fixture.server_a.address.socket_address.sin_port
                        ? error
-                       : fixture.kernel.Kernel::connected(fd);
+                       : fixture.kernel.Kernel::connect_error(fd);
         };
         for (int i = 0; i < 12; ++i) {
             TestConnection client = fixture.connect_client(fixture.open_line()),
