--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -151,8 +151,8 @@
         std::string mode = "pass";  // "pass": packet passthrough; "proxy": without it
         int max_descriptors = 256;
         bool health_checks = false;
-        int log_descriptor = -1;
-        bool admin = false;
+        int log_descriptor = -1;           // -1: no log
+        bool admin = false;                // with an admin server
         bool inherits_listener = false;    // the node is started with the listening socket for clients
         std::string client_timeout = "3";  // in s
         std::string drain_grace = "3";     // in s
@@ -269,11 +269,11 @@
     }
     // A connection to the admin server.
     TestConnection connect_admin(std::string_view call = "") const {
-        TestConnection operator_connection{net::connect_to(*net::parse_address(admin_address)), {}};
-        pollfd connected{operator_connection.fd.get(), POLLOUT, 0};
+        TestConnection connection{net::connect_to(*net::parse_address(admin_address)), {}};
+        pollfd connected{connection.fd.get(), POLLOUT, 0};
         ::poll(&connected, 1, 1000);
-        if (!call.empty()) operator_connection.send(call);
-        return operator_connection;
+        if (!call.empty()) connection.send(call);
+        return connection;
     }
     // Sends an admin request and returns the complete response.
     std::string call_admin(std::string_view text) {
--- a/tests/node_input_test.cpp
+++ b/tests/node_input_test.cpp
@@ -24,9 +24,7 @@
     }
 }
 
-TEST_CASE(
-    "a client that keeps sending after an invalid line, or reconnects with it, gets ERR and uses few "
-    "resources") {
+TEST_CASE("a client that sends on after an invalid line, or reconnects with it, gets ERR and costs little") {
     NodeFixture fixture({.mode = "pass", .max_descriptors = 256, .health_checks = false});
     TestConnection misbehaving = fixture.connect_client("frob\r\n");
     const std::string more(1 << 16, 'x');
--- a/tests/node_migration_test.cpp
+++ b/tests/node_migration_test.cpp
@@ -11,8 +11,7 @@
 using namespace fake;
 
 TEST_CASE(
-    "in a graceful shutdown the node serves new clients, migrates all at the end of a line and exits when "
-    "empty") {
+    "in a graceful shutdown the node serves new clients, migrates all at a line end and exits when empty") {
     NodeFixture fixture({.mode = "proxy", .max_descriptors = 256, .health_checks = false});
     OpenTunnel tunnel = fixture.open_tunnel();
     tunnel.server.send("half a ");
--- a/tests/node_overload_test.cpp
+++ b/tests/node_overload_test.cpp
@@ -12,9 +12,7 @@
 
 using namespace fake;
 
-TEST_CASE(
-    "without free descriptors the node answers BUSY, and serves clients again once others have "
-    "disconnected") {
+TEST_CASE("without free descriptors the node answers BUSY, and serves again once clients have disconnected") {
     NodeFixture fixture({.mode = "pass", .max_descriptors = 40, .health_checks = false});
     std::vector<std::pair<TestConnection, TestConnection>> open_tunnels;
     TestConnection client;
--- a/tests/node_tunnel_test.cpp
+++ b/tests/node_tunnel_test.cpp
@@ -25,9 +25,7 @@
     CHECK(fixture.run_until([&] { return server.has_received("first\r\na\r\nb"); }));
 }
 
-TEST_CASE(
-    "a server that refuses connections cannot have executed the request: the tunnel is retried on the "
-    "other") {
+TEST_CASE("a server that refuses connections has not executed the request: the other server is tried") {
     NodeFixture fixture;
     fixture.server_a.fd.close();
     for (int i = 0; i < 6; ++i) {
