--- a/tests/node_tunnel_test.cpp
+++ b/tests/node_tunnel_test.cpp
@@ -51,8 +51,7 @@
 }
 
 TEST_CASE(
-    "a tunnel that no server accepts is rejected at once with a clean close, even if the client has sent "
-    "more") {
+    "a tunnel that no server accepts is rejected at once and closed cleanly, even with unread client input") {
     NodeFixture fixture;
     TestConnection client = fixture.connect_client("OPEN 1 k c=chat,d=2000\r\nmore\r\n");
     for (int i = 0; i < 3; ++i) fixture.accept_attempt().send("BUSY\r\n");
