--- a/src/balance/admission_control.cpp
+++ b/src/balance/admission_control.cpp
@@ -20,8 +20,8 @@
                       recent_ended_ + tunnel_table_.pending_attempts() <= 2 * recent_opened_ + allowance;
     if (open != admission_was_open_)
         node_.log_line("admission %s: of the recent setups %.0f have ended, %.0f of them opened; %d pending",
-                       open ? "opens" : "closes", recent_ended_, recent_opened_,
-                       tunnel_table_.pending_attempts());
+                       open ? "opens, new tunnels are accepted" : "closes, new tunnels are rejected",
+                       recent_ended_, recent_opened_, tunnel_table_.pending_attempts());
     return admission_was_open_ = open;
 }
 
--- a/src/balance/admission_control.h
+++ b/src/balance/admission_control.h
@@ -16,6 +16,7 @@
 
     void on_setup_succeeded() { ++recent_opened_; }
     void on_setup_ended() { ++recent_ended_; }
+    /// Decays the counts of setups. Called each tick.
     void decay_setups();
     /// Whether another attempt may be sent. When most setups fail everywhere (a shared store past its rate,
     /// full queues), further setups and the retries of failed clients prolong the congestion. Therefore at
--- a/src/balance/endpoint.h
+++ b/src/balance/endpoint.h
@@ -1,6 +1,5 @@
-/// Endpoint, which holds what a node knows about one server, and TrackedTunnel, which holds what it knows
-/// about one tunnel. Loads are in standard cores, utilizations are loads divided by capacity, times are Ticks
-/// of the node's clock.
+/// What a node knows about each server and each tunnel. Loads are in standard cores, utilizations are loads
+/// divided by capacity, times are Ticks of the node's clock.
 #pragma once
 #include <array>
 #include <cstdint>
@@ -29,6 +28,7 @@
     abandoned   // the client disconnected while an attempt was pending
 };
 
+/// What the node knows about one tunnel.
 struct TrackedTunnel {
     std::uint64_t id = 0, key = 0;
     Ticks deadline = 0, arrived_at = 0, attempt_started_at = 0;
@@ -48,6 +48,7 @@
     bool has_key = false, mid_flow = false, reconnect = false, queried_all = false;
 };
 
+/// What the node knows about one server.
 struct Endpoint {
     // From the endpoint list.
     std::uint32_t id = 0, zone = 0, cell = 0;
@@ -64,7 +65,7 @@
     failure_detector::FailureLikelihood failure_likelihood;    // from setups and health checks
     failure_detector::Observations unresponsive_observations;  // by nodes that got no answer from it
     failure_detector::Observations failure_observations;       // by nodes whose setups failed on it
-    Ticks ejected_at = 0, probation_at = 0;  // after probation_at, a tunnel's first attempt may try it
+    Ticks ejected_at = 0, probation_at = 0;  // from probation_at on, a tunnel's first attempt may try it
     Ticks succeeded_at = -never;             // the last successful setup of this node
     Ticks failed_at = -never;                // when this node last got no answer
     Ticks failure_reported_at = -never;      // when this node last reported the failure to the report owners
--- a/src/balance/endpoint_list_poller.cpp
+++ b/src/balance/endpoint_list_poller.cpp
@@ -41,7 +41,7 @@
         poll_list_at_ =
             node_.now() +
             (list_kind_ == EndpointListKind::failed ? list_backoff_.on_failure(node_.random_fraction()) : 0);
-        node_.log_line("endpoint list lost, %d consecutive failures; keeping the last list and polling again",
+        node_.log_line("endpoint list lost, %d consecutive failures; keeping the last list and trying again",
                        list_backoff_.failures());
         return poll_endpoint_list();
     }
--- a/src/balance/endpoint_list_poller.h
+++ b/src/balance/endpoint_list_poller.h
@@ -23,6 +23,8 @@
     EndpointListPoller(const EndpointListPoller&) = delete;
     EndpointListPoller& operator=(const EndpointListPoller&) = delete;
 
+    /// Called at the beginning of a list. A failed poll and a move of service discovery are passed as lists
+    /// of their kind without endpoints.
     void begin_endpoint_list(EndpointListKind kind);
     /// Schedules the first poll, at a random delay so that nodes that start together do not poll together.
     void start_polling();
@@ -35,7 +37,7 @@
     void end_endpoint_list();
 
   private:
-    // Assumes one new tunnel per endpoint in three seconds until traffic has been seen.
+    // Sets the estimates that hold until traffic has been seen: one new tunnel per endpoint in three seconds.
     void initialise_load_estimates();
 
     NodeContext& node_;
--- a/src/balance/failure_gossip.h
+++ b/src/balance/failure_gossip.h
@@ -40,6 +40,7 @@
     /// Whether this node, as report owner, must publish that the endpoint has failed: a quorum has observed
     /// it. The second and third owner wait longer, and publish only if those before them do not.
     bool failure_is_due(const Endpoint& endpoint) const;
+    /// Broadcasts the two newest observations of the endpoint's failure.
     void publish_failure(Endpoint& endpoint);
     bool isolated() const { return isolated_; }
 
@@ -48,7 +49,8 @@
     // node that had a success on the endpoint within the last second does not eject it, and to eject more
     // than half of a zone or cell a node needs evidence of its own.
     void accept_gossip(Endpoint& endpoint);
-    // Starts a health check. From now on one failure that this node observes is enough to eject the endpoint.
+    // Starts a health check. While failures are rare elsewhere, one failure that this node observes is now
+    // enough to eject the endpoint, unless it is the timeout of a setup, which counts less.
     void raise_suspicion(Endpoint& endpoint);
 
     NodeContext& node_;
--- a/src/balance/group_affinity.h
+++ b/src/balance/group_affinity.h
@@ -41,6 +41,7 @@
     /// A tunnel of a node in `zone` was placed in another zone. Once such tunnels have cost more than another
     /// copy of the group would, the group gets an affinity target in that zone.
     void on_cross_zone(std::uint32_t group, std::uint32_t zone);
+    /// The first live node at the group's place on the ring.
     std::uint32_t group_leader(std::uint32_t group) const;
     /// By endpoint index, 1 for those marked by the last call of mark_affinity_targets().
     const std::vector<char>& holds_group() const { return holds_group_; }
@@ -76,9 +77,9 @@
     // The first endpoint in the group's order that the tunnel can be placed on and that is not marked yet.
     std::uint32_t rendezvous_endpoint(const TrackedTunnel& tunnel, bool warming_up_only) const;
     bool is_affinity_target(const GroupTable::Place& place) const;
-    // Counts the affinity targets of the group but `except` as full. A group gets a further target when the
-    // others have no headroom. Its leader knows this from the records, other nodes only seconds later from
-    // load reports, and they would go on filling the others until then.
+    // Counts the affinity targets of the group, apart from `except`, as full. A group gets a further target
+    // when its earlier ones have no headroom. The leader knows this from the records. Other nodes see it only
+    // seconds later, in load reports, and would go on placing tunnels on the earlier targets until then.
     void mark_targets_full(std::uint32_t group, std::uint32_t except);
     // The utilization above which an endpoint has no headroom for another group. Lower shortly after this
     // node's start, while tunnels that were open before are still becoming known.
--- a/src/balance/group_table.h
+++ b/src/balance/group_table.h
@@ -20,14 +20,14 @@
     /// Changes the number of the group's tunnels on an endpoint by `by`. Group 0 stands for no group.
     void add(std::uint32_t group, std::uint32_t endpoint_id, int by) {
         if (group == 0) return;
-        Place& p = place(group, endpoint_id);
-        const bool held = p.members > 0;
-        p.members = std::max(0, p.members + by);
-        if (held != (p.members > 0))
+        Place& entry = place(group, endpoint_id);
+        const bool held = entry.members > 0;
+        entry.members = std::max(0, entry.members + by);
+        if (held != (entry.members > 0))
             group_counts_.put(endpoint_id, group_count(endpoint_id) + (held ? -1 : 1));
-        if (p.members > 0 || p.affinity_target_at >= 0) return;  // the place is still in use
+        if (entry.members > 0 || entry.affinity_target_at >= 0) return;  // the place is still in use
         auto& places = places_[index_.find(group)];
-        p = places.back();
+        entry = places.back();
         places.pop_back();
     }
     void set_affinity_target(std::uint32_t group, std::uint32_t endpoint_id, std::int64_t at) {
--- a/src/balance/load_cost.h
+++ b/src/balance/load_cost.h
@@ -1,5 +1,5 @@
-/// Converts load to a cost in connections served late. Endpoints are compared, and tunnels are rejected, by
-/// it.
+/// Converts load to a cost in connections served late. The cost decides between endpoints, and a tunnel that
+/// would cost more than a limit is rejected.
 #pragma once
 #include <vector>
 
@@ -16,12 +16,13 @@
     LoadCost(const LoadCost&) = delete;
     LoadCost& operator=(const LoadCost&) = delete;
 
-    /// The cost of `added` load, in mean tunnels, at a utilization x: the slope of x * late(x), where late(x)
-    /// is the share of late messages.
+    /// The cost of adding `added` load, in mean tunnels, at a utilization x: the slope of x * late(x) times
+    /// `added`, where late(x) is the share of late messages.
     double late_cost(double utilization, double added) const;
-    /// The lowest utilization that the cost of a group copy is computed at. A copy stays while the endpoint
-    /// fills up. This is at least 0.5 shortly after this node's start, when reports do not show how full
-    /// endpoints are, as the tunnels opened before it are still becoming known.
+    /// The lowest utilization at which the cost of another copy of a group is computed. It is above the
+    /// fleet's mean, since a copy stays while endpoints fill up. Shortly after this node's start it is at
+    /// least 0.5 instead: reports do not show how full endpoints are while the tunnels that were open before
+    /// are still becoming known.
     double group_copy_utilization() const;
     /// The least cost of another copy of a group. 0 without a group, and where load totals are known: there
     /// the load of the copy is added to that of the tunnel.
--- a/src/balance/load_estimator.h
+++ b/src/balance/load_estimator.h
@@ -21,6 +21,7 @@
     LoadEstimator(const LoadEstimator&) = delete;
     LoadEstimator& operator=(const LoadEstimator&) = delete;
 
+    /// Count towards the share of tunnels that are cut off soon after opening.
     void on_tunnel_opened() { ++recently_opened_; }
     void on_early_loss() { ++recent_early_losses_; }
     /// Adds a measured load of a tunnel to the means.
@@ -62,6 +63,7 @@
     /// and those with a heavy one empty, until they reach the fleet's mean. Without this estimate all nodes
     /// would herd on the few endpoints whose last report was light.
     void estimate_unseen_placements(double load, const std::vector<double>& chances);
+    /// A message at the endpoint was answered only after `delay`.
     void on_slow_message(Endpoint& endpoint, Ticks delay);
     /// Applies a load report that came with a health check of this node, and learns the endpoint's capacity
     /// from it where load totals are known.
--- a/src/balance/load_reporter.h
+++ b/src/balance/load_reporter.h
@@ -26,8 +26,9 @@
     /// Schedules the first publication, at a random delay so that nodes that start together do not publish
     /// together.
     void start_publishing();
-    /// Publishes the load totals at the interval that the gossip budget allows; none if that is too long for
-    /// them to be of use.
+    /// Publishes the load totals at the interval that the gossip budget allows. Where load totals are not
+    /// known, it publishes them every report_period if that interval is below four report periods, and not at
+    /// all otherwise, as they would be too old to be of use.
     void publish_load_totals_when_due();
     /// Elects the report owners of each endpoint: the chain of three live nodes at the ring point of the
     /// endpoint's block. The endpoints of a block have the same owners, so that one message covers them. The
@@ -46,8 +47,9 @@
   private:
     friend class StateCodec;
 
-    // A report owner publishes at once that an endpoint has recovered. Otherwise it publishes at the interval
-    // that the gossip budget allows, and sooner the more the utilization has changed.
+    // The first report owner publishes at once that an endpoint has recovered, the second and third no sooner
+    // than 1 s and 2 s after its ejection. Otherwise the first publishes at the interval that the gossip
+    // budget allows, and sooner the more the utilization has changed; the others wait 3 and 5 times as long.
     bool report_is_due(const Endpoint& endpoint) const;
     // Broadcasts the load totals that have changed, and all of them every fourth time.
     void publish_load_totals();
--- a/src/balance/outlier_detector.h
+++ b/src/balance/outlier_detector.h
@@ -20,6 +20,7 @@
     OutlierDetector(const OutlierDetector&) = delete;
     OutlierDetector& operator=(const OutlierDetector&) = delete;
 
+    /// Decays the outcome counts of all endpoints together. Called each tick.
     void decay_outcomes() { recent_outcomes_.decay(failure_detector::outcome_decay); }
     /// Readmits the endpoint if it was ejected by gossip alone and no node has renewed the gossip in time.
     void readmit_expired(Endpoint& endpoint);
@@ -36,8 +37,8 @@
     /// overloaded.
     void on_responsive(Endpoint& endpoint);
     /// Ejects the endpoint. If most endpoints are ejected then, readmits them all. `value` is logged after
-    /// `reason`. `by_gossip`: on observations of other nodes alone, so the ejection ends unless they are
-    /// renewed.
+    /// `reason`. `by_gossip`: the ejection rests on observations of other nodes alone, and ends unless they
+    /// are renewed.
     void eject(Endpoint& endpoint, const char* reason, double value, bool by_gossip = false);
     void readmit(Endpoint& endpoint, const char* reason);
     /// Readmits on another node's success, at the earliest one second after the ejection. If this node itself
@@ -49,8 +50,9 @@
     /// longest client timeout is ejected.
     void on_slow_messages(std::uint32_t endpoint_id, Ticks delay);
     /// The endpoint has sent nothing for `span` although lines to it are unanswered. A healthy endpoint
-    /// answers a line at once, so one that hangs or is cut off is ejected seconds before setups and health
-    /// checks fail.
+    /// answers a line at once, so one that hangs or is cut off is ejected after line_timeout, seconds before
+    /// setups and health checks fail. For an ejected endpoint half of it is enough to record that this node
+    /// gets no answer either.
     void on_unresponsive(std::uint32_t endpoint_id, Ticks span);
     const failure_detector::OutcomeTotals& recent_outcomes() const { return recent_outcomes_; }
 
--- a/src/failure_detector/failure_likelihood.h
+++ b/src/failure_detector/failure_likelihood.h
@@ -9,10 +9,10 @@
 
 namespace lemonstair::failure_detector {
 
-// The failure rate of an outlier; the lowest failure rate that is assumed of other endpoints; the same for
-// failures that something shared may have caused; the log-likelihood ratio at which an endpoint is ejected.
-constexpr double outlier_failure_rate = 0.5, baseline_failure_rate = 0.015, shared_failure_rate = 0.1,
-                 ejection_threshold = 6.0;
+constexpr double outlier_failure_rate = 0.5,  // the assumed failure rate of an outlier
+    baseline_failure_rate = 0.015,            // the lowest failure rate that is assumed of other endpoints
+    shared_failure_rate = 0.1,  // the same, for failures that may have a cause that endpoints share
+    ejection_threshold = 6.0;   // the log-likelihood ratio at which an endpoint is ejected
 /// The exponential decay of outcome counts, which makes them look back about 3 s.
 constexpr double outcome_decay = 0.967;              // per outcome_decay_period
 constexpr std::int64_t outcome_decay_period = 1000;  // 0.1 s
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -89,7 +89,7 @@
     for (auto* node : {&first, &last})
         for (const auto& [to, bytes] : node->gossip) {
             CHECK(bytes.size() <= peer::max_message_bytes);
-            if (to != 99) receivers.insert(to);  // 99 stands for a broadcast
+            if (to != 99) receivers.insert(to);  // 99: a broadcast, or a message to node 99
         }
     CHECK(receivers.size() >= 300);  // of records and outcomes
     CHECK(*receivers.rbegin() > 1024);
--- a/tests/load_estimator_test.cpp
+++ b/tests/load_estimator_test.cpp
@@ -93,8 +93,8 @@
     CHECK(reported <= 48);
 }
 
-// The sampled records cover tunnels on all endpoints. Dividing their load by the capacity of the reported
-// ones alone would overestimate it.
+// The sampled records cover tunnels on all endpoints. Dividing their load by the utilization of the reported
+// endpoints alone would overestimate the capacity.
 TEST_CASE("the estimated capacity is right while only few endpoints are reported") {
     BalancerFixture delegate;
     EstimatorOnly estimator(BalancerFixture::default_config(0, 3), delegate);
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -73,7 +73,7 @@
     CHECK(attempts_on_7 <= 2);
 }
 
-// If each of 120 nodes allowed the endpoint only a single tunnel, it would be overloaded.
+// If each of 120 nodes placed even one tunnel on the endpoint, it would be overloaded.
 TEST_CASE(
     "many nodes together keep to the slow-start limit of an endpoint that none of them has used before") {
     constexpr std::uint32_t nodes = 120;
