--- a/src/balance/load_estimator.h
+++ b/src/balance/load_estimator.h
@@ -63,7 +63,7 @@
     /// and those with a heavy one empty, until they reach the fleet's mean. Without this estimate all nodes
     /// would herd on the few endpoints whose last report was light.
     void estimate_unseen_placements(double load, const std::vector<double>& chances);
-    /// A message at the endpoint was answered only after `delay`.
+    /// Messages at the endpoint are delayed by `delay`, as measured or by the estimated backlog.
     void on_slow_message(Endpoint& endpoint, Ticks delay);
     /// Applies a load report that came with a health check of this node, and learns the endpoint's capacity
     /// from it where load totals are known.
--- a/src/balance/outlier_detector.h
+++ b/src/balance/outlier_detector.h
@@ -46,8 +46,8 @@
     void on_reported_healthy(Endpoint& endpoint, const char* reason);
     /// Node `sender` observed an outcome; `outcome` is an Outcome, and unknown values are ignored.
     void on_outcome(std::uint32_t sender, std::uint32_t endpoint_id, std::uint8_t outcome);
-    /// Messages at the endpoint are answered with this delay. An endpoint whose delay exceeds twice the
-    /// longest client timeout is ejected.
+    /// Messages of an open tunnel are delayed by `delay` at the endpoint. It is ejected if this is more than
+    /// twice the longest client timeout.
     void on_slow_messages(std::uint32_t endpoint_id, Ticks delay);
     /// The endpoint has sent nothing for `span` although lines to it are unanswered. A healthy endpoint
     /// answers a line at once, so one that hangs or is cut off is ejected after line_timeout, seconds before
