--- a/src/balance/endpoint_list_poller.h
+++ b/src/balance/endpoint_list_poller.h
@@ -23,8 +23,8 @@
     EndpointListPoller(const EndpointListPoller&) = delete;
     EndpointListPoller& operator=(const EndpointListPoller&) = delete;
 
-    /// Called at the beginning of a list. A failed poll and a move of service discovery are passed as lists
-    /// of their kind without endpoints.
+    /// Called at the beginning of a list. A failed poll, a lost watch and a move of service discovery are
+    /// passed as lists without endpoints, of kind `failed` or `moved`.
     void begin_endpoint_list(EndpointListKind kind);
     /// Schedules the first poll, at a random delay so that nodes that start together do not poll together.
     void start_polling();
