--- a/src/balance/outlier_detector.h
+++ b/src/balance/outlier_detector.h
@@ -20,6 +20,7 @@
     OutlierDetector(const OutlierDetector&) = delete;
     OutlierDetector& operator=(const OutlierDetector&) = delete;
 
+    /// Decays the outcome counts of all endpoints together. Called each tick.
     void decay_outcomes() { recent_outcomes_.decay(failure_detector::outcome_decay); }
     /// Readmits the endpoint if it was ejected by gossip alone and no node has renewed the gossip in time.
     void readmit_expired(Endpoint& endpoint);
@@ -36,8 +37,8 @@
     /// overloaded.
     void on_responsive(Endpoint& endpoint);
     /// Ejects the endpoint. If most endpoints are ejected then, readmits them all. `value` is logged after
-    /// `reason`. `by_gossip`: on observations of other nodes alone, so the ejection ends unless they are
-    /// renewed.
+    /// `reason`. `by_gossip`: the ejection rests on observations of other nodes alone, and ends unless they
+    /// are renewed.
     void eject(Endpoint& endpoint, const char* reason, double value, bool by_gossip = false);
     void readmit(Endpoint& endpoint, const char* reason);
     /// Readmits on another node's success, at the earliest one second after the ejection. If this node itself
@@ -45,12 +46,13 @@
     void on_reported_healthy(Endpoint& endpoint, const char* reason);
     /// Node `sender` observed an outcome; `outcome` is an Outcome, and unknown values are ignored.
     void on_outcome(std::uint32_t sender, std::uint32_t endpoint_id, std::uint8_t outcome);
-    /// Messages at the endpoint are answered with this delay. An endpoint whose delay exceeds twice the
-    /// longest client timeout is ejected.
+    /// Messages of an open tunnel are delayed by `delay` at the endpoint. It is ejected if this is more than
+    /// twice the longest client timeout.
     void on_slow_messages(std::uint32_t endpoint_id, Ticks delay);
     /// The endpoint has sent nothing for `span` although lines to it are unanswered. A healthy endpoint
-    /// answers a line at once, so one that hangs or is cut off is ejected seconds before setups and health
-    /// checks fail.
+    /// answers a line at once, so one that hangs or is cut off is ejected after line_timeout, seconds before
+    /// setups and health checks fail. For an ejected endpoint half of it is enough to record that this node
+    /// gets no answer either.
     void on_unresponsive(std::uint32_t endpoint_id, Ticks span);
     const failure_detector::OutcomeTotals& recent_outcomes() const { return recent_outcomes_; }
 
