--- a/src/balance/attempt_policy.cpp
+++ b/src/balance/attempt_policy.cpp
@@ -4,7 +4,8 @@
 
 namespace {
 
-// With less time left, in units of the clock resolution, an attempt could not end before its client gives up.
+// A retry needs more time than this until the deadline, in units of the clock resolution; otherwise it could
+// not end before its client gives up.
 constexpr Ticks min_remaining_resolutions = 4;
 
 // Whether another attempt, written within `reserve`, can have no second effect.
--- a/src/balance/attempt_policy.h
+++ b/src/balance/attempt_policy.h
@@ -12,13 +12,14 @@
 
 namespace lemonstair::attempt_policy {
 
-/// The longest stall of the process, between reading its clock and writing, that the rules must tolerate.
+/// The longest stall of the process, between reading its clock and writing, that the rules must tolerate:
+/// 150 ms.
 constexpr Ticks max_write_delay = 1500;
 
 /// The part of an endpoint's state that decides whether it may be sent to.
 struct EndpointPhase {
     EndpointState state = EndpointState::active;
-    Ticks drain_notified_at = 0;
+    Ticks drain_notified_at = 0;  // when this node learned that it is no longer active
 };
 /// Whether an attempt may be sent to the endpoint within `reserve`: always while it is active, otherwise
 /// until its drain grace ends.
@@ -54,7 +55,7 @@
 /// Whether the client of a tunnel that is given up may be told that a retry is harmless.
 bool may_promise_no_effect(const TunnelLimits& limits, const History& history, Ticks now);
 
-/// The input of a connection that may be closed before its first line was answered.
+/// The input of a connection that is about to be closed before its first line was answered.
 struct PendingInput {
     std::size_t unread = 0;      // bytes in the kernel's receive buffer
     bool complete_line = false;  // a line has been read but not answered
--- a/src/balance/gossip_budget.h
+++ b/src/balance/gossip_budget.h
@@ -17,6 +17,7 @@
 
     /// Counts a placement of this node, or one of another node whose record arrived.
     void count_placement() { ++placed_since_tick_; }
+    /// `rate`: placements seen in 10 s.
     void set_placement_rate(double rate) { placement_rate_ = rate; }
     /// In each tick. `age_seconds`: how long the node has been running.
     void update_placement_rate(double age_seconds);
@@ -29,6 +30,7 @@
     bool gossip_worthwhile(int cost_divisor = 1) const;
     /// Sets the two intervals below, for the current number of endpoints and rate of placements.
     void update_gossip_intervals();
+    /// Placements seen in 10 s.
     double placement_rate() const { return placement_rate_; }
     Ticks load_totals_interval() const { return load_totals_interval_; }
     Ticks report_interval() const { return report_interval_; }
--- a/src/balance/peer_monitor.cpp
+++ b/src/balance/peer_monitor.cpp
@@ -74,7 +74,7 @@
 }
 
 void PeerMonitor::mark_peer_down(std::uint32_t node) {
-    node_.log_line("node %u is down: silent for %lld ms", node,
+    node_.log_line("node %u is down: silent for %lld ms, publishing again the records that it held", node,
                    static_cast<long long>((node_.now() - peer_table_.peers()[node].heard_at) / 10));
     for (auto& endpoint : endpoint_table_.endpoints()) endpoint.set_load_of_node(node, 0);
     replicator_.rereplicate_records(node, false);
--- a/src/balance/peer_monitor.h
+++ b/src/balance/peer_monitor.h
@@ -21,8 +21,8 @@
     PeerMonitor(const PeerMonitor&) = delete;
     PeerMonitor& operator=(const PeerMonitor&) = delete;
 
-    /// In each tick, takes effect once: announces this node to the others, which send it the records that it
-    /// should hold.
+    /// Called in each tick, but only the first call has an effect: it announces this node to the others,
+    /// which send it the records that it should hold.
     void announce_start();
     /// Sends heartbeats to the next two live nodes and monitors the previous two; one that is silent for too
     /// long is marked and broadcast as down. Heartbeats between all nodes would grow with the square of their
--- a/src/balance/peer_state.h
+++ b/src/balance/peer_state.h
@@ -8,7 +8,7 @@
 namespace lemonstair {
 
 struct Peer {
-    Ticks heard_at = 0;             // when its last message arrived
+    Ticks heard_at = 0;             // when its last message arrived, or when this node began to monitor it
     Ticks load_totals_at = -never;  // when it last published its load totals
     bool alive = true;
 };
--- a/src/balance/placement.h
+++ b/src/balance/placement.h
@@ -24,8 +24,8 @@
     Placement(const Placement&) = delete;
     Placement& operator=(const Placement&) = delete;
 
-    /// The index of the chosen endpoint; `none` if none may be sent to or the tunnel should wait for a lease,
-    /// or if it would cost too much (too_costly).
+    /// Returns the index of the chosen endpoint, or `none`: no endpoint may be sent to, the tunnel should
+    /// wait for a lease, or it would cost too much (too_costly).
     std::uint32_t choose(const TrackedTunnel& tunnel);
     /// Whether the tunnel of the last choice should wait: all that the cheapest endpoint lacks is a unit of
     /// slow-start quota, which another node may lease to this one.
@@ -38,7 +38,7 @@
     /// The cheapest endpoint that the last choice passed over because its slow-start quota was spent, or
     /// `none`.
     std::uint32_t quota_short_endpoint() const { return quota_short_endpoint_; }
-    /// Whether the last choice found no endpoint within the cost that the tunnel may cause.
+    /// Whether the last choice failed because the tunnel would cost more than its limit on every endpoint.
     bool too_costly() const { return too_costly_; }
 
   private:
--- a/src/balance/record_replicator.cpp
+++ b/src/balance/record_replicator.cpp
@@ -54,7 +54,8 @@
 }
 
 void RecordReplicator::rereplicate_records(std::uint32_t node, bool alive) {
-    // With the node alive, its chains are those that it joins now or has just left.
+    // The chains are computed as if the node were alive: these are the ones that it joins now or has just
+    // left.
     peer_table_.peers()[node].alive = true;
     std::vector<std::uint32_t> affected;
     for (std::uint32_t i = 0; i < tunnel_table_.tunnels().slot_count(); ++i)
--- a/src/balance/record_replicator.h
+++ b/src/balance/record_replicator.h
@@ -33,11 +33,11 @@
     /// A node has come up or gone down: publishes again the records that have it on their chain. To publish
     /// all records would take too much gossip.
     void rereplicate_records(std::uint32_t node, bool alive);
-    /// The stamp for a new placement, from a hybrid logical clock: the node's clock, which begins at its wall
-    /// clock, but always later than the stamps seen so far. Otherwise the placements of a node whose clock is
-    /// behind would lose to older ones.
+    /// The stamp for a new placement, from a hybrid logical clock: the node's clock if it is ahead of all
+    /// stamps observed, otherwise one tick more than the highest of them. Without this, the placements of a
+    /// node whose clock is behind would lose to older ones.
     Ticks next_stamp();
-    /// Advances that clock to a stamp from another node. A stamp too far ahead is ignored.
+    /// Advances that clock to a stamp in a record. A stamp too far ahead of this node's clock is ignored.
     void observe_stamp(Ticks stamp);
     /// Whether the tunnel was placed in an earlier incarnation of the endpoint. The stamp must be earlier by
     /// half a second, because clocks differ. They may differ by hours, so a record that was refreshed long
--- a/src/balance/record_table.h
+++ b/src/balance/record_table.h
@@ -55,6 +55,7 @@
         records_.release(index);
         --size_;
     }
+    /// Erases the records that last arrived here before `when`.
     void erase_older_than(Ticks when) {
         for (std::uint32_t i = 0; i < records_.slot_count(); ++i)
             if (records_.in_use(i) && records_[i].heard_at < when) erase(records_[i].key);
--- a/src/balance/state_codec.h
+++ b/src/balance/state_codec.h
@@ -1,7 +1,7 @@
 /// StateCodec: the state of the decision modules as bytes, for the process that takes over in a hot restart.
 /// Writing and reading share one description of the fields. Endpoints are named by their ids, because the
-/// other process assigns its own indexes. State that the other process gets at once in any case (the endpoint
-/// list, timers, the ring) is left out.
+/// other process assigns its own indexes. The endpoint list, timers and the ring are left out, because the
+/// other process gets or creates them itself; so are tunnels, which are transferred one by one.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -37,6 +37,7 @@
     StateCodec(const StateCodec&) = delete;
     StateCodec& operator=(const StateCodec&) = delete;
 
+    /// Appends the state.
     void write(std::string& into) const;
     /// Returns false if the bytes are malformed or do not fit this node's fleet or settings; the modules must
     /// then not be used. Times in the bytes are on the writer's clock, which is `clock_shift` behind this
--- a/src/balance/tunnel_lifecycle.h
+++ b/src/balance/tunnel_lifecycle.h
@@ -43,14 +43,15 @@
     void on_request(std::uint64_t id, const TunnelRequest& request);
     /// A lookup or a wait for a lease may have timed out. Timers of tunnels that have ended are ignored.
     void on_tunnel_timer(std::uint64_t label);
-    /// Registers a tunnel that is already open; without effect if its endpoint is not listed.
+    /// Registers a tunnel that is already open; without effect if its endpoint is not known.
     void adopt_open_tunnel(std::uint64_t id, const TunnelRequest& request, std::uint32_t endpoint_id);
     void on_opened(std::uint64_t id, int attempt);
     /// An attempt or an open tunnel has ended; `settled`: its client has the final answer already.
     void on_ended(std::uint64_t id, int attempt, Outcome outcome, Ticks took, bool settled);
     /// Whether the pending attempt may still be written within `reserve` (see attempt_policy.h).
     Reason may_write(std::uint64_t id, Ticks reserve) const;
-    /// Shortens the deadlines of all tunnels so that each has its final answer by this time.
+    /// Shortens the deadlines and waits of the present tunnels to this time. A pending attempt keeps the
+    /// max_wait that it was started with.
     void set_answer_deadline(Ticks when);
     void on_client_disconnected(std::uint64_t id);
     /// `load` in standard cores.
@@ -60,20 +61,23 @@
     void resume(std::uint32_t index, std::uint32_t endpoint_id);
     /// Tries again to place each waiting tunnel.
     void retry_waiting();
-    /// Hot restart. Both return false, without effect, if the tunnel is not open or the bytes cannot be used.
+    /// Hot restart. Both return false, without effect: serialize_tunnel if the tunnel is not open,
+    /// restore_tunnel if the bytes cannot be used or the endpoint is not known.
     bool serialize_tunnel(std::uint64_t id, std::string& into) const;
     bool restore_tunnel(std::uint64_t id, std::string_view bytes, Ticks clock_shift);
 
   private:
-    // Chooses an endpoint and sends; waits, or gives the final answer, where none can be chosen.
+    // Chooses an endpoint and starts an attempt there. If none can be chosen, the tunnel waits or gets its
+    // final answer.
     void place(std::uint32_t index);
     // Starts an attempt. `is_sticky`: the endpoint already holds the tunnel, so no slow-start quota is spent.
     void send(std::uint32_t index, std::uint32_t endpoint_index, bool is_sticky = false);
     // Gives the final answer and forgets the tunnel: a rejection if a retry by the client is certainly
     // harmless, otherwise a failure.
     void finish(std::uint32_t index, Reason reason);
-    // Forgets the tunnel, and its record if that is the tunnel's latest.
+    // Forgets the tunnel, and its record unless the key has a newer one.
     void release(std::uint32_t index);
+    // Registers a tunnel in state idle and returns its index.
     std::uint32_t track_tunnel(std::uint64_t id, const TunnelRequest& request);
     // Tries again to place a waiting tunnel; gives the final answer when its wait is over.
     void retry(std::uint32_t index);
--- a/tests/balancer_fixture.h
+++ b/tests/balancer_fixture.h
@@ -126,7 +126,7 @@
         balancer->on_ended(tunnel, attempts_of(tunnel) - 1, last_attempt().endpoint, outcome, 10 * ms,
                            settled);
     }
-    /// Answers all pending health checks with the same load, in standard cores.
+    /// Answers all pending health checks with the same load, relative to the capacity.
     void answer_health_checks(double load) {
         for (const auto endpoint : std::exchange(health_checks, {})) {
             LoadReport report;
--- a/tests/placement_without_gossip_test.cpp
+++ b/tests/placement_without_gossip_test.cpp
@@ -134,8 +134,9 @@
     node.set_endpoints(endpoints);
     node.advance(30 * s);
     std::uint64_t tunnel = 0;
-    // About ten requests a second. With `cut`, tunnels to the old endpoints lose their connections after
-    // 100 ms. Returns how many tunnels were sent and how many were rejected.
+    // Requests tunnels one after another: a rejected one takes 100 ms, others 200 or 300 ms. With `cut`,
+    // tunnels to the old endpoints lose their connections after 100 ms. Returns how many tunnels were sent
+    // and how many were rejected.
     const auto request = [&](int tunnels, bool cut) {
         const auto sent_before = node.attempts.size(), rejected_before = node.rejected.size();
         for (int i = 0; i < tunnels; ++i) {
