--- a/src/balance/rebalancer.cpp
+++ b/src/balance/rebalancer.cpp
@@ -81,7 +81,8 @@
                 : load_cost_model_.late_cost(utilization - tunnel.load / load_.capacity(source) / 2, load);
         if (cost_here < best_gain) continue;
         affinity_.mark_affinity_targets(tunnel);
-        // At most this: a tunnel that would cost more everywhere is rejected when its client reconnects.
+        // At most this: a tunnel that would cost more everywhere is rejected when its client reconnects,
+        // which in a full fleet is better than to keep it.
         double cost_elsewhere = load_cost_model_.cost_limit(tunnel.traffic_class);
         const double new_copy_cost = load_cost_model_.group_copy_cost(tunnel.group);
         for (std::uint32_t other = 0; other < endpoint_table_.endpoints().size(); ++other)
