--- a/src/config/node_config.cpp
+++ b/src/config/node_config.cpp
@@ -37,7 +37,7 @@
     const auto address = net::parse_address(environment.admin_addr);
     if (!address)
         throw json::Malformed("NODE_ADMIN_ADDR must be an address and a port, got " +
-                              json::quoted(environment.admin_addr));
+                              json::quoted_excerpt(environment.admin_addr));
     return address;
 }
 
@@ -48,7 +48,7 @@
     const auto [stop, error] = std::from_chars(digits.data(), digits.data() + digits.size(), fd);
     if (error != std::errc{} || stop != digits.data() + digits.size() || fd < 0)
         throw json::Malformed("NODE_INHERITED_FD must be the number of a descriptor, got " +
-                              json::quoted(digits));
+                              json::quoted_excerpt(digits));
     return fd;
 }
 
@@ -60,7 +60,9 @@
     return std::string(environment.tmpdir).append("/lemonstair-").append(name);
 }
 
-std::uint64_t parse_seed(const json::Value& file) {
+// The seed must not appear in errors, which are logged: whoever knows it can predict the node's choices.
+std::uint64_t parse_seed(const json::Value& configuration) {
+    const json::Value file = configuration.without_shown_values();
     const auto digits = file.text("seed");
     std::uint64_t seed = 0;
     const char* end = digits.data() + digits.size();
@@ -91,7 +93,8 @@
     file.for_each("peers", [&](const json::Value& entry) {
         const auto address = net::parse_address(entry.type() == json::Type::text ? entry.raw() : "");
         if (!address)
-            file.fail("peers", "must be a list of addresses with ports, got " + json::quoted(entry.raw()));
+            file.fail("peers",
+                      "must be a list of addresses with ports, got " + json::quoted_excerpt(entry.raw()));
         config.peer_addresses.push_back(*address);
     });
     const bool has_peers = config.balancer.limits.gossip_enabled && config.balancer.node_count > 1;
--- a/src/config/settings.h
+++ b/src/config/settings.h
@@ -37,7 +37,7 @@
     std::string message = std::string("field '").append(key).append("' must be");
     const char* separator = " '";
     for (const auto& [name, value] : words) message.append(std::exchange(separator, "' or '")).append(name);
-    throw json::Malformed(message.append("', got ").append(json::quoted(word)));
+    throw json::Malformed(message.append("', got ").append(json::quoted_excerpt(word)));
 }
 
 /// The field of a load report by its name in an endpoint's answer; null for an unknown name.
--- a/src/discovery/endpoint_directory.cpp
+++ b/src/discovery/endpoint_directory.cpp
@@ -64,7 +64,7 @@
             log_.error()
                 << "endpoint list " << revision
                 << ": not all of 'members' are objects with 'id' and 'phase'; malformed ones are skipped, "
-                   "and no endpoint counts as removed because it is not listed";
+                   "and no unlisted endpoint counts as removed";
         balancer.begin_endpoint_list(cached                                   ? EndpointListKind::cached
                                      : complete && entries_valid && !outdated ? EndpointListKind::complete
                                                                               : EndpointListKind::changes);
@@ -147,11 +147,11 @@
 std::uint32_t EndpointDirectory::add(const json::Value& entry, const std::string& id,
                                      const std::optional<net::Address>& address) {
     if (!address)
-        entry.fail("host_port", "of endpoint " + json::quoted(id) + " must be an address and a port");
+        entry.fail("host_port", "of endpoint " + json::quoted_excerpt(id) + " must be an address and a port");
     const auto number = static_cast<std::uint32_t>(hash_text(id) & 0x7fffffff);
     if (index_by_number_.find(number) != none)
         entry.fail("id", "has the same hash as the id of endpoint " +
-                             json::quoted(endpoints_[index_by_number_.find(number)].id));
+                             json::quoted_excerpt(endpoints_[index_by_number_.find(number)].id));
     const auto index = static_cast<std::uint32_t>(endpoints_.size());
     DiscoveredEndpoint& endpoint = endpoints_.emplace_back();
     endpoint.number = number;
--- a/src/json/json.cpp
+++ b/src/json/json.cpp
@@ -175,13 +175,12 @@
 Value Document::root() const { return items_.empty() ? Value() : Value(*this, 0); }
 
 void Value::fail(std::string_view name, std::string_view problem) const {
-    constexpr std::size_t max_shown_bytes = 64;
     std::string message = std::string(context_).append(": field '").append(name).append("' ").append(problem);
-    const Value value = find(name);
+    const Value value = shows_values_ ? find(name) : Value();
     if (value.type() == Type::text)
-        message.append(", got ").append(quoted(value.raw().substr(0, max_shown_bytes)));
+        message.append(", got ").append(quoted_excerpt(value.raw()));
     else if (value.type() == Type::number || value.type() == Type::boolean)
-        message.append(", got ").append(value.raw().substr(0, max_shown_bytes));
+        message.append(", got ").append(excerpt(value.raw()));
     throw Malformed(message);
 }
 
--- a/src/json/json.h
+++ b/src/json/json.h
@@ -57,6 +57,12 @@
         value.context_ = context;
         return value;
     }
+    // The same value, for a field that must stay secret: its error messages do not show the field's value.
+    Value without_shown_values() const {
+        Value value = *this;
+        value.shows_values_ = false;
+        return value;
+    }
     Type type() const { return document_ == nullptr ? Type::null : item().type; }
     // The characters of a text (unescaped), a number or a boolean; empty for a list and an object. Must not
     // be called on a null value.
@@ -103,8 +109,8 @@
     }
     // This value as a number; NaN where it is not a number, or out of the range of a double.
     double as_number() const;
-    // Throws Malformed with the message "CONTEXT: field 'NAME' PROBLEM", followed by the value of the field
-    // where that is a text, a number or a boolean.
+    // Throws Malformed with the message "CONTEXT: field 'NAME' PROBLEM", followed by an excerpt of the
+    // field's value where that is a text, a number or a boolean.
     [[noreturn]] void fail(std::string_view name, std::string_view problem) const;
 
   private:
@@ -118,6 +124,7 @@
     Value require(std::string_view name, Type type, const char* expected) const;
     const Document* document_ = nullptr;
     std::uint32_t index_ = 0;
+    bool shows_values_ = true;  // in error messages; not passed on to nested values
     const char* context_ = "";
 };
 
--- a/tests/parsers_test.cpp
+++ b/tests/parsers_test.cpp
@@ -46,6 +46,32 @@
     CHECK_THROWS_WITH(root.uint32("big"), "here: field 'big' must be at most 4294967295, got 99999999999");
 }
 
+TEST_CASE("an error shows a value as one line of printable ASCII of limited length") {
+    // The value is logged. With line ends or terminal codes it could forge other lines, and a line that is
+    // longer than the log's buffer would be dropped.
+    const std::string digits(1000, '7');
+    const std::string text = R"({"empty":"","odd":"a\n\u0000\u001b\u007f\u0085\u00e9\"\\ b","raw":")"
+                             "\xff\xc3\x28"
+                             R"(","long":")" +
+                             std::string(63, 'x') + R"(\u00e9yz","exact":")" + std::string(64, 'x') +
+                             R"(","digits":)" + digits + R"(,"list":[1],"object":{},"yes":true})";
+    json::Document document;
+    REQUIRE(document.parse(text));
+    const auto root = document.root().with_context("here");
+    const auto expect = [&](const char* name, const std::string& shown) {
+        const std::string message = "here: field '" + std::string(name) + "' is wrong" + shown;
+        CHECK_THROWS_WITH_AS(root.fail(name, "is wrong"), message.c_str(), json::Malformed);
+    };
+    expect("empty", R"(, got "")");
+    expect("odd", R"(, got "a\x0a\x00\x1b\x7f\xc2\x85\xc3\xa9\"\\ b")");
+    expect("raw", R"(, got "\xff\xc3(")");
+    expect("long", ", got \"" + std::string(63, 'x') + "\\xc3...\"");
+    expect("exact", ", got \"" + std::string(64, 'x') + "\"");
+    expect("digits", ", got " + digits.substr(0, 64) + "...");
+    expect("yes", ", got true");
+    for (const char* without_text : {"list", "object", "missing"}) expect(without_text, "");
+}
+
 TEST_CASE("an invalid configuration is refused with the name of the key") {
     NodeFixture fixture;
     const auto refuse = [&](std::string_view part, std::string_view replacement, const char* key) {
@@ -67,6 +93,32 @@
     refuse(R"("max_setups":3)", R"("max_setups":0)", "'max_setups'");
     refuse(R"("settings")", R"("sittings")", "'settings'");
     refuse(R"("balancers":1)", R"("balancers":0)", "'balancers'");
+    refuse(R"("effect":"read_like")", R"("effect":")" + std::string(100000, '\x7f') + '"', R"(\x7f\x7f...")");
+}
+
+TEST_CASE("the error about an invalid seed names the key and does not show the value") {
+    // Errors are logged, and whoever knows the seed can predict the node's random choices.
+    NodeFixture fixture;
+    const std::string valid = R"("seed":"8c1f")";
+    const auto message_with = [&](std::string_view replacement) {
+        std::string text = fixture.config_text;
+        REQUIRE(text.find(valid) != std::string::npos);
+        text.replace(text.find(valid), valid.size(), replacement);
+        json::Document document;
+        REQUIRE(document.parse(text));
+        try {
+            config::parse_node_config(document.root().with_context("here"));
+        } catch (const json::Malformed& error) {
+            return std::string(error.what());
+        }
+        return std::string();
+    };
+    const std::string invalid = "here: field 'seed' must be a 64-bit number in hex digits";
+    for (const char* replacement : {R"("seed":"")", R"("seed":"8c1g")", R"("seed":"8c1f8c1f8c1f8c1f8")"})
+        CHECK(message_with(replacement) == invalid);
+    for (const char* replacement : {R"("seed":8215)", R"("seed":true)", R"("seed":["8c1f"])"})
+        CHECK(message_with(replacement) == "here: field 'seed' must be a string");
+    CHECK(message_with(R"("unused":1)") == "here: field 'seed' is missing, expected a string");
 }
 
 TEST_CASE("an HTTP response cut at any byte yields the same lines, and one with invalid framing is refused") {
