--- a/src/net/kernel.cpp
+++ b/src/net/kernel.cpp
@@ -29,8 +29,11 @@
     const int yes = 1;
     if (!fd.open() || ::setsockopt(fd.get(), SOL_SOCKET, SO_REUSEADDR, &yes, sizeof yes) != 0 ||
         ::bind(fd.get(), reinterpret_cast<const sockaddr*>(&address.socket_address),
-               sizeof address.socket_address) != 0)
-        throw std::system_error(errno, std::generic_category(), "cannot bind the socket");
+               sizeof address.socket_address) != 0) {
+        const int error = errno;
+        throw std::system_error(error, std::generic_category(),
+                                "cannot bind a socket to " + format_address(address));
+    }
     return fd;
 }
 
@@ -86,7 +89,8 @@
 
 Fd listen_on(const Address& address) {
     Fd fd = bind_socket(SOCK_STREAM, address);
-    if (::listen(fd.get(), 1024) != 0) throw std::system_error(errno, std::generic_category(), "listen");
+    if (::listen(fd.get(), 1024) != 0)
+        throw std::system_error(errno, std::generic_category(), "cannot listen on the socket");
     return fd;
 }
 
