--- a/src/admin/admin_server.h
+++ b/src/admin/admin_server.h
@@ -1,6 +1,6 @@
-// The admin server: a small HTTP server for operators. Its connections are few. They use descriptors that are
-// reserved for them, and in each pass of the event loop they are handled before clients, so that a node full
-// of clients still answers its operators.
+/// The admin server: a small HTTP server for operators. Its connections are few. They use descriptors that
+/// are reserved for them, and in each pass of the event loop they are handled before clients, so that a node
+/// full of clients still answers its operators.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 namespace lemonstair::admin {
 
-// A connection carries one request and its response.
+/// A connection carries one request and its response.
 class AdminServer final : public net::EventHandler {
   public:
     AdminServer(net::EventLoop& loop, AdminHandler& handler, log::Log& log)
--- a/src/admin/metrics_page.h
+++ b/src/admin/metrics_page.h
@@ -1,4 +1,4 @@
-// The metrics page: a node's counters and current levels as JSON, under the names that operators know.
+/// The metrics page: a node's counters and current levels as JSON, under the names that operators know.
 #pragma once
 
 #include <cstddef>
--- a/src/admin/routes.h
+++ b/src/admin/routes.h
@@ -1,4 +1,4 @@
-// The requests that operators can make: the table of methods and paths, and the HTTP response to each.
+/// The requests that operators can make: the table of methods and paths, and the HTTP response to each.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 enum class Route : std::uint8_t { health, metrics, drain, resume };
 
-// The node as the admin server uses it.
+/// The node as the admin server uses it.
 class AdminHandler {
   public:
     AdminHandler() = default;
@@ -29,10 +29,10 @@
     virtual bool resume() = 0;
 };
 
-// Carries out the request and returns the complete HTTP response. The request must be complete or have an
-// error.
+/// Carries out the request and returns the complete HTTP response. The request must be complete or have an
+/// error.
 std::string respond(const http::Request& request, AdminHandler& handler);
-// The response to a client whose request did not become complete in time.
+/// The response to a client whose request did not become complete in time.
 std::string request_timeout_response();
 
 }  // namespace lemonstair::admin
--- a/src/hot_restart/packet_channel.h
+++ b/src/hot_restart/packet_channel.h
@@ -1,5 +1,6 @@
-// The connection between the old and the new process of a node: packets with descriptors over a local socket.
-// They arrive in order, and none is lost while both processes run. The channel does not interpret packets.
+/// The connection between the old and the new process of a node: packets with descriptors over a local
+/// socket. They arrive in order, and none is lost while both processes run. The channel does not interpret
+/// packets.
 #pragma once
 
 #include <deque>
@@ -11,7 +12,7 @@
 
 namespace lemonstair::hot_restart {
 
-// Has at most one connection at a time.
+/// Has at most one connection at a time.
 class PacketChannel final : public net::EventHandler {
   public:
     class Listener {
--- a/src/hot_restart/packets.h
+++ b/src/hot_restart/packets.h
@@ -1,5 +1,5 @@
-// The hot restart protocol between the old and the new process of a node. Each packet is one message. The
-// first bytes are the same in every version, so that each side can detect a peer of another version.
+/// The hot restart protocol between the old and the new process of a node. Each packet is one message. The
+/// first bytes are the same in every version, so that each side can detect a peer of another version.
 #pragma once
 
 #include <cstddef>
@@ -10,12 +10,12 @@
 namespace lemonstair::hot_restart {
 
 constexpr std::uint8_t protocol_version = 1;
-// In bytes: the size of a whole packet, and of the part of the state that one packet carries.
+/// In bytes: the size of a whole packet, and of the part of the state that one packet carries.
 constexpr std::size_t max_packet_bytes = 32768, max_part_bytes = 16384;
-// In bytes: the size of all parts of the state together; a larger state is treated as a protocol violation.
+/// In bytes: the size of all parts of the state together; a larger state is treated as a protocol violation.
 constexpr std::size_t max_state_bytes = 64U << 20;
 
-// The values are part of the protocol.
+/// The values are part of the protocol.
 enum class PacketKind : std::uint8_t {
     request_state = 1,  // new process: asks for the state; payload: the node's name
     // From the old process: it rejects the request (flag: the new one may retry later). From the new process:
@@ -44,7 +44,7 @@
 std::string encode(const Packet& packet);
 
 enum class DecodeResult : std::uint8_t { ok, version_mismatch, malformed };
-// `packet` is complete only where the result is `ok`.
+/// `packet` is complete only where the result is `ok`.
 DecodeResult decode(std::string_view bytes, Packet& packet);
 
 }  // namespace lemonstair::hot_restart
--- a/src/hot_restart/session.h
+++ b/src/hot_restart/session.h
@@ -1,6 +1,7 @@
-// Hot restart: a new process of a node takes over from the old one without losing an open tunnel. The session
-// runs the protocol of packets.h in the order that state_machine.h allows, and abandons the restart where the
-// peer stalls, fails or violates the protocol. The Delegate carries out each step for the node itself.
+/// Hot restart: a new process of a node takes over from the old one without losing an open tunnel. The
+/// session runs the protocol of packets.h in the order that state_machine.h allows, and abandons the restart
+/// where the peer stalls, fails or violates the protocol. The Delegate carries out each step for the node
+/// itself.
 #pragma once
 
 #include <cstdint>
@@ -17,14 +18,14 @@
 
 namespace lemonstair::hot_restart {
 
-// An open tunnel in transfer to the other process. The sender keeps ownership of the descriptors.
+/// An open tunnel in transfer to the other process. The sender keeps ownership of the descriptors.
 struct TransferredTunnel {
     std::uint64_t number = 0;  // the tunnel's id in the sending process
     std::string bytes;         // its serialized state
     int client = -1, endpoint = -1;
 };
 
-// The node whose process takes over or is replaced.
+/// The node whose process takes over or is replaced.
 class Delegate {
   public:
     Delegate() = default;
--- a/src/hot_restart/state_machine.h
+++ b/src/hot_restart/state_machine.h
@@ -1,5 +1,5 @@
-// The states of a hot restart: the role that a process has while a new process takes over its node, and the
-// events that change the role. This is a transition table without sockets or timers; session.h drives it.
+/// The states of a hot restart: the role that a process has while a new process takes over its node, and the
+/// events that change the role. This is a transition table without sockets or timers; session.h drives it.
 #pragma once
 
 #include <cstdint>
@@ -8,8 +8,8 @@
 
 namespace lemonstair::hot_restart {
 
-// The new process goes through standalone, requesting_state, receiving and standalone; the old process
-// through standalone, offering_state, transferring and transferred, and exits.
+/// The new process goes through standalone, requesting_state, receiving and standalone; the old process
+/// through standalone, offering_state, transferring and transferred, and exits.
 enum class Role : std::uint8_t {
     standalone,        // no other process takes part
     requesting_state,  // new process: waits for the state of the old process
@@ -29,21 +29,21 @@
     disconnected       // the connection is lost, or one side abandoned the restart
 };
 
-// The role's name in log lines.
+/// The role's name in log lines.
 std::string_view name_of(Role role);
 
-// The role after `event`; nothing where the event is invalid in role `from`. The peer then violates the
-// protocol.
+/// The role after `event`; nothing where the event is invalid in role `from`. The peer then violates the
+/// protocol.
 std::optional<Role> next(Role from, Event event);
 
-// Whether a process in this role is the node: it accepts clients, answers PING, exchanges gossip with peers,
-// follows discovery and sends health checks. During a restart exactly one of the two processes is the node,
-// except that both are from the moment when the new one begins until the old one receives `ready`.
+/// Whether a process in this role is the node: it accepts clients, answers PING, exchanges gossip with peers,
+/// follows discovery and sends health checks. During a restart exactly one of the two processes is the node,
+/// except that both are from the moment when the new one begins until the old one receives `ready`.
 constexpr bool is_active(Role role) {
     return role == Role::standalone || role == Role::offering_state || role == Role::receiving;
 }
 
-// Whether a process in this role has been replaced and transfers its tunnels to the new process.
+/// Whether a process in this role has been replaced and transfers its tunnels to the new process.
 constexpr bool is_replaced(Role role) { return role == Role::transferring || role == Role::transferred; }
 
 }  // namespace lemonstair::hot_restart
--- a/src/metrics/resource_counters.h
+++ b/src/metrics/resource_counters.h
@@ -1,6 +1,6 @@
-// Counters, since a node's start, of its processor time and of what it costs others: gossip, health checks,
-// requests to discovery and setup attempts. Once a second the node logs the increments; tools/fleet_costs.py
-// sums these lines over a fleet.
+/// Counters, since a node's start, of its processor time and of what it costs others: gossip, health checks,
+/// requests to discovery and setup attempts. Once a second the node logs the increments; tools/fleet_costs.py
+/// sums these lines over a fleet.
 #pragma once
 
 #include <array>
@@ -38,7 +38,7 @@
     bool operator==(const ResourceCounters&) const = default;
 };
 
-// Writes " name=difference" for each counter that differs between `now` and the earlier value `before`.
+/// Writes " name=difference" for each counter that differs between `now` and the earlier value `before`.
 void write_difference(std::ostream& out, const ResourceCounters& now, const ResourceCounters& before);
 
 }  // namespace lemonstair::metrics
--- a/src/metrics/tunnel_counters.h
+++ b/src/metrics/tunnel_counters.h
@@ -1,4 +1,5 @@
-// Counters of the final answers to clients since the node's start, by traffic class. Each tunnel counts once.
+/// Counters of the final answers to clients since the node's start, by traffic class. Each tunnel counts
+/// once.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +7,7 @@
 
 namespace lemonstair::metrics {
 
-// The last answer that the client of a tunnel got; none: no answer yet, or the client left without one.
+/// The last answer that the client of a tunnel got; none: no answer yet, or the client left without one.
 enum class FinalAnswer : std::uint8_t { none, opened, declined, closed_with_error };
 
 struct TunnelCounters {
--- a/src/metrics/violations.h
+++ b/src/metrics/violations.h
@@ -1,5 +1,6 @@
-// Invariants: effects that no code path may have. Each is checked where the effect takes place, independently
-// of the code path that led there. A violation is counted and logged as an error with the tunnel's id.
+/// Invariants: effects that no code path may have. Each is checked where the effect takes place,
+/// independently of the code path that led there. A violation is counted and logged as an error with the
+/// tunnel's id.
 #pragma once
 
 #include <array>
@@ -27,7 +28,7 @@
     return invariant < Invariant::count ? names[static_cast<std::size_t>(invariant)] : "unknown";
 }
 
-// The beginning of the log line of a violation; tests, the simulation and the soak test search for it.
+/// The beginning of the log line of a violation; tests, the simulation and the soak test search for it.
 constexpr std::string_view violation_prefix = "invariant violated: ";
 
 using Violations = std::array<std::uint64_t, invariant_count>;
--- a/src/net/buffer_pool.h
+++ b/src/net/buffer_pool.h
@@ -1,5 +1,5 @@
-// Buffers of one size, reused through a pool. A buffer is a queue of bytes: they are appended at the end and
-// consumed from the front.
+/// Buffers of one size, reused through a pool. A buffer is a queue of bytes: they are appended at the end and
+/// consumed from the front.
 #pragma once
 
 #include <array>
@@ -12,13 +12,13 @@
 
 namespace lemonstair::net {
 
-// Room for a line of 4 KiB, its line end, and the digits that may be added when the line is rewritten.
+/// Room for a line of 4 KiB, its line end, and the digits that may be added when the line is rewritten.
 constexpr std::size_t buffer_bytes = 4096 + 64;
 
 class BufferPool;
 
-// Holds no memory when default-constructed; BufferPool::acquire() returns one that does. The pool must
-// outlive its buffers.
+/// Holds no memory when default-constructed; BufferPool::acquire() returns one that does. The pool must
+/// outlive its buffers.
 class Buffer {
   public:
     Buffer() = default;
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -1,6 +1,6 @@
-// The node's clock in ticks of a tenth of a millisecond. It follows the steady clock and is set once, at the
-// start, to Unix time: timestamps of records travel between machines, and discovery lists start times of
-// endpoints in Unix time.
+/// The node's clock in ticks of a tenth of a millisecond. It follows the steady clock and is set once, at the
+/// start, to Unix time: timestamps of records travel between machines, and discovery lists start times of
+/// endpoints in Unix time.
 #pragma once
 
 #include <chrono>
--- a/src/net/fd.h
+++ b/src/net/fd.h
@@ -1,4 +1,4 @@
-// Fd owns a file descriptor and closes it through the System that opened it.
+/// Fd owns a file descriptor and closes it through the System that opened it.
 #pragma once
 
 #include <utility>
--- a/src/net/kernel.h
+++ b/src/net/kernel.h
@@ -1,5 +1,5 @@
-// The System of a real process: non-blocking TCP and UDP over IPv4, local packet sockets, poll(2) and
-// signalfd(2).
+/// The System of a real process: non-blocking TCP and UDP over IPv4, local packet sockets, poll(2) and
+/// signalfd(2).
 #pragma once
 
 #include "net/clock.h"
@@ -7,19 +7,19 @@
 
 namespace lemonstair::net {
 
-// Blocks the signals that a node handles; they stay pending until the node reads them. Throws
-// std::system_error.
+/// Blocks the signals that a node handles; they stay pending until the node reads them. Throws
+/// std::system_error.
 void block_signals();
 
-// The calls of System on streams and datagrams, for programs without a System. listen_on and bind_datagrams
-// throw std::system_error.
+/// The calls of System on streams and datagrams, for programs without a System. listen_on and bind_datagrams
+/// throw std::system_error.
 Fd listen_on(const Address& address);
 Fd bind_datagrams(const Address& address);
 Fd connect_to(const Address& to);
 IoResult read_some(int fd, std::span<char> into);
 IoResult write_some(int fd, std::string_view text);
 
-// Implements each call of System with the system call of the Linux kernel.
+/// Implements each call of System with the system call of the Linux kernel.
 class Kernel : public System {
   public:
     Ticks now() override { return clock_.now(); }
--- a/src/net/loop.h
+++ b/src/net/loop.h
@@ -1,6 +1,6 @@
-// The event loop polls descriptors and runs timers in one thread. Each descriptor has a numbered slot. The
-// slot's generation changes with each use, so that an event never reaches a handler that took the slot later
-// in the same pass.
+/// The event loop polls descriptors and runs timers in one thread. Each descriptor has a numbered slot. The
+/// slot's generation changes with each use, so that an event never reaches a handler that took the slot later
+/// in the same pass.
 #pragma once
 
 #include <poll.h>
@@ -14,7 +14,7 @@
 
 namespace lemonstair::net {
 
-// Handles events of descriptors and timers; the token is the one given when it was registered.
+/// Handles events of descriptors and timers; the token is the one given when it was registered.
 class EventHandler {
   public:
     EventHandler() = default;
@@ -25,8 +25,8 @@
     virtual void on_timer(std::uint64_t token) = 0;
 };
 
-// `first`: handled before the others in each pass, for descriptors that need a quick response under any load.
-// The end of a connection whose handler requested POLLRDHUP is handled first as well.
+/// `first`: handled before the others in each pass, for descriptors that need a quick response under any
+/// load. The end of a connection whose handler requested POLLRDHUP is handled first as well.
 enum class EventPriority : std::uint8_t { normal, first };
 
 class EventLoop {
@@ -118,8 +118,8 @@
     std::uint64_t next_order_ = 0;
 };
 
-// A descriptor registered in an event loop. The destructor unregisters and closes it; the loop must outlive
-// it.
+/// A descriptor registered in an event loop. The destructor unregisters and closes it; the loop must outlive
+/// it.
 class Socket {
   public:
     Socket() = default;
--- a/src/net/system.h
+++ b/src/net/system.h
@@ -1,7 +1,7 @@
-// The operating system as a node uses it: the clock, poll, streams, datagrams, signals, descriptors and the
-// configuration file. `Kernel` implements it for a real process, `simnet::Process` for a process on a
-// simulated machine; docs/simulation.md explains why it is a virtual class. A call that fails sets errno as
-// the system call does.
+/// The operating system as a node uses it: the clock, poll, streams, datagrams, signals, descriptors and the
+/// configuration file. `Kernel` implements it for a real process, `simnet::Process` for a process on a
+/// simulated machine; docs/simulation.md explains why it is a virtual class. A call that fails sets errno as
+/// the system call does.
 #pragma once
 
 #include <poll.h>
--- a/src/serialization/binary.h
+++ b/src/serialization/binary.h
@@ -1,6 +1,6 @@
-// Little-endian binary serialization between processes on one machine. Both classes have value(),
-// text() and `reads`, so that one template can describe both directions. A reader that runs out of bytes
-// returns zeros from then on, so that good() needs to be checked only once, at the end.
+/// Little-endian binary serialization between processes on one machine. Both classes have value(),
+/// text() and `reads`, so that one template can describe both directions. A reader that runs out of bytes
+/// returns zeros from then on, so that good() needs to be checked only once, at the end.
 #pragma once
 
 #include <bit>
@@ -34,7 +34,7 @@
     std::string& out_;
 };
 
-// Reads what a Writer wrote; the bytes must outlive the reader.
+/// Reads what a Writer wrote; the bytes must outlive the reader.
 class Reader {
   public:
     static constexpr bool reads = true;
