--- a/example/example_server.cpp
+++ b/example/example_server.cpp
@@ -1,5 +1,5 @@
 // A server for trying out a node: discovery and any number of endpoints in one process.
-//     lemonstair_example_server DISCOVERY HOST [HOST ...]
+//     lemonstair_example_server DISCOVERY ENDPOINT [ENDPOINT ...]
 // Each argument is an address and a port, such as 127.0.0.1:8500. An endpoint opens every tunnel and echoes
 // its lines. The load that it reports is 0.1 for each open tunnel.
 #include <poll.h>
@@ -129,7 +129,8 @@
 
 int main(int argc, char** argv) {
     if (argc < 3) {
-        std::cerr << "usage: lemonstair_example_server DISCOVERY HOST [HOST ...], each an IPv4 address and a "
+        std::cerr << "usage: lemonstair_example_server DISCOVERY ENDPOINT [ENDPOINT ...], each an IPv4 "
+                     "address and a "
                      "port\n";
         return 2;
     }
--- a/src/admin/admin_server.cpp
+++ b/src/admin/admin_server.cpp
@@ -96,8 +96,8 @@
 // Closes a connection when all slots are taken, so that thousands of connections without a complete request
 // do not lock operators out. In order of preference: connections whose response is written, those with a part
 // of a request, those without any part of one, and those that are still receiving a response. Among equals
-// the one goes first whose grace period ended earliest. False where no grace period has ended; accepting then
-// pauses until one has.
+// the one goes first whose grace period ends earliest. False where the grace period of the connection that
+// would go first has not ended; accepting then pauses until it has.
 bool AdminServer::evict_one() {
     const auto rank = [](const Connection& connection) {
         if (connection.state == State::closing) return 0;
--- a/src/discovery/watch.cpp
+++ b/src/discovery/watch.cpp
@@ -98,7 +98,7 @@
 // A connection whose peer has vanished reports no error, so only the deadline ends it.
 void Watch::on_timer(std::uint64_t token) {
     if (token != attempt_ || !is_open()) return;
-    if (loop_.now() >= deadline_) return lose("no connection or no data within the time limit");
+    if (loop_.now() >= deadline_) return lose("no connection, or no data within the time limit");
     loop_.schedule(deadline_, *this, attempt_);
 }
 
--- a/src/hot_restart/session.cpp
+++ b/src/hot_restart/session.cpp
@@ -36,7 +36,7 @@
     }
     if (enabled_ && !channel_.listen())
         log_.error()
-            << "hot restart: the local socket cannot be bound; continues, but no new process can take over";
+            << "hot restart: cannot bind the local socket; this process serves, but no new one can take over";
     delegate_.begin({}, {});
 }
 
