--- a/src/process_harness/main.cpp
+++ b/src/process_harness/main.cpp
@@ -14,10 +14,10 @@
 namespace simulation = lemonstair::simulation;
 namespace process_harness = lemonstair::process_harness;
 
-using simulation::broken;
-using simulation::kept;
-using simulation::too_busy;
-using simulation::wrong_use;
+using simulation::exit_machine_too_busy;
+using simulation::exit_rule_broken;
+using simulation::exit_rules_kept;
+using simulation::exit_wrong_usage;
 
 double seconds(lemonstair::net::Ticks t) { return static_cast<double>(t) / 10000; }
 
@@ -60,26 +60,28 @@
     if (!options.json.empty()) json.open(options.json, std::ios::app);
     if (!options.json.empty() && !json) {
         std::cerr << "lemonstair_process_harness: '" << options.json << "' cannot be written\n";
-        return wrong_use;
+        return exit_wrong_usage;
     }
-    int worst = kept;
+    int worst = exit_rules_kept;
     for (std::uint64_t seed = seeds.first; seed <= seeds.last && !stop; ++seed) {
         scenario.seed = seed;
         const process_harness::RunResult o =
             process_harness::play(scenario, {options.program, options.logs, {}}, stop);
-        if (o.interrupted) return too_busy;
+        if (o.interrupted) return exit_machine_too_busy;
         if (json.is_open()) json << process_harness::json_of(o) << std::flush;
         print_result(options, o);
         if (!o.broken.empty()) {
             std::cout << "  again: lemonstair_process_harness run --day " << options.scenario << " --seeds "
                       << seed << " --nodes " << scenario.nodes << " --program " << options.program << '\n';
-            worst = std::max(worst, o.is_conclusive() ? broken : worst == broken ? broken : too_busy);
-            if (o.is_conclusive()) worst = broken;
+            worst = std::max(worst, o.is_conclusive()           ? exit_rule_broken
+                                    : worst == exit_rule_broken ? exit_rule_broken
+                                                                : exit_machine_too_busy);
+            if (o.is_conclusive()) worst = exit_rule_broken;
         }
     }
-    std::cout << (worst == kept       ? "all rules kept\n"
-                  : worst == too_busy ? "the machine was too busy to tell\n"
-                                      : "rules broken\n");
+    std::cout << (worst == exit_rules_kept         ? "all rules kept\n"
+                  : worst == exit_machine_too_busy ? "the machine was too busy to tell\n"
+                                                   : "rules broken\n");
     return worst;
 }
 
@@ -100,7 +102,7 @@
         ->check(CLI::ExistingFile);
     command->add_option("--seeds", options.seeds, "one seed or a range, as 1..5; left out, that of the file");
     command->add_option("--nodes", options.nodes, "so many processes instead of the file's")
-        ->check(CLI::Range(1U, simulation::most_nodes));
+        ->check(CLI::Range(1U, simulation::max_nodes));
     command->add_option("--json", options.json, "a line of JSON for each scenario, added to this file");
     command->add_option("--logs", options.logs, "the nodes' logs into this folder")
         ->check(CLI::ExistingDirectory);
--- a/src/process_harness/process_harness.cpp
+++ b/src/process_harness/process_harness.cpp
@@ -58,11 +58,11 @@
     // ---- Topology
     simnet::DatagramFaults& datagrams() override { return datagram_proxy_.faults(); }
     void cut_off(Machine machine, bool on) override { stream_proxy_.cut_off(machine, on); }
-    void forget(Machine machine) override { stream_proxy_.forget(machine); }
+    void drop_connections(Machine machine) override { stream_proxy_.forget(machine); }
     void cut_path(Machine a, Machine b, bool on) override { stream_proxy_.cut_path(a, b, on); }
-    void slow_by(Machine, double times) override { datagram_proxy_.slow_by(times); }
-    void send_again(Machine from, std::size_t most) override { datagram_proxy_.send_again(from, most); }
-    void new_file(std::uint32_t node, const std::string& text) override;
+    void scale_delays(Machine, double times) override { datagram_proxy_.slow_by(times); }
+    void replay_datagrams(Machine from, std::size_t most) override { datagram_proxy_.send_again(from, most); }
+    void replace_config_file(std::uint32_t node, const std::string& text) override;
 
     // ---- NodeFaults: of `count` nodes from the fault's node on
     void begin_node_fault(const Fault& fault, std::uint64_t index) override;
@@ -148,7 +148,7 @@
     slot.process.reset();
 }
 
-void ProcessHarness::new_file(std::uint32_t node, const std::string& text) {
+void ProcessHarness::replace_config_file(std::uint32_t node, const std::string& text) {
     ProcessSlot& slot = slots_[node];
     slot.file = text;
     if (!slot.process) return;
@@ -237,7 +237,7 @@
             }
             return true;
         case K::node_reload_broken:
-            for (std::uint32_t n = fault.target; n < last; ++n) new_file(n, slots_[n].file);
+            for (std::uint32_t n = fault.target; n < last; ++n) replace_config_file(n, slots_[n].file);
             return true;
         default:
             return false;
@@ -281,8 +281,8 @@
 }
 
 RunResult ProcessHarness::run(const volatile bool& stop) {
-    fixture_->open();
-    for (std::uint32_t n = 0; n < slots_.size(); ++n) slots_[n].file = fixture_->file_for(n);
+    fixture_->start_services();
+    for (std::uint32_t n = 0; n < slots_.size(); ++n) slots_[n].file = fixture_->config_file_for(n);
     const Ticks start_time = events_.start_time();
     bool played = true;
     for (std::uint32_t n = 0; n < slots_.size() && !stop; ++n) start_node(n);
@@ -291,7 +291,7 @@
     injector_->schedule_all();
     played_from_ = start_time;
     played = play_until(start_time + scenario_.duration, stop);
-    fixture_->stop_all();
+    fixture_->stop_clients();
     if (played) played = play_until(start_time + scenario_.duration + settle_time, stop);
     outcome_.interrupted = !played;
     return make_result(scenario_.duration + settle_time);
--- a/src/simulation/command_line.h
+++ b/src/simulation/command_line.h
@@ -9,7 +9,8 @@
 namespace lemonstair::simulation {
 
 // Exit statuses; too_busy: rules broke, or the run stopped, on a machine too slow to blame the program.
-inline constexpr int kept = 0, broken = 1, wrong_use = 2, too_busy = 3;
+inline constexpr int exit_rules_kept = 0, exit_rule_broken = 1, exit_wrong_usage = 2,
+                     exit_machine_too_busy = 3;
 
 // Parses the options and runs `run`, whose result is the exit status. What it throws is printed after the
 // program's name, and is wrong use.
@@ -19,10 +20,10 @@
         app.parse(argc, argv);
         return run();
     } catch (const CLI::ParseError& error) {
-        return app.exit(error) == 0 ? kept : wrong_use;
+        return app.exit(error) == 0 ? exit_rules_kept : exit_wrong_usage;
     } catch (const std::exception& error) {
         std::cerr << program << ": " << error.what() << '\n';
-        return wrong_use;
+        return exit_wrong_usage;
     }
 }
 
--- a/src/simulation/fault_catalogue.cpp
+++ b/src/simulation/fault_catalogue.cpp
@@ -60,34 +60,34 @@
 
 std::vector<FaultInfo> discovery_faults() {
     return {
-        {K::discovery_down, "discovery_down", Target::nobody, true, false, false,
+        {K::discovery_down, "discovery_down", Target::none, true, false, false,
          "calls are refused, watches are reset"},
-        {K::discovery_silent, "discovery_silent", Target::nobody, true, false, false,
+        {K::discovery_silent, "discovery_silent", Target::none, true, false, false,
          "watches stand and say nothing, calls get no answer; then all are reset"},
-        {K::discovery_slow, "discovery_slow", Target::nobody, true, true, false,
+        {K::discovery_slow, "discovery_slow", Target::none, true, true, false,
          "an answer takes `much` seconds longer"},
-        {K::discovery_corrupt, "discovery_spoilt", Target::nobody, false, false, true,
+        {K::discovery_corrupt, "discovery_spoilt", Target::none, false, false, true,
          "the next change comes as no list (count 1), with an unreadable entry (2), behind an old list (3)"},
-        {K::discovery_restart, "discovery_anew", Target::nobody, false, false, false,
+        {K::discovery_restart, "discovery_anew", Target::none, false, false, false,
          "discovery restarts and counts its revisions from 1"},
-        {K::discovery_move, "discovery_move", Target::nobody, false, false, false,
+        {K::discovery_move, "discovery_move", Target::none, false, false, false,
          "another service with lower revisions; new files and SIGHUP; the old one ends 1.5 s later"},
     };
 }
 
 std::vector<FaultInfo> network_faults() {
     return {
-        {K::network_slow, "network_slow", Target::nobody, true, true, false,
+        {K::network_slow, "network_slow", Target::none, true, true, false,
          "all delays are `much` times as long"},
-        {K::datagrams_lost, "datagrams_lost", Target::nobody, true, true, false,
+        {K::datagrams_lost, "datagrams_lost", Target::none, true, true, false,
          "a share `much` of datagrams is lost"},
-        {K::datagrams_late, "datagrams_late", Target::nobody, true, true, false,
+        {K::datagrams_late, "datagrams_late", Target::none, true, true, false,
          "datagrams come up to `much` seconds late, and overtake"},
         {K::datagrams_old, "datagrams_old", Target::node, false, false, true,
          "`count` datagrams that the node sent in an earlier life come again"},
         {K::path_cut, "path_cut", Target::node, true, false, false,
          "nothing passes between the node, or `count` nodes from it on, and the server"},
-        {K::datagrams_doubled, "datagrams_doubled", Target::nobody, true, true, false,
+        {K::datagrams_doubled, "datagrams_doubled", Target::none, true, true, false,
          "a share `much` of datagrams comes twice"},
         {K::nodes_deaf, "nodes_deaf", Target::node, true, false, true,
          "`count` nodes from this one on hear nothing from other nodes"},
@@ -97,9 +97,8 @@
          "`count` nodes from this one on hear only each other, and the rest only each other"},
         {K::nodes_cut_from_servers, "nodes_cut_from_hosts", Target::node, true, false, true,
          "nothing passes between `count` nodes from this one on and any server"},
-        {K::client_surge, "crowd", Target::nobody, true, false, true,
-         "`count` more clients come within for_s"},
-        {K::misbehaving_clients, "rude", Target::nobody, false, false, true,
+        {K::client_surge, "crowd", Target::none, true, false, true, "`count` more clients come within for_s"},
+        {K::misbehaving_clients, "rude", Target::none, false, false, true,
          "`count` bad clients of the kind `other` (0 to 8) come, and some come again"},
     };
 }
--- a/src/simulation/fault_catalogue.h
+++ b/src/simulation/fault_catalogue.h
@@ -66,7 +66,7 @@
 
 // A kind of fault: its name in scenario files, the parameters it takes, and what it does.
 struct FaultInfo {
-    enum class Target : std::uint8_t { nobody, node, server };
+    enum class Target : std::uint8_t { none, node, server };
     FaultKind kind;
     std::string_view name;
     Target target;
--- a/src/simulation/fault_injector.cpp
+++ b/src/simulation/fault_injector.cpp
@@ -32,7 +32,7 @@
     fixture_.environment().note("fault", index, fault.target, fault_info(fault.kind).name);
     if (fault.kind == FaultKind::server_drain)
         schedule(events_.now() + std::max(fault.duration, least_drain), Kind::drain_step, index);
-    if (!fixture_.begin(fault)) nodes_.begin_node_fault(fault, index);
+    if (!fixture_.begin_fault(fault)) nodes_.begin_node_fault(fault, index);
 }
 
 void FaultInjector::on_event(std::uint64_t token) {
@@ -42,7 +42,7 @@
         case Kind::begin:
             return begin(fault, event.index);
         case Kind::end:
-            if (!nodes_.end_node_fault(fault)) fixture_.end(fault);
+            if (!nodes_.end_node_fault(fault)) fixture_.end_fault(fault);
             return;
         case Kind::drain_step:
             if (fixture_.advance_drain(fault))
--- a/src/simulation/fixture.cpp
+++ b/src/simulation/fixture.cpp
@@ -87,7 +87,7 @@
                                                                        client_machines[0], random_.part(5));
 }
 
-void Fixture::open() {
+void Fixture::start_services() {
     for (std::uint32_t h = 0; h < servers_.size(); ++h) {
         const bool cold = h + scenario_.cold_servers >= servers_.size();
         servers_[h]->start(cold, events_.start_time());
@@ -102,7 +102,7 @@
     clients_->start();
 }
 
-void Fixture::stop_all() {
+void Fixture::stop_clients() {
     clients_->stop_all();
     misbehaving_clients_->stop_all();
 }
@@ -128,7 +128,7 @@
     return out;
 }
 
-std::string Fixture::file_for(std::uint32_t node) const {
+std::string Fixture::config_file_for(std::uint32_t node) const {
     std::string known, peers, profiles;
     const auto n_known =
         static_cast<std::uint32_t>(std::floor(scenario_.known_share * scenario_.servers + 0.5));
--- a/src/simulation/fixture.h
+++ b/src/simulation/fixture.h
@@ -28,15 +28,15 @@
     // Nothing passes to or from the machine; its processes go on.
     virtual void cut_off(simnet::Machine machine, bool on) = 0;
     // As in a reboot: its connections are gone, and the peers are not told.
-    virtual void forget(simnet::Machine machine) = 0;
+    virtual void drop_connections(simnet::Machine machine) = 0;
     // Nothing passes between two machines.
     virtual void cut_path(simnet::Machine a, simnet::Machine b, bool on) = 0;
     // Delays to and from the machine are so many times as long.
-    virtual void slow_by(simnet::Machine machine, double times) = 0;
+    virtual void scale_delays(simnet::Machine machine, double times) = 0;
     // Replays up to `most` of the datagrams that a machine sent last.
-    virtual void send_again(simnet::Machine from, std::size_t most) = 0;
+    virtual void replay_datagrams(simnet::Machine from, std::size_t most) = 0;
     // Replaces a node's configuration file, and sends SIGHUP where it runs.
-    virtual void new_file(std::uint32_t node, const std::string& text) = 0;
+    virtual void replace_config_file(std::uint32_t node, const std::string& text) = 0;
 };
 
 // Created once a run; begins and ends faults as the injector asks.
@@ -49,16 +49,16 @@
             simnet::Streams& network, Invariants& invariants, simnet::RandomSource& random,
             Topology& topology);
     // Starts servers and discovery: before the nodes.
-    void open();
+    void start_services();
     void start_clients();
     // Clients leave, and none comes any more.
-    void stop_all();
+    void stop_clients();
 
     // The configuration file of a node, as JSON.
-    std::string file_for(std::uint32_t node) const;
+    std::string config_file_for(std::uint32_t node) const;
     // False: the fault is one of a node's process, and is left to whoever runs it.
-    bool begin(const Fault& fault);
-    void end(const Fault& fault);
+    bool begin_fault(const Fault& fault);
+    void end_fault(const Fault& fault);
     // Next step of a draining server: it stops, then it is back. True: there is another step.
     bool advance_drain(const Fault& fault);
 
--- a/src/simulation/fixture_faults.cpp
+++ b/src/simulation/fixture_faults.cpp
@@ -22,7 +22,7 @@
     for (auto& r : discovery_services_) r->change(server, e, scenario_.discovery_delay);
 }
 
-bool Fixture::begin(const Fault& fault) {
+bool Fixture::begin_fault(const Fault& fault) {
     return begin_at_servers(fault) || begin_at_discovery(fault) || begin_on_network(fault);
 }
 
@@ -91,7 +91,8 @@
                 static_cast<std::uint16_t>(discovery_port + discovery_services_.size()), 1,
                 random_.part(50 + discovery_services_.size())));
             discovery_services_.back()->open(entries_);
-            for (std::uint32_t n = 0; n < scenario_.nodes; ++n) topology_.new_file(n, file_for(n));
+            for (std::uint32_t n = 0; n < scenario_.nodes; ++n)
+                topology_.replace_config_file(n, config_file_for(n));
             return true;
         default:
             return false;
@@ -106,7 +107,7 @@
             return true;
         case K::network_slow:
             for (Machine m = 0; m < scenario_.nodes + scenario_.servers; ++m)
-                topology_.slow_by(m, fault.magnitude);
+                topology_.scale_delays(m, fault.magnitude);
             return true;
         case K::datagrams_lost:
             topology_.datagrams().lost = fault.magnitude;
@@ -118,7 +119,7 @@
             topology_.datagrams().jitter = static_cast<Ticks>(fault.magnitude * second);
             return true;
         case K::datagrams_old:
-            topology_.send_again(fault.target, fault.count);
+            topology_.replay_datagrams(fault.target, fault.count);
             return true;
         case K::nodes_deaf:
         case K::nodes_mute:
@@ -155,7 +156,7 @@
     }
 }
 
-void Fixture::end(const Fault& fault) {
+void Fixture::end_fault(const Fault& fault) {
     fakes::FakeServer* server =
         fault_info(fault.kind).target == FaultInfo::Target::server ? servers_[fault.target].get() : nullptr;
     switch (fault.kind) {
@@ -176,7 +177,7 @@
             invariants_.server_started(fault.target);
             return publish(fault.target, Phase::active);
         case K::server_vanish:
-            topology_.forget(server->machine());
+            topology_.drop_connections(server->machine());
             server->stop();
             topology_.cut_off(server->machine(), false);
             invariants_.machine_cut(server->machine(), false);
@@ -190,7 +191,7 @@
         case K::discovery_slow:
             return discovery_services_.back()->answer_after(5);
         case K::network_slow:
-            for (Machine m = 0; m < scenario_.nodes + scenario_.servers; ++m) topology_.slow_by(m, 1);
+            for (Machine m = 0; m < scenario_.nodes + scenario_.servers; ++m) topology_.scale_delays(m, 1);
             return;
         case K::datagrams_lost:
             topology_.datagrams().lost = scenario_.network.lost;
--- a/src/simulation/invariants.h
+++ b/src/simulation/invariants.h
@@ -23,7 +23,7 @@
 
 // A rule: the name that runs report, and what it demands.
 struct RuleInfo {
-    const char *name, *says;
+    const char *name, *description;
 };
 const std::vector<RuleInfo>& rule_catalogue();
 
--- a/src/simulation/main.cpp
+++ b/src/simulation/main.cpp
@@ -22,9 +22,9 @@
 using simulation::Scenario;
 using simulation::Verdict;
 
-using simulation::broken;
-using simulation::kept;
-using simulation::wrong_use;
+using simulation::exit_rule_broken;
+using simulation::exit_rules_kept;
+using simulation::exit_wrong_usage;
 
 std::string hex(std::uint64_t n) {
     std::ostringstream out;
@@ -88,7 +88,7 @@
     if (!options.json.empty()) json.open(options.json);
     if (!options.json.empty() && !json) {
         std::cerr << "lemonstair_simulation: '" << options.json << "' cannot be written\n";
-        return wrong_use;
+        return exit_wrong_usage;
     }
     const auto begin = std::chrono::steady_clock::now();
     const std::uint64_t all = seeds.last - seeds.first + 1;
@@ -124,14 +124,14 @@
               << " simulated seconds a second of one\n";
     if (bad == 0) {
         std::cout << "all rules kept\n";
-        return kept;
+        return exit_rules_kept;
     }
     for (const auto& [rule, row] : rules)
         std::cout << rule << ": broken first in " << row.first << " scenarios, seeds" << row.second
                   << (row.first > 8 ? " ..." : "") << '\n';
     std::cout
         << "next: lemonstair_simulation shrink SEED, or lemonstair_simulation replay SEED --trace FILE\n";
-    return broken;
+    return exit_rule_broken;
 }
 
 struct ReplayOptions {
@@ -148,7 +148,7 @@
     if (!options.trace.empty()) trace.open(options.trace);
     if (!options.trace.empty() && !trace) {
         std::cerr << "lemonstair_simulation: '" << options.trace << "' cannot be written\n";
-        return wrong_use;
+        return exit_wrong_usage;
     }
     const Verdict v = simulation::play(scenario, options.trace.empty() ? nullptr : &trace);
     std::cout << "seed " << v.seed << " trace " << hex(v.hash) << ", " << seconds(v.simulated)
@@ -159,7 +159,7 @@
               << v.clients.moved << "\n";
     if (v.broken.empty()) std::cout << "all rules kept\n";
     print_violations(v, 50);
-    return v.broken.empty() ? kept : broken;
+    return v.broken.empty() ? exit_rules_kept : exit_rule_broken;
 }
 
 int shrink(const ReplayOptions& options, const std::string& out) {
@@ -170,12 +170,12 @@
     const Verdict v = player(scenario);
     if (v.broken.empty()) {
         std::cout << "all rules are kept: there is nothing to shrink\n";
-        return kept;
+        return exit_rules_kept;
     }
-    simulation::Shrunk small;
+    simulation::ShrinkResult small;
     {
         Progress progress;
-        small = simulation::shrink(scenario, v.rule(), player, 400, [&](const simulation::Shrunk& s) {
+        small = simulation::shrink(scenario, v.rule(), player, 400, [&](const simulation::ShrinkResult& s) {
             progress.say("played " + std::to_string(s.plays) + ", " +
                          std::to_string(s.scenario.faults.size()) + " faults left");
         });
@@ -189,14 +189,14 @@
         file << text;
         if (!file.flush()) {
             std::cerr << "lemonstair_simulation: '" << out << "' cannot be written\n";
-            return wrong_use;
+            return exit_wrong_usage;
         }
         std::cout << "'" << v.rule() << "' still breaks with " << small.scenario.faults.size() << " of "
                   << scenario.faults.size() << " faults and " << small.scenario.clients
                   << " clients; the scenario is in " << out << "\nnext: lemonstair_simulation replay --day "
                   << out << " --trace FILE\n";
     }
-    return broken;
+    return exit_rule_broken;
 }
 
 void list() {
@@ -215,7 +215,7 @@
     }
     std::cout << "\nRules:\n";
     for (const auto& r : simulation::rule_catalogue())
-        std::cout << "  " << std::left << std::setw(14) << r.name << r.says << '\n';
+        std::cout << "  " << std::left << std::setw(14) << r.name << r.description << '\n';
     std::cout
         << "\nA scenario with all its keys (lemonstair_simulation list --day prints the one of a seed):\n";
 }
@@ -252,11 +252,11 @@
         if (*shrink_) return shrink(one_, out_);
         if (shown_ != 0) {
             std::cout << simulation::write_scenario(simulation::draw_scenario(shown_));
-            return kept;
+            return exit_rules_kept;
         }
         list();
         std::cout << simulation::write_scenario(Scenario{});
-        return kept;
+        return exit_rules_kept;
     }
     CLI::App app{
         "Plays scenarios of simulated faults on the product's own node, and judges its rules on the wire."};
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -82,7 +82,7 @@
     if (!info.has_duration) fault.duration = 0;
     if (!info.has_magnitude) fault.magnitude = 1;
     if (!info.has_count) fault.count = 0;
-    if (info.target == Target::nobody) fault.target = 0;
+    if (info.target == Target::none) fault.target = 0;
     if (fault.kind != FaultKind::path_cut && fault.kind != FaultKind::misbehaving_clients)
         fault.second_target = 0;
 }
@@ -123,7 +123,7 @@
         if (!random.odds(0.3) || i + 1 >= faults) continue;
         Fault twin = fault;
         twin.start = std::min(15 * second, fault.start + random.between(std::int64_t{0}, second / 2));
-        if (info.target != Target::nobody)
+        if (info.target != Target::none)
             twin.target =
                 (fault.target + 1) % (info.target == Target::node ? scenario.nodes : scenario.servers);
         scenario.faults.push_back(twin);
--- a/src/simulation/scenario.h
+++ b/src/simulation/scenario.h
@@ -17,7 +17,7 @@
 namespace lemonstair::simulation {
 
 // The loopback plan of the process harness has addresses and ports for so many (address_plan.h).
-inline constexpr std::uint32_t most_nodes = 4096, most_servers = 2048;
+inline constexpr std::uint32_t max_nodes = 4096, max_servers = 2048;
 
 // A run's fleet, traffic, network and faults. Durations are tenths of a ms, work is in cores.
 struct Scenario {
--- a/src/simulation/scenario_file.cpp
+++ b/src/simulation/scenario_file.cpp
@@ -147,10 +147,10 @@
 }
 
 void read_fleet(Table& table, Scenario& scenario) {
-    table.integer("nodes", scenario.nodes, 1, most_nodes);
-    table.integer("hosts", scenario.servers, 1, most_servers);
+    table.integer("nodes", scenario.nodes, 1, max_nodes);
+    table.integer("hosts", scenario.servers, 1, max_servers);
     table.integer("members", scenario.clients, 0, 100000);
-    table.integer("cold_hosts", scenario.cold_servers, 0, most_servers);
+    table.integer("cold_hosts", scenario.cold_servers, 0, max_servers);
     table.flag("alike", scenario.uniform);
     table.flag("must_ask", scenario.must_poll);
     table.number("probe_price", scenario.probe_price, 0, 1000);
--- a/src/simulation/shrink.cpp
+++ b/src/simulation/shrink.cpp
@@ -11,8 +11,8 @@
 
 class Shrinker {
   public:
-    Shrinker(Shrunk& best, const Player& player, int most,
-             const std::function<void(const Shrunk&)>& on_progress)
+    Shrinker(ShrinkResult& best, const Player& player, int most,
+             const std::function<void(const ShrinkResult&)>& on_progress)
         : best_(best), player_(player), most_(most), on_progress_(on_progress) {}
 
     // Takes the smaller scenario where the rule still breaks in it.
@@ -44,17 +44,17 @@
     }
 
   private:
-    Shrunk& best_;
+    ShrinkResult& best_;
     const Player& player_;
     int most_;
-    const std::function<void(const Shrunk&)>& on_progress_;
+    const std::function<void(const ShrinkResult&)>& on_progress_;
 };
 
 }  // namespace
 
-Shrunk shrink(const Scenario& scenario, const std::string& rule, const Player& player, int most_plays,
-              const std::function<void(const Shrunk&)>& on_progress) {
-    Shrunk best{scenario, rule, 0};
+ShrinkResult shrink(const Scenario& scenario, const std::string& rule, const Player& player, int most_plays,
+                    const std::function<void(const ShrinkResult&)>& on_progress) {
+    ShrinkResult best{scenario, rule, 0};
     Shrinker s(best, player, most_plays, on_progress);
     while (s.drop_faults()) continue;
     // Conditions that a scenario may do without, one at a time.
--- a/src/simulation/shrink.h
+++ b/src/simulation/shrink.h
@@ -9,7 +9,7 @@
 namespace lemonstair::simulation {
 
 // The smallest scenario so far, and how many were played for it.
-struct Shrunk {
+struct ShrinkResult {
     Scenario scenario;
     std::string rule;
     int plays = 0;
@@ -20,7 +20,7 @@
 
 // Drops faults, then what the scenario does not need; at most so many scenarios are played. `on_progress` is
 // called after each play.
-Shrunk shrink(const Scenario& scenario, const std::string& rule, const Player& player, int most_plays = 400,
-              const std::function<void(const Shrunk&)>& on_progress = {});
+ShrinkResult shrink(const Scenario& scenario, const std::string& rule, const Player& player,
+                    int most_plays = 400, const std::function<void(const ShrinkResult&)>& on_progress = {});
 
 }  // namespace lemonstair::simulation
--- a/src/simulation/simulated_nodes.cpp
+++ b/src/simulation/simulated_nodes.cpp
@@ -38,12 +38,12 @@
 }  // namespace
 
 SimulatedNodes::SimulatedNodes(const Scenario& scenario, simnet::EventQueue& events, simnet::Network& network,
-                               simnet::RandomSource& random, Invariants& invariants, Tamper* tamper)
+                               simnet::RandomSource& random, Invariants& invariants, TestHooks* hooks)
     : scenario_(scenario),
       events_(events),
       network_(network),
       invariants_(invariants),
-      tamper_(tamper),
+      hooks_(hooks),
       slots_(scenario.nodes) {
     for (ProcessSlot& slot : slots_) {
         slot.machine = network_.add_machine();
@@ -111,7 +111,7 @@
     auto launch = running.source->read();
     config::ConfigSource* source = running.source.get();
     const auto decides = [this](BalancerConfig config, BalancerDelegate& delegate, Ticks now) {
-        auto other = tamper_ == nullptr ? nullptr : tamper_->decides(config, delegate, now);
+        auto other = hooks_ == nullptr ? nullptr : hooks_->make_balancer(config, delegate, now);
         return other != nullptr ? std::move(other) : Balancer::start(std::move(config), delegate, now);
     };
     return std::make_unique<node::Node>(
@@ -126,8 +126,8 @@
     make_process(node, running);
     const config::Environment around = make_environment(slot);
     net::System* system = running.process.get();
-    if (tamper_ != nullptr && (running.tampered = tamper_->between(*running.process)) != nullptr)
-        system = running.tampered.get();
+    if (hooks_ != nullptr && (running.wrapped_system = hooks_->wrap_system(*running.process)) != nullptr)
+        system = running.wrapped_system.get();
     environment_->note("node starts", node, slot.incarnation);
     try {
         running.source = std::make_unique<config::ConfigSource>(*system, file_name, around);
@@ -233,7 +233,7 @@
     running.process->die();
     running.node.reset();
     running.source.reset();
-    running.tampered.reset();
+    running.wrapped_system.reset();
     ended_.push_back(std::move(running.process));
 }
 
--- a/src/simulation/simulated_nodes.h
+++ b/src/simulation/simulated_nodes.h
@@ -22,7 +22,7 @@
     std::unique_ptr<log::Sink> log_sink;
     std::unique_ptr<log::Log> log;
     std::unique_ptr<simnet::Process> process;
-    std::unique_ptr<net::System> tampered;
+    std::unique_ptr<net::System> wrapped_system;
     std::unique_ptr<config::ConfigSource> source;
     std::unique_ptr<node::Node> node;
     net::Address admin_address;
@@ -56,7 +56,7 @@
 
     // Adds a machine for each node to the network.
     SimulatedNodes(const Scenario& scenario, simnet::EventQueue& events, simnet::Network& network,
-                   simnet::RandomSource& random, Invariants& invariants, Tamper* tamper);
+                   simnet::RandomSource& random, Invariants& invariants, TestHooks* hooks);
     SimulatedNodes(const SimulatedNodes&) = delete;
     SimulatedNodes& operator=(const SimulatedNodes&) = delete;
     ~SimulatedNodes();
@@ -103,7 +103,7 @@
     simnet::EventQueue& events_;
     simnet::Network& network_;
     Invariants& invariants_;
-    Tamper* tamper_;
+    TestHooks* hooks_;
     fakes::TestEnvironment* environment_ = nullptr;
     std::vector<ProcessSlot> slots_;
     std::vector<std::unique_ptr<simnet::Process>> ended_;  // the event queue may still name them
--- a/src/simulation/simulation.cpp
+++ b/src/simulation/simulation.cpp
@@ -24,7 +24,7 @@
 
 class Simulation final : public simnet::EventTarget, public Topology, public NodeFaults {
   public:
-    Simulation(const Scenario& scenario, std::ostream* trace, Tamper* tamper);
+    Simulation(const Scenario& scenario, std::ostream* trace, TestHooks* hooks);
     Verdict run();
     void on_event(std::uint64_t token) override;
 
@@ -33,14 +33,14 @@
     void cut_off(Machine machine, bool on) override {
         on ? network_.cut_off(machine) : network_.heal(machine);
     }
-    void forget(Machine machine) override { network_.forget(machine); }
+    void drop_connections(Machine machine) override { network_.forget(machine); }
     void cut_path(Machine a, Machine b, bool on) override {
         for (const auto& [from, to] : {std::pair{a, b}, std::pair{b, a}})
             on ? network_.cut_path(from, to) : network_.heal_path(from, to);
     }
-    void slow_by(Machine machine, double times) override { network_.slow_by(machine, times); }
-    void send_again(Machine from, std::size_t most) override { network_.send_again(from, most); }
-    void new_file(std::uint32_t node, const std::string& text) override;
+    void scale_delays(Machine machine, double times) override { network_.slow_by(machine, times); }
+    void replay_datagrams(Machine from, std::size_t most) override { network_.send_again(from, most); }
+    void replace_config_file(std::uint32_t node, const std::string& text) override;
 
     // ---- NodeFaults
     void begin_node_fault(const Fault& fault, std::uint64_t index) override;
@@ -68,13 +68,13 @@
     std::unique_ptr<FaultInjector> injector_;
 };
 
-Simulation::Simulation(const Scenario& scenario, std::ostream* trace, Tamper* tamper)
+Simulation::Simulation(const Scenario& scenario, std::ostream* trace, TestHooks* hooks)
     : scenario_(scenario),
       trace_(trace),
       random_(scenario.seed ^ 0xda71a8),
       network_(events_, trace_, random_.part(1), scenario.network),
       invariants_(scenario_, events_, network_),
-      nodes_(scenario_, events_, network_, random_, invariants_, tamper) {
+      nodes_(scenario_, events_, network_, random_, invariants_, hooks) {
     fixture_ = std::make_unique<Fixture>(scenario_, events_, trace_, network_, invariants_, random_, *this);
     nodes_.attach(fixture_->environment());
     operators_ = std::make_unique<OperatorActions>(scenario_, events_, network_, fixture_->environment(),
@@ -149,14 +149,14 @@
                 nodes_.slot(fault.target).current.process->starve(false);
             return true;
         case K::node_reload_broken:
-            new_file(fault.target, nodes_.slot(fault.target).file);
+            replace_config_file(fault.target, nodes_.slot(fault.target).file);
             return true;
         default:
             return false;
     }
 }
 
-void Simulation::new_file(std::uint32_t node, const std::string& text) {
+void Simulation::replace_config_file(std::uint32_t node, const std::string& text) {
     nodes_.write_file(node, text);
     nodes_.signal(node, SIGHUP);
 }
@@ -184,16 +184,16 @@
 }
 
 Verdict Simulation::run() {
-    fixture_->open();
+    fixture_->start_services();
     for (std::uint32_t n = 0; n < nodes_.size(); ++n) {
-        nodes_.slot(n).file = fixture_->file_for(n);
+        nodes_.slot(n).file = fixture_->config_file_for(n);
         nodes_.start(n);
     }
     fixture_->start_clients();
     const Ticks last = events_.start_time() + scenario_.duration;
     injector_->schedule_all();
     play_until(last);
-    fixture_->stop_all();
+    fixture_->stop_clients();
     play_until(last + quiet);
     nodes_.check_leftovers();
     invariants_.judge_bounds();
@@ -223,8 +223,8 @@
 
 }  // namespace
 
-Verdict play(const Scenario& scenario, std::ostream* trace, Tamper* tamper) {
-    Simulation simulation(scenario, trace, tamper);
+Verdict play(const Scenario& scenario, std::ostream* trace, TestHooks* hooks) {
+    Simulation simulation(scenario, trace, hooks);
     return simulation.run();
 }
 
--- a/src/simulation/simulation.h
+++ b/src/simulation/simulation.h
@@ -16,17 +16,17 @@
 
 // Hook of tests: wraps the system that a node runs on, or replaces its balancer, to see that the invariants
 // find what is then wrong.
-class Tamper {
+class TestHooks {
   public:
-    Tamper() = default;
-    Tamper(const Tamper&) = delete;
-    Tamper& operator=(const Tamper&) = delete;
-    virtual ~Tamper() = default;
+    TestHooks() = default;
+    TestHooks(const TestHooks&) = delete;
+    TestHooks& operator=(const TestHooks&) = delete;
+    virtual ~TestHooks() = default;
     // The system for the node, on top of the real one, which outlives it; null: the real one.
-    virtual std::unique_ptr<net::System> between(net::System& real) = 0;
+    virtual std::unique_ptr<net::System> wrap_system(net::System& real) = 0;
     // The balancer for the node; null: the real one.
-    virtual std::unique_ptr<Balancer> decides(BalancerConfig config, BalancerDelegate& delegate,
-                                              Ticks now) = 0;
+    virtual std::unique_ptr<Balancer> make_balancer(BalancerConfig config, BalancerDelegate& delegate,
+                                                    Ticks now) = 0;
 };
 
 // What a run gave: the rules that broke, and figures of what happened.
@@ -45,6 +45,6 @@
 
 // Plays a scenario to its end; `trace`: all that happened, as text. The same scenario gives the same trace
 // and hash on every machine, whatever else the process does.
-Verdict play(const Scenario& scenario, std::ostream* trace = nullptr, Tamper* tamper = nullptr);
+Verdict play(const Scenario& scenario, std::ostream* trace = nullptr, TestHooks* hooks = nullptr);
 
 }  // namespace lemonstair::simulation
--- a/src/soak/main.cpp
+++ b/src/soak/main.cpp
@@ -22,9 +22,9 @@
 namespace process_harness = lemonstair::process_harness;
 namespace soak = lemonstair::soak;
 
-using simulation::broken;
-using simulation::kept;
-using simulation::too_busy;
+using simulation::exit_machine_too_busy;
+using simulation::exit_rule_broken;
+using simulation::exit_rules_kept;
 
 struct Options {
     std::string seeds, program, shim, json, keep;
@@ -128,7 +128,9 @@
     std::cout << scenarios << " scenarios, " << scenarios_broken << " with a broken rule, "
               << scenarios_undecided << " more on which the machine was too busy to tell\n";
     for (const auto& [rule, count] : seeds_of_rule) std::cout << "  " << rule << " on " << count << '\n';
-    return scenarios_broken > 0 ? broken : scenarios_undecided > 0 ? too_busy : kept;
+    return scenarios_broken > 0      ? exit_rule_broken
+           : scenarios_undecided > 0 ? exit_machine_too_busy
+                                     : exit_rules_kept;
 }
 
 }  // namespace
--- a/tests/fault_injection.h
+++ b/tests/fault_injection.h
@@ -293,13 +293,14 @@
     Ticks newest_started_ = 0;
 };
 
-class FaultInjector final : public simulation::Tamper {
+class FaultInjector final : public simulation::TestHooks {
   public:
     explicit FaultInjector(Fault fault) : fault_(fault) {}
-    std::unique_ptr<net::System> between(net::System& real) override {
+    std::unique_ptr<net::System> wrap_system(net::System& real) override {
         return is_balancer_fault() ? nullptr : std::make_unique<FaultySystem>(real, fault_);
     }
-    std::unique_ptr<Balancer> decides(BalancerConfig config, BalancerDelegate& delegate, Ticks now) override {
+    std::unique_ptr<Balancer> make_balancer(BalancerConfig config, BalancerDelegate& delegate,
+                                            Ticks now) override {
         if (!is_balancer_fault()) return nullptr;
         return std::make_unique<FaultyBalancer>(std::move(config), delegate, now, fault_);
     }
