--- a/src/simulation/command_line.h
+++ b/src/simulation/command_line.h
@@ -1,5 +1,4 @@
-// What the command lines of the simulation, the process harness and the soak share: exit statuses and the way
-// from parsed options to one of them.
+// Exit statuses and option parsing that the simulation, the process harness and the soak test share.
 #pragma once
 
 #include <CLI/CLI.hpp>
@@ -8,12 +7,13 @@
 
 namespace lemonstair::simulation {
 
-// Exit statuses; too_busy: rules broke, or the run stopped, on a machine too slow to blame the program.
+// Exit statuses. exit_machine_too_busy: rules were broken or the run was stopped, but the machine was too
+// slow for the result to count against the program.
 inline constexpr int exit_rules_kept = 0, exit_rule_broken = 1, exit_wrong_usage = 2,
                      exit_machine_too_busy = 3;
 
-// Parses the options and runs `run`, whose result is the exit status. What it throws is printed after the
-// program's name, and is wrong use.
+// Parses the options and calls `run`, which returns the exit status. An exception of `run` is printed after
+// the program's name and gives exit_wrong_usage.
 template <class Run>
 int run_command_line(CLI::App& app, int argc, char** argv, const char* program, Run&& run) {
     try {
--- a/src/simulation/fault_catalogue.h
+++ b/src/simulation/fault_catalogue.h
@@ -1,5 +1,5 @@
-// Catalogue of the faults that a scenario may hold: their names in scenario files, what each one affects and
-// which parameters it takes. Times are tenths of a ms.
+// Catalogue of the faults that a scenario can contain: their names in scenario files, what each one affects
+// and which parameters it takes. Times are in tenths of a ms.
 #pragma once
 
 #include <cstdint>
@@ -53,18 +53,18 @@
     misbehaving_clients
 };
 
-// One fault of a scenario. Which fields count depends on its kind (FaultInfo).
+// One fault of a scenario. FaultInfo tells which of the fields its kind uses.
 struct Fault {
     FaultKind kind;
     Ticks start = 0;  // since the scenario's start
     Ticks duration = 0;
-    std::uint32_t target = 0;         // a node's or a server's number
-    std::uint32_t second_target = 0;  // path_cut: the server; misbehaving_clients: their kind
+    std::uint32_t target = 0;         // index of a node or a server
+    std::uint32_t second_target = 0;  // path_cut: index of the server; misbehaving_clients: their kind
     double magnitude = 1;
     std::uint32_t count = 0;
 };
 
-// A kind of fault: its name in scenario files, the parameters it takes, and what it does.
+// Describes a kind of fault: its name in scenario files, the parameters it takes, and its effect.
 struct FaultInfo {
     enum class Target : std::uint8_t { none, node, server };
     FaultKind kind;
@@ -74,12 +74,13 @@
     std::string_view description;
 };
 
-// All kinds, in the order that seeds draw them by.
+// All kinds. Seeds draw faults by their index here, so the order must not change.
 const std::vector<FaultInfo>& fault_catalogue();
 const FaultInfo& fault_info(FaultKind kind);
-// Upgrades, drains and other actions of operators; drawn for operated scenarios only.
+// Whether the fault is an action of operators, such as an upgrade or a drain. Drawn for operated scenarios
+// only.
 bool is_operator_fault(FaultKind kind);
-// Faults of several nodes at once; never drawn by draw_scenario.
+// Whether the fault affects datagrams or paths of several nodes at once. draw_scenario never draws these.
 bool is_fleet_fault(FaultKind kind);
 
 }  // namespace lemonstair::simulation
--- a/src/simulation/fault_injector.cpp
+++ b/src/simulation/fault_injector.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr Ticks second = 10000;
-// A draining server stops once the nodes have had time to learn of it, and is back a little later.
-constexpr Ticks least_drain = 3 * second, restart_after_drain = 2 * second;
+// A draining server must not stop before the nodes have had time to learn of the drain.
+constexpr Ticks min_drain_duration = 3 * second, restart_after_drain = 2 * second;
 
 }  // namespace
 
@@ -31,7 +31,7 @@
 void FaultInjector::begin(const Fault& fault, std::uint64_t index) {
     fixture_.environment().note("fault", index, fault.target, fault_info(fault.kind).name);
     if (fault.kind == FaultKind::server_drain)
-        schedule(events_.now() + std::max(fault.duration, least_drain), Kind::drain_step, index);
+        schedule(events_.now() + std::max(fault.duration, min_drain_duration), Kind::drain_step, index);
     if (!fixture_.begin_fault(fault)) nodes_.begin_node_fault(fault, index);
 }
 
--- a/src/simulation/fault_injector.h
+++ b/src/simulation/fault_injector.h
@@ -1,6 +1,6 @@
-// Begins and ends the faults of a scenario at their times, for the simulation and the process harness alike.
-// What meets servers, discovery or the network is done by the fixture; what meets a node's own process is
-// left to whoever runs the processes. Times are tenths of a ms.
+// Begins and ends the faults of a scenario at their times, in the simulation and the process harness. The
+// fixture applies faults of servers, discovery, clients and the network; the owner of the nodes' processes
+// applies faults of those. Times are in tenths of a ms.
 #pragma once
 
 #include <cstdint>
@@ -12,24 +12,25 @@
 
 namespace lemonstair::simulation {
 
-// Faults of the nodes' processes, done by whoever runs them.
+// Applies faults of the nodes' processes; implemented by their owner.
 class NodeFaults {
   public:
     NodeFaults() = default;
     NodeFaults(const NodeFaults&) = delete;
     NodeFaults& operator=(const NodeFaults&) = delete;
     virtual ~NodeFaults() = default;
-    // `index`: the fault's place in the scenario.
+    // `index`: of the fault in Scenario::faults.
     virtual void begin_node_fault(const Fault& fault, std::uint64_t index) = 0;
-    // False: it is no fault of a node's process, or one that needs no end.
+    // Returns false for a fault that is not of a node's process or has nothing to undo.
     virtual bool end_node_fault(const Fault& fault) = 0;
 };
 
+// Schedules the faults of one scenario on the event queue.
 class FaultInjector final : public simnet::EventTarget {
   public:
     FaultInjector(const Scenario& scenario, simnet::EventQueue& events, Fixture& fixture, NodeFaults& nodes)
         : scenario_(scenario), events_(events), fixture_(fixture), nodes_(nodes) {}
-    // Schedules begin and end of every fault; all are over when the scenario's span is.
+    // Schedules the begin and the end of every fault. No fault lasts longer than the scenario.
     void schedule_all();
     void on_event(std::uint64_t token) override;
 
--- a/src/simulation/fixture.cpp
+++ b/src/simulation/fixture.cpp
@@ -10,7 +10,7 @@
 using simnet::Machine;
 
 constexpr Ticks second = 10000;
-constexpr double idle_below = 0.5;  // of a server's capacity
+constexpr double idle_below = 0.5;  // a server is idle below this share of its capacity
 
 std::string flag(bool b) { return b ? "true" : "false"; }
 std::string in_seconds(Ticks t) { return std::to_string(static_cast<double>(t) / second); }
@@ -39,14 +39,15 @@
         return std::any_of(servers_.begin(), servers_.end(),
                            [](const auto& h) { return h->accepts_setups() && h->load() < idle_below; });
     });
-    // Tunnels that fill the server over its slow start, or over their lifetime where that is shorter.
+    // Budget of a window: the tunnels that would fill the server up within its slow start, or within a
+    // tunnel's mean lifetime where that is shorter, times the window's share of that period.
     invariants_.set_budget_query([this](std::uint32_t h) {
         const fakes::FakeServer& server = *servers_[h];
-        const Ticks fills =
+        const Ticks fill_time =
             std::min(scenario_.server.cold, scenario_.min_lifetime + scenario_.mean_extra_lifetime);
-        if (!server.in_slow_start() || !server.runs() || mean_load_ <= 0 || fills <= 0) return 0.0;
+        if (!server.in_slow_start() || !server.runs() || mean_load_ <= 0 || fill_time <= 0) return 0.0;
         return server.overload_limit() / mean_load_ * static_cast<double>(scenario_.server.overload_window) /
-               static_cast<double>(fills);
+               static_cast<double>(fill_time);
     });
     double cores = 0;
     for (std::uint32_t h = 0; h < scenario_.servers; ++h) {
@@ -111,18 +112,19 @@
                                               std::uint32_t first) {
     std::vector<fakes::ClientPlan> out;
     for (std::uint32_t i = 0; i < count; ++i) {
-        fakes::ClientPlan w;
-        w.key.append(1, 'k').append(std::to_string(first + i));
-        w.group = scenario_.groups && random_.odds(0.5)
-                      ? static_cast<std::uint32_t>(random_.between(std::int64_t{1}, std::int64_t{12}))
-                      : 0;
-        w.profile = static_cast<std::uint32_t>(
+        fakes::ClientPlan plan;
+        plan.key.append(1, 'k').append(std::to_string(first + i));
+        plan.group = scenario_.groups && random_.odds(0.5)
+                         ? static_cast<std::uint32_t>(random_.between(std::int64_t{1}, std::int64_t{12}))
+                         : 0;
+        plan.profile = static_cast<std::uint32_t>(
             random_.odds(0.6) ? 0 : random_.between(std::int64_t{1}, std::int64_t{3}));
-        w.load = mean_load_ * (scenario_.uniform ? 1 : random_.between(0.3, 1.7));
-        w.from = from + random_.between(Ticks{0}, std::max<Ticks>(within, 1));
-        w.until = w.from + scenario_.min_lifetime +
-                  static_cast<Ticks>(random_.exponential(static_cast<double>(scenario_.mean_extra_lifetime)));
-        out.push_back(w);
+        plan.load = mean_load_ * (scenario_.uniform ? 1 : random_.between(0.3, 1.7));
+        plan.from = from + random_.between(Ticks{0}, std::max<Ticks>(within, 1));
+        plan.until =
+            plan.from + scenario_.min_lifetime +
+            static_cast<Ticks>(random_.exponential(static_cast<double>(scenario_.mean_extra_lifetime)));
+        out.push_back(plan);
     }
     planned_ += count;
     return out;
@@ -130,9 +132,9 @@
 
 std::string Fixture::config_file_for(std::uint32_t node) const {
     std::string known, peers, profiles;
-    const auto n_known =
+    const auto known_servers =
         static_cast<std::uint32_t>(std::floor(scenario_.known_share * scenario_.servers + 0.5));
-    for (std::uint32_t h = 0; h < n_known; ++h)
+    for (std::uint32_t h = 0; h < known_servers; ++h)
         known.append(h > 0 ? "," : "")
             .append(fakes::entry_json(entries_[h], network_.seen_by(node, entries_[h].at)));
     for (std::uint32_t n = 0; n < scenario_.nodes; ++n)
@@ -155,7 +157,7 @@
                        net::format_address(discovery) + R"(","seed":")" +
                        std::to_string(10000000 + scenario_.seed % 1000000 * 10 + node) +
                        R"(","limits":{"sockets":)" + std::to_string(scenario_.sockets) +
-                       R"(},"known":{"revision":5,"complete":)" + flag(n_known == scenario_.servers) +
+                       R"(},"known":{"revision":5,"complete":)" + flag(known_servers == scenario_.servers) +
                        R"(,"members":[)" + known + "]}";
     if (scenario_.peers)
         text += R"(,"peer_listen":")" + net::format_address(network_.place(node, peer_port)) +
--- a/src/simulation/fixture.h
+++ b/src/simulation/fixture.h
@@ -1,6 +1,6 @@
-// Everything around the nodes of a scenario, in the simulation and in the process harness: servers,
-// discovery, front and clients, the nodes' configuration files, and the faults that meet all but the nodes'
-// processes.
+// Environment of the nodes of a scenario, in the simulation and in the process harness: fakes of servers,
+// discovery, front and clients, the nodes' configuration files, and all faults but those of the nodes'
+// processes. Times are in tenths of a ms.
 #pragma once
 
 #include <memory>
@@ -17,49 +17,51 @@
 
 namespace lemonstair::simulation {
 
-// The network and the nodes' processes below the fixture, simulated or real.
+// The network and the nodes' configuration files that the fixture works on, simulated or real.
 class Topology {
   public:
     Topology() = default;
     Topology(const Topology&) = delete;
     Topology& operator=(const Topology&) = delete;
     virtual ~Topology() = default;
+    // Faults of datagrams between nodes.
     virtual simnet::DatagramFaults& datagrams() = 0;
-    // Nothing passes to or from the machine; its processes go on.
+    // Blocks all traffic to and from the machine, or ends that. Its processes keep running.
     virtual void cut_off(simnet::Machine machine, bool on) = 0;
-    // As in a reboot: its connections are gone, and the peers are not told.
+    // Drops the machine's connections as a reboot does: their other ends are not notified.
     virtual void drop_connections(simnet::Machine machine) = 0;
-    // Nothing passes between two machines.
+    // Blocks all traffic between two machines, or ends that.
     virtual void cut_path(simnet::Machine a, simnet::Machine b, bool on) = 0;
-    // Delays to and from the machine are so many times as long.
+    // Multiplies the delays to and from the machine; 1 restores them.
     virtual void scale_delays(simnet::Machine machine, double times) = 0;
-    // Replays up to `most` of the datagrams that a machine sent last.
+    // Sends again up to `most` of the last datagrams that the machine sent.
     virtual void replay_datagrams(simnet::Machine from, std::size_t most) = 0;
-    // Replaces a node's configuration file, and sends SIGHUP where it runs.
+    // Replaces a node's configuration file, and sends SIGHUP to the node if it is running.
     virtual void replace_config_file(std::uint32_t node, const std::string& text) = 0;
 };
 
-// Created once a run; begins and ends faults as the injector asks.
+// Owns the fakes of one run, and applies the faults that the fault injector asks for.
 class Fixture {
   public:
     static constexpr std::uint16_t client_port = 8443, peer_port = 8444, discovery_port = 8500;
 
-    // Machines 0 to `nodes` - 1 of the network are the nodes'; the fixture adds the others.
+    // Machines 0 to `nodes` - 1 of the network belong to the nodes; the fixture adds the others.
     Fixture(const Scenario& scenario, simnet::EventQueue& events, simnet::Trace& trace,
             simnet::Streams& network, Invariants& invariants, simnet::RandomSource& random,
             Topology& topology);
-    // Starts servers and discovery: before the nodes.
+    // Starts servers and discovery. To be called before the nodes start.
     void start_services();
     void start_clients();
-    // Clients leave, and none comes any more.
+    // Closes all clients; no more will arrive.
     void stop_clients();
 
-    // The configuration file of a node, as JSON.
+    // Text of a node's configuration file, as JSON.
     std::string config_file_for(std::uint32_t node) const;
-    // False: the fault is one of a node's process, and is left to whoever runs it.
+    // Returns false for a fault of a node's process, which the owner of the processes applies.
     bool begin_fault(const Fault& fault);
     void end_fault(const Fault& fault);
-    // Next step of a draining server: it stops, then it is back. True: there is another step.
+    // Next step of a draining server: the first call stops it and returns true, the second starts it again
+    // and returns false.
     bool advance_drain(const Fault& fault);
 
     fakes::TestEnvironment& environment() { return environment_; }
--- a/src/simulation/fixture_faults.cpp
+++ b/src/simulation/fixture_faults.cpp
@@ -1,4 +1,4 @@
-// Faults of servers, discovery and the network: their begin and end.
+// How the fixture begins and ends faults of servers, discovery, clients and the network.
 #include <algorithm>
 
 #include "simulation/fixture.h"
@@ -16,10 +16,10 @@
 }  // namespace
 
 void Fixture::publish(std::uint32_t server, Phase phase) {
-    fakes::DiscoveryEntry& e = entries_[server];
-    e.phase = phase;
-    e.up_since_ms = servers_[server]->up_since_ms();
-    for (auto& r : discovery_services_) r->change(server, e, scenario_.discovery_delay);
+    fakes::DiscoveryEntry& entry = entries_[server];
+    entry.phase = phase;
+    entry.up_since_ms = servers_[server]->up_since_ms();
+    for (auto& service : discovery_services_) service->change(server, entry, scenario_.discovery_delay);
 }
 
 bool Fixture::begin_fault(const Fault& fault) {
@@ -140,7 +140,7 @@
     }
 }
 
-// Faults of `count` nodes from one on.
+// Faults that separate `count` nodes, from the target on, from other nodes or from servers.
 void Fixture::set_isolation(const Fault& fault, bool on) {
     const std::uint32_t last = std::min(fault.target + std::max(fault.count, 1U), scenario_.nodes);
     if (fault.kind == K::nodes_apart)
@@ -152,7 +152,7 @@
         if (fault.kind == K::nodes_mute) topology_.datagrams().mute(n, on);
         if (fault.kind != K::nodes_cut_from_servers) continue;
         for (auto& h : servers_) topology_.cut_path(n, h->machine(), on);
-        invariants_.machine_cut(n, on);  // without servers a node is excused
+        invariants_.machine_cut(n, on);  // a node that reaches no server is not judged
     }
 }
 
@@ -213,7 +213,6 @@
     }
 }
 
-// The first step stops a server that drains, the second starts it again.
 bool Fixture::advance_drain(const Fault& fault) {
     fakes::FakeServer& server = *servers_[fault.target];
     if (server.state() == fakes::FakeServer::State::up) {
--- a/src/simulation/invariants.cpp
+++ b/src/simulation/invariants.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::size_t most_broken = 200;
+constexpr std::size_t max_violations = 200;
 
 }  // namespace
 
@@ -26,7 +26,7 @@
 }
 
 void Invariants::report(std::string rule, std::string what) {
-    if (broken_.size() < most_broken)
+    if (broken_.size() < max_violations)
         broken_.push_back({events_.now() - events_.start_time(), std::move(rule), std::move(what)});
 }
 
@@ -36,11 +36,12 @@
         who += std::to_string(h);
         const double spent = ledger_.most_of_budget(h, scenario_.server.overload_window);
         if (scenario_.max_budget_share > 0 && spent > scenario_.max_budget_share)
-            report("budget", who + " was sent " + std::to_string(spent) + " of its budget");
+            report("budget", who + " was sent " + std::to_string(spent) + " of its budget, the bound is " +
+                                 std::to_string(scenario_.max_budget_share));
         const double over = ledger_.most_over_allowance(h, scenario_.server.overload_window);
         if (scenario_.judge_slow_start && over > 0)
             report("slow_start",
-                   who + " was sent " + std::to_string(over) + " over what a cold server is allowed");
+                   who + " was sent " + std::to_string(over) + " setups more than slow start allows");
     }
 }
 
@@ -58,7 +59,7 @@
     return tunnels_by_id_[tunnel];
 }
 
-// ---- disturbances
+// ---- faults of nodes and machines
 
 void Invariants::node_started(std::uint32_t node) {
     nodes_[node].incarnations.push_back({events_.now(), 0, NodeEnd::killed, 0});
@@ -98,10 +99,11 @@
 }
 
 bool Invariants::was_reachable(simnet::Machine machine, Ticks from, Ticks until) const {
-    // What was under way when it was cut off comes up to some seconds after it is back.
-    constexpr Ticks after = 25000;
+    // Bytes that were in transit at the cut arrive up to 2.5 s after it has ended, because of
+    // retransmissions.
+    constexpr Ticks retransmission_time = 25000;
     for (const auto& [begin, end] : cuts_[machine])
-        if (begin <= until && (end == 0 || end + after >= from)) return false;
+        if (begin <= until && (end == 0 || end + retransmission_time >= from)) return false;
     return true;
 }
 
--- a/src/simulation/invariants.h
+++ b/src/simulation/invariants.h
@@ -1,5 +1,6 @@
-// Invariants of a run, judged from what the fakes see on the wire. Nothing that the nodes themselves report
-// is trusted, except where a rule is about it (figures, self_check). Times are tenths of a ms.
+// Judges the rules (invariants) of a run from what the fakes see on the wire. What the nodes report about
+// themselves is not used, except by the rules that check it (figures, self_check). Times are in tenths of a
+// ms.
 #pragma once
 
 #include <cstdint>
@@ -14,68 +15,68 @@
 
 namespace lemonstair::simulation {
 
-// A rule that was broken.
+// One violation of a rule.
 struct Violation {
     Ticks at = 0;      // since the start of the scenario
-    std::string rule;  // a name of the rule catalogue
+    std::string rule;  // its name in the rule catalogue
     std::string what;
 };
 
-// A rule: the name that runs report, and what it demands.
+// A rule: the name that runs report, and what it requires.
 struct RuleInfo {
     const char *name, *description;
 };
 const std::vector<RuleInfo>& rule_catalogue();
 
-// Judges one run. The owner tells it of every fault, so that no node is blamed for what a fault explains.
+// Judges one run. Its owner reports every fault to it, so that what a fault explains is no violation.
 class Invariants final : public fakes::ExecutionLog {
   public:
     Invariants(const Scenario& scenario, simnet::EventQueue& events, simnet::Streams& network);
-    // Before the first event.
+    // To be called before the first event.
     void begin(const fakes::TestEnvironment& environment) { environment_ = &environment; }
 
-    // ---- faults that excuse nodes
+    // ---- faults, and states of nodes and servers
     enum class NodeEnd : std::uint8_t { killed, left, killed_late, crashed };
     void node_started(std::uint32_t node);
     void node_shutdown_requested(std::uint32_t node);
     void node_ended(std::uint32_t node, NodeEnd how);
     void node_stalled(std::uint32_t node, Ticks until);
-    // Operators drain the node, or end the drain.
+    // Operators have begun to drain the node, or ended the drain.
     void node_drained(std::uint32_t node, bool on) { nodes_[node].drained_since = on ? events_.now() : 0; }
-    // Rule drained: whether the node still holds tunnels that it should have moved.
+    // Rule drained: reports tunnels that a draining node should have moved by now.
     void judge_drained(std::uint32_t node);
-    // Rule figures: `body` is the answer to `GET /stats` of a process that runs since then. `mixed`: another
-    // process of the node served some of its clients meanwhile.
+    // Rule figures: `body` is the answer to `GET /stats` of a process that was started at `since`. `mixed`:
+    // another process of the node has served some of its clients since then.
     void judge_metrics(std::uint32_t node, const std::string& body, Ticks since, bool mixed);
-    // Whether the node ran, was not stalled and could be reached all the time.
+    // Whether the node ran, was not stalled and was reachable during the whole period.
     bool was_undisturbed(std::uint32_t node, Ticks from, Ticks until) const;
     void machine_cut(simnet::Machine machine, bool on);
-    // Its process has started: it is in slow start from now on.
+    // The server's process has started and is in slow start from now on.
     void server_started(std::uint32_t server) { servers_[server].started_at = events_.now(); }
     void server_silent(std::uint32_t server, bool on) {
         servers_[server].silent = on;
         if (!on) servers_[server].silent_until = events_.now();
     }
-    // Records a violation; beyond 200 they are dropped.
+    // Records a violation. Only the first 200 are kept.
     void report(std::string rule, std::string what);
 
     const std::vector<Violation>& broken() const { return broken_; }
-    // Counts of what happened, whether right or wrong.
+    // Counts of events, regardless of violations.
     struct Tally {
         std::uint64_t taken = 0, opened = 0, declined = 0, failed = 0, setups = 0, setups_failed = 0,
                       resumed = 0, not_held = 0, cut = 0,
-                      orphaned = 0,  // tunnels that waited when their node ended
-            raced = 0;               // setups pending at a server when their node was notified that it drains
+                      orphaned = 0,  // tunnels still without an answer when their node ended
+            raced = 0;  // setups without an answer when their node was notified that the server drains
     };
     const Tally& tally() const { return tally_; }
-    // Whether any server could take more; asked when a tunnel is declined.
+    // Whether any server is idle; called when a tunnel is declined.
     using AnyIdle = std::function<bool()>;
-    void set_idle_query(AnyIdle any) { any_idle_ = std::move(any); }
-    // What all nodes together may send a server within a budget window; 0: no such bound.
+    void set_idle_query(AnyIdle query) { any_idle_ = std::move(query); }
+    // How many setups all nodes together may send a server within a window; 0 if there is no such bound.
     using Budget = std::function<double(std::uint32_t server)>;
-    void set_budget_query(Budget of) { budget_ = std::move(of); }
+    void set_budget_query(Budget query) { budget_ = std::move(query); }
     Ledger& ledger() { return ledger_; }
-    // Rules budget and slow_start, at the end of the run.
+    // Judges the rules budget and slow_start, at the end of the run.
     void judge_bounds();
 
     // ---- fakes::ExecutionLog
@@ -102,8 +103,8 @@
     enum class State : std::uint8_t { unknown, requested, delivered, open, over };
     struct Setup {
         std::uint32_t server;
-        simnet::End end;  // the server's
-        Ticks sent;       // its first byte; a server that hangs may read it long after
+        simnet::End end;  // the server's end of the connection
+        Ticks sent;       // when its first byte was sent; a hanging server may read it much later
         fakes::Answer answer = fakes::Answer::none;
     };
     struct TunnelRecord {
@@ -111,27 +112,27 @@
         fakes::TunnelRequest request;
         Ticks requested_at = 0, delivered_at = 0, opened_at = 0, server_ended_at = 0, left_at = 0;
         std::uint32_t server = 0;
-        std::size_t attempt = 0;  // the last, in attempts_
+        std::size_t attempt = 0;  // index of the last one in attempts_
         Ticks changed_at = 0;
         std::vector<Setup> setups;
     };
-    // One first line at one node; a tunnel whose packets pass has several.
+    // A client's first line at a node. A tunnel can have several where a connection survives its node.
     struct Attempt {
         std::uint32_t node = 0, profile = 0;
         Ticks requested_at = 0, answered_at = 0;
         fakes::Answer answer = fakes::Answer::none;
     };
     struct Incarnation {
-        Ticks from, until = 0;  // 0: it runs
+        Ticks from, until = 0;  // 0: still running
         NodeEnd how = NodeEnd::killed;
         Ticks leaving_since = 0;
     };
     struct Node {
         std::vector<Incarnation> incarnations;
         std::vector<std::pair<Ticks, Ticks>> stalls;
-        Ticks drained_since = 0;            // 0: it is not
-        std::vector<Ticks> notified_at;     // by server: when it was last notified of it; 0: not yet
-        std::vector<Ticks> inactive_since;  // by server: since when it is known to be so; 0: it is active
+        Ticks drained_since = 0;            // 0: it is not drained
+        std::vector<Ticks> notified_at;     // by server: when the node last got its state; 0: not yet
+        std::vector<Ticks> inactive_since;  // by server: since when the node knows; 0: active
     };
     struct Server {
         Ticks started_at = 0, silent_until = 0;
@@ -161,10 +162,10 @@
     const fakes::TestEnvironment* environment_ = nullptr;
     std::deque<TunnelRecord> tunnels_by_id_;
     std::vector<Attempt> attempts_;
-    std::vector<std::pair<std::uint32_t, Ticks>> setups_received_;  // from which node, when sent
+    std::vector<std::pair<std::uint32_t, Ticks>> setups_received_;  // sending node, time sent
     std::vector<Node> nodes_;
     std::vector<Server> servers_;
-    std::vector<std::vector<std::pair<Ticks, Ticks>>> cuts_;  // by machine; until 0: it lasts
+    std::vector<std::vector<std::pair<Ticks, Ticks>>> cuts_;  // by machine; an end of 0: not over yet
     std::vector<Violation> broken_;
     Tally tally_;
     Ledger ledger_;
--- a/src/simulation/ledger.cpp
+++ b/src/simulation/ledger.cpp
@@ -5,7 +5,7 @@
 
 namespace lemonstair::simulation {
 
-// A mid-flow tunnel is open at its server already, wherever it goes.
+// A mid-flow tunnel is already open at its server and adds no load to it.
 void Ledger::record_setup(std::uint32_t server, Ticks at, bool mid_flow, double budget, bool notified) {
     if (mid_flow) return;
     servers_[server].setup_times.push_back(at);
@@ -23,7 +23,7 @@
     return most;
 }
 
-// A server that warms bears more at the end of a window than at its begin: the mean of both is taken.
+// The budget of a server in slow start grows within a window: the mean of its first and last value is taken.
 double Ledger::most_of_budget(std::uint32_t server, Ticks window) const {
     const Server& h = servers_[server];
     double most = 0;
@@ -39,6 +39,8 @@
 
 double Ledger::most_over_allowance(std::uint32_t server, Ticks window) const {
     const Server& h = servers_[server];
+    // Budget and a deviation of 2 standard deviations of a random arrival count, or 3 where the budget is
+    // small.
     const auto allowance = [](double n) {
         return n < 30 ? n + 3 * std::sqrt(n) + 3 : n + 2 * std::sqrt(n) + 2;
     };
--- a/src/simulation/timed_event.h
+++ b/src/simulation/timed_event.h
@@ -1,18 +1,18 @@
-// Tokens of timed events: a kind, a place in a list and an incarnation, packed into the 64 bits that an event
-// queue hands back. The simulation and the process harness share it.
+// Timed events packed into the 64-bit tokens that an event queue hands back: a kind, an index into a list and
+// an incarnation. Shared by the simulation and the process harness.
 #pragma once
 
 #include <cstdint>
 
 namespace lemonstair::simulation {
 
-// Kind is an enum of at most 256 values.
+// `Kind`: an enum of at most 256 values.
 template <class Kind>
 struct TimedEvent {
     Kind kind;
-    std::uint64_t index = 0;  // below 2^24: a fault's or a node's place
-    std::uint32_t incarnation =
-        0;  // of the node's process, or a count of its upgrades: an older one is stale
+    std::uint64_t index = 0;  // of a fault or a node; below 2^24
+    // Of the node's process, or the count of its upgrades. An event of an earlier one is ignored.
+    std::uint32_t incarnation = 0;
 };
 
 template <class Kind>
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,6 +1,8 @@
-// The adapter between a simulator's protocol and the Balancer: JSON lines in, JSON lines out, one Balancer an
-// instance. It is the only place that knows the protocol's words, and decides nothing. Times are rounded to
-// the safe side: the clock and durations up, deadlines down.
+// Adapter between an external simulator and the Balancer. Events come as JSON lines on standard input,
+// actions leave as JSON lines on standard output; each simulated instance has a Balancer of its own. Only
+// this file knows the names of the simulator's protocol; it makes no decisions. Times are rounded to the safe
+// side: the clock and durations up, deadlines down. On invalid input the program names the line and exits
+// with status 1.
 #include <unistd.h>
 
 #include <array>
@@ -30,7 +32,7 @@
 using lemonstair::json::Malformed;
 using lemonstair::json::Value;
 
-// Writes the reply to a batch; its buffer is reused from batch to batch.
+// Collects the actions of a batch and writes them to standard output at its end. The buffer is reused.
 class Reply {
   public:
     Reply& raw(std::string_view s) {
@@ -70,7 +72,7 @@
     void flush() {
         for (std::size_t sent = 0; sent < text_.size();) {
             const ssize_t n = ::write(STDOUT_FILENO, text_.data() + sent, text_.size() - sent);
-            if (n <= 0) throw std::runtime_error("standard output is closed");
+            if (n <= 0) throw std::runtime_error("cannot write to standard output");
             sent += static_cast<std::size_t>(n);
         }
         text_.clear();
@@ -80,7 +82,8 @@
     std::string text_;
 };
 
-// One balancer and its delegate, which writes every action as a line of the reply.
+// One simulated instance: a balancer, and the delegate that writes each of its actions as a line of the
+// reply.
 class Instance final : public lemonstair::BalancerDelegate {
   public:
     Instance(std::uint64_t who, Reply& out) : who_(who), out_(out) {}
@@ -124,16 +127,16 @@
     Reply& out_;
 };
 
-lemonstair::LoadReport decode_load_report(const Value& f) {
+lemonstair::LoadReport decode_load_report(const Value& fields) {
     lemonstair::LoadReport report;
-    f.object("health_info").for_each_field([&](std::string_view name, const Value& value) {
+    fields.object("health_info").for_each_field([&](std::string_view name, const Value& value) {
         if (double* field = load_report_field(report, name)) *field = value.as_number();
     });
     return report;
 }
 
-Outcome decode_outcome(const Value& f) {
-    return decode_word<Outcome>(f.text("state_code"),
+Outcome decode_outcome(const Value& fields) {
+    return decode_word<Outcome>(fields.text("state_code"),
                                 {{"OK", Outcome::ok},
                                  {"INTERNAL", Outcome::error},
                                  {"RESOURCE_EXHAUSTED", Outcome::overloaded},
@@ -147,9 +150,9 @@
 
 class Adapter {
   public:
-    // Handles one line of input; throws json::Malformed.
+    // Handles one line of input. Throws json::Malformed where the line is not a valid event.
     void handle_line(const char* text, std::size_t length) {
-        if (!message_.parse({text, length})) throw Malformed("not JSON");
+        if (!message_.parse({text, length})) throw Malformed("expected a JSON value");
         int keys = 0;
         Value body;
         message_.root().for_each_field([&](std::string_view name, const Value& value) {
@@ -157,137 +160,150 @@
             name_.assign(name);
             body = value;
         });
-        if (keys != 1) throw Malformed("a message is an object with one key");
+        if (keys != 1)
+            throw Malformed("expected an object with one key, got " + std::to_string(keys) + " keys");
         if (body.type() != lemonstair::json::Type::object)
-            throw Malformed("a message's fields are an object");
+            throw Malformed(name_ + ": expected an object of fields");
         handle(name_, body.with_context(name_.c_str()));
     }
     bool in_batch() const { return in_batch_; }
 
   private:
-    void handle(const std::string& name, const Value& f) {
-        if (name == "Batch") return begin_batch(f);
-        if (!in_batch_) throw Malformed(name + " outside a batch");
+    void handle(const std::string& name, const Value& fields) {
+        if (name == "Batch") return begin_batch(fields);
+        if (!in_batch_) throw Malformed(name + ": expected within a batch, but no Batch is open");
         if (name == "Go") {
             in_batch_ = false;
             out_.raw("{\"Eor\":{}}\n").flush();
             return;
         }
-        const std::uint64_t who = f.uint64("who");
-        if (name == "Enlist") return enlist(who, f);
+        const std::uint64_t who = fields.uint64("who");
+        if (name == "Enlist") return enlist(who, fields);
         if (who >= instances_.size() || !instances_[who])
-            throw Malformed(name + ": instance " + std::to_string(who) + " was never enlisted");
+            throw Malformed(name + ": field 'who' is " + std::to_string(who) +
+                            ", expected an enlisted instance");
         if (name == "Stop") return instances_[who].reset();
-        Balancer& b = *instances_[who]->balancer;
-        b.set_time(now_);
-        if (!handle_tunnel_event(b, who, name, f) && !handle_node_event(b, name, f))
-            throw Malformed("event '" + name + "' is unknown");
+        Balancer& balancer = *instances_[who]->balancer;
+        balancer.set_time(now_);
+        if (!handle_tunnel_event(balancer, who, name, fields) && !handle_node_event(balancer, name, fields))
+            throw Malformed("unknown event '" + name + "'");
     }
-    void begin_batch(const Value& f) {
-        if (in_batch_) throw Malformed("Batch within a batch");
+    void begin_batch(const Value& fields) {
+        if (in_batch_) throw Malformed("Batch: the previous batch was not ended by Go");
         in_batch_ = true;
-        now_ = round_up_to_ticks(f.number("ts"));
+        now_ = round_up_to_ticks(fields.number("ts"));
     }
-    // This and handle_node_event return false where the event is none of theirs.
-    bool handle_tunnel_event(Balancer& b, std::uint64_t who, const std::string& name, const Value& f) {
+    // Like handle_node_event, returns false for an event of another kind.
+    bool handle_tunnel_event(Balancer& balancer, std::uint64_t who, const std::string& name,
+                             const Value& fields) {
         if (name == "Interim")
-            on_interim(b, f);
+            on_interim(balancer, fields);
         else if (name == "Reply")
-            b.on_ended(f.uint64("ticket"), static_cast<int>(f.uint32("hop")), f.uint32("host"),
-                       decode_outcome(f), round_up_to_ticks(f.number("duration", 0)), f.flag("settled"));
+            balancer.on_ended(fields.uint64("ticket"), static_cast<int>(fields.uint32("hop")),
+                              fields.uint32("host"), decode_outcome(fields),
+                              round_up_to_ticks(fields.number("duration", 0)), fields.flag("settled"));
         else if (name == "Incoming")
-            b.on_request(f.uint64("ticket"), decode_request(who, f));
+            balancer.on_request(fields.uint64("ticket"), decode_request(who, fields));
         else if (name == "Flowing")
-            b.on_opened(f.uint64("ticket"), static_cast<int>(f.uint32("hop")), f.uint32("host"),
-                        round_up_to_ticks(f.number("duration", 0)));
+            balancer.on_opened(fields.uint64("ticket"), static_cast<int>(fields.uint32("hop")),
+                               fields.uint32("host"), round_up_to_ticks(fields.number("duration", 0)));
         else if (name == "ClientLeft")
-            b.on_client_disconnected(f.uint64("ticket"));
+            balancer.on_client_disconnected(fields.uint64("ticket"));
         else if (name == "Open")
-            b.adopt_open_tunnel(f.uint64("ticket"), decode_request(who, f), f.uint32("host"));
+            balancer.adopt_open_tunnel(fields.uint64("ticket"), decode_request(who, fields),
+                                       fields.uint32("host"));
         else
             return false;
         return true;
     }
-    static bool handle_node_event(Balancer& b, const std::string& name, const Value& f) {
+    static bool handle_node_event(Balancer& balancer, const std::string& name, const Value& fields) {
         if (name == "CheckResult")
-            b.on_health_check(f.uint32("host"), decode_outcome(f), round_up_to_ticks(f.number("duration", 0)),
-                              decode_load_report(f));
+            balancer.on_health_check(fields.uint32("host"), decode_outcome(fields),
+                                     round_up_to_ticks(fields.number("duration", 0)),
+                                     decode_load_report(fields));
         else if (name == "TimeoutFired")
-            on_timer(b, f.text("label"));
+            on_timer(balancer, fields.text("label"));
         else if (name == "Peer")
-            on_gossip(b, f);
+            on_gossip(balancer, fields);
         else if (name == "Fleet")
-            apply_endpoint_list(b, f);
+            apply_endpoint_list(balancer, fields);
         else
             return false;
         return true;
     }
-    void enlist(std::uint64_t who, const Value& f) {
-        if (who > 1000000) throw Malformed("Enlist: field 'who' is too large");
+    void enlist(std::uint64_t who, const Value& fields) {
+        if (who > 1000000)
+            throw Malformed("Enlist: field 'who' is " + std::to_string(who) + ", expected at most 1000000");
         if (who >= instances_.size()) instances_.resize(who + 1);
         auto instance = std::make_unique<Instance>(who, out_);
-        if (!f.has("setup")) throw Malformed("Enlist: field 'setup' is missing");
-        auto config = lemonstair::config::parse_settings(f.object("setup"), f.uint64("salt"));
+        if (!fields.has("setup")) throw Malformed("Enlist: field 'setup' is missing");
+        auto config = lemonstair::config::parse_settings(fields.object("setup"), fields.uint64("salt"));
         instance->traffic_classes = config.traffic_classes.size();
         instance->balancer = Balancer::start(std::move(config), *instance, now_);
         instances_[who] = std::move(instance);
     }
-    static void on_interim(Balancer& b, const Value& f) {
-        const auto what = f.uint64("what");
-        if (what == 1) b.on_load_changed(f.uint64("ticket"), f.number("amount") / 1e6);
+    // Field 'what': 1, 'amount' is the tunnel's load in millionths; 2, 'amount' is the time that its messages
+    // take, in ms. Other values have no effect.
+    static void on_interim(Balancer& balancer, const Value& fields) {
+        const auto what = fields.uint64("what");
+        if (what == 1) balancer.on_load_changed(fields.uint64("ticket"), fields.number("amount") / 1e6);
         if (what == 2)
-            b.on_slow_messages(f.uint64("ticket"), f.uint32("host"),
-                               round_up_to_ticks(f.number("amount") / 1e3));
+            balancer.on_slow_messages(fields.uint64("ticket"), fields.uint32("host"),
+                                      round_up_to_ticks(fields.number("amount") / 1e3));
     }
-    static void on_timer(Balancer& b, std::string_view label) {
+    static void on_timer(Balancer& balancer, std::string_view label) {
         std::uint64_t number = 0;
         const auto end = label.data() + label.size();
         if (std::from_chars(label.data(), end, number).ptr != end)
-            throw Malformed("TimeoutFired: label was not set by this adapter");
-        b.on_timer(number);
+            throw Malformed("TimeoutFired: field 'label' is '" + std::string(label) +
+                            "', expected the label of a WakeMe");
+        balancer.on_timer(number);
     }
-    static void on_gossip(Balancer& b, const Value& f) {
-        const auto text = f.text("raw");
-        if (text.size() % 2 != 0) throw Malformed("Peer: field 'raw' is not hex digits");
+    static void on_gossip(Balancer& balancer, const Value& fields) {
+        const auto text = fields.text("raw");
+        if (text.size() % 2 != 0) throw Malformed("Peer: field 'raw' is not pairs of hex digits");
         std::array<std::uint8_t, 4096> bytes{};
         const std::size_t n = std::min(text.size() / 2, bytes.size());
         for (std::size_t i = 0; i < n; ++i) {
             const char* p = text.data() + 2 * i;
             if (std::from_chars(p, p + 2, bytes[i], 16).ptr != p + 2)
-                throw Malformed("Peer: field 'raw' is not hex digits");
+                throw Malformed("Peer: field 'raw' is not pairs of hex digits");
         }
-        b.on_gossip(f.uint32("src"), {bytes.data(), n});
+        balancer.on_gossip(fields.uint32("src"), {bytes.data(), n});
     }
-    lemonstair::TunnelRequest decode_request(std::uint64_t who, const Value& f) {
-        if (f.uint64("qos") >= instances_[who]->traffic_classes)
-            throw Malformed("field 'qos' names no profile");
-        const auto bits = f.uint64("bitmap", 0);
-        return {.key = f.text("path_key", ""),
-                .group = f.text("room", ""),
-                .deadline = round_down_to_ticks(f.number("valid_until")),
-                .expected_load = (bits & 1) != 0 ? f.number("expected", 0) : 0,
-                .traffic_class = f.uint32("qos"),
+    lemonstair::TunnelRequest decode_request(std::uint64_t who, const Value& fields) {
+        if (fields.uint64("qos") >= instances_[who]->traffic_classes)
+            throw Malformed("field 'qos' is " + std::to_string(fields.uint64("qos")) +
+                            ", expected the index of a profile");
+        // Bit 0: field 'expected' holds the expected load; bit 3: mid-flow; bit 4: reconnect.
+        const auto bits = fields.uint64("bitmap", 0);
+        return {.key = fields.text("path_key", ""),
+                .group = fields.text("room", ""),
+                .deadline = round_down_to_ticks(fields.number("valid_until")),
+                .expected_load = (bits & 1) != 0 ? fields.number("expected", 0) : 0,
+                .traffic_class = fields.uint32("qos"),
                 .mid_flow = (bits & 8) != 0,
                 .reconnect = (bits & 16) != 0};
     }
-    static void apply_endpoint_list(Balancer& b, const Value& f) {
+    static void apply_endpoint_list(Balancer& balancer, const Value& fields) {
         using lemonstair::EndpointState, lemonstair::EndpointListKind;
-        b.begin_endpoint_list(decode_word<EndpointListKind>(f.text("kind"),
-                                                            {{"D", EndpointListKind::changes},
-                                                             {"F", EndpointListKind::complete},
-                                                             {"C", EndpointListKind::cached},
-                                                             {"X", EndpointListKind::failed}},
-                                                            "kind"));
-        f.for_each("members_list", [&](const Value& m) {
-            b.add_endpoint(m.uint32("host"), m.uint32("site", 0), m.uint32("cohort", 0),
-                           decode_word<EndpointState>(m.text("lifecycle"),
-                                                      {{"in_service", EndpointState::active},
-                                                       {"terminating", EndpointState::draining},
-                                                       {"terminated", EndpointState::removed}},
-                                                      "lifecycle"),
-                           m.number("nominal", 1), round_up_to_ticks(m.number("online_since", 0)));
+        balancer.begin_endpoint_list(decode_word<EndpointListKind>(fields.text("kind"),
+                                                                   {{"D", EndpointListKind::changes},
+                                                                    {"F", EndpointListKind::complete},
+                                                                    {"C", EndpointListKind::cached},
+                                                                    {"X", EndpointListKind::failed}},
+                                                                   "kind"));
+        fields.for_each("members_list", [&](const Value& member) {
+            balancer.add_endpoint(member.uint32("host"), member.uint32("site", 0), member.uint32("cohort", 0),
+                                  decode_word<EndpointState>(member.text("lifecycle"),
+                                                             {{"in_service", EndpointState::active},
+                                                              {"terminating", EndpointState::draining},
+                                                              {"terminated", EndpointState::removed}},
+                                                             "lifecycle"),
+                                  member.number("nominal", 1),
+                                  round_up_to_ticks(member.number("online_since", 0)));
         });
-        b.end_endpoint_list();
+        balancer.end_endpoint_list();
     }
 
     lemonstair::json::Document message_;
@@ -302,13 +318,13 @@
     Adapter adapter;
     std::vector<char> buffer(1 << 20);
     std::size_t begin = 0, end = 0;
-    std::size_t number = 0;
+    std::size_t line_number = 0;
     try {
         for (;;) {
             const char* start = buffer.data() + begin;
             const auto* stop = static_cast<const char*>(std::memchr(start, '\n', end - begin));
             if (stop != nullptr) {
-                ++number;
+                ++line_number;
                 if (stop != start) adapter.handle_line(start, static_cast<std::size_t>(stop - start));
                 begin = static_cast<std::size_t>(stop + 1 - buffer.data());
                 continue;
@@ -318,14 +334,14 @@
             begin = 0;
             if (buffer.size() - end < (1 << 16)) buffer.resize(buffer.size() * 2);
             const ssize_t n = ::read(STDIN_FILENO, buffer.data() + end, buffer.size() - end);
-            if (n < 0) throw std::runtime_error("standard input cannot be read");
+            if (n < 0) throw std::runtime_error("cannot read standard input");
             if (n == 0) break;
             end += static_cast<std::size_t>(n);
         }
-        if (end > 0) throw Malformed("input ends within a line");
-        if (adapter.in_batch()) throw Malformed("input ends within a batch");
-    } catch (const std::exception& e) {
-        std::fprintf(stderr, "lemonstair_simulator_adapter: line %zu: %s\n", number, e.what());
+        if (end > 0) throw Malformed("expected a line end before the end of input");
+        if (adapter.in_batch()) throw Malformed("expected Go before the end of input");
+    } catch (const std::exception& error) {
+        std::fprintf(stderr, "lemonstair_simulator_adapter: line %zu: %s\n", line_number, error.what());
         return 1;
     }
     return 0;
