--- a/src/simulation/invariants_clients.cpp
+++ b/src/simulation/invariants_clients.cpp
@@ -1,4 +1,4 @@
-// Rules judged from what clients see: answers, cut connections, lines.
+// Rules that are judged from what clients see: answers, connections that are cut, lines.
 #include <algorithm>
 
 #include "simulation/invariants.h"
@@ -10,9 +10,9 @@
 using fakes::Answer;
 
 constexpr Ticks second = 10000;
-constexpr Ticks margin = 500;  // each time limit is 50 ms longer on sockets
-constexpr Ticks end_passed_in = 10000;
-constexpr Ticks leaving_takes = 37000;
+constexpr Ticks margin = 500;  // 50 ms more on each time limit, for transport over sockets
+constexpr Ticks end_forwarding_limit = 10000;
+constexpr Ticks shutdown_grace = 37000;  // from SIGTERM to SIGKILL
 
 bool may_have_run(Answer a) { return a != Answer::busy; }
 
@@ -44,15 +44,15 @@
         set_state(record, State::over);
         return;
     }
-    if (!waited) return report("twice", named(tunnel) + " was answered though it is not waiting");
+    if (!waited) return report("twice", named(tunnel) + " got an answer though it was not waiting for one");
     attempts_[record.attempt].answer = answer;
     attempts_[record.attempt].answered_at = events_.now();
     if (record.delivered_at != 0 &&
         written_at > record.delivered_at + record.request.wait + scenario_.answer_slack &&
         was_undisturbed(record.request.node, record.delivered_at, written_at))
-        report("answer", named(tunnel) + " was answered " +
+        report("answer", named(tunnel) + " got its answer " +
                              std::to_string((written_at - record.delivered_at - record.request.wait) / 10) +
-                             " ms late");
+                             " ms after its wait was over");
     const bool ran = std::any_of(record.setups.begin(), record.setups.end(),
                                  [](const Setup& s) { return may_have_run(s.answer); });
     if (answer == Answer::up) {
@@ -61,7 +61,7 @@
         record.opened_at = events_.now();
         if (std::none_of(record.setups.begin(), record.setups.end(),
                          [](const Setup& s) { return s.answer == Answer::up; }))
-            report("twice", named(tunnel) + " was opened by no server");
+            report("twice", named(tunnel) + " got UP though no server had opened it");
         return;
     }
     set_state(record, State::over);
@@ -73,11 +73,12 @@
         p.effect == fakes::Idempotency::idempotent ||
         (p.effect == fakes::Idempotency::idempotent_with_key && p.scope == fakes::DeduplicationScope::all &&
          written_at <= record.setups.front().sent + p.window + margin + scenario_.max_process_pause);
-    if (!safe) report("effect", named(tunnel) + " was declined though it may have run");
+    if (!safe) report("effect", named(tunnel) + " was declined though a server may have run it");
 }
 
 void Invariants::data_after_final(fakes::TunnelId tunnel, std::string_view text) {
-    report("twice", named(tunnel) + " heard '" + std::string(text.substr(0, 20)) + "' after its last words");
+    report("twice",
+           named(tunnel) + " received '" + std::string(text.substr(0, 20)) + "' after its final answer");
 }
 
 void Invariants::client_left(fakes::TunnelId tunnel) {
@@ -92,7 +93,7 @@
     set_state(record, State::over);
     record.left_at = events_.now();
     if (owed && was_undisturbed(record.request.node, record.delivered_at, events_.now()))
-        report("answer", named(tunnel) + " got no answer in its time");
+        report("answer", named(tunnel) + " got no answer within its wait");
 }
 
 void Invariants::connection_cut(fakes::TunnelId tunnel, bool by_reset, Ticks written) {
@@ -103,36 +104,39 @@
     const Incarnation* life = incarnation_at(record.request.node, record.requested_at);
     const bool gone = life == nullptr || life->until != 0;
     if (gone) {
-        const bool had_time =
-            life != nullptr && life->leaving_since != 0 && life->until - life->leaving_since >= leaving_takes;
+        const bool had_time = life != nullptr && life->leaving_since != 0 &&
+                              life->until - life->leaving_since >= shutdown_grace;
         const bool owes = life != nullptr &&
                           (life->how == NodeEnd::left || (life->how == NodeEnd::killed_late && had_time));
         if (was == State::open && owes && !scenario_.packet_passthrough && !record.request.slow_reader &&
             was_undisturbed(record.request.node, life->leaving_since, life->until - 1))
-            report("leave", named(tunnel) + " was cut off when its node left");
+            report("leave", named(tunnel) + " was cut off by the shutdown of its node");
         return;
     }
     if (!was_undisturbed(record.request.node, record.requested_at, events_.now())) return;
-    // Where its server opened it and reset it at once, the reset is passed on and may overtake the answer.
-    const bool host_reset = record.server_ended_at != 0 && by_reset;
-    if (was == State::delivered && !record.request.mid_flow && !host_reset)
+    // Where its server opened it and reset it at once, the node forwards the reset, which may overtake the
+    // answer.
+    const bool server_reset = record.server_ended_at != 0 && by_reset;
+    if (was == State::delivered && !record.request.mid_flow && !server_reset)
         return report("answer", named(tunnel) + " was closed without an answer");
     if (was != State::open) return;
     if (record.server_ended_at != 0) {
-        const Ticks late = written - record.server_ended_at - end_passed_in -
+        const Ticks late = written - record.server_ended_at - end_forwarding_limit -
                            2 * scenario_.network.max_delay - scenario_.max_process_pause;
         if (!by_reset && late > margin && !record.request.slow_reader &&
             was_reachable(machine_of_server(record.server), record.server_ended_at - 1, events_.now()))
-            report("end_late", named(tunnel) + " was ended " + std::to_string((late + end_passed_in) / 10) +
-                                   " ms after its server had ended it");
+            report("end_late", named(tunnel) + " was ended " +
+                                   std::to_string((late + end_forwarding_limit) / 10) +
+                                   " ms after its server had ended it, the limit is " +
+                                   std::to_string(end_forwarding_limit / 10) + " ms");
         return;
     }
-    // The server keeps it, and can be reached, and says something.
+    // A violation only if the server still holds the tunnel, is reachable and is sending.
     if (servers_[record.server].silent || record.request.slow_reader ||
         !was_reachable(machine_of_server(record.server), record.requested_at, events_.now()))
         return;
     report("cut_off",
-           named(tunnel) + " was cut off though server " + std::to_string(record.server) + " keeps it");
+           named(tunnel) + " was cut off though server " + std::to_string(record.server) + " holds it");
 }
 
 void Invariants::connection_silent(fakes::TunnelId tunnel, Ticks span) {
@@ -140,12 +144,13 @@
     if (record.state != State::open ||
         !was_undisturbed(record.request.node, events_.now() - span - second, events_.now()))
         return;
-    report("silent", named(tunnel) + " has had no line for " + std::to_string(span / 10) + " ms");
+    report("silent", named(tunnel) + " has received no line for " + std::to_string(span / 10) + " ms");
 }
 
 void Invariants::misbehaving_client_unanswered(std::uint32_t node, std::string_view how) {
     if (was_undisturbed(node, events_.now() - 3 * second, events_.now()))
-        report("bad_client", "a bad client at node " + std::to_string(node) + " had " + std::string(how));
+        report("bad_client",
+               "a misbehaving client at node " + std::to_string(node) + " got " + std::string(how));
 }
 
 }  // namespace lemonstair::simulation
--- a/src/simulation/invariants_operators.cpp
+++ b/src/simulation/invariants_operators.cpp
@@ -1,4 +1,4 @@
-// Rules judged from what operators see: drained nodes and the metrics that a node reports.
+// Rules that are judged from what operators see: drained nodes and the metrics that a node reports.
 #include <algorithm>
 #include <charconv>
 
@@ -12,7 +12,7 @@
 
 constexpr Ticks second = 10000;
 
-// The number behind a name in JSON that the node wrote; -1: there is none.
+// The number of a field in JSON that the node wrote; -1 if there is none.
 long number_in(std::string_view body, std::string_view name) {
     const auto at = body.find(std::string("\"").append(name).append("\":"));
     long n = -1;
@@ -28,17 +28,19 @@
     for (const TunnelRecord& record : tunnels_by_id_) {
         if (record.request.node != node || record.state != State::open || record.request.slow_reader)
             continue;
-        // One that opened late is moved within a moment; one whose server has ended it ends by itself.
+        // A tunnel opened less than 1 s ago may still be moved; one that its server has ended will end
+        // anyway.
         if (events_.now() - record.opened_at < second || record.server_ended_at != 0) continue;
         if (!was_reachable(machine_of_server(record.server), record.opened_at, events_.now()) ||
             servers_[record.server].silent)
             continue;
-        report("drained", named(record.request.tunnel) + " is held 4 s after its node was told to drain");
+        report("drained",
+               named(record.request.tunnel) + " is still open 4 s after its node was told to drain");
     }
 }
 
-// Page: counts are true to 1% or 3 and half a second old at most; of a client that had gone any count will
-// do.
+// Counts must be right within 1% or 3, and may be half a second old. Tunnels whose state changed within the
+// last 0.6 s, and clients that have just left, may be counted or not.
 void Invariants::judge_metrics(std::uint32_t node, const std::string& body, Ticks since, bool mixed) {
     constexpr Ticks old = 6000, ending = 45000;
     const Ticks now = events_.now();
@@ -46,9 +48,10 @@
                            double part) {
         const long slack = std::max(3L, static_cast<long>(part * static_cast<double>(seen)));
         if (told < seen - missing - slack || told > seen + more + slack)
-            report("figures", "node " + std::to_string(node) + " tells " + std::to_string(told) + " " +
-                                  std::string(what) + ", seen were " + std::to_string(seen) + " (less " +
-                                  std::to_string(missing) + ", more " + std::to_string(more) + ")");
+            report("figures", "node " + std::to_string(node) + " reports " + std::to_string(told) + " " +
+                                  std::string(what) + ", clients and servers saw " + std::to_string(seen) +
+                                  " (up to " + std::to_string(missing) + " less or " + std::to_string(more) +
+                                  " more are allowed)");
     };
     long open = 0, open_missing = 0, open_more = 0, came = 0;
     for (const TunnelRecord& record : tunnels_by_id_) {
@@ -63,13 +66,16 @@
     check("open", number_in(body, "open_requests"), open, open_missing, open_more, 0.1);
     const long listed = number_in(body, "registry_entries"), out = number_in(body, "out_of_rotation");
     if (listed < 0 || listed > static_cast<long>(scenario_.servers) || out < 0 || out > listed)
-        report("figures", "node " + std::to_string(node) + " lists " + std::to_string(listed) +
-                              " servers and avoids " + std::to_string(out));
-    if (mixed) return;  // which process answered whom is not seen on the wire
+        report("figures", "node " + std::to_string(node) + " reports " + std::to_string(listed) +
+                              " servers and " + std::to_string(out) + " out of rotation, there are " +
+                              std::to_string(scenario_.servers));
+    if (mixed) return;  // the wire does not show which process answered a client
     const long relayed = number_in(std::string_view(body).substr(body.rfind("},")), "relayed");
     for (std::uint32_t p = 0; p < environment_->profiles.size(); ++p) {
         const auto at = body.find(std::string("\"").append(environment_->profiles[p].name).append("\":{"));
-        if (at == std::string::npos) return report("figures", "a class is missing");
+        if (at == std::string::npos)
+            return report("figures", "node " + std::to_string(node) + " reports no class '" +
+                                         std::string(environment_->profiles[p].name) + "'");
         const std::string_view row = std::string_view(body).substr(at, body.find('}', at) - at);
         long seen[3] = {}, fresh[3] = {}, unsure = 0;
         for (const Attempt& attempt : attempts_) {
@@ -78,7 +84,7 @@
                              : attempt.answer == Answer::up || attempt.answer == Answer::bye ? 0
                              : attempt.answer == Answer::busy                                ? 1
                                                                                              : 2;
-            // What came before the process began may have waited for it.
+            // A request from before the process started may have waited for it.
             const bool before = attempt.requested_at < since;
             if (kind < 0 || before) {
                 unsure += !before || since - attempt.requested_at < 4 * second ? 1 : 0;
@@ -92,7 +98,7 @@
             check(names[i], number_in(row, names[i]), seen[i], fresh[i], unsure, 0.01);
     }
     if (relayed < came - 3 - came / 50)
-        report("figures", "node " + std::to_string(node) + " tells " + std::to_string(relayed) +
+        report("figures", "node " + std::to_string(node) + " reports " + std::to_string(relayed) +
                               " attempts, servers saw " + std::to_string(came));
 }
 
--- a/src/simulation/invariants_servers.cpp
+++ b/src/simulation/invariants_servers.cpp
@@ -1,4 +1,5 @@
-// Rules judged from what servers and discovery see: setups, repeats, slow start, endpoint states.
+// Rules that are judged from what servers and discovery see: setups, repeated attempts, slow start, endpoint
+// states.
 #include <algorithm>
 
 #include "simulation/invariants.h"
@@ -10,7 +11,7 @@
 using fakes::Answer;
 
 constexpr Ticks second = 10000;
-constexpr Ticks margin = 500;  // each time limit is 50 ms longer on sockets
+constexpr Ticks margin = 500;  // 50 ms more on each time limit, for transport over sockets
 constexpr Ticks drain_grace = 30000;
 
 bool may_have_run(Answer a) { return a != Answer::busy; }
@@ -22,13 +23,13 @@
                                     Ticks sent) {
     constexpr Ticks allowed = 1000;
     if (record.left_at == 0 || sent <= record.left_at + allowed + margin) return;
-    // A server that hung meanwhile read it late: when its first byte was sent is not known.
+    // A server that hung meanwhile read the setup late, so that its time of sending is not known.
     if (servers_[server].silent || servers_[server].silent_until >= record.requested_at) return;
     if (!was_reachable(machine_of_server(server), record.left_at, events_.now()) ||
         !was_reachable(node, record.left_at, events_.now()))
         return;
-    report("late_attempt", named(record.request.tunnel) + " went to server " + std::to_string(server) + " " +
-                               std::to_string((sent - record.left_at) / 10) +
+    report("late_attempt", named(record.request.tunnel) + " was sent to server " + std::to_string(server) +
+                               " " + std::to_string((sent - record.left_at) / 10) +
                                " ms after its client had left");
 }
 
@@ -37,17 +38,17 @@
     if (p.effect == fakes::Idempotency::idempotent) return;
     for (const Setup& s : record.setups) {
         if (!may_have_run(s.answer)) continue;
-        const auto place = [&](std::uint32_t h) {
+        const auto scope_of = [&](std::uint32_t h) {
             return p.scope == fakes::DeduplicationScope::all
                        ? 0U
-                       : h % 2;  // zones and cells go by the server's number
+                       : h % 2;  // the fixture assigns zones and cells by the server's index
         };
         if (p.effect == fakes::Idempotency::non_idempotent)
             return report("effect", named(record.request.tunnel) + " ran a second time, at server " +
                                         std::to_string(server));
-        if (place(s.server) != place(server) || std::abs(sent - s.sent) > p.window + margin)
-            return report("effect",
-                          named(record.request.tunnel) + " was repeated where its mark is not known");
+        if (scope_of(s.server) != scope_of(server) || std::abs(sent - s.sent) > p.window + margin)
+            return report("effect", named(record.request.tunnel) +
+                                        " was repeated where or when its idempotency key is not known");
     }
 }
 
@@ -56,26 +57,28 @@
     TunnelRecord& record = record_of(tunnel);
     ++tally_.setups;
     if (record.state == State::unknown)
-        return report("line", named(tunnel) + " is one that no client asked for");
+        return report("line", named(tunnel) + " was sent to a server but no client asked for it");
     const simnet::Machine node = network_.machine_of(end.other());
     if (!mid_flow) {
-        // What a server that hung reads long after the node gave it up is no longer out.
+        // A server that hung may read a setup long after the node gave it up: that one is no longer pending.
         for (const Setup& s : record.setups)
             if (network_.is_open(end.other()) && s.answer == Answer::none &&
                 network_.is_open(s.end.other()) && was_reachable(node, s.sent, events_.now()))
                 report("at_once", named(tunnel) + " is set up at server " + std::to_string(server) +
-                                      " while " + std::to_string(s.server) + " still has it");
+                                      " while server " + std::to_string(s.server) + " has not answered");
         judge_late_attempt(record, server, node, first);
         judge_effect(record, server, first);
         const Ticks since = nodes_[node].inactive_since[server];
         if (since != 0 && first > since + drain_grace + margin && was_undisturbed(node, since, events_.now()))
             report("drain", named(tunnel) + " went to server " + std::to_string(server) + " " +
-                                std::to_string((first - since) / 10) + " ms after its node was told");
+                                std::to_string((first - since) / 10) +
+                                " ms after its node was told that the server drains");
     }
     record.setups.push_back({server, end, first});
-    // A node that has not been notified of its start cannot know that it is in slow start.
-    const bool told = nodes_[node].notified_at[server] > servers_[server].started_at;
-    ledger_.record_setup(server, first - events_.start_time(), mid_flow, budget_ ? budget_(server) : 0, told);
+    // A node that has not been notified of the server's start cannot know that it is in slow start.
+    const bool notified = nodes_[node].notified_at[server] > servers_[server].started_at;
+    ledger_.record_setup(server, first - events_.start_time(), mid_flow, budget_ ? budget_(server) : 0,
+                         notified);
     setups_received_.emplace_back(node, first);
 }
 
@@ -95,7 +98,8 @@
 }
 
 bool Invariants::gossip_is_reliable() const {
-    // The newest stamp wins: of two placements within less than the clocks differ by, the earlier may.
+    // Of two records, the one with the newer time stamp is used. If two placements lie closer together than
+    // the clocks differ, that may be the earlier one.
     if (scenario_.max_clock_skew > 0) return false;
     if (!scenario_.peers || scenario_.network.lost > 0 || scenario_.network.datagram_jitter > 1000)
         return false;
@@ -113,7 +117,9 @@
     const Ticks now = events_.now();
     if (!gossip_is_reliable() || record.opened_at == 0 || record.requested_at - record.opened_at < 2 * second)
         return;
-    // Its record is on a chain of two nodes and at its placer: any one of them may have ended.
+    // The tunnel's record is held by a chain of two nodes and by the node that placed it, so that one end of
+    // a node must not lose it. Ends count until the next refresh of records, 12 s; a node that has started
+    // gets 3 s to learn the records; and clients are judged up to 4 s after the end.
     constexpr Ticks refreshed = 120000, settled = 30000, parked = 40000;
     int ended = 0;
     Ticks last_end = 0;
@@ -123,7 +129,7 @@
             if (l.from != events_.start_time() && now - l.from < settled) return;
         }
     if (ended != 1 || now - last_end > parked) return;
-    // A client that reads nothing may not know yet that it was moved.
+    // A slow reader is not judged: it may not have read yet that it was moved.
     const bool sound =
         record.server_ended_at == 0 && !record.request.slow_reader && !servers_[record.server].silent &&
         nodes_[record.request.node].inactive_since[record.server] == 0 &&
@@ -132,7 +138,7 @@
             return fault_info(f.kind).target == FaultInfo::Target::server && f.target == record.server;
         });
     if (sound)
-        report("astray", named(tunnel) + " went to server " + std::to_string(server) + " though server " +
+        report("astray", named(tunnel) + " was sent to server " + std::to_string(server) + " though server " +
                              std::to_string(record.server) + " holds it");
 }
 
@@ -142,12 +148,13 @@
 }
 
 void Invariants::server_overloaded(std::uint32_t server, double demand, double overload_limit) {
-    report("cold", "server " + std::to_string(server) + " was asked for " + std::to_string(demand) +
-                       " cores and bears " + std::to_string(overload_limit));
+    report("cold", "server " + std::to_string(server) + " got a demand of " + std::to_string(demand) +
+                       " cores, its overload limit is " + std::to_string(overload_limit));
 }
 
 void Invariants::invalid_line(std::uint32_t server, std::string_view line) {
-    report("line", "server " + std::to_string(server) + " got '" + std::string(line.substr(0, 40)) + "'");
+    report("line", "server " + std::to_string(server) + " received the invalid line '" +
+                       std::string(line.substr(0, 40)) + "'");
 }
 
 void Invariants::endpoint_state_delivered(std::uint32_t node, std::uint32_t server, bool active) {
@@ -164,7 +171,7 @@
 
 void Invariants::line_corrupted(fakes::TunnelId tunnel, std::string_view what, std::string_view line) {
     const TunnelRecord& record = record_of(tunnel);
-    // Half a line is left of a connection whose node or server has died.
+    // A line may be cut where its node or server has died.
     if (what == "cut within a line") {
         const Incarnation* life = incarnation_at(record.request.node, record.requested_at);
         if (life == nullptr || life->until != 0 || record.server_ended_at != 0 ||
--- a/src/simulation/operator_actions.cpp
+++ b/src/simulation/operator_actions.cpp
@@ -12,7 +12,7 @@
 
 constexpr Ticks second = 10000;
 constexpr Ticks metrics_interval = second, health_interval = second / 10, healthy_within = 6 * second;
-constexpr Ticks kill_after_leave = 37000;
+constexpr Ticks kill_delay = 37000;  // from SIGTERM to SIGKILL
 constexpr Ticks drained_within = 4 * second, undrained_within = 2 * second;
 
 }  // namespace
@@ -37,7 +37,7 @@
     events_.schedule(when, *this, encode(TimedEvent<Kind>{kind, index, incarnation}));
 }
 
-// A node that has no descriptors to spare cannot answer operators.
+// Such a node has no descriptor left to answer operators, so their calls are not judged.
 bool OperatorActions::starved(std::uint32_t node) const {
     return std::any_of(scenario_.faults.begin(), scenario_.faults.end(), [&](const Fault& fault) {
         return fault.kind == FaultKind::node_starve && fault.target == node;
@@ -67,7 +67,9 @@
                  return;
              if (answer.status != 200)
                  return invariants_.report("call",
-                                           "node " + std::to_string(node) + " gave no figures in a second");
+                                           "node " + std::to_string(node) +
+                                               " did not answer GET /stats with 200 within 1 s: status " +
+                                               std::to_string(answer.status));
              const NodeProcess& current = nodes_.slot(node).current;
              invariants_.judge_metrics(node, answer.body, current.started_at, current.shared_clients);
          });
@@ -91,7 +93,8 @@
     schedule(events_.now() + health_interval, Kind::poll_health, fault_index, upgrades);
 }
 
-// `completes`: the previous process gets SIGTERM once the new one is healthy.
+// `completes`: the previous process gets SIGTERM once the new one is healthy; false where the new one is to
+// die.
 void OperatorActions::check_health(std::uint32_t node, bool completes) {
     const ProcessSlot& slot = nodes_.slot(node);
     Upgrade& upgrade = upgrades_[node];
@@ -105,7 +108,7 @@
     }
     if (!starved(node) && invariants_.was_undisturbed(node, upgrade.began, now))
         invariants_.report("upgrade",
-                           "the new process of node " + std::to_string(node) + " says no yes in 6 s");
+                           "the new process of node " + std::to_string(node) + " was not healthy within 6 s");
     upgrade.healthy_at = now;
 }
 
@@ -115,7 +118,7 @@
     upgrades_[node].healthy_at = events_.now();
     if (!completes) return;
     slot.previous.process->signal(SIGTERM);
-    schedule(events_.now() + kill_after_leave, Kind::kill_previous, node, slot.upgrades);
+    schedule(events_.now() + kill_delay, Kind::kill_previous, node, slot.upgrades);
 }
 
 void OperatorActions::fail_upgrade(std::uint32_t node) {
@@ -137,7 +140,7 @@
     schedule(events_.now() + drained_within, Kind::check_drained, fault_index, slot.incarnation);
 }
 
-// By then no client is sent there, and none is held there but where packets pass.
+// By now the front sends the node no clients, and the node holds none unless it passes packets through.
 void OperatorActions::check_drained(std::uint64_t fault_index, std::uint32_t incarnation) {
     const Fault& fault = scenario_.faults[fault_index];
     const ProcessSlot& slot = nodes_.slot(fault.target);
@@ -149,8 +152,8 @@
         invariants_.judge_drained(fault.target);
         call(fault.target, "GET /healthcheck", [this, node = fault.target](const auto& answer) {
             if (answer.status == 200 && nodes_.slot(node).drained)
-                invariants_.report("drained",
-                                   "node " + std::to_string(node) + " still says yes 4 s after the call");
+                invariants_.report(
+                    "drained", "node " + std::to_string(node) + " is still healthy 4 s after the drain call");
         });
     }
     schedule(now + fault.duration, Kind::end_drain, fault_index, incarnation);
@@ -168,8 +171,8 @@
             if (answer.status != 200 && nodes_.is_single_process(node, incarnation, upgrades) &&
                 !nodes_.slot(node).drained && !starved(node) &&
                 invariants_.was_undisturbed(node, now - undrained_within - second, now))
-                invariants_.report("drained",
-                                   "node " + std::to_string(node) + " says no 2 s after the drain's end");
+                invariants_.report("drained", "node " + std::to_string(node) +
+                                                  " is not healthy 2 s after the end of its drain");
         });
     };
     undrained_checks_.emplace_back(check);
--- a/src/simulation/operator_actions.h
+++ b/src/simulation/operator_actions.h
@@ -1,5 +1,5 @@
-// What operators do in a simulation: upgrade nodes, drain them, read their metrics each second; and whether
-// the nodes answer them as they must. Times are tenths of a ms.
+// Operators in a simulation: they upgrade and drain nodes and read their metrics each second. Reports nodes
+// that do not answer as the rules require. Times are in tenths of a ms.
 #pragma once
 
 #include <cstdint>
@@ -12,19 +12,21 @@
 
 namespace lemonstair::simulation {
 
+// Does nothing in a scenario without operators.
 class OperatorActions final : public simnet::EventTarget {
   public:
-    // In a scenario with operators: adds their machine, and schedules the first reading of metrics.
+    // In a scenario with operators, adds their machine and schedules the first reading of metrics.
     OperatorActions(const Scenario& scenario, simnet::EventQueue& events, simnet::Network& network,
                     fakes::TestEnvironment& environment, Invariants& invariants, SimulatedNodes& nodes);
 
-    // `fault`: its place in the scenario. As the platform does it: the previous process has SIGTERM once the
-    // new one says that it is healthy.
+    // Upgrades the node as the platform does: the previous process gets SIGTERM once the new one is healthy.
+    // `fault_index`: of the fault in Scenario::faults.
     void upgrade(std::uint32_t node, std::uint64_t fault_index);
-    // The new process dies before it has taken over.
+    // Kills the new process of an upgrade while the previous one is still running.
     void fail_upgrade(std::uint32_t node);
+    // Drains the node; the drain ends 4 s and the fault's duration later.
     void drain(const Fault& fault, std::uint64_t fault_index);
-    // Connections that say nothing, or half a request.
+    // Opens connections that send nothing or half a request.
     void open_idle_connections(std::uint32_t node, int count);
     void on_event(std::uint64_t token) override;
 
@@ -55,7 +57,7 @@
     Invariants& invariants_;
     SimulatedNodes& nodes_;
     std::unique_ptr<fakes::AdminClient> client_;  // null in a scenario without operators
-    std::vector<Upgrade> upgrades_;               // by node: the last
+    std::vector<Upgrade> upgrades_;               // by node: the last one
     std::vector<std::function<void()>> undrained_checks_;
 };
 
