--- a/src/simulation/main.cpp
+++ b/src/simulation/main.cpp
@@ -1,5 +1,5 @@
-// lemonstair_simulation: the node on simulated machines, against faults drawn from a seed or written as a
-// scenario.
+// lemonstair_simulation: runs the node's code on simulated machines, under faults that a seed draws or a
+// scenario file lists, and reports the rules that were broken.
 #include <unistd.h>
 
 #include <algorithm>
@@ -34,7 +34,7 @@
 
 double seconds(lemonstair::simulation::Ticks t) { return static_cast<double>(t) / 10000; }
 
-// The scenario of the file with this seed, or the one that the seed draws.
+// The scenario of the file, with its seed replaced by this one; without a file, the one that the seed draws.
 Scenario scenario_for(const std::string& file, std::uint64_t seed, bool operated) {
     if (file.empty())
         return operated ? simulation::draw_operated_scenario(seed) : simulation::draw_scenario(seed);
@@ -43,10 +43,10 @@
     return scenario;
 }
 
-// Progress of a long run on standard error, where that is a terminal.
+// Shows the progress of a long run on standard error if that is a terminal, at most every 200 ms.
 class Progress {
   public:
-    void say(const std::string& text) {
+    void update(const std::string& text) {
         if (!shown_) return;
         const auto now = std::chrono::steady_clock::now();
         if (now - last_ < std::chrono::milliseconds(200)) return;
@@ -82,12 +82,11 @@
 int run(const RunOptions& options) {
     const simulation::SeedRange seeds = simulation::parse_seeds(options.seeds);
     if (!options.scenario.empty())
-        simulation::read_scenario(
-            options.scenario);  // an invalid file ends the run before anything is played
+        simulation::read_scenario(options.scenario);  // refuses an invalid file before any thread starts
     std::ofstream json;
     if (!options.json.empty()) json.open(options.json);
     if (!options.json.empty() && !json) {
-        std::cerr << "lemonstair_simulation: '" << options.json << "' cannot be written\n";
+        std::cerr << "lemonstair_simulation: '" << options.json << "' cannot be opened for writing\n";
         return exit_wrong_usage;
     }
     const auto begin = std::chrono::steady_clock::now();
@@ -95,7 +94,7 @@
     std::uint64_t played = 0, bad = 0;
     double simulated = 0;
     std::map<std::string, std::pair<std::uint64_t, std::string>>
-        rules;  // count of scenarios, and their first seeds
+        rules;  // number of scenarios, and the first seeds
     {
         Progress progress;
         simulation::play_all(
@@ -110,27 +109,26 @@
                     ++bad;
                     auto& [scenarios, names] = rules[v.rule()];
                     if (++scenarios <= 8) names += " " + std::to_string(v.seed);
-                    std::cout << "seed " << v.seed << " breaks a rule:\n";
+                    std::cout << "seed " << v.seed << " broke rules:\n";
                     print_violations(v, options.show);
                 }
-                progress.say(std::to_string(played) + " of " + std::to_string(all) + " scenarios, " +
-                             std::to_string(bad) + " with a broken rule");
+                progress.update(std::to_string(played) + " of " + std::to_string(all) + " scenarios, " +
+                                std::to_string(bad) + " with broken rules");
             });
     }
     const double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - begin).count();
     std::cout << std::fixed << std::setprecision(1) << played << " scenarios, " << simulated
               << " simulated seconds in " << took << " s on " << options.jobs
               << " threads: " << std::setprecision(0) << simulated / took / options.jobs
-              << " simulated seconds a second of one\n";
+              << " simulated seconds per second and thread\n";
     if (bad == 0) {
         std::cout << "all rules kept\n";
         return exit_rules_kept;
     }
     for (const auto& [rule, row] : rules)
-        std::cout << rule << ": broken first in " << row.first << " scenarios, seeds" << row.second
+        std::cout << rule << ": first rule broken in " << row.first << " scenarios, seeds" << row.second
                   << (row.first > 8 ? " ..." : "") << '\n';
-    std::cout
-        << "next: lemonstair_simulation shrink SEED, or lemonstair_simulation replay SEED --trace FILE\n";
+    std::cout << "Try lemonstair_simulation shrink SEED, or lemonstair_simulation replay SEED --trace FILE\n";
     return exit_rule_broken;
 }
 
@@ -147,16 +145,17 @@
     std::ofstream trace;
     if (!options.trace.empty()) trace.open(options.trace);
     if (!options.trace.empty() && !trace) {
-        std::cerr << "lemonstair_simulation: '" << options.trace << "' cannot be written\n";
+        std::cerr << "lemonstair_simulation: '" << options.trace << "' cannot be opened for writing\n";
         return exit_wrong_usage;
     }
     const Verdict v = simulation::play(scenario, options.trace.empty() ? nullptr : &trace);
     std::cout << "seed " << v.seed << " trace " << hex(v.hash) << ", " << seconds(v.simulated)
-              << " simulated seconds, " << v.steps << " steps\n  tunnels taken " << v.tally.taken
+              << " simulated seconds, " << v.steps << " steps\n  tunnels: accepted " << v.tally.taken
               << ", opened " << v.tally.opened << ", declined " << v.tally.declined << ", closed with error "
               << v.tally.failed << "; setups " << v.tally.setups << "; mid-flow " << v.tally.resumed
-              << ", of which " << v.tally.not_held << " setups went to a server that does not hold it; moved "
-              << v.clients.moved << "\n";
+              << ", of which " << v.tally.not_held
+              << " setups went to a server that does not hold the tunnel; clients moved " << v.clients.moved
+              << "\n";
     if (v.broken.empty()) std::cout << "all rules kept\n";
     print_violations(v, 50);
     return v.broken.empty() ? exit_rules_kept : exit_rule_broken;
@@ -169,19 +168,19 @@
     const auto player = [](const Scenario& d) { return simulation::play(d); };
     const Verdict v = player(scenario);
     if (v.broken.empty()) {
-        std::cout << "all rules are kept: there is nothing to shrink\n";
+        std::cout << "all rules kept: there is nothing to shrink\n";
         return exit_rules_kept;
     }
     simulation::ShrinkResult small;
     {
         Progress progress;
         small = simulation::shrink(scenario, v.rule(), player, 400, [&](const simulation::ShrinkResult& s) {
-            progress.say("played " + std::to_string(s.plays) + ", " +
-                         std::to_string(s.scenario.faults.size()) + " faults left");
+            progress.update("played " + std::to_string(s.plays) + " scenarios, " +
+                            std::to_string(s.scenario.faults.size()) + " faults left");
         });
     }
     const std::string text =
-        "# breaks the rule '" + v.rule() + "'\n" + simulation::write_scenario(small.scenario);
+        "# Breaks the rule '" + v.rule() + "'.\n" + simulation::write_scenario(small.scenario);
     if (out.empty()) {
         std::cout << text;
     } else {
@@ -191,63 +190,64 @@
             std::cerr << "lemonstair_simulation: '" << out << "' cannot be written\n";
             return exit_wrong_usage;
         }
-        std::cout << "'" << v.rule() << "' still breaks with " << small.scenario.faults.size() << " of "
+        std::cout << "'" << v.rule() << "' is still broken with " << small.scenario.faults.size() << " of "
                   << scenario.faults.size() << " faults and " << small.scenario.clients
-                  << " clients; the scenario is in " << out << "\nnext: lemonstair_simulation replay --day "
-                  << out << " --trace FILE\n";
+                  << " clients; the scenario was written to " << out
+                  << "\nTry lemonstair_simulation replay --day " << out << " --trace FILE\n";
     }
     return exit_rule_broken;
 }
 
 void list() {
-    std::cout << "Faults, as [[fault]] of a scenario with at_s:\n";
+    std::cout << "Faults: [[fault]] tables of a scenario. Each takes at_s and the keys listed here:\n";
     for (const auto& r : simulation::fault_catalogue()) {
-        std::string wants;
-        if (r.target == simulation::FaultInfo::Target::node) wants += " node";
+        std::string keys;
+        if (r.target == simulation::FaultInfo::Target::node) keys += " node";
         if (r.target == simulation::FaultInfo::Target::server || r.kind == simulation::FaultKind::path_cut)
-            wants += " host";
-        if (r.kind == simulation::FaultKind::misbehaving_clients) wants += " which";
-        if (r.has_duration) wants += " for_s";
-        if (r.has_magnitude) wants += " much";
-        if (r.has_count) wants += " count";
-        std::cout << "  " << std::left << std::setw(20) << r.name << std::setw(22) << wants << r.description
+            keys += " host";
+        if (r.kind == simulation::FaultKind::misbehaving_clients) keys += " which";
+        if (r.has_duration) keys += " for_s";
+        if (r.has_magnitude) keys += " much";
+        if (r.has_count) keys += " count";
+        std::cout << "  " << std::left << std::setw(20) << r.name << std::setw(22) << keys << r.description
                   << '\n';
     }
     std::cout << "\nRules:\n";
     for (const auto& r : simulation::rule_catalogue())
         std::cout << "  " << std::left << std::setw(14) << r.name << r.description << '\n';
     std::cout
-        << "\nA scenario with all its keys (lemonstair_simulation list --day prints the one of a seed):\n";
+        << "\nA scenario with all keys and their defaults (list --day SEED prints the scenario of a seed):\n";
 }
 
-constexpr const char* operated_help = "scenarios with operators who call, drain and upgrade nodes";
+constexpr const char* operated_help = "scenarios with operators who read metrics, drain and upgrade nodes";
 
 // The subcommands with their options.
 class CommandLine {
   public:
     CommandLine() {
         app.footer(
-            "Exit status: 0 all rules kept; 1 a rule broken, named with its seeds; 2 wrong use.\n"
+            "Exit status: 0 all rules kept; 1 rules broken, listed with their seeds; 2 wrong usage.\n"
             "  lemonstair_simulation run --seeds 1..10000\n"
-            "  lemonstair_simulation replay 42 --trace day42.txt\n"
+            "  lemonstair_simulation replay 42 --trace trace42.txt\n"
             "  lemonstair_simulation shrink 42 --out small.toml && lemonstair_simulation replay --day "
             "small.toml");
         app.require_subcommand(1);
         add_run();
-        replay_ = app.add_subcommand("replay", "Plays one scenario and tells what became of it");
+        replay_ = app.add_subcommand("replay", "Plays one scenario and prints its result");
         add_one(replay_);
-        replay_->add_option("--trace", one_.trace, "all that happened, a line each, into this file");
-        shrink_ = app.add_subcommand("shrink", "Makes a scenario that breaks a rule as small as it will go");
+        replay_->add_option("--trace", one_.trace, "write all events to this file, one a line");
+        shrink_ =
+            app.add_subcommand("shrink", "Reduces a scenario that breaks a rule while the rule still breaks");
         add_one(shrink_);
-        shrink_->add_option("--out", out_, "the smaller scenario into this file, else to standard output");
-        auto* list_command =
-            app.add_subcommand("list", "What is simulated: faults, rules, keys of a scenario");
+        shrink_->add_option("--out", out_,
+                            "write the reduced scenario to this file instead of standard output");
+        auto* list_command = app.add_subcommand("list", "Lists faults, rules and the keys of a scenario");
         list_command->add_option("--day", shown_, "print the scenario that this seed draws, as TOML");
     }
     int run_chosen() {
         if (*run_) return run(run_options_);
         if ((*replay_ || *shrink_) && one_.seed == 0 && one_.scenario.empty())
-            throw CLI::ValidationError("seed", "is missing, and no --day is given");
+            throw CLI::ValidationError("seed", "expected a seed or --day FILE, got neither");
         if (*replay_) return replay(one_);
         if (*shrink_) return shrink(one_, out_);
         if (shown_ != 0) {
@@ -259,23 +259,24 @@
         return exit_rules_kept;
     }
     CLI::App app{
-        "Plays scenarios of simulated faults on the product's own node, and judges its rules on the wire."};
+        "Runs the node's code on simulated machines under faults, and checks the rules on the wire."};
 
   private:
     void add_run() {
-        run_ = app.add_subcommand("run", "Plays a range of seeds; says which rules broke where");
-        run_->add_option("--seeds", run_options_.seeds, "one seed or a range, as 1..10000")
+        run_ = app.add_subcommand("run", "Plays a range of seeds and reports broken rules with their seeds");
+        run_->add_option("--seeds", run_options_.seeds, "a seed or a range such as 1..10000")
             ->capture_default_str();
-        run_->add_option("--jobs", run_options_.jobs, "threads")->check(CLI::Range(1U, 1024U));
-        run_->add_option("--day", run_options_.scenario, "this scenario with the chances of each seed");
-        run_->add_option("--json", run_options_.json, "a line of JSON for each seed into this file");
-        run_->add_option("--show", run_options_.show, "how many broken rules to tell of each scenario");
+        run_->add_option("--jobs", run_options_.jobs, "number of threads")->check(CLI::Range(1U, 1024U));
+        run_->add_option("--day", run_options_.scenario,
+                         "play this scenario file, with the random draws of each seed");
+        run_->add_option("--json", run_options_.json, "write a line of JSON for each seed to this file");
+        run_->add_option("--show", run_options_.show, "number of violations to print for each scenario");
         run_->add_flag("--operated", run_options_.operated, operated_help);
         run_->add_flag("--hashes", run_options_.hashes, "print the hash of each trace");
     }
     void add_one(CLI::App* command) {
-        command->add_option("seed", one_.seed, "the seed; left out, that of the scenario's file");
-        command->add_option("--day", one_.scenario, "a scenario written as TOML");
+        command->add_option("seed", one_.seed, "the seed; default: the one in the scenario file");
+        command->add_option("--day", one_.scenario, "a scenario file (TOML)");
         command->add_flag("--operated", one_.operated, operated_help);
     }
     RunOptions run_options_;
--- a/src/simulation/runner.cpp
+++ b/src/simulation/runner.cpp
@@ -16,14 +16,15 @@
         std::uint64_t n = 0;
         const auto [stop, error] = std::from_chars(part.data(), part.data() + part.size(), n);
         if (part.empty() || error != std::errc{} || stop != part.data() + part.size())
-            throw std::invalid_argument("'" + text + "' is not a seed or a range as 1..10000");
+            throw std::invalid_argument("'" + text + "' is not a seed or a range such as 1..10000");
         return n;
     };
     const auto dots = text.find("..");
     SeedRange seeds;
     seeds.first = number(std::string_view(text).substr(0, dots));
     seeds.last = dots == std::string::npos ? seeds.first : number(std::string_view(text).substr(dots + 2));
-    if (seeds.last < seeds.first) throw std::invalid_argument("'" + text + "' ends before it begins");
+    if (seeds.last < seeds.first)
+        throw std::invalid_argument("'" + text + "' is a range whose last seed is below its first");
     return seeds;
 }
 
@@ -31,9 +32,10 @@
               const std::function<void(const Verdict&)>& each) {
     std::atomic<std::uint64_t> next{seeds.first};
     std::mutex output_lock;
-    std::map<std::uint64_t, Verdict> finished_early;  // done before seeds that are reported first
-    std::uint64_t turn = seeds.first;
-    std::exception_ptr failed;
+    std::map<std::uint64_t, Verdict>
+        finished_early;  // finished before an earlier seed that is reported first
+    std::uint64_t next_reported = seeds.first;
+    std::exception_ptr failure;
     const auto work = [&] {
         for (;;) {
             const std::uint64_t seed = next++;
@@ -42,14 +44,14 @@
                 Verdict v = play(scenario_of(seed));
                 const std::lock_guard lock(output_lock);
                 finished_early.emplace(seed, std::move(v));
-                for (auto it = finished_early.find(turn); it != finished_early.end();
-                     it = finished_early.find(++turn)) {
+                for (auto it = finished_early.find(next_reported); it != finished_early.end();
+                     it = finished_early.find(++next_reported)) {
                     each(it->second);
                     finished_early.erase(it);
                 }
             } catch (...) {
                 const std::lock_guard lock(output_lock);
-                failed = std::current_exception();
+                failure = std::current_exception();
                 next = seeds.last + 1;
             }
         }
@@ -58,7 +60,7 @@
     for (unsigned i = 1; i < jobs; ++i) threads.emplace_back(work);
     work();
     for (auto& t : threads) t.join();
-    if (failed) std::rethrow_exception(failed);
+    if (failure) std::rethrow_exception(failure);
 }
 
 std::string json_of(const Verdict& v) {
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -13,7 +13,7 @@
 
 constexpr Ticks ms = 10, second = 10000;
 
-// The order of draws is part of a seed's meaning: a draw that is added goes to the end.
+// The order of draws determines what a seed gives: new draws go to the end.
 void draw_fleet(RandomSource& random, Scenario& scenario) {
     scenario.packet_passthrough = random.odds(0.5);
     scenario.peers = random.odds(0.85);
@@ -77,7 +77,8 @@
     }
 }
 
-// What the kind does not take is left as it was before: a fault that is written and read again is the same.
+// Resets the fields that the kind does not use to their defaults, because scenario files do not contain them:
+// a fault must be the same after it has been written and read.
 void drop_unused(const FaultInfo& info, Fault& fault) {
     if (!info.has_duration) fault.duration = 0;
     if (!info.has_magnitude) fault.magnitude = 1;
@@ -103,7 +104,7 @@
     return fault;
 }
 
-// Faults of operators and those among nodes are drawn by scenarios of their own.
+// The kinds that draw_scenario draws.
 std::vector<const FaultInfo*> plain_faults() {
     std::vector<const FaultInfo*> plain;
     for (const FaultInfo& info : fault_catalogue())
@@ -119,7 +120,7 @@
             random.between(std::int64_t{0}, static_cast<std::int64_t>(plain.size()) - 1))];
         const Fault fault = draw_fault(random, scenario, info);
         scenario.faults.push_back(fault);
-        // Faults come together: some have a second one of their kind within a moment.
+        // Faults often coincide: in 30% of cases a second one of the kind follows within half a second.
         if (!random.odds(0.3) || i + 1 >= faults) continue;
         Fault twin = fault;
         twin.start = std::min(15 * second, fault.start + random.between(std::int64_t{0}, second / 2));
@@ -147,7 +148,8 @@
     scenario.client_behavior.slow_reader_share = random.odds(0.3) ? random.between(0.0, 0.2) : 0;
     draw_servers(random, scenario.server);
     draw_faults(random, scenario);
-    // Drawn last, apart from the rest: what is added here leaves the scenarios of all seeds as they were.
+    // Drawn from a generator of its own, so that draws added here do not change the rest of a seed's
+    // scenario.
     RandomSource later = random.part(77);
     scenario.server.push_bytes = static_cast<std::uint32_t>(
         later.odds(0.3) ? later.between(std::int64_t{100}, std::int64_t{1500}) : 1);
--- a/src/simulation/scenario_file.cpp
+++ b/src/simulation/scenario_file.cpp
@@ -20,7 +20,8 @@
 
 namespace {
 
-// One table of the file: each key is asked for once, and one that nobody asked for is a fault.
+// One table of a scenario file. The functions that read a key leave the value as it is if the key is missing,
+// and throw InvalidScenario if it is invalid. Keys that were never read are rejected at the end.
 class Table {
   public:
     Table(const std::string& file, const toml::table& of, std::string name)
@@ -36,18 +37,19 @@
         if (at == nullptr) return;
         const auto value = at->value<double>();
         if (!at->is_number() || !value || !std::isfinite(*value)) fail(key, "is not a number");
-        if (*value < 0 && least >= 0) fail(key, "is negative");
-        if (*value < least || *value > most) fail(key, "is not from " + shown(least) + " to " + shown(most));
+        if (*value < 0 && least >= 0) fail(key, "is " + shown(*value) + ", expected no negative number");
+        if (*value < least || *value > most)
+            fail(key, "is " + shown(*value) + ", expected " + shown(least) + " to " + shown(most));
         into = *value;
     }
     template <class Integer>
     void integer(std::string_view key, Integer& into, double least, double most) {
         double value = static_cast<double>(into);
         number(key, value, least, most);
-        if (value != std::floor(value)) fail(key, "is not a whole number");
+        if (value != std::floor(value)) fail(key, "is " + shown(value) + ", expected a whole number");
         if (table_.get(key) != nullptr) into = static_cast<Integer>(value);
     }
-    // Given in seconds or ms, kept in tenths of a ms.
+    // The file has the value in seconds or ms (`unit`); it is stored in tenths of a ms.
     void duration(std::string_view key, Ticks& into, Ticks unit, Ticks least, Ticks most) {
         double value = static_cast<double>(into) / static_cast<double>(unit);
         number(key, value, static_cast<double>(least) / static_cast<double>(unit),
@@ -58,13 +60,13 @@
         const toml::node* at = find(key);
         if (at == nullptr) return;
         const auto value = at->value_exact<bool>();
-        if (!value) fail(key, "is not true or false");
+        if (!value) fail(key, "is not a boolean, expected true or false");
         into = *value;
     }
     std::string text(std::string_view key) {
         const toml::node* at = find(key);
         const auto value = at == nullptr ? std::nullopt : at->value<std::string>();
-        if (!value) fail(key, "is missing or not a text");
+        if (!value) fail(key, "is missing or not a string");
         return *value;
     }
     const toml::node* find(std::string_view key) {
@@ -75,7 +77,7 @@
     void reject_unknown_keys() const {
         for (const auto& [key, value] : table_)
             if (std::find(known_keys_.begin(), known_keys_.end(), key.str()) == known_keys_.end())
-                fail(key.str(), "is a key that no day has");
+                fail(key.str(), "is an unknown key");
     }
 
   private:
@@ -97,52 +99,54 @@
 void read_table(const std::string& file, Table& from, const char* name, Read&& read) {
     const toml::node* at = from.find(name);
     if (at == nullptr) return;
-    if (!at->is_table()) from.fail(name, "is not a table");
+    if (!at->is_table()) from.fail(name, "is not a table, expected [" + std::string(name) + "]");
     Table inner(file, *at->as_table(), name);
     read(inner);
     inner.reject_unknown_keys();
 }
 
 Fault read_fault(Table& table, const Scenario& scenario) {
-    Fault f;
+    Fault fault;
     const std::string name = table.text("kind");
     const auto& rows = fault_catalogue();
     const auto row =
-        std::find_if(rows.begin(), rows.end(), [&](const FaultInfo& r) { return r.name == name; });
-    if (row == rows.end()) table.fail("kind", "is '" + name + "', a fault that the simulation does not have");
-    f.kind = row->kind;
+        std::find_if(rows.begin(), rows.end(), [&](const FaultInfo& info) { return info.name == name; });
+    if (row == rows.end())
+        table.fail("kind",
+                   "is '" + name + "', expected a kind of fault that 'lemonstair_simulation list' shows");
+    fault.kind = row->kind;
     if (!table.has("at_s")) table.fail("at_s", "is missing");
-    table.duration("at_s", f.start, second, 0, scenario.duration);
+    table.duration("at_s", fault.start, second, 0, scenario.duration);
     if (row->has_duration) {
         if (!table.has("for_s")) table.fail("for_s", "is missing");
-        table.duration("for_s", f.duration, second, 0, longest_scenario);
+        table.duration("for_s", fault.duration, second, 0, longest_scenario);
     }
-    if (row->has_magnitude) table.number("much", f.magnitude, 0, 1000);
-    if (row->has_count) table.integer("count", f.count, 1, 10000);
-    const auto number = [&](const char* key, std::uint32_t& into, std::uint32_t of, const char* what) {
+    if (row->has_magnitude) table.number("much", fault.magnitude, 0, 1000);
+    if (row->has_count) table.integer("count", fault.count, 1, 10000);
+    const auto number = [&](const char* key, std::uint32_t& into, std::uint32_t count, const char* what) {
         if (!table.has(key)) table.fail(key, "is missing");
         table.integer(key, into, 0, 1e9);
-        if (into >= of)
-            table.fail(key, "is " + std::to_string(into) + ", a " + what +
-                                " that does not exist: there are " + std::to_string(of));
+        if (into >= count)
+            table.fail(key, "is " + std::to_string(into) + ", expected a " + what + " from 0 to " +
+                                std::to_string(count - 1));
     };
-    if (row->target == Target::node) number("node", f.target, scenario.nodes, "node");
-    if (row->target == Target::server) number("host", f.target, scenario.servers, "host");
-    if (f.kind == FaultKind::path_cut) {
-        number("host", f.second_target, scenario.servers, "host");
-        table.integer("count", f.count, 0, 10000);
+    if (row->target == Target::node) number("node", fault.target, scenario.nodes, "node");
+    if (row->target == Target::server) number("host", fault.target, scenario.servers, "server");
+    if (fault.kind == FaultKind::path_cut) {
+        number("host", fault.second_target, scenario.servers, "server");
+        table.integer("count", fault.count, 0, 10000);
     }
-    if (f.kind == FaultKind::misbehaving_clients)
-        number("which", f.second_target, fakes::MisbehavingClients::kinds, "kind of bad client");
-    return f;
+    if (fault.kind == FaultKind::misbehaving_clients)
+        number("which", fault.second_target, fakes::MisbehavingClients::kinds, "kind of misbehaving client");
+    return fault;
 }
 
 toml::table parse_toml(std::string_view text, const std::string& name) {
     try {
         return toml::parse(text, name);
-    } catch (const toml::parse_error& e) {
-        throw InvalidScenario(name + ":" + std::to_string(e.source().begin.line) +
-                              ": is not TOML: " + std::string(e.description()));
+    } catch (const toml::parse_error& error) {
+        throw InvalidScenario(name + ":" + std::to_string(error.source().begin.line) +
+                              ": invalid TOML: " + std::string(error.description()));
     }
 }
 
@@ -183,7 +187,8 @@
 void read_network(Table& table, simnet::NetworkConditions& network) {
     table.duration("least_delay_ms", network.min_delay, ms, 1, 10 * second);
     table.duration("most_delay_ms", network.max_delay, ms, 1, 10 * second);
-    if (network.max_delay < network.min_delay) table.fail("most_delay_ms", "is below 'least_delay_ms'");
+    if (network.max_delay < network.min_delay)
+        table.fail("most_delay_ms", "is less than 'least_delay_ms', expected at least the same");
     table.number("cut_reads", network.cut_reads, 0, 1);
     table.number("cut_writes", network.cut_writes, 0, 1);
     table.integer("window", network.window, 4096, 1 << 24);
@@ -209,11 +214,11 @@
 void read_faults(const std::string& file, Table& table, Scenario& scenario) {
     const toml::node* list = table.find("fault");
     if (list == nullptr) return;
-    if (!list->is_array_of_tables()) table.fail("fault", "is not a list of tables: write [[fault]]");
+    if (!list->is_array_of_tables()) table.fail("fault", "is not a list of tables, expected [[fault]]");
     for (const toml::node& one : *list->as_array()) {
-        Table f(file, *one.as_table(), "fault");
-        scenario.faults.push_back(read_fault(f, scenario));
-        f.reject_unknown_keys();
+        Table inner(file, *one.as_table(), "fault");
+        scenario.faults.push_back(read_fault(inner, scenario));
+        inner.reject_unknown_keys();
     }
 }
 
@@ -225,12 +230,12 @@
     Table table(name, root, "");
     table.integer("seed", scenario.seed, 0, 9e15);
     table.duration("span_s", scenario.duration, second, second, longest_scenario);
-    read_table(name, table, "fleet", [&](Table& f) { read_fleet(f, scenario); });
+    read_table(name, table, "fleet", [&](Table& inner) { read_fleet(inner, scenario); });
     read_table(name, table, "bounds",
-               [&](Table& f) { f.number("of_budget", scenario.max_budget_share, 0, 1000); });
-    read_table(name, table, "traffic", [&](Table& f) { read_traffic(f, scenario); });
-    read_table(name, table, "network", [&](Table& f) { read_network(f, scenario.network); });
-    read_table(name, table, "host", [&](Table& f) { read_server(f, scenario.server); });
+               [&](Table& inner) { inner.number("of_budget", scenario.max_budget_share, 0, 1000); });
+    read_table(name, table, "traffic", [&](Table& inner) { read_traffic(inner, scenario); });
+    read_table(name, table, "network", [&](Table& inner) { read_network(inner, scenario.network); });
+    read_table(name, table, "host", [&](Table& inner) { read_server(inner, scenario.server); });
     read_faults(name, table, scenario);
     table.reject_unknown_keys();
     return scenario;
@@ -238,19 +243,19 @@
 
 Scenario read_scenario(const std::string& path) {
     std::ifstream in(path, std::ios::binary);
-    if (!in) throw InvalidScenario(path + ": cannot be read");
+    if (!in) throw InvalidScenario(path + ": cannot read the scenario file");
     std::ostringstream text;
     text << in.rdbuf();
     return parse_scenario(text.str(), path);
 }
 
 std::string write_scenario(const Scenario& scenario) {
-    const auto s = [](Ticks table) { return static_cast<double>(table) / second; };
-    const auto in_ms = [](Ticks table) { return static_cast<double>(table) / ms; };
+    const auto in_s = [](Ticks time) { return static_cast<double>(time) / second; };
+    const auto in_ms = [](Ticks time) { return static_cast<double>(time) / ms; };
     std::ostringstream out;
     out.precision(17);
     const auto flag = [](bool b) { return b ? "true" : "false"; };
-    out << "seed = " << scenario.seed << "\nspan_s = " << s(scenario.duration)
+    out << "seed = " << scenario.seed << "\nspan_s = " << in_s(scenario.duration)
         << "\n\n[fleet]\nnodes = " << scenario.nodes << "\nhosts = " << scenario.servers
         << "\nmembers = " << scenario.clients << "\ncold_hosts = " << scenario.cold_servers
         << "\nalike = " << flag(scenario.uniform) << "\nmust_ask = " << flag(scenario.must_poll)
@@ -259,14 +264,16 @@
         << "\nprobing = " << flag(scenario.probing) << "\ngroups = " << flag(scenario.groups)
         << "\noperated = " << flag(scenario.operated) << "\nsockets = " << scenario.sockets
         << "\nmax_setups = " << scenario.max_attempts << "\nknown = " << scenario.known_share
-        << "\nclocks_apart_s = " << s(scenario.max_clock_skew)
-        << "\nnotices_after_s = " << s(scenario.detection_delay)
-        << "\ntold_after_s = " << s(scenario.discovery_delay)
+        << "\nclocks_apart_s = " << in_s(scenario.max_clock_skew)
+        << "\nnotices_after_s = " << in_s(scenario.detection_delay)
+        << "\ntold_after_s = " << in_s(scenario.discovery_delay)
         << "\npass_takes_ms = " << in_ms(scenario.loop_pass_time)
         << "\n\n[bounds]\nof_budget = " << scenario.max_budget_share
-        << "\n\n[traffic]\nload = " << scenario.load << "\narrive_within_s = " << s(scenario.arrival_window)
-        << "\nleast_life_s = " << s(scenario.min_lifetime)
-        << "\nmore_life_s = " << s(scenario.mean_extra_lifetime) << "\ntunnel_load = " << scenario.tunnel_load
+        << "\n\n[traffic]\nload = " << scenario.load
+        << "\narrive_within_s = " << in_s(scenario.arrival_window)
+        << "\nleast_life_s = " << in_s(scenario.min_lifetime)
+        << "\nmore_life_s = " << in_s(scenario.mean_extra_lifetime)
+        << "\ntunnel_load = " << scenario.tunnel_load
         << "\nimpatient = " << scenario.client_behavior.abandon_share
         << "\nslow_readers = " << scenario.client_behavior.slow_reader_share
         << "\nmost_tries = " << scenario.client_behavior.max_attempts
@@ -280,23 +287,23 @@
         << "\nmost_connections = " << scenario.server.most_connections
         << "\nsetup_work_ms = " << scenario.server.setup_work_ms
         << "\nline_work_ms = " << scenario.server.line_work_ms
-        << "\npush_bytes = " << scenario.server.push_bytes << "\ncold_s = " << s(scenario.server.cold)
+        << "\npush_bytes = " << scenario.server.push_bytes << "\ncold_s = " << in_s(scenario.server.cold)
         << "\ncold_from = " << scenario.server.slow_start_initial_factor
         << "\ntip_multiple = " << scenario.server.overload_multiple
-        << "\nreport_every_s = " << s(scenario.server.report_interval)
+        << "\nreport_every_s = " << in_s(scenario.server.report_interval)
         << "\nreport_noise = " << scenario.server.report_noise
         << "\nreports_always = " << scenario.server.reports_always << '\n';
-    for (const Fault& f : scenario.faults) {
-        const FaultInfo& row = fault_info(f.kind);
-        out << "\n[[fault]]\nkind = \"" << row.name << "\"\nat_s = " << s(f.start) << '\n';
-        if (row.target == Target::node) out << "node = " << f.target << '\n';
-        if (row.target == Target::server) out << "host = " << f.target << '\n';
-        if (f.kind == FaultKind::path_cut) out << "host = " << f.second_target << '\n';
-        if (f.kind == FaultKind::path_cut && f.count > 1) out << "count = " << f.count << '\n';
-        if (f.kind == FaultKind::misbehaving_clients) out << "which = " << f.second_target << '\n';
-        if (row.has_duration) out << "for_s = " << s(f.duration) << '\n';
-        if (row.has_magnitude) out << "much = " << f.magnitude << '\n';
-        if (row.has_count) out << "count = " << f.count << '\n';
+    for (const Fault& fault : scenario.faults) {
+        const FaultInfo& info = fault_info(fault.kind);
+        out << "\n[[fault]]\nkind = \"" << info.name << "\"\nat_s = " << in_s(fault.start) << '\n';
+        if (info.target == Target::node) out << "node = " << fault.target << '\n';
+        if (info.target == Target::server) out << "host = " << fault.target << '\n';
+        if (fault.kind == FaultKind::path_cut) out << "host = " << fault.second_target << '\n';
+        if (fault.kind == FaultKind::path_cut && fault.count > 1) out << "count = " << fault.count << '\n';
+        if (fault.kind == FaultKind::misbehaving_clients) out << "which = " << fault.second_target << '\n';
+        if (info.has_duration) out << "for_s = " << in_s(fault.duration) << '\n';
+        if (info.has_magnitude) out << "much = " << fault.magnitude << '\n';
+        if (info.has_count) out << "count = " << fault.count << '\n';
     }
     return out.str();
 }
--- a/src/simulation/shrink.cpp
+++ b/src/simulation/shrink.cpp
@@ -15,8 +15,8 @@
              const std::function<void(const ShrinkResult&)>& on_progress)
         : best_(best), player_(player), most_(most), on_progress_(on_progress) {}
 
-    // Takes the smaller scenario where the rule still breaks in it.
-    bool takes(const Scenario& smaller) {
+    // Plays a smaller scenario, and keeps it if the rule is still broken. Returns whether it was kept.
+    bool try_scenario(const Scenario& smaller) {
         if (best_.plays >= most_) return false;
         ++best_.plays;
         const Verdict v = player_(smaller);
@@ -27,16 +27,17 @@
         return breaks;
     }
     template <class Change>
-    bool takes_with(Change&& change) {
+    bool try_change(Change&& change) {
         Scenario smaller = best_.scenario;
         change(smaller);
-        return takes(smaller);
+        return try_scenario(smaller);
     }
     bool drop_faults() {
         bool any = false;
         for (std::size_t i = 0; i < best_.scenario.faults.size();)
-            if (takes_with(
-                    [&](Scenario& d) { d.faults.erase(d.faults.begin() + static_cast<std::ptrdiff_t>(i)); }))
+            if (try_change([&](Scenario& smaller) {
+                    smaller.faults.erase(smaller.faults.begin() + static_cast<std::ptrdiff_t>(i));
+                }))
                 any = true;
             else
                 ++i;
@@ -55,43 +56,48 @@
 ShrinkResult shrink(const Scenario& scenario, const std::string& rule, const Player& player, int most_plays,
                     const std::function<void(const ShrinkResult&)>& on_progress) {
     ShrinkResult best{scenario, rule, 0};
-    Shrinker s(best, player, most_plays, on_progress);
-    while (s.drop_faults()) continue;
-    // Conditions that a scenario may do without, one at a time.
-    const std::vector<std::function<void(Scenario&)>> plainer{
-        [](Scenario& d) { d.network.cut_reads = 0; },
-        [](Scenario& d) { d.network.cut_writes = 0; },
-        [](Scenario& d) { d.network.lost = d.network.doubled = 0; },
-        [](Scenario& d) { d.network.datagram_jitter = 0; },
-        [](Scenario& d) { d.network.window = 65536; },
-        [](Scenario& d) { d.client_behavior.abandon_share = d.client_behavior.slow_reader_share = 0; },
-        [](Scenario& d) { d.max_clock_skew = 0; },
-        [](Scenario& d) { d.known_share = 1; },
-        [](Scenario& d) { d.groups = false; },
+    Shrinker shrinker(best, player, most_plays, on_progress);
+    while (shrinker.drop_faults()) continue;
+    // Conditions that may not be needed; each is tried by itself.
+    const std::vector<std::function<void(Scenario&)>> simplifications{
+        [](Scenario& smaller) { smaller.network.cut_reads = 0; },
+        [](Scenario& smaller) { smaller.network.cut_writes = 0; },
+        [](Scenario& smaller) { smaller.network.lost = smaller.network.doubled = 0; },
+        [](Scenario& smaller) { smaller.network.datagram_jitter = 0; },
+        [](Scenario& smaller) { smaller.network.window = 65536; },
+        [](Scenario& smaller) {
+            smaller.client_behavior.abandon_share = smaller.client_behavior.slow_reader_share = 0;
+        },
+        [](Scenario& smaller) { smaller.max_clock_skew = 0; },
+        [](Scenario& smaller) { smaller.known_share = 1; },
+        [](Scenario& smaller) { smaller.groups = false; },
     };
-    for (const auto& change : plainer) s.takes_with(change);
-    while (best.scenario.clients > 1 && s.takes_with([](Scenario& d) {
-        // Each client keeps its load.
-        const std::uint32_t fewer = d.clients / 2;
-        d.load *= static_cast<double>(fewer) / d.clients;
-        d.clients = fewer;
+    for (const auto& change : simplifications) shrinker.try_change(change);
+    while (best.scenario.clients > 1 && shrinker.try_change([](Scenario& smaller) {
+        // The load of each client stays the same.
+        const std::uint32_t fewer = smaller.clients / 2;
+        smaller.load *= static_cast<double>(fewer) / smaller.clients;
+        smaller.clients = fewer;
     }))
         continue;
     for (std::size_t i = 0; i < best.scenario.faults.size(); ++i) {
         const auto& f = [&]() -> const Fault& { return best.scenario.faults[i]; };
-        while (f().duration > second / 10 && s.takes_with([&](Scenario& d) { d.faults[i].duration /= 2; }))
+        while (f().duration > second / 10 &&
+               shrinker.try_change([&](Scenario& smaller) { smaller.faults[i].duration /= 2; }))
+            continue;
+        while (f().count > 1 && shrinker.try_change([&](Scenario& smaller) { smaller.faults[i].count /= 2; }))
             continue;
-        while (f().count > 1 && s.takes_with([&](Scenario& d) { d.faults[i].count /= 2; })) continue;
     }
     while (best.scenario.duration > second) {
         const bool fits =
             std::all_of(best.scenario.faults.begin(), best.scenario.faults.end(),
                         [&](const Fault& f) { return f.start + 2 * second < best.scenario.duration; });
-        if (!fits ||
-            !s.takes_with([](Scenario& d) { d.duration -= std::min(d.duration - second, 2 * second); }))
+        if (!fits || !shrinker.try_change([](Scenario& smaller) {
+                smaller.duration -= std::min(smaller.duration - second, 2 * second);
+            }))
             break;
     }
-    while (s.drop_faults()) continue;
+    while (shrinker.drop_faults()) continue;
     return best;
 }
 
--- a/src/simulation/shrink.h
+++ b/src/simulation/shrink.h
@@ -1,4 +1,4 @@
-// Shrinks a scenario that breaks a rule, as long as the same rule still breaks.
+// Shrinks a scenario that breaks a rule to a smaller one that breaks the same rule.
 #pragma once
 
 #include <functional>
@@ -8,18 +8,18 @@
 
 namespace lemonstair::simulation {
 
-// The smallest scenario so far, and how many were played for it.
+// The smallest scenario so far, the rule that it breaks, and how many scenarios were played to find it.
 struct ShrinkResult {
     Scenario scenario;
     std::string rule;
     int plays = 0;
 };
 
-// Plays a scenario, with the tampering of its test if there is any.
+// Plays a scenario, with the test hooks if there are any.
 using Player = std::function<Verdict(const Scenario&)>;
 
-// Drops faults, then what the scenario does not need; at most so many scenarios are played. `on_progress` is
-// called after each play.
+// Drops faults, network conditions, clients and time as long as the rule is still broken. Plays at most
+// `most_plays` scenarios. `on_progress` is called after each of them.
 ShrinkResult shrink(const Scenario& scenario, const std::string& rule, const Player& player,
                     int most_plays = 400, const std::function<void(const ShrinkResult&)>& on_progress = {});
 
--- a/src/simulation/simulated_nodes.cpp
+++ b/src/simulation/simulated_nodes.cpp
@@ -12,11 +12,11 @@
 
 using simnet::Process;
 
-constexpr std::size_t backlog = 1024, most_spin = 40, most_idle_timers = 120;
+constexpr std::size_t backlog = 1024, max_spin = 40, max_idle_timers = 120;
 constexpr std::uint16_t admin_port = 10250;
 const std::string file_name = "node.json";
 
-// Log lines of a node go into the trace; a violation that the node found itself breaks a rule.
+// Writes a node's log lines into the trace, and reports violations that the node has detected itself.
 class TraceSink final : public log::Sink {
   public:
     TraceSink(fakes::TestEnvironment& environment, Invariants& invariants, std::uint32_t node)
@@ -52,7 +52,7 @@
     }
 }
 
-// Nodes go before what they run on.
+// Nodes are destroyed before the processes and systems that they use.
 SimulatedNodes::~SimulatedNodes() {
     for (ProcessSlot& slot : slots_) slot.current.node.reset(), slot.previous.node.reset();
 }
@@ -97,7 +97,7 @@
     NodeProcess& running = slot.current;
     running.process->attach_local_sockets(*slot.local_sockets);
     running.inherited = std::to_string(running.process->inherit(*slot.listener));
-    // Two processes of a node have admin addresses of their own.
+    // Two processes of a node must not share an admin address.
     running.admin_address = simnet::Network::address(slot.machine, admin_port);
     if (slot.previous.process && slot.previous.admin_address == running.admin_address)
         running.admin_address = simnet::Network::address(slot.machine, admin_port + 1);
@@ -119,7 +119,7 @@
         [source] { return source->read(); }, decides);
 }
 
-// False where it does not start.
+// Returns false if the process does not start.
 bool SimulatedNodes::start_process(std::uint32_t node) {
     ProcessSlot& slot = slots_[node];
     NodeProcess& running = slot.current;
@@ -152,14 +152,15 @@
                                           " of " + std::to_string(scenario_.sockets));
 }
 
-// A process that has left is kept: it must not be destroyed while a call of it is on the stack.
+// One pass of the node's event loop. A process that has ended is kept, because it must not be destroyed while
+// one of its calls is on the stack.
 bool SimulatedNodes::pass(std::uint32_t node, const Process* process) {
     ProcessSlot& slot = slots_[node];
     NodeProcess& running = slot.previous.process.get() == process ? slot.previous : slot.current;
     try {
-        const bool goes_on = running.node->run_once();
+        const bool continues = running.node->run_once();
         check_descriptors(node);
-        if (goes_on) return true;
+        if (continues) return true;
         environment_->note("node left", node, slot.incarnation);
         if (&running == &slot.current) invariants_.node_ended(node, Invariants::NodeEnd::left);
     } catch (const std::exception& e) {
@@ -189,14 +190,14 @@
     ProcessSlot& slot = slots_[node];
     slot.previous = std::exchange(slot.current, {});
     ++slot.upgrades;
-    slot.drained = false;  // the new one begins serving
+    slot.drained = false;  // the new process starts undrained
     invariants_.node_drained(node, false);
     const bool started = start_process(node);
     if (!started) end(node, Invariants::NodeEnd::crashed);
     return started;
 }
 
-// What the new one had taken over is lost to the clients, as in a stall.
+// Clients that the new process had taken over are cut off: the node counts as disturbed, as in a stall.
 void SimulatedNodes::abort_upgrade(std::uint32_t node) {
     ProcessSlot& slot = slots_[node];
     environment_->note("new process dies", node, slot.incarnation);
@@ -227,9 +228,11 @@
         invariants_.report("descriptors", "node " + std::to_string(node) + " held " +
                                               std::to_string(process.most_held()) + " of " +
                                               std::to_string(scenario_.sockets));
-    if (process.longest_spin() > most_spin)
+    if (process.longest_spin() > max_spin)
         invariants_.report("spin", "node " + std::to_string(node) + " made " +
-                                       std::to_string(process.longest_spin()) + " passes for nothing");
+                                       std::to_string(process.longest_spin()) +
+                                       " passes of its event loop without progress, at most " +
+                                       std::to_string(max_spin) + " are allowed");
     running.process->die();
     running.node.reset();
     running.source.reset();
@@ -238,7 +241,7 @@
 }
 
 void SimulatedNodes::check_leftovers() {
-    constexpr std::size_t allowed = 3;  // a client that comes and goes at this moment
+    constexpr std::size_t allowed = 3;  // a client may be arriving or leaving right now
     for (std::uint32_t n = 0; n < size(); ++n) {
         const ProcessSlot& slot = slots_[n];
         if (!slot.current.node || !slot.current.process->runs() || slot.leaving || slot.previous.process)
@@ -249,16 +252,17 @@
         usage_.most_timers = std::max(usage_.most_timers, holds.timers);
         const auto check = [&](std::size_t held, std::size_t most, const char* what) {
             if (held > most)
-                invariants_.report("left_over", "node " + std::to_string(n) + " is empty and holds " +
-                                                    std::to_string(held) + what);
+                invariants_.report("left_over", "node " + std::to_string(n) + " has no clients and holds " +
+                                                    std::to_string(held) + what + ", expected at most " +
+                                                    std::to_string(most));
         };
-        check(clients, allowed, " connections of clients");
-        check(calls, scenario_.servers + 1, " calls");
+        check(clients, allowed, " connections to clients");
+        check(calls, scenario_.servers + 1, " connections to servers");
         check(holds.tunnels, allowed, " tunnels");
         check(holds.buffers, allowed, " buffers");
-        // Timers of tunnels that are gone fall due within their clients' time: two for each tunnel at most.
+        // A tunnel leaves at most two timers behind, which expire within its client's timeout.
         const std::size_t of_tunnels = 2 * std::size_t{scenario_.clients} / scenario_.nodes;
-        check(holds.timers, std::max(most_idle_timers, of_tunnels), " timers");
+        check(holds.timers, std::max(max_idle_timers, of_tunnels), " timers");
     }
 }
 
--- a/src/simulation/simulated_nodes.h
+++ b/src/simulation/simulated_nodes.h
@@ -1,6 +1,6 @@
-// The nodes of a simulation: the product's own node code, each in a process on a simulated machine. Owns the
-// processes through kills, restarts and upgrades; judges what a process does wrong by itself (crash,
-// descriptors, spin). Times are tenths of a ms.
+// The nodes of a simulation: the product's node code, each node in a simulated process on a simulated
+// machine. Starts, kills, restarts and upgrades the processes, and judges the rules about a process by itself
+// (crash, descriptors, spin, left_over). Times are in tenths of a ms.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +17,7 @@
 
 namespace lemonstair::simulation {
 
-// One process of a node, and what it runs on.
+// One process of a node, with what it runs on.
 struct NodeProcess {
     std::unique_ptr<log::Sink> log_sink;
     std::unique_ptr<log::Log> log;
@@ -28,14 +28,15 @@
     net::Address admin_address;
     std::string inherited, admin_text;
     Ticks started_at = 0;
-    bool shared_clients = false;  // another process answered some of its node's clients meanwhile
+    bool shared_clients =
+        false;  // another process of the node ran at the same time and answered some of its clients
 };
 
-// One node of the tier, through its incarnations.
+// One node, through all its incarnations.
 struct ProcessSlot {
     simnet::Machine machine = 0;
     Ticks clock_ahead = 0;
-    std::string file;  // the configuration that the next process reads
+    std::string file;  // configuration file
     NodeProcess current;
     NodeProcess previous;  // the process that an upgrade is replacing
     std::unique_ptr<simnet::SharedListener> listener;
@@ -48,7 +49,7 @@
 
 class SimulatedNodes {
   public:
-    // What the processes needed at most; part of the verdict.
+    // Passes of all processes together, and the largest values of any; part of the verdict.
     struct Usage {
         std::uint64_t passes = 0;
         std::size_t most_descriptors = 0, longest_spin = 0, most_timers = 0;
@@ -60,34 +61,35 @@
     SimulatedNodes(const SimulatedNodes&) = delete;
     SimulatedNodes& operator=(const SimulatedNodes&) = delete;
     ~SimulatedNodes();
-    // Before the first start.
+    // To be called before the first start.
     void attach(fakes::TestEnvironment& environment) { environment_ = &environment; }
-    // The platform holds the node's listener, so that two processes of it can run at once.
+    // Lets the platform hold the node's client listener, so that two of its processes can run at the same
+    // time.
     void share_listener(std::uint32_t node);
 
     std::uint32_t size() const { return static_cast<std::uint32_t>(slots_.size()); }
     ProcessSlot& slot(std::uint32_t node) { return slots_[node]; }
     const ProcessSlot& slot(std::uint32_t node) const { return slots_[node]; }
     const Usage& usage() const { return usage_; }
-    // Whether a node is one process, and was all the time since that incarnation and upgrade.
+    // Whether the node runs as a single process, still in that incarnation and after that count of upgrades.
     bool is_single_process(std::uint32_t node, std::uint32_t incarnation, std::uint32_t upgrades) const;
 
-    // Nothing happens where it runs.
+    // Starts the node. Does nothing if it is running.
     void start(std::uint32_t node);
-    // All its processes.
+    // Kills all processes of the node.
     void end(std::uint32_t node, Invariants::NodeEnd how);
-    // Starts a new process beside the current one, which becomes the previous one. False: it does not start,
-    // and the node has ended.
+    // Starts a new process beside the current one, which becomes the previous one. Returns false if the new
+    // one does not start; the node has ended then.
     bool start_upgrade(std::uint32_t node);
-    // The new process of an upgrade dies: the previous one is the node again.
+    // Kills the new process of an upgrade: the previous one becomes the current one again.
     void abort_upgrade(std::uint32_t node);
-    // The previous process of an upgrade is killed.
+    // Kills the previous process of an upgrade.
     void end_previous(std::uint32_t node) { end_process(node, slots_[node].previous); }
     void signal(std::uint32_t node, int number);
     void write_file(std::uint32_t node, const std::string& text);
-    // Broken from now on: half of the file. The slot keeps the whole one.
+    // Truncates the configuration file that the process sees to its half. The slot keeps the complete one.
     void write_half_file(std::uint32_t node);
-    // After the clients have gone: whether the nodes still hold something for them.
+    // Rule left_over, after all clients have left: reports what the nodes still hold for them.
     void check_leftovers();
 
   private:
@@ -106,7 +108,8 @@
     TestHooks* hooks_;
     fakes::TestEnvironment* environment_ = nullptr;
     std::vector<ProcessSlot> slots_;
-    std::vector<std::unique_ptr<simnet::Process>> ended_;  // the event queue may still name them
+    std::vector<std::unique_ptr<simnet::Process>>
+        ended_;  // kept, because events in the queue may still refer to them
     Usage usage_;
 };
 
--- a/src/simulation/simulation.cpp
+++ b/src/simulation/simulation.cpp
@@ -18,9 +18,10 @@
 using simnet::RandomSource;
 
 constexpr Ticks second = 10000;
-constexpr Ticks quiet = 120000;  // after the scenario, until the nodes must be empty
-constexpr Ticks kill_after_leave = 37000;
-constexpr std::uint64_t most_steps = 20'000'000;
+constexpr Ticks settling_time =
+    120000;                          // after the clients have left, until nodes must hold nothing for them
+constexpr Ticks kill_delay = 37000;  // from SIGTERM to SIGKILL
+constexpr std::uint64_t max_steps = 20'000'000;
 
 class Simulation final : public simnet::EventTarget, public Topology, public NodeFaults {
   public:
@@ -62,7 +63,7 @@
     RandomSource random_;
     simnet::Network network_;
     Invariants invariants_;
-    std::unique_ptr<Fixture> fixture_;  // outlives the nodes, whose logs go through it
+    std::unique_ptr<Fixture> fixture_;  // outlives the nodes, whose log lines go through its environment
     SimulatedNodes nodes_;
     std::unique_ptr<OperatorActions> operators_;
     std::unique_ptr<FaultInjector> injector_;
@@ -93,7 +94,7 @@
     invariants_.node_shutdown_requested(fault.target);
     nodes_.signal(fault.target, SIGTERM);
     fixture_->front().leaves(fault.target, random_.between(second / 5, second * 2 / 5));
-    schedule(events_.now() + kill_after_leave, Kind::kill_late, index, slot.incarnation);
+    schedule(events_.now() + kill_delay, Kind::kill_late, index, slot.incarnation);
 }
 
 void Simulation::stall(const Fault& fault) {
@@ -178,9 +179,11 @@
 // ---- the run
 
 void Simulation::play_until(Ticks until) {
-    while (events_.steps() < most_steps && events_.step(until)) continue;
+    while (events_.steps() < max_steps && events_.step(until)) continue;
     events_.pass_to(until);
-    if (events_.steps() >= most_steps) invariants_.report("spin", "the scenario does not end");
+    if (events_.steps() >= max_steps)
+        invariants_.report("spin",
+                           "the scenario took " + std::to_string(max_steps) + " events and has not ended");
 }
 
 Verdict Simulation::run() {
@@ -194,7 +197,7 @@
     injector_->schedule_all();
     play_until(last);
     fixture_->stop_clients();
-    play_until(last + quiet);
+    play_until(last + settling_time);
     nodes_.check_leftovers();
     invariants_.judge_bounds();
     for (std::uint32_t n = 0; n < nodes_.size(); ++n) nodes_.end(n, Invariants::NodeEnd::killed);
@@ -215,7 +218,7 @@
     verdict.most_descriptors = nodes_.usage().most_descriptors;
     verdict.longest_spin = nodes_.usage().longest_spin;
     verdict.most_timers = nodes_.usage().most_timers;
-    verdict.simulated = scenario_.duration + quiet;
+    verdict.simulated = scenario_.duration + settling_time;
     for (const Violation& b : verdict.broken) trace_.note(b.at, "broken", 0, 0, b.rule + ": " + b.what);
     verdict.hash = trace_.hash();
     return verdict;
--- a/src/simulation/simulation.h
+++ b/src/simulation/simulation.h
@@ -1,5 +1,6 @@
-// Simulation of one scenario: the product's own nodes on simulated machines, between fakes of all others,
-// judged by the invariants. One thread, simulated time, no descriptors. Times are tenths of a ms.
+// Simulation of one scenario: the product's nodes on simulated machines, with fakes of clients, servers,
+// discovery and operators, judged by the invariants. Uses one thread, simulated time and no descriptors of
+// the system. Times are in tenths of a ms.
 #pragma once
 
 #include <cstdint>
@@ -14,22 +15,22 @@
 
 namespace lemonstair::simulation {
 
-// Hook of tests: wraps the system that a node runs on, or replaces its balancer, to see that the invariants
-// find what is then wrong.
+// Lets a test wrap the system that a node runs on, or replace its balancer, in order to check that the
+// invariants detect the resulting faults.
 class TestHooks {
   public:
     TestHooks() = default;
     TestHooks(const TestHooks&) = delete;
     TestHooks& operator=(const TestHooks&) = delete;
     virtual ~TestHooks() = default;
-    // The system for the node, on top of the real one, which outlives it; null: the real one.
+    // Returns the system for the node, on top of the real one, which outlives it; null to use the real one.
     virtual std::unique_ptr<net::System> wrap_system(net::System& real) = 0;
-    // The balancer for the node; null: the real one.
+    // Returns the balancer for the node; null to use the real one.
     virtual std::unique_ptr<Balancer> make_balancer(BalancerConfig config, BalancerDelegate& delegate,
                                                     Ticks now) = 0;
 };
 
-// What a run gave: the rules that broke, and figures of what happened.
+// Result of a run: the rules that were broken, and counts of what happened.
 struct Verdict {
     std::uint64_t seed = 0, hash = 0;
     std::vector<Violation> broken;
@@ -38,13 +39,13 @@
     std::uint64_t steps = 0, passes = 0;
     std::size_t most_descriptors = 0, longest_spin = 0, most_timers = 0;
     Ticks simulated = 0;
-    double most_of_budget = 0;  // share that any server in slow start was sent, in any budget window
-    // The rule broken first; empty where all were kept.
+    double most_of_budget = 0;  // largest share that a server in slow start got in any window
+    // The rule that was broken first; empty if all were kept.
     std::string rule() const { return broken.empty() ? std::string() : broken.front().rule; }
 };
 
-// Plays a scenario to its end; `trace`: all that happened, as text. The same scenario gives the same trace
-// and hash on every machine, whatever else the process does.
+// Plays a scenario to its end. `trace` gets all events as text. The same scenario gives the same trace and
+// hash on every machine, whatever else the process does.
 Verdict play(const Scenario& scenario, std::ostream* trace = nullptr, TestHooks* hooks = nullptr);
 
 }  // namespace lemonstair::simulation
--- a/tests/fault_injection.h
+++ b/tests/fault_injection.h
@@ -1,5 +1,5 @@
-// Fault injection for the simulation's tests: nodes whose net::System or Balancer misbehaves in one way, to
-// show that the invariants find it. Linked into the tests only.
+// Fault injection for the simulation's tests: wraps a node's net::System or Balancer so that it misbehaves in
+// one way that the invariants must detect. Linked into the tests only.
 #pragma once
 
 #include <algorithm>
@@ -29,7 +29,7 @@
     line_reordered,
     move_omitted,
     descriptors_leaked,
-    // of operated scenarios
+    // in operated scenarios only
     metrics_wrong,
     ready_while_draining,
     transferred_tunnel_lost,
@@ -37,7 +37,7 @@
     admin_request_unanswered
 };
 
-// A net::System that forwards every call, but for the fault.
+// A net::System that forwards every call to the real one, except where the fault takes effect.
 class FaultySystem final : public net::System {
   public:
     FaultySystem(net::System& real, Fault fault) : real_(real), fault_(fault) {}
@@ -79,12 +79,12 @@
     net::IoResult discard_some(int fd) override { return real_.discard_some(fd); }
     net::IoResult write_some(int fd, std::string_view text) override {
         if (fault_ == Fault::metrics_wrong && text.find("\"operations\"") != std::string_view::npos) {
-            std::string untrue(text);  // as if no tunnel was ever opened
-            for (auto at = untrue.find("fulfilled"); at != std::string::npos;
-                 at = untrue.find("fulfilled", at + 1))
-                for (auto digit = at + 11; untrue[digit] >= '0' && untrue[digit] <= '9'; ++digit)
-                    untrue[digit] = '0';
-            return real_.write_some(fd, untrue);
+            std::string falsified(text);  // as if no tunnel had ever been opened
+            for (auto at = falsified.find("fulfilled"); at != std::string::npos;
+                 at = falsified.find("fulfilled", at + 1))
+                for (auto digit = at + 11; falsified[digit] >= '0' && falsified[digit] <= '9'; ++digit)
+                    falsified[digit] = '0';
+            return real_.write_some(fd, falsified);
         }
         if (fault_ == Fault::admin_request_unanswered && text.substr(0, 5) == "HTTP/" && ++count_ % 5 == 0)
             return {.bytes = text.size()};
@@ -96,10 +96,10 @@
         if (fault_ == Fault::answer_dropped && client && last) return {.bytes = text.size()};
         if (fault_ == Fault::move_omitted && client && text == "MOVE\r\n") return {.bytes = text.size()};
         if (fault_ == Fault::second_attempt && !client && text.substr(0, 5) == "OPEN " && ++count_ % 3 == 0) {
-            net::Fd twin = real_.connect_to(connect_addresses_[fd]);
-            if (twin.open()) second_lines_[twin.release()] = std::string(text);
+            net::Fd second = real_.connect_to(connect_addresses_[fd]);
+            if (second.open()) second_lines_[second.release()] = std::string(text);
         }
-        // Whole lines only: one waits until the next has gone.
+        // Holds back one complete line until the next one has been written.
         if (fault_ == Fault::line_reordered && client && text.substr(0, 2) == "e " && text.back() == '\n') {
             std::string& held = held_lines_[fd];
             if (held.empty() && ++count_ % 10 == 0) return held = text, net::IoResult{.bytes = text.size()};
@@ -128,7 +128,7 @@
     net::Fd connect_local(const std::string& name) override { return owned(real_.connect_local(name)); }
     net::Fd accept_local(int listener) override { return owned(real_.accept_local(listener)); }
     net::IoResult send_packet(int fd, std::string_view bytes, std::span<const int> descriptors) override {
-        constexpr std::size_t kind_at = 5;  // behind the mark and the version
+        constexpr std::size_t kind_at = 5;  // after the magic bytes and the version
         const bool ready =
             bytes.size() > kind_at && bytes[kind_at] == static_cast<char>(hot_restart::PacketKind::ready);
         const bool lost =
@@ -160,7 +160,7 @@
     int count_ = 0;
 };
 
-// A Balancer with a wrong view of the endpoints, or whose attempts go to another endpoint than it chose.
+// A Balancer that gets a wrong view of the endpoints, or whose attempts go to another endpoint than it chose.
 class FaultyBalancer final : public Balancer, BalancerDelegate, peer::MessageHandler {
   public:
     FaultyBalancer(BalancerConfig config, BalancerDelegate& delegate, Ticks now, Fault fault)
@@ -170,7 +170,7 @@
           now_(now) {
         real_ = Balancer::start(std::move(config), *this, now);
     }
-    // ---- calls to the Balancer
+    // ---- Balancer
     void set_time(Ticks now) override { real_->set_time(now_ = now); }
     void update_config(BalancerConfig config) override { real_->update_config(std::move(config)); }
     void begin_endpoint_list(EndpointListKind kind) override { real_->begin_endpoint_list(kind); }
@@ -185,19 +185,20 @@
         real_->add_endpoint(endpoint, zone, cell, life, size, started);
     }
     void end_endpoint_list() override { real_->end_endpoint_list(); }
-    void on_request(std::uint64_t tunnel, const TunnelRequest& a) override {
-        if (fault_ == Fault::stale_record_used && a.mid_flow) {
-            const auto it = records_.find(hash_text(a.key));
+    void on_request(std::uint64_t tunnel, const TunnelRequest& request) override {
+        if (fault_ == Fault::stale_record_used && request.mid_flow) {
+            const auto it = records_.find(hash_text(request.key));
             if (it != records_.end()) {
-                real_->on_request(tunnel, a);
+                real_->on_request(tunnel, request);
                 redirected_[tunnel] = it->second;
                 return;
             }
         }
-        real_->on_request(tunnel, a);
+        real_->on_request(tunnel, request);
     }
-    void adopt_open_tunnel(std::uint64_t tunnel, const TunnelRequest& a, std::uint32_t endpoint) override {
-        real_->adopt_open_tunnel(tunnel, a, endpoint);
+    void adopt_open_tunnel(std::uint64_t tunnel, const TunnelRequest& request,
+                           std::uint32_t endpoint) override {
+        real_->adopt_open_tunnel(tunnel, request, endpoint);
     }
     void on_opened(std::uint64_t tunnel, int attempt, std::uint32_t endpoint, Ticks took) override {
         real_->on_opened(tunnel, attempt, chosen_endpoint(tunnel, endpoint), took);
@@ -240,7 +241,7 @@
         return real_->restore_tunnel(tunnel, told, clock_shift);
     }
 
-    // ---- calls of the Balancer
+    // ---- BalancerDelegate
     void start_attempt(std::uint64_t tunnel, std::uint32_t endpoint, Ticks max_wait) override {
         chosen_[tunnel] = endpoint;
         if (fault_ == Fault::slow_start_budget_exceeded && newest_started_ != 0 &&
@@ -261,7 +262,7 @@
     void broadcast_gossip(std::span<const std::uint8_t> bytes) override { delegate_.broadcast_gossip(bytes); }
     void log(std::string_view line) override { delegate_.log(line); }
 
-    // ---- records in gossip; the first that was received of a key is used for ever
+    // ---- peer::MessageHandler: the first record that is received for a key is used for ever
     void on_record(std::uint64_t key, std::uint32_t endpoint, std::int64_t, std::uint32_t, double) override {
         records_.emplace(key, endpoint);
     }
@@ -293,6 +294,7 @@
     Ticks newest_started_ = 0;
 };
 
+// Test hooks that inject one fault into every node of a simulation.
 class FaultInjector final : public simulation::TestHooks {
   public:
     explicit FaultInjector(Fault fault) : fault_(fault) {}
--- a/tests/simulation_faults_test.cpp
+++ b/tests/simulation_faults_test.cpp
@@ -1,4 +1,5 @@
-// The invariants of the simulation find each fault that is injected into nodes, and the scenario is shrunk.
+// Guards against invariants that overlook a fault: each fault that is injected into nodes must break one of
+// its rules within 500 seeds, and the scenario that shows it must shrink to a few faults.
 #include <doctest/doctest.h>
 
 #include <algorithm>
@@ -17,31 +18,37 @@
     struct Row {
         fault_injection::Fault fault;
         std::string name;
-        std::vector<std::string> rules;  // any of them
-        std::uint64_t from = 1;          // where the search begins, to spare the sanitized run
-        // An old record misleads only where its member was placed twice and then a node ended.
+        std::vector<std::string> rules;  // one of these must be broken first
+        std::uint64_t from =
+            1;  // first seed to try; later than 1 where the sanitized run would take too long
+        // A stale record does harm only if its client was placed twice and a node ended after that.
         std::size_t most_faults = 2;
-        std::uint64_t last = 500;  // seed looked at
+        std::uint64_t last = 500;  // seed to try
         bool operated = false;
     };
     const Row rows[] = {
         {fault_injection::Fault::answer_dropped, "an answer is dropped", {"answer"}},
-        {fault_injection::Fault::second_attempt, "a second setup while one is out", {"at_once", "effect"}},
-        {fault_injection::Fault::draining_endpoint_used, "a drained host is used", {"drain"}},
-        {fault_injection::Fault::slow_start_budget_exceeded, "a cold host is flooded", {"cold"}, 300},
+        {fault_injection::Fault::second_attempt,
+         "a second setup while one is pending",
+         {"at_once", "effect"}},
+        {fault_injection::Fault::draining_endpoint_used, "a draining server is used", {"drain"}},
+        {fault_injection::Fault::slow_start_budget_exceeded,
+         "a server in slow start gets too many tunnels",
+         {"cold"},
+         300},
         {fault_injection::Fault::answer_after_final, "an answer after the final one", {"twice"}},
         {fault_injection::Fault::connection_leaked,
          "a connection is leaked",
          {"left_over", "answer", "silent"}},
-        {fault_injection::Fault::stale_record_used, "an old record is believed", {"astray"}, 5500, 3, 5600},
-        {fault_injection::Fault::line_reordered, "a line is overtaken", {"line"}},
+        {fault_injection::Fault::stale_record_used, "a stale record is used", {"astray"}, 5500, 3, 5600},
+        {fault_injection::Fault::line_reordered, "a line is sent out of order", {"line"}},
         {fault_injection::Fault::move_omitted, "a client is cut off without MOVE", {"cut_off", "leave"}},
         {fault_injection::Fault::descriptors_leaked,
-         "descriptors are hoarded",
+         "descriptors are leaked",
          {"left_over", "answer", "bad_client"}},
-        {fault_injection::Fault::metrics_wrong, "figures are untrue", {"figures"}, 1, 2, 500, true},
+        {fault_injection::Fault::metrics_wrong, "metrics are wrong", {"figures"}, 1, 2, 500, true},
         {fault_injection::Fault::ready_while_draining,
-         "a drained node says yes",
+         "a drained node reports that it is healthy",
          {"drained"},
          1,
          2,
@@ -55,14 +62,14 @@
          500,
          true},
         {fault_injection::Fault::ready_packet_lost,
-         "two processes are the node",
+         "two processes of a node serve at once",
          {"cut_off", "leave", "answer", "astray", "descriptors"},
          1,
          2,
          500,
          true},
         {fault_injection::Fault::admin_request_unanswered,
-         "a call is not answered",
+         "a request of operators is not answered",
          {"call"},
          1,
          2,
@@ -73,29 +80,31 @@
         const auto draw = [&](std::uint64_t seed) {
             return row.operated ? simulation::draw_operated_scenario(seed) : simulation::draw_scenario(seed);
         };
-        const auto player = [&](const Scenario& day) {
+        const auto player = [&](const Scenario& scenario) {
             fault_injection::FaultInjector injector(row.fault);
-            return simulation::play(day, nullptr, &injector);
+            return simulation::play(scenario, nullptr, &injector);
         };
-        const auto is_meant = [&](const Verdict& v) {
-            return std::find(row.rules.begin(), row.rules.end(), v.rule()) != row.rules.end();
+        const auto breaks_expected_rule = [&](const Verdict& verdict) {
+            return std::find(row.rules.begin(), row.rules.end(), verdict.rule()) != row.rules.end();
         };
         std::uint64_t seed = row.from;
         Verdict found;
         for (; seed <= row.last; ++seed)
-            if (is_meant(found = player(draw(seed)))) break;
+            if (breaks_expected_rule(found = player(draw(seed)))) break;
         INFO(row.name);
         REQUIRE(seed <= row.last);
-        const Scenario day = draw(seed);
-        CHECK(simulation::play(day).broken.empty());  // the node as it is keeps the rule on this very day
-        const auto small = simulation::shrink(day, found.rule(), player, 120);
+        const Scenario scenario = draw(seed);
+        CHECK(simulation::play(scenario)
+                  .broken.empty());  // without the injected fault, the same scenario keeps all rules
+        const auto small = simulation::shrink(scenario, found.rule(), player, 120);
         MESSAGE(row.name << ": seed " << seed << " breaks '" << found.rule() << "', shrunk to "
-                         << small.scenario.faults.size() << " of " << day.faults.size() << " faults, "
-                         << small.scenario.clients << " members");
+                         << small.scenario.faults.size() << " of " << scenario.faults.size() << " faults, "
+                         << small.scenario.clients << " clients");
         CHECK(small.scenario.faults.size() <= row.most_faults);
-        CHECK(small.scenario.clients <= day.clients);
+        CHECK(small.scenario.clients <= scenario.clients);
         const Verdict again = player(small.scenario);
-        CHECK(std::any_of(again.broken.begin(), again.broken.end(),
-                          [&](const simulation::Violation& b) { return b.rule == found.rule(); }));
+        CHECK(std::any_of(
+            again.broken.begin(), again.broken.end(),
+            [&](const simulation::Violation& violation) { return violation.rule == found.rule(); }));
     }
 }
