--- a/src/simulation/invariants.h
+++ b/src/simulation/invariants.h
@@ -101,12 +101,14 @@
 
   private:
     enum class State : std::uint8_t { unknown, requested, delivered, open, over };
+    // A setup that a server received.
     struct Setup {
         std::uint32_t server;
         simnet::End end;  // the server's end of the connection
         Ticks sent;       // when its first byte was sent; a hanging server may read it much later
         fakes::Answer answer = fakes::Answer::none;
     };
+    // What is known of a tunnel, through all its attempts and setups.
     struct TunnelRecord {
         State state = State::unknown;
         fakes::TunnelRequest request;
@@ -122,6 +124,7 @@
         Ticks requested_at = 0, answered_at = 0;
         fakes::Answer answer = fakes::Answer::none;
     };
+    // A node's process, or its processes where an upgrade passes the clients on.
     struct Incarnation {
         Ticks from, until = 0;  // 0: still running
         NodeEnd how = NodeEnd::killed;
@@ -130,9 +133,10 @@
     struct Node {
         std::vector<Incarnation> incarnations;
         std::vector<std::pair<Ticks, Ticks>> stalls;
-        Ticks drained_since = 0;            // 0: it is not drained
-        std::vector<Ticks> notified_at;     // by server: when the node last got its state; 0: not yet
-        std::vector<Ticks> inactive_since;  // by server: since when the node knows; 0: active
+        Ticks drained_since = 0;         // 0: it is not drained
+        std::vector<Ticks> notified_at;  // by server: when the node last got its state; 0: not yet
+        std::vector<Ticks>
+            inactive_since;  // by server: since when the node knows it to be inactive; 0: active
     };
     struct Server {
         Ticks started_at = 0, silent_until = 0;
--- a/src/simulation/invariants_servers.cpp
+++ b/src/simulation/invariants_servers.cpp
@@ -119,7 +119,7 @@
         return;
     // The tunnel's record is held by a chain of two nodes and by the node that placed it, so that one end of
     // a node must not lose it. Ends count until the next refresh of records, 12 s; a node that has started
-    // gets 3 s to learn the records; and clients are judged up to 4 s after the end.
+    // gets 3 s to learn the records; and setups are judged up to 4 s after the end.
     constexpr Ticks refreshed = 120000, settled = 30000, parked = 40000;
     int ended = 0;
     Ticks last_end = 0;
--- a/src/simulation/runner.cpp
+++ b/src/simulation/runner.cpp
@@ -33,7 +33,7 @@
     std::atomic<std::uint64_t> next{seeds.first};
     std::mutex output_lock;
     std::map<std::uint64_t, Verdict>
-        finished_early;  // finished before an earlier seed that is reported first
+        finished_early;  // finished, but an earlier seed has to be reported first
     std::uint64_t next_reported = seeds.first;
     std::exception_ptr failure;
     const auto work = [&] {
--- a/src/simulation/shrink.cpp
+++ b/src/simulation/shrink.cpp
@@ -9,6 +9,7 @@
 
 constexpr Ticks second = 10000;
 
+// Replaces the smallest scenario so far by smaller ones that still break the rule.
 class Shrinker {
   public:
     Shrinker(ShrinkResult& best, const Player& player, int most,
--- a/src/simulation/simulation.cpp
+++ b/src/simulation/simulation.cpp
@@ -23,6 +23,8 @@
 constexpr Ticks kill_delay = 37000;  // from SIGTERM to SIGKILL
 constexpr std::uint64_t max_steps = 20'000'000;
 
+// One run: owns the simulated network, the nodes and all fakes, and applies the faults of the nodes'
+// processes.
 class Simulation final : public simnet::EventTarget, public Topology, public NodeFaults {
   public:
     Simulation(const Scenario& scenario, std::ostream* trace, TestHooks* hooks);
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -148,6 +148,7 @@
                                 "state_code");
 }
 
+// Decodes events, hands them to the balancer of their instance, and writes the actions at the end of a batch.
 class Adapter {
   public:
     // Handles one line of input. Throws json::Malformed where the line is not a valid event.
--- a/tests/fault_injection.h
+++ b/tests/fault_injection.h
@@ -18,6 +18,7 @@
 
 using namespace lemonstair;
 
+// What a node does wrong.
 enum class Fault {
     answer_dropped,
     second_attempt,
