--- a/src/simulation/invariants_servers.cpp
+++ b/src/simulation/invariants_servers.cpp
@@ -120,15 +120,15 @@
     // The tunnel's record is held by a chain of two nodes and by the node that placed it, so that one end of
     // a node must not lose it. Ends count until the next refresh of records, 12 s; a node that has started
     // gets 3 s to learn the records; and setups are judged up to 4 s after the end.
-    constexpr Ticks refreshed = 120000, settled = 30000, parked = 40000;
+    constexpr Ticks refresh_interval = 120000, startup_time = 30000, judged_after_end = 40000;
     int ended = 0;
     Ticks last_end = 0;
     for (const Node& n : nodes_)
         for (const Incarnation& l : n.incarnations) {
-            if (l.until != 0 && now - l.until < refreshed) ++ended, last_end = l.until;
-            if (l.from != events_.start_time() && now - l.from < settled) return;
+            if (l.until != 0 && now - l.until < refresh_interval) ++ended, last_end = l.until;
+            if (l.from != events_.start_time() && now - l.from < startup_time) return;
         }
-    if (ended != 1 || now - last_end > parked) return;
+    if (ended != 1 || now - last_end > judged_after_end) return;
     // A slow reader is not judged: it may not have read yet that it was moved.
     const bool sound =
         record.server_ended_at == 0 && !record.request.slow_reader && !servers_[record.server].silent &&
--- a/src/simulation/rule_catalogue.cpp
+++ b/src/simulation/rule_catalogue.cpp
@@ -9,8 +9,7 @@
          "nothing follows a decline, an error or MOVE, and no tunnel is opened that no server opened"},
         {"effect",
          "a non-idempotent tunnel that may have run is neither repeated nor declined; one with an "
-         "idempotency "
-         "key is repeated only within the scope and window of that key"},
+         "idempotency key only within the scope and window of that key"},
         {"at_once", "no two setups of one tunnel are pending at the same time"},
         {"drain", "no new tunnel goes to a draining server later than 3.05 s after the node was notified"},
         {"astray",
@@ -37,8 +36,8 @@
         {"self_check", "no node detects a violation of its own policy at run time"},
         {"late_attempt", "no attempt begins later than 0.1 s after the client has left"},
         {"slow_start",
-         "a server in slow start gets at most N + 2 sqrt(N) + 2 setups, N its budget (below 30: N + 3 "
-         "sqrt(N) + 3)"},
+         "a server in slow start gets at most N + 2 sqrt(N) + 2 setups, N its budget (below 30: "
+         "N + 3 sqrt(N) + 3)"},
         {"budget",
          "all nodes together send a server in slow start no more than the scenario's share of its budget"},
     };
--- a/src/simulation/simulated_nodes.cpp
+++ b/src/simulation/simulated_nodes.cpp
@@ -132,8 +132,8 @@
     try {
         running.source = std::make_unique<config::ConfigSource>(*system, file_name, around);
         running.node = make_node(running, *system);
-    } catch (const std::exception& e) {
-        invariants_.report("crash", "node " + std::to_string(node) + " does not start: " + e.what());
+    } catch (const std::exception& error) {
+        invariants_.report("crash", "node " + std::to_string(node) + " did not start: " + error.what());
         return false;
     }
     running.process->start([this, node, process = running.process.get()] { return pass(node, process); });
@@ -149,7 +149,8 @@
     if (current + previous <= scenario_.sockets) return;
     invariants_.report("descriptors", "both processes of node " + std::to_string(node) + " held " +
                                           std::to_string(current) + " and " + std::to_string(previous) +
-                                          " of " + std::to_string(scenario_.sockets));
+                                          " descriptors, the limit of both is " +
+                                          std::to_string(scenario_.sockets));
 }
 
 // One pass of the node's event loop. A process that has ended is kept, because it must not be destroyed while
@@ -163,8 +164,9 @@
         if (continues) return true;
         environment_->note("node left", node, slot.incarnation);
         if (&running == &slot.current) invariants_.node_ended(node, Invariants::NodeEnd::left);
-    } catch (const std::exception& e) {
-        invariants_.report("crash", "node " + std::to_string(node) + ": " + e.what());
+    } catch (const std::exception& error) {
+        invariants_.report("crash",
+                           "node " + std::to_string(node) + " ended with an exception: " + error.what());
         invariants_.node_ended(node, Invariants::NodeEnd::crashed);
     }
     return false;
@@ -225,9 +227,9 @@
     usage_.most_descriptors = std::max(usage_.most_descriptors, process.most_held());
     usage_.longest_spin = std::max(usage_.longest_spin, process.longest_spin());
     if (process.most_held() > scenario_.sockets)
-        invariants_.report("descriptors", "node " + std::to_string(node) + " held " +
-                                              std::to_string(process.most_held()) + " of " +
-                                              std::to_string(scenario_.sockets));
+        invariants_.report("descriptors",
+                           "node " + std::to_string(node) + " held " + std::to_string(process.most_held()) +
+                               " descriptors, its limit is " + std::to_string(scenario_.sockets));
     if (process.longest_spin() > max_spin)
         invariants_.report("spin", "node " + std::to_string(node) + " made " +
                                        std::to_string(process.longest_spin()) +
