--- a/tests/simulation_faults_test.cpp
+++ b/tests/simulation_faults_test.cpp
@@ -19,11 +19,11 @@
         fault_injection::Fault fault;
         std::string name;
         std::vector<std::string> rules;  // one of these must be broken first
-        std::uint64_t from =
-            1;  // first seed to try; later than 1 where the sanitized run would take too long
+        // First seed to try; later than 1 where the run with sanitizers would take too long.
+        std::uint64_t from = 1;
         // A stale record does harm only if its client was placed twice and a node ended after that.
         std::size_t most_faults = 2;
-        std::uint64_t last = 500;  // seed to try
+        std::uint64_t last = 500;  // last seed to try
         bool operated = false;
     };
     const Row rows[] = {
--- a/tests/simulation_test.cpp
+++ b/tests/simulation_test.cpp
@@ -143,8 +143,8 @@
 TEST_CASE("where each half of the nodes reaches only half of the servers, few accept the others' reports") {
     std::string trace;
     CHECK(play_file("two_sides_see_other_hosts", &trace).broken.empty());
-    CHECK(count(trace, "unresponsive to other nodes") <=
-          24);  // of 96 possible: 12 nodes of each side, 4 servers of the other
+    // Of 96 possible ejections: 12 nodes on each side, times the 4 servers that only the other side reaches.
+    CHECK(count(trace, "unresponsive to other nodes") <= 24);
 }
 
 TEST_CASE("a drain notice arrives while tunnels are being placed") {
@@ -214,8 +214,8 @@
 TEST_CASE("clients do not notice a hot restart during a surge of connections") {
     Scenario scenario;
     scenario.operated = true;
-    scenario.packet_passthrough =
-        false;  // so that a connection that is cut off does not go on through another node
+    // Without passthrough, a connection that is cut off cannot go on through another node unnoticed.
+    scenario.packet_passthrough = false;
     for (std::uint32_t n = 0; n < scenario.nodes; ++n)
         for (int k = 0; k < 4; ++k) {
             simulation::Fault fault;
