--- a/src/simulation/invariants.cpp
+++ b/src/simulation/invariants.cpp
@@ -72,9 +72,9 @@
 }
 
 void Invariants::node_ended(std::uint32_t node, NodeEnd how) {
-    Incarnation& life = nodes_[node].incarnations.back();
-    life.until = events_.now();
-    life.how = how;
+    Incarnation& incarnation = nodes_[node].incarnations.back();
+    incarnation.until = events_.now();
+    incarnation.how = how;
     for (const TunnelRecord& record : tunnels_by_id_)
         if (record.state == State::delivered && record.request.node == node) ++tally_.orphaned;
 }
@@ -108,8 +108,8 @@
 }
 
 bool Invariants::was_undisturbed(std::uint32_t node, Ticks from, Ticks until) const {
-    const Incarnation* life = incarnation_at(node, from);
-    if (life == nullptr || (life->until != 0 && life->until <= until)) return false;
+    const Incarnation* incarnation = incarnation_at(node, from);
+    if (incarnation == nullptr || (incarnation->until != 0 && incarnation->until <= until)) return false;
     for (const auto& [begin, end] : nodes_[node].stalls)
         if (begin <= until && end >= from) return false;
     return was_reachable(node, from, until);
--- a/src/simulation/invariants_clients.cpp
+++ b/src/simulation/invariants_clients.cpp
@@ -101,15 +101,15 @@
     const State was = record.state;
     set_state(record, State::over);
     ++tally_.cut;
-    const Incarnation* life = incarnation_at(record.request.node, record.requested_at);
-    const bool gone = life == nullptr || life->until != 0;
+    const Incarnation* incarnation = incarnation_at(record.request.node, record.requested_at);
+    const bool gone = incarnation == nullptr || incarnation->until != 0;
     if (gone) {
-        const bool had_time = life != nullptr && life->leaving_since != 0 &&
-                              life->until - life->leaving_since >= shutdown_grace;
-        const bool owes = life != nullptr &&
-                          (life->how == NodeEnd::left || (life->how == NodeEnd::killed_late && had_time));
+        const bool had_time = incarnation != nullptr && incarnation->leaving_since != 0 &&
+                              incarnation->until - incarnation->leaving_since >= shutdown_grace;
+        const bool owes = incarnation != nullptr && (incarnation->how == NodeEnd::left ||
+                                                     (incarnation->how == NodeEnd::killed_late && had_time));
         if (was == State::open && owes && !scenario_.packet_passthrough && !record.request.slow_reader &&
-            was_undisturbed(record.request.node, life->leaving_since, life->until - 1))
+            was_undisturbed(record.request.node, incarnation->leaving_since, incarnation->until - 1))
             report("leave", named(tunnel) + " was cut off by the shutdown of its node");
         return;
     }
--- a/src/simulation/invariants_operators.cpp
+++ b/src/simulation/invariants_operators.cpp
@@ -39,30 +39,30 @@
     }
 }
 
-// Counts must be right within 1% or 3, and may be half a second old. Tunnels whose state changed within the
-// last 0.6 s, and clients that have just left, may be counted or not.
+// Counts must be right within 1% or 3 and may be half a second old. Tunnels that changed their state less
+// than 0.6 s ago, and clients that left less than 4.5 s ago, may be counted or not.
 void Invariants::judge_metrics(std::uint32_t node, const std::string& body, Ticks since, bool mixed) {
-    constexpr Ticks old = 6000, ending = 45000;
+    constexpr Ticks max_age = 6000, end_grace = 45000;
     const Ticks now = events_.now();
-    const auto check = [&](std::string_view what, long told, long seen, long missing, long more,
+    const auto check = [&](std::string_view what, long reported, long seen, long missing, long more,
                            double part) {
         const long slack = std::max(3L, static_cast<long>(part * static_cast<double>(seen)));
-        if (told < seen - missing - slack || told > seen + more + slack)
-            report("figures", "node " + std::to_string(node) + " reports " + std::to_string(told) + " " +
+        if (reported < seen - missing - slack || reported > seen + more + slack)
+            report("figures", "node " + std::to_string(node) + " reports " + std::to_string(reported) + " " +
                                   std::string(what) + ", clients and servers saw " + std::to_string(seen) +
                                   " (up to " + std::to_string(missing) + " less or " + std::to_string(more) +
                                   " more are allowed)");
     };
-    long open = 0, open_missing = 0, open_more = 0, came = 0;
+    long open = 0, open_missing = 0, open_more = 0, received = 0;
     for (const TunnelRecord& record : tunnels_by_id_) {
         if (record.request.node != node || record.state == State::unknown) continue;
         if (record.state == State::open || record.state == State::delivered) ++open;
-        if (now - record.changed_at < old) ++open_missing;
+        if (now - record.changed_at < max_age) ++open_missing;
         if (record.state == State::requested ||
-            (record.state == State::over && now - record.changed_at < ending))
+            (record.state == State::over && now - record.changed_at < end_grace))
             ++open_more;
     }
-    for (const auto& [from, sent] : setups_received_) came += from == node && sent >= since ? 1 : 0;
+    for (const auto& [from, sent] : setups_received_) received += from == node && sent >= since ? 1 : 0;
     check("open", number_in(body, "open_requests"), open, open_missing, open_more, 0.1);
     const long listed = number_in(body, "registry_entries"), out = number_in(body, "out_of_rotation");
     if (listed < 0 || listed > static_cast<long>(scenario_.servers) || out < 0 || out > listed)
@@ -77,7 +77,7 @@
             return report("figures", "node " + std::to_string(node) + " reports no class '" +
                                          std::string(environment_->profiles[p].name) + "'");
         const std::string_view row = std::string_view(body).substr(at, body.find('}', at) - at);
-        long seen[3] = {}, fresh[3] = {}, unsure = 0;
+        long seen[3] = {}, fresh[3] = {}, undecided = 0;
         for (const Attempt& attempt : attempts_) {
             if (attempt.node != node || attempt.profile != p) continue;
             const int kind = attempt.answer == Answer::none                                  ? -1
@@ -87,19 +87,19 @@
             // A request from before the process started may have waited for it.
             const bool before = attempt.requested_at < since;
             if (kind < 0 || before) {
-                unsure += !before || since - attempt.requested_at < 4 * second ? 1 : 0;
+                undecided += !before || since - attempt.requested_at < 4 * second ? 1 : 0;
                 continue;
             }
             ++seen[kind];
-            if (now - attempt.answered_at < old) ++fresh[kind];
+            if (now - attempt.answered_at < max_age) ++fresh[kind];
         }
         constexpr const char* names[] = {"fulfilled", "throttled", "faulted"};
         for (int i = 0; i < 3; ++i)
-            check(names[i], number_in(row, names[i]), seen[i], fresh[i], unsure, 0.01);
+            check(names[i], number_in(row, names[i]), seen[i], fresh[i], undecided, 0.01);
     }
-    if (relayed < came - 3 - came / 50)
+    if (relayed < received - 3 - received / 50)
         report("figures", "node " + std::to_string(node) + " reports " + std::to_string(relayed) +
-                              " attempts, servers saw " + std::to_string(came));
+                              " attempts, servers saw " + std::to_string(received));
 }
 
 }  // namespace lemonstair::simulation
--- a/src/simulation/invariants_servers.cpp
+++ b/src/simulation/invariants_servers.cpp
@@ -173,8 +173,8 @@
     const TunnelRecord& record = record_of(tunnel);
     // A line may be cut where its node or server has died.
     if (what == "cut within a line") {
-        const Incarnation* life = incarnation_at(record.request.node, record.requested_at);
-        if (life == nullptr || life->until != 0 || record.server_ended_at != 0 ||
+        const Incarnation* incarnation = incarnation_at(record.request.node, record.requested_at);
+        if (incarnation == nullptr || incarnation->until != 0 || record.server_ended_at != 0 ||
             record.request.slow_reader ||
             !was_undisturbed(record.request.node, record.requested_at, events_.now()) ||
             servers_[record.server].silent ||
