--- a/src/simulation/simulated_nodes.cpp
+++ b/src/simulation/simulated_nodes.cpp
@@ -12,11 +12,11 @@
 
 using simnet::Process;
 
-constexpr std::size_t backlog = 1024, most_spin = 40, most_idle_timers = 120;
+constexpr std::size_t backlog = 1024, max_spin = 40, max_idle_timers = 120;
 constexpr std::uint16_t admin_port = 10250;
 const std::string file_name = "node.json";
 
-// Log lines of a node go into the trace; a violation that the node found itself breaks a rule.
+// Writes a node's log lines into the trace, and reports violations that the node has detected itself.
 class TraceSink final : public log::Sink {
   public:
     TraceSink(fakes::TestEnvironment& environment, Invariants& invariants, std::uint32_t node)
@@ -38,12 +38,12 @@
 }  // namespace
 
 SimulatedNodes::SimulatedNodes(const Scenario& scenario, simnet::EventQueue& events, simnet::Network& network,
-                               simnet::RandomSource& random, Invariants& invariants, Tamper* tamper)
+                               simnet::RandomSource& random, Invariants& invariants, TestHooks* hooks)
     : scenario_(scenario),
       events_(events),
       network_(network),
       invariants_(invariants),
-      tamper_(tamper),
+      hooks_(hooks),
       slots_(scenario.nodes) {
     for (ProcessSlot& slot : slots_) {
         slot.machine = network_.add_machine();
@@ -52,7 +52,7 @@
     }
 }
 
-// Nodes go before what they run on.
+// Nodes are destroyed before the processes and systems that they use.
 SimulatedNodes::~SimulatedNodes() {
     for (ProcessSlot& slot : slots_) slot.current.node.reset(), slot.previous.node.reset();
 }
@@ -97,7 +97,7 @@
     NodeProcess& running = slot.current;
     running.process->attach_local_sockets(*slot.local_sockets);
     running.inherited = std::to_string(running.process->inherit(*slot.listener));
-    // Two processes of a node have admin addresses of their own.
+    // Two processes of a node must not share an admin address.
     running.admin_address = simnet::Network::address(slot.machine, admin_port);
     if (slot.previous.process && slot.previous.admin_address == running.admin_address)
         running.admin_address = simnet::Network::address(slot.machine, admin_port + 1);
@@ -111,7 +111,7 @@
     auto launch = running.source->read();
     config::ConfigSource* source = running.source.get();
     const auto decides = [this](BalancerConfig config, BalancerDelegate& delegate, Ticks now) {
-        auto other = tamper_ == nullptr ? nullptr : tamper_->decides(config, delegate, now);
+        auto other = hooks_ == nullptr ? nullptr : hooks_->make_balancer(config, delegate, now);
         return other != nullptr ? std::move(other) : Balancer::start(std::move(config), delegate, now);
     };
     return std::make_unique<node::Node>(
@@ -119,21 +119,21 @@
         [source] { return source->read(); }, decides);
 }
 
-// False where it does not start.
+// Returns false if the process does not start.
 bool SimulatedNodes::start_process(std::uint32_t node) {
     ProcessSlot& slot = slots_[node];
     NodeProcess& running = slot.current;
     make_process(node, running);
     const config::Environment around = make_environment(slot);
     net::System* system = running.process.get();
-    if (tamper_ != nullptr && (running.tampered = tamper_->between(*running.process)) != nullptr)
-        system = running.tampered.get();
+    if (hooks_ != nullptr && (running.wrapped_system = hooks_->wrap_system(*running.process)) != nullptr)
+        system = running.wrapped_system.get();
     environment_->note("node starts", node, slot.incarnation);
     try {
         running.source = std::make_unique<config::ConfigSource>(*system, file_name, around);
         running.node = make_node(running, *system);
-    } catch (const std::exception& e) {
-        invariants_.report("crash", "node " + std::to_string(node) + " does not start: " + e.what());
+    } catch (const std::exception& error) {
+        invariants_.report("crash", "node " + std::to_string(node) + " did not start: " + error.what());
         return false;
     }
     running.process->start([this, node, process = running.process.get()] { return pass(node, process); });
@@ -149,21 +149,24 @@
     if (current + previous <= scenario_.sockets) return;
     invariants_.report("descriptors", "both processes of node " + std::to_string(node) + " held " +
                                           std::to_string(current) + " and " + std::to_string(previous) +
-                                          " of " + std::to_string(scenario_.sockets));
+                                          " descriptors, the limit of both is " +
+                                          std::to_string(scenario_.sockets));
 }
 
-// A process that has left is kept: it must not be destroyed while a call of it is on the stack.
+// One pass of the node's event loop. A process that has ended is kept, because it must not be destroyed while
+// one of its calls is on the stack.
 bool SimulatedNodes::pass(std::uint32_t node, const Process* process) {
     ProcessSlot& slot = slots_[node];
     NodeProcess& running = slot.previous.process.get() == process ? slot.previous : slot.current;
     try {
-        const bool goes_on = running.node->run_once();
+        const bool continues = running.node->run_once();
         check_descriptors(node);
-        if (goes_on) return true;
+        if (continues) return true;
         environment_->note("node left", node, slot.incarnation);
         if (&running == &slot.current) invariants_.node_ended(node, Invariants::NodeEnd::left);
-    } catch (const std::exception& e) {
-        invariants_.report("crash", "node " + std::to_string(node) + ": " + e.what());
+    } catch (const std::exception& error) {
+        invariants_.report("crash",
+                           "node " + std::to_string(node) + " ended with an exception: " + error.what());
         invariants_.node_ended(node, Invariants::NodeEnd::crashed);
     }
     return false;
@@ -189,14 +192,14 @@
     ProcessSlot& slot = slots_[node];
     slot.previous = std::exchange(slot.current, {});
     ++slot.upgrades;
-    slot.drained = false;  // the new one begins serving
+    slot.drained = false;  // the new process starts undrained
     invariants_.node_drained(node, false);
     const bool started = start_process(node);
     if (!started) end(node, Invariants::NodeEnd::crashed);
     return started;
 }
 
-// What the new one had taken over is lost to the clients, as in a stall.
+// Clients that the new process had taken over are cut off: the node counts as disturbed, as in a stall.
 void SimulatedNodes::abort_upgrade(std::uint32_t node) {
     ProcessSlot& slot = slots_[node];
     environment_->note("new process dies", node, slot.incarnation);
@@ -224,21 +227,23 @@
     usage_.most_descriptors = std::max(usage_.most_descriptors, process.most_held());
     usage_.longest_spin = std::max(usage_.longest_spin, process.longest_spin());
     if (process.most_held() > scenario_.sockets)
-        invariants_.report("descriptors", "node " + std::to_string(node) + " held " +
-                                              std::to_string(process.most_held()) + " of " +
-                                              std::to_string(scenario_.sockets));
-    if (process.longest_spin() > most_spin)
+        invariants_.report("descriptors",
+                           "node " + std::to_string(node) + " held " + std::to_string(process.most_held()) +
+                               " descriptors, its limit is " + std::to_string(scenario_.sockets));
+    if (process.longest_spin() > max_spin)
         invariants_.report("spin", "node " + std::to_string(node) + " made " +
-                                       std::to_string(process.longest_spin()) + " passes for nothing");
+                                       std::to_string(process.longest_spin()) +
+                                       " passes of its event loop without progress, at most " +
+                                       std::to_string(max_spin) + " are allowed");
     running.process->die();
     running.node.reset();
     running.source.reset();
-    running.tampered.reset();
+    running.wrapped_system.reset();
     ended_.push_back(std::move(running.process));
 }
 
 void SimulatedNodes::check_leftovers() {
-    constexpr std::size_t allowed = 3;  // a client that comes and goes at this moment
+    constexpr std::size_t allowed = 3;  // a client may be arriving or leaving right now
     for (std::uint32_t n = 0; n < size(); ++n) {
         const ProcessSlot& slot = slots_[n];
         if (!slot.current.node || !slot.current.process->runs() || slot.leaving || slot.previous.process)
@@ -249,16 +254,17 @@
         usage_.most_timers = std::max(usage_.most_timers, holds.timers);
         const auto check = [&](std::size_t held, std::size_t most, const char* what) {
             if (held > most)
-                invariants_.report("left_over", "node " + std::to_string(n) + " is empty and holds " +
-                                                    std::to_string(held) + what);
+                invariants_.report("left_over", "node " + std::to_string(n) + " has no clients and holds " +
+                                                    std::to_string(held) + what + ", expected at most " +
+                                                    std::to_string(most));
         };
-        check(clients, allowed, " connections of clients");
-        check(calls, scenario_.servers + 1, " calls");
+        check(clients, allowed, " connections to clients");
+        check(calls, scenario_.servers + 1, " connections to servers");
         check(holds.tunnels, allowed, " tunnels");
         check(holds.buffers, allowed, " buffers");
-        // Timers of tunnels that are gone fall due within their clients' time: two for each tunnel at most.
+        // A tunnel leaves at most two timers behind, which expire within its client's timeout.
         const std::size_t of_tunnels = 2 * std::size_t{scenario_.clients} / scenario_.nodes;
-        check(holds.timers, std::max(most_idle_timers, of_tunnels), " timers");
+        check(holds.timers, std::max(max_idle_timers, of_tunnels), " timers");
     }
 }
 
--- a/src/simulation/simulation.cpp
+++ b/src/simulation/simulation.cpp
@@ -18,13 +18,16 @@
 using simnet::RandomSource;
 
 constexpr Ticks second = 10000;
-constexpr Ticks quiet = 120000;  // after the scenario, until the nodes must be empty
-constexpr Ticks kill_after_leave = 37000;
-constexpr std::uint64_t most_steps = 20'000'000;
+constexpr Ticks settling_time =
+    120000;                          // after the clients have left, until nodes must hold nothing for them
+constexpr Ticks kill_delay = 37000;  // from SIGTERM to SIGKILL
+constexpr std::uint64_t max_steps = 20'000'000;
 
+// One run: owns the simulated network, the nodes and all fakes, and applies the faults of the nodes'
+// processes.
 class Simulation final : public simnet::EventTarget, public Topology, public NodeFaults {
   public:
-    Simulation(const Scenario& scenario, std::ostream* trace, Tamper* tamper);
+    Simulation(const Scenario& scenario, std::ostream* trace, TestHooks* hooks);
     Verdict run();
     void on_event(std::uint64_t token) override;
 
@@ -33,14 +36,14 @@
     void cut_off(Machine machine, bool on) override {
         on ? network_.cut_off(machine) : network_.heal(machine);
     }
-    void forget(Machine machine) override { network_.forget(machine); }
+    void drop_connections(Machine machine) override { network_.forget(machine); }
     void cut_path(Machine a, Machine b, bool on) override {
         for (const auto& [from, to] : {std::pair{a, b}, std::pair{b, a}})
             on ? network_.cut_path(from, to) : network_.heal_path(from, to);
     }
-    void slow_by(Machine machine, double times) override { network_.slow_by(machine, times); }
-    void send_again(Machine from, std::size_t most) override { network_.send_again(from, most); }
-    void new_file(std::uint32_t node, const std::string& text) override;
+    void scale_delays(Machine machine, double times) override { network_.slow_by(machine, times); }
+    void replay_datagrams(Machine from, std::size_t most) override { network_.send_again(from, most); }
+    void replace_config_file(std::uint32_t node, const std::string& text) override;
 
     // ---- NodeFaults
     void begin_node_fault(const Fault& fault, std::uint64_t index) override;
@@ -62,19 +65,19 @@
     RandomSource random_;
     simnet::Network network_;
     Invariants invariants_;
-    std::unique_ptr<Fixture> fixture_;  // outlives the nodes, whose logs go through it
+    std::unique_ptr<Fixture> fixture_;  // outlives the nodes, whose log lines go through its environment
     SimulatedNodes nodes_;
     std::unique_ptr<OperatorActions> operators_;
     std::unique_ptr<FaultInjector> injector_;
 };
 
-Simulation::Simulation(const Scenario& scenario, std::ostream* trace, Tamper* tamper)
+Simulation::Simulation(const Scenario& scenario, std::ostream* trace, TestHooks* hooks)
     : scenario_(scenario),
       trace_(trace),
       random_(scenario.seed ^ 0xda71a8),
       network_(events_, trace_, random_.part(1), scenario.network),
       invariants_(scenario_, events_, network_),
-      nodes_(scenario_, events_, network_, random_, invariants_, tamper) {
+      nodes_(scenario_, events_, network_, random_, invariants_, hooks) {
     fixture_ = std::make_unique<Fixture>(scenario_, events_, trace_, network_, invariants_, random_, *this);
     nodes_.attach(fixture_->environment());
     operators_ = std::make_unique<OperatorActions>(scenario_, events_, network_, fixture_->environment(),
@@ -93,7 +96,7 @@
     invariants_.node_shutdown_requested(fault.target);
     nodes_.signal(fault.target, SIGTERM);
     fixture_->front().leaves(fault.target, random_.between(second / 5, second * 2 / 5));
-    schedule(events_.now() + kill_after_leave, Kind::kill_late, index, slot.incarnation);
+    schedule(events_.now() + kill_delay, Kind::kill_late, index, slot.incarnation);
 }
 
 void Simulation::stall(const Fault& fault) {
@@ -149,14 +152,14 @@
                 nodes_.slot(fault.target).current.process->starve(false);
             return true;
         case K::node_reload_broken:
-            new_file(fault.target, nodes_.slot(fault.target).file);
+            replace_config_file(fault.target, nodes_.slot(fault.target).file);
             return true;
         default:
             return false;
     }
 }
 
-void Simulation::new_file(std::uint32_t node, const std::string& text) {
+void Simulation::replace_config_file(std::uint32_t node, const std::string& text) {
     nodes_.write_file(node, text);
     nodes_.signal(node, SIGHUP);
 }
@@ -178,23 +181,25 @@
 // ---- the run
 
 void Simulation::play_until(Ticks until) {
-    while (events_.steps() < most_steps && events_.step(until)) continue;
+    while (events_.steps() < max_steps && events_.step(until)) continue;
     events_.pass_to(until);
-    if (events_.steps() >= most_steps) invariants_.report("spin", "the scenario does not end");
+    if (events_.steps() >= max_steps)
+        invariants_.report("spin",
+                           "the scenario took " + std::to_string(max_steps) + " events and has not ended");
 }
 
 Verdict Simulation::run() {
-    fixture_->open();
+    fixture_->start_services();
     for (std::uint32_t n = 0; n < nodes_.size(); ++n) {
-        nodes_.slot(n).file = fixture_->file_for(n);
+        nodes_.slot(n).file = fixture_->config_file_for(n);
         nodes_.start(n);
     }
     fixture_->start_clients();
     const Ticks last = events_.start_time() + scenario_.duration;
     injector_->schedule_all();
     play_until(last);
-    fixture_->stop_all();
-    play_until(last + quiet);
+    fixture_->stop_clients();
+    play_until(last + settling_time);
     nodes_.check_leftovers();
     invariants_.judge_bounds();
     for (std::uint32_t n = 0; n < nodes_.size(); ++n) nodes_.end(n, Invariants::NodeEnd::killed);
@@ -215,7 +220,7 @@
     verdict.most_descriptors = nodes_.usage().most_descriptors;
     verdict.longest_spin = nodes_.usage().longest_spin;
     verdict.most_timers = nodes_.usage().most_timers;
-    verdict.simulated = scenario_.duration + quiet;
+    verdict.simulated = scenario_.duration + settling_time;
     for (const Violation& b : verdict.broken) trace_.note(b.at, "broken", 0, 0, b.rule + ": " + b.what);
     verdict.hash = trace_.hash();
     return verdict;
@@ -223,8 +228,8 @@
 
 }  // namespace
 
-Verdict play(const Scenario& scenario, std::ostream* trace, Tamper* tamper) {
-    Simulation simulation(scenario, trace, tamper);
+Verdict play(const Scenario& scenario, std::ostream* trace, TestHooks* hooks) {
+    Simulation simulation(scenario, trace, hooks);
     return simulation.run();
 }
 
--- a/tests/wire.sh
+++ b/tests/wire.sh
@@ -17,11 +17,11 @@
     expect "$1: nothing on the wire" "" "$out"
     case $message in *"$2"*) ;; *) echo "$1: message lacks '$2': $message"; bad=1 ;; esac
 }
-refuse garbage "not JSON" 'nonsense\n'
-refuse unknown "never enlisted" '{"Batch":{"ts":1}}\n{"Riddle":{"who":0}}\n'
-refuse stranger "never enlisted" '{"Batch":{"ts":1}}\n{"ClientLeft":{"who":3,"ticket":1}}\n'
+refuse garbage "expected a JSON value" 'nonsense\n'
+refuse unknown "expected an enlisted instance" '{"Batch":{"ts":1}}\n{"Riddle":{"who":0}}\n'
+refuse stranger "expected an enlisted instance" '{"Batch":{"ts":1}}\n{"ClientLeft":{"who":3,"ticket":1}}\n'
 refuse missing "'ts' is missing" '{"Batch":{}}\n'
 refuse mistyped "'ts' must be a number, got \"x\"" '{"Batch":{"ts":"x"}}\n'
-refuse cut "within a batch" '{"Batch":{"ts":1}}\n'
-refuse half "within a line" '{"Batch"'
+refuse cut "expected Go before the end of input" '{"Batch":{"ts":1}}\n'
+refuse half "expected a line end before the end of input" '{"Batch"'
 exit $bad
