--- a/src/fakes/clients.cpp
+++ b/src/fakes/clients.cpp
@@ -210,7 +210,7 @@
     if (client.finished_sending) return transition_to(index, State::done);
     // Another node is tried as long as the server keeps the connection parked.
     if (client.state == State::calling && client.resuming &&
-        environment_.now() - client.lost_at < environment_.park)
+        environment_.now() - client.lost_at < environment_.parking_timeout)
         return pause(index, second / 3);
     if (client.state == State::calling) return retry(index, 0);
     if (!client.reader.between_lines())
@@ -273,7 +273,7 @@
     ++tally_.timed_out;
     close_connection(index);
     if (client.state == State::calling && client.resuming &&
-        environment_.now() - client.lost_at < environment_.park)
+        environment_.now() - client.lost_at < environment_.parking_timeout)
         return pause(index, 1);
     retry(index, 0);
 }
@@ -300,7 +300,7 @@
     client.finished_sending = true;
     client.reads = !client.slow_reader;
     transition_to(index, State::done);
-    environment_.network.finish(client.end);
+    environment_.network.shutdown_write(client.end);
     if (client.slow_reader)
         environment_.events.schedule(environment_.now() + 2 * second, *this, token(toggle_reading, index));
 }
--- a/src/fakes/discovery.cpp
+++ b/src/fakes/discovery.cpp
@@ -50,7 +50,7 @@
                                  token(change_due, pending_changes_.size() - 1));
 }
 
-void FakeDiscovery::down(bool on) {
+void FakeDiscovery::set_down(bool on) {
     if (down_ == on) return;
     down_ = on;
     environment_.note("discovery down", port_, on ? 1 : 0);
@@ -63,7 +63,7 @@
         }
 }
 
-void FakeDiscovery::silent(bool on) {
+void FakeDiscovery::set_silent(bool on) {
     silent_ = on;
     environment_.note("discovery silent", port_, on ? 1 : 0);
     if (on) return;
@@ -92,7 +92,7 @@
 
 void FakeDiscovery::on_connection(const net::Address& at) {
     while (const auto e = environment_.network.accept(at)) {
-        environment_.network.own(*e, *this);
+        environment_.network.set_owner(*e, *this);
         by_end_[e->number()] = static_cast<std::uint32_t>(calls_.size());
         calls_.emplace_back();
         calls_.back().end = *e;
@@ -137,7 +137,7 @@
     bool first = true;
     for (const std::uint32_t h : servers) {
         text += first ? "" : ",";
-        text += entry_json(list_[h], environment_.network.seen_by(node, list_[h].at));
+        text += entry_json(list_[h], environment_.network.address_seen_by(node, list_[h].at));
         first = false;
     }
     return text + "]}";
--- a/src/fakes/discovery.h
+++ b/src/fakes/discovery.h
@@ -36,14 +36,14 @@
           random_(random) {}
     // Starts the service with this list.
     void open(std::vector<DiscoveryEntry> list);
-    net::Address address() const { return environment_.network.place(machine_, port_); }
+    net::Address address() const { return environment_.network.address_of(machine_, port_); }
     std::uint64_t revision() const { return revision_; }
     // A server's entry changes; watches get it `after` from now.
     void change(std::uint32_t server, const DiscoveryEntry& entry, Ticks after);
 
     // ---- faults
-    void down(bool on);    // connections are refused, watches are reset
-    void silent(bool on);  // connections stay open and nothing is sent
+    void set_down(bool on);    // connections are refused, watches are reset
+    void set_silent(bool on);  // connections stay open and nothing is sent
     void answer_after(Ticks span) { answer_after_ = span; }
     void corrupt_next(int kind) { corrupt_ = kind; }  // 1: no list; 2: an entry without id; 3: an old list
     // A new instance, whose revisions count from here.
--- a/src/fakes/environment.h
+++ b/src/fakes/environment.h
@@ -23,7 +23,7 @@
     ExecutionLog& execution_log;
     std::vector<Profile> profiles;
     bool packet_passthrough = false;  // a tunnel goes on through another node when its own has died
-    Ticks park = 60000;               // how long a server keeps such a tunnel without a connection
+    Ticks parking_timeout = 60000;    // how long a server keeps such a tunnel without a connection
 
     Ticks now() const { return events.now(); }
     // Since the start of the scenario.
--- a/src/fakes/execution_log.h
+++ b/src/fakes/execution_log.h
@@ -33,10 +33,10 @@
 // First line that a client has sent.
 struct TunnelRequest {
     TunnelId tunnel = 0;
-    TunnelId before = 0;  // the client's tunnel before this one; 0: its first
+    TunnelId previous = 0;  // the client's tunnel before this one; 0: its first
     std::uint32_t node = 0;
     std::uint32_t profile = 0;
-    Ticks wait = 0;            // the client's timeout, as the line says
+    Ticks client_timeout = 0;  // the client's timeout, as the line says
     bool mid_flow = false;     // the tunnel is open at a server
     bool slow_reader = false;  // the client leaves bytes unread for seconds
     End end;
--- a/src/fakes/front.cpp
+++ b/src/fakes/front.cpp
@@ -37,7 +37,7 @@
     environment_.events.schedule(environment_.now() + check_every, *this, node);
 }
 
-void Front::leaves(std::uint32_t node, Ticks after) {
+void Front::schedule_removal(std::uint32_t node, Ticks after) {
     environment_.events.schedule(environment_.now() + after, *this, std::uint64_t{1} << 32 | node);
 }
 
--- a/src/fakes/front.h
+++ b/src/fakes/front.h
@@ -23,7 +23,7 @@
     const net::Address& address(std::uint32_t node) const { return nodes_[node].address; }
     std::size_t size() const { return nodes_.size(); }
     // The node shuts down: it leaves the rotation `after` from now.
-    void leaves(std::uint32_t node, Ticks after);
+    void schedule_removal(std::uint32_t node, Ticks after);
 
     void on_stream_event(End end) override;
     void on_connection(const net::Address&) override {}
--- a/src/fakes/server.cpp
+++ b/src/fakes/server.cpp
@@ -19,7 +19,7 @@
     ++incarnation_;
     state_ = State::up;
     started_ = cold ? since : 0;
-    cold_until_ = cold ? since + traits_.cold : 0;
+    cold_until_ = cold ? since + traits_.slow_start_duration : 0;
     busy_until_ = environment_.now();
     overloaded_since_ = 0;
     reported_ = 0;
@@ -52,8 +52,8 @@
 
 double FakeServer::slow_start_factor() const {
     if (environment_.now() >= cold_until_) return 1;
-    const double left =
-        static_cast<double>(cold_until_ - environment_.now()) / static_cast<double>(traits_.cold);
+    const double left = static_cast<double>(cold_until_ - environment_.now()) /
+                        static_cast<double>(traits_.slow_start_duration);
     return 1 - (1 - traits_.slow_start_initial_factor) * std::min(left, 1.0);
 }
 
--- a/src/fakes/server.h
+++ b/src/fakes/server.h
@@ -17,14 +17,14 @@
 struct ServerTraits {
     double cores = 2;
     std::uint32_t zone = 0, cell = 0;
-    std::size_t most_connections = 200;
+    std::size_t max_connections = 200;
     double setup_work_ms = 5, line_work_ms = 0.2;
     std::uint32_t push_bytes = 1;  // of what its own lines carry, at most 4000
     double group_load = 0;         // that each group held costs once
     Ticks report_interval = 5000;
     double report_noise = 0.05;
-    double reports_always = 0;  // a load, whatever it holds; 0: what is so, with noise
-    Ticks cold = 80000, overload_window = 15000;
+    double fixed_reported_load = 0;  // a load, whatever it holds; 0: what is so, with noise
+    Ticks slow_start_duration = 80000, overload_window = 15000;
     double slow_start_initial_factor = 0.33, overload_multiple = 2.5;
     Ticks full_backlog = 10000;  // queued work beyond which setups are declined
 };
@@ -46,7 +46,7 @@
     // Unix time in ms; 0: long ago.
     std::int64_t up_since_ms() const { return started_ == 0 ? 0 : started_ / 10; }
     const ServerTraits& traits() const { return traits_; }
-    net::Address address() const { return environment_.network.place(machine_, port); }
+    net::Address address() const { return environment_.network.address_of(machine_, port); }
     Machine machine() const { return machine_; }
     std::size_t open_tunnels() const { return open_count_; }
     // Demand of its tunnels over its capacity now.
--- a/src/fakes/server_connections.cpp
+++ b/src/fakes/server_connections.cpp
@@ -49,7 +49,7 @@
 void FakeServer::on_connection(const net::Address& address) {
     while (const auto end = environment_.network.accept(address)) {
         if (state_ != State::up) return;
-        environment_.network.own(*end, *this);
+        environment_.network.set_owner(*end, *this);
         take_connection(*end);
     }
 }
@@ -140,7 +140,7 @@
     if (word != "PING" && word != "STATS") {
         environment_.execution_log.invalid_line(number_, text);
         environment_.network.write(connection.end, "SYNTAX\r\n", true);
-        environment_.network.finish(connection.end);
+        environment_.network.shutdown_write(connection.end);
         connection.step = Step::ended;
         return false;
     }
@@ -178,7 +178,7 @@
             environment_.execution_log.invalid_line(number_, id);  // misbehaving clients send such ids
         environment_.network.write(connection.end, "ERR\r\n", true);
         connection.step = Step::ended;
-        environment_.network.finish(connection.end);
+        environment_.network.shutdown_write(connection.end);
         return false;
     }
     connection.mid_flow = value_of(list, "mid") == "1";
@@ -223,13 +223,13 @@
     if (connection.gone || connection.step != Step::working) return;
     Answer a = Answer::up;
     if (fails_setups_) a = Answer::error;
-    if (declines_setups_ || open_count_ >= traits_.most_connections ||
+    if (declines_setups_ || open_count_ >= traits_.max_connections ||
         busy_until_ - environment_.now() > traits_.full_backlog)
         a = Answer::busy;
     environment_.execution_log.setup_answered(connection.tunnel, number_, a);
     if (a == Answer::up) return begin(index);
     send(index, word_of(a));
-    environment_.network.finish(connection.end);
+    environment_.network.shutdown_write(connection.end);
     connection.step = Step::ended;
 }
 
@@ -283,7 +283,7 @@
             return;
         case report:
             reported_ = demand() / capacity() * (1 + traits_.report_noise * (2 * random_.unit() - 1));
-            if (traits_.reports_always > 0) reported_ = traits_.reports_always;
+            if (traits_.fixed_reported_load > 0) reported_ = traits_.fixed_reported_load;
             return environment_.events.schedule(now + traits_.report_interval, *this, what);
         case overload_check:
             return check_overload();
@@ -309,7 +309,7 @@
     Connection& connection = connections_[index];
     if (connection.step != Step::open) return false;
     if (connection.gone) {  // parked: its client comes again soon, or never
-        if (environment_.now() - connection.parked_since > environment_.park) finish(index, false);
+        if (environment_.now() - connection.parked_since > environment_.parking_timeout) finish(index, false);
         return connection.step == Step::open;
     }
     const int n = random_.odds(burst_share) ? burst_lines : 1;
@@ -339,7 +339,7 @@
     for (std::uint32_t i = 0; i < connections_.size(); ++i) {
         if (connections_[i].gone || connections_[i].step != Step::open) continue;
         send(i, word_of(Answer::move));
-        environment_.network.finish(connections_[i].end);
+        environment_.network.shutdown_write(connections_[i].end);
         finish(i, true);
         return true;
     }
--- a/src/process_harness/process_harness.cpp
+++ b/src/process_harness/process_harness.cpp
@@ -111,7 +111,7 @@
       addresses_(scenario.nodes),
       random_(scenario.seed ^ 0xda71a8),
       stream_proxy_(events_, poller_, addresses_),
-      datagram_proxy_(events_, poller_, addresses_, Fixture::peer_port, random_.part(1),
+      datagram_proxy_(events_, poller_, addresses_, Fixture::peer_port, random_.fork(1),
                       [this](Machine from, Machine to) {
                           return !stream_proxy_.is_cut(from) && !stream_proxy_.is_cut(to);
                       }),
@@ -189,7 +189,7 @@
     slot.leaving = true;
     invariants_.node_shutdown_requested(node);
     slot.process->signal(SIGTERM);
-    fixture_->front().leaves(node, random_.between(second / 5, second * 2 / 5));
+    fixture_->front().schedule_removal(node, random_.between(second / 5, second * 2 / 5));
     schedule(events_.now() + kill_after_leave, Kind::kill_late, node, slot.incarnation);
     schedule(events_.now() + kill_after_leave + fault.duration, Kind::restart, node, slot.incarnation);
 }
@@ -271,11 +271,11 @@
                 outcome_.max_lag = std::max(outcome_.max_lag, clock_.now() - *events_.next());
             events_.step(now);
         }
-        events_.pass_to(now);
+        events_.advance_to(now);
         if (now >= until) return true;
         const Ticks next = std::min(until, events_.next().value_or(until));
         poller_.turn(std::clamp<Ticks>(next - clock_.now(), 0, longest_wait),
-                     [this] { events_.pass_to(clock_.now()); });
+                     [this] { events_.advance_to(clock_.now()); });
     }
     return false;
 }
--- a/src/process_harness/stream_proxy.cpp
+++ b/src/process_harness/stream_proxy.cpp
@@ -53,7 +53,7 @@
 
 // ---- listening
 
-Address StreamProxy::seen_by(Machine who, const Address& at) const {
+Address StreamProxy::address_seen_by(Machine who, const Address& at) const {
     const Machine there = addresses_.machine_at(at);
     if (who >= addresses_.nodes()) return at;
     return there < addresses_.nodes() ? addresses_.datagram_address(there) : addresses_.seen(who, at);
@@ -194,7 +194,7 @@
     return kernel_.write_some(s.fd.get(), text);
 }
 
-void StreamProxy::finish(End end) {
+void StreamProxy::shutdown_write(End end) {
     Stream& s = streams_[end.stream];
     if (s.over || !s.up || s.sent_end || !s.fd.open()) return;
     s.sent_end = true;
--- a/src/process_harness/stream_proxy.h
+++ b/src/process_harness/stream_proxy.h
@@ -81,18 +81,18 @@
     // ---- simnet::Streams
     Machine add_machine() override { return machines_++; }
     bool is_cut(Machine machine) const override { return cut_.count(machine) > 0; }
-    Address place(Machine machine, std::uint16_t port) const override {
+    Address address_of(Machine machine, std::uint16_t port) const override {
         return addresses_.own(machine, port);
     }
-    Address seen_by(Machine who, const Address& at) const override;
+    Address address_seen_by(Machine who, const Address& at) const override;
     void listen(const Address& at, StreamListener& listener, std::size_t backlog) override;
     void unlisten(const Address& at) override;
     std::optional<End> accept(const Address& at) override;
     End connect(Machine from, const Address& to, StreamListener& owner) override;
-    void own(End end, StreamListener& owner) override { streams_[end.stream].owner = &owner; }
+    void set_owner(End end, StreamListener& owner) override { streams_[end.stream].owner = &owner; }
     net::IoResult read(End end, std::span<char> into, bool whole) override;
     net::IoResult write(End end, std::string_view text, bool whole) override;
-    void finish(End end) override;
+    void shutdown_write(End end) override;
     void close(End end) override { drop(end, false); }
     void reset(End end) override { drop(end, true); }
     void notify_delivered(End end, EventTarget& target, std::uint64_t token) override;
--- a/src/simnet/event_queue.h
+++ b/src/simnet/event_queue.h
@@ -50,7 +50,7 @@
         return queue_.empty() ? std::nullopt : std::optional(queue_.top().at);
     }
     // Advances the time without an event.
-    void pass_to(Ticks when) { now_ = when > now_ ? when : now_; }
+    void advance_to(Ticks when) { now_ = when > now_ ? when : now_; }
     std::uint64_t steps() const { return steps_; }
 
   private:
--- a/src/simnet/network.cpp
+++ b/src/simnet/network.cpp
@@ -253,7 +253,7 @@
     fail(end.other(), ECONNRESET);
 }
 
-void Network::finish(End end) {
+void Network::shutdown_write(End end) {
     Side& s = at(end);
     if (s.phase != Phase::up || s.sent_end) return;
     s.sent_end = true;
@@ -264,7 +264,7 @@
     Side& s = at(end);
     if (!s.open) return;
     if (s.phase == Phase::up && s.head < s.inbox.size()) return reset(end);  // over unread input
-    finish(end);
+    shutdown_write(end);
     s.open = false;
     s.inbox.clear(), s.head = 0;
     if (s.phase == Phase::connecting) s.phase = Phase::failed;
--- a/src/simnet/network.h
+++ b/src/simnet/network.h
@@ -46,8 +46,8 @@
     void cut_off(Machine machine) { machines_[machine].cut = true; }
     void heal(Machine machine) { machines_[machine].cut = false; }
     bool is_cut(Machine machine) const override { return machines_[machine].cut; }
-    Address place(Machine machine, std::uint16_t port) const override { return address(machine, port); }
-    Address seen_by(Machine, const Address& at) const override { return at; }
+    Address address_of(Machine machine, std::uint16_t port) const override { return address(machine, port); }
+    Address address_seen_by(Machine, const Address& at) const override { return at; }
     // From one to another, nothing arrives.
     void cut_path(Machine from, Machine to) { cut_paths_.insert(path(from, to)); }
     void heal_path(Machine from, Machine to) { cut_paths_.erase(path(from, to)); }
@@ -65,7 +65,7 @@
     std::size_t waiting(const Address& at) const;
     std::optional<End> accept(const Address& at) override;
     End connect(Machine from, const Address& to, StreamListener& owner) override;
-    void own(End end, StreamListener& owner) override { at(end).owner = &owner; }
+    void set_owner(End end, StreamListener& owner) override { at(end).owner = &owner; }
     // Several processes of a machine may hold one end; the last to take it gets its events. release() is
     // false where no other holds it: then it has to be closed.
     void hold(End end, StreamListener& also);
@@ -73,7 +73,7 @@
     net::IoResult read(End end, std::span<char> into, bool whole = false) override;
     net::IoResult peek(End end, std::span<char> into) const;
     net::IoResult write(End end, std::string_view text, bool whole = false) override;
-    void finish(End end) override;
+    void shutdown_write(End end) override;
     void close(End end) override;
     void reset(End end) override;
     int connected(End end);
--- a/src/simnet/process.cpp
+++ b/src/simnet/process.cpp
@@ -121,7 +121,7 @@
     if (fd >= slots_.size()) slots_.resize(fd + 1);
     slots_[fd] = {};
     slots_[fd].use = use;
-    most_held_ = std::max(most_held_, ++held_);
+    max_held_ = std::max(max_held_, ++held_);
     return static_cast<int>(fd);
 }
 
@@ -194,7 +194,7 @@
     if (fd < 0) return net::Fd();
     const End end = *network_.accept(at);
     slot(fd).end = end;
-    network_.own(end, *this);
+    network_.set_owner(end, *this);
     ++effects_;
     return net::Fd(fd, this);
 }
@@ -221,7 +221,7 @@
     return count_effect(network_.write(slot(fd).end, text));
 }
 
-void Process::shutdown_write(int fd) { network_.finish(slot(fd).end); }
+void Process::shutdown_write(int fd) { network_.shutdown_write(slot(fd).end); }
 
 void Process::reset_on_close(int fd) { slot(fd).resets = true; }
 
--- a/src/simnet/process.h
+++ b/src/simnet/process.h
@@ -41,7 +41,7 @@
     void signal(int number);
     void stall(Ticks span);
     // The system has no free descriptor but those that this process closes.
-    void starve(bool on) { descriptor_limit_now_ = on ? held_ : traits_.descriptors; }
+    void exhaust_descriptors(bool on) { descriptor_limit_now_ = on ? held_ : traits_.descriptors; }
     std::map<std::string, std::string>& files() { return files_; }
     // What the platform gives it before it runs: the machine's place for packets, and a listener, whose
     // number is handed back.
@@ -52,7 +52,7 @@
 
     // ---- for the invariants
     std::size_t held() const { return held_; }
-    std::size_t most_held() const { return most_held_; }
+    std::size_t max_held() const { return max_held_; }
     // Passes in a row that were called for something that is ready and changed nothing.
     std::size_t longest_spin() const { return longest_spin_; }
     std::uint64_t passes() const { return passes_; }
@@ -147,7 +147,7 @@
     std::deque<int> signals_;
     std::map<std::string, std::string> files_;
     bool running_ = false, dead_ = false;
-    std::size_t held_ = 3, most_held_ = 3;  // the standard ones among them
+    std::size_t held_ = 3, max_held_ = 3;  // the standard ones among them
     std::size_t descriptor_limit_now_ = traits_.descriptors;
     std::uint64_t next_run_ = 0;  // token of the run that counts; 0: none
     std::uint64_t runs_ = 0, passes_ = 0;
--- a/src/simnet/random_source.h
+++ b/src/simnet/random_source.h
@@ -12,7 +12,7 @@
   public:
     explicit RandomSource(std::uint64_t seed) : engine_(seed) {}
     // A separate engine for one component: its draws do not shift those of others.
-    RandomSource part(std::uint64_t label) { return RandomSource(engine_() ^ (label * 0x9e3779b97f4a7c15U)); }
+    RandomSource fork(std::uint64_t label) { return RandomSource(engine_() ^ (label * 0x9e3779b97f4a7c15U)); }
     std::uint64_t bits() { return engine_(); }
     // From 0 up to, and without, 1.
     double unit() { return static_cast<double>(bits() >> 11) * 0x1.0p-53; }
--- a/src/simnet/streams.h
+++ b/src/simnet/streams.h
@@ -51,18 +51,18 @@
     virtual Machine add_machine() = 0;
     virtual bool is_cut(Machine machine) const = 0;
     // Address of a machine's port, and the address under which another machine reaches it.
-    virtual Address place(Machine machine, std::uint16_t port) const = 0;
-    virtual Address seen_by(Machine who, const Address& at) const = 0;
+    virtual Address address_of(Machine machine, std::uint16_t port) const = 0;
+    virtual Address address_seen_by(Machine who, const Address& at) const = 0;
 
     virtual void listen(const Address& at, StreamListener& listener, std::size_t backlog) = 0;
     virtual void unlisten(const Address& at) = 0;
     virtual std::optional<End> accept(const Address& at) = 0;
     virtual End connect(Machine from, const Address& to, StreamListener& owner) = 0;
-    virtual void own(End end, StreamListener& owner) = 0;
+    virtual void set_owner(End end, StreamListener& owner) = 0;
     // whole: never shortened at random.
     virtual net::IoResult read(End end, std::span<char> into, bool whole = false) = 0;
     virtual net::IoResult write(End end, std::string_view text, bool whole = false) = 0;
-    virtual void finish(End end) = 0;
+    virtual void shutdown_write(End end) = 0;
     virtual void close(End end) = 0;
     virtual void reset(End end) = 0;
     // Schedules an event for when all bytes written at this end so far have reached the other machine; none
--- a/src/simulation/fixture.cpp
+++ b/src/simulation/fixture.cpp
@@ -42,8 +42,8 @@
     // Tunnels that fill the server over its slow start, or over their lifetime where that is shorter.
     invariants_.set_budget_query([this](std::uint32_t h) {
         const fakes::FakeServer& server = *servers_[h];
-        const Ticks fills =
-            std::min(scenario_.server.cold, scenario_.min_lifetime + scenario_.mean_extra_lifetime);
+        const Ticks fills = std::min(scenario_.server.slow_start_duration,
+                                     scenario_.min_lifetime + scenario_.mean_extra_lifetime);
         if (!server.in_slow_start() || !server.runs() || mean_load_ <= 0 || fills <= 0) return 0.0;
         return server.overload_limit() / mean_load_ * static_cast<double>(scenario_.server.overload_window) /
                static_cast<double>(fills);
@@ -56,7 +56,7 @@
         cores += traits.cores;
         const Machine m = network_.add_machine();
         servers_.push_back(
-            std::make_unique<fakes::FakeServer>(environment_, h, m, traits, random_.part(100 + h)));
+            std::make_unique<fakes::FakeServer>(environment_, h, m, traits, random_.fork(100 + h)));
         fakes::DiscoveryEntry entry;
         entry.id.append(1, 'h').append(std::to_string(h));
         entry.zone.assign(1, h % 2 == 0 ? 'a' : 'b');
@@ -69,7 +69,7 @@
     if (scenario_.tunnel_load > 0) mean_load_ = scenario_.tunnel_load;
     first_service_ = network_.add_machine();
     discovery_services_.push_back(std::make_unique<fakes::FakeDiscovery>(environment_, first_service_,
-                                                                         discovery_port, 5, random_.part(2)));
+                                                                         discovery_port, 5, random_.fork(2)));
     const Machine front = network_.add_machine();
     std::vector<Machine> client_machines;
     client_machines.reserve(3);
@@ -77,14 +77,14 @@
     std::vector<net::Address> node_addresses;
     node_addresses.reserve(scenario_.nodes);
     for (std::uint32_t n = 0; n < scenario_.nodes; ++n)
-        node_addresses.push_back(network_.place(n, client_port));
+        node_addresses.push_back(network_.address_of(n, client_port));
     front_ = std::make_unique<fakes::Front>(environment_, front, node_addresses, scenario_.detection_delay,
-                                            random_.part(3));
+                                            random_.fork(3));
     clients_ = std::make_unique<fakes::FakeClients>(environment_, *front_, client_machines,
                                                     plans(scenario_.clients, 0, scenario_.arrival_window, 0),
-                                                    scenario_.client_behavior, random_.part(4));
+                                                    scenario_.client_behavior, random_.fork(4));
     misbehaving_clients_ = std::make_unique<fakes::MisbehavingClients>(environment_, *front_,
-                                                                       client_machines[0], random_.part(5));
+                                                                       client_machines[0], random_.fork(5));
 }
 
 void Fixture::open() {
@@ -134,10 +134,10 @@
         static_cast<std::uint32_t>(std::floor(scenario_.known_share * scenario_.servers + 0.5));
     for (std::uint32_t h = 0; h < n_known; ++h)
         known.append(h > 0 ? "," : "")
-            .append(fakes::entry_json(entries_[h], network_.seen_by(node, entries_[h].at)));
+            .append(fakes::entry_json(entries_[h], network_.address_seen_by(node, entries_[h].at)));
     for (std::uint32_t n = 0; n < scenario_.nodes; ++n)
         peers.append(n > 0 ? ",\"" : "\"")
-            .append(net::format_address(network_.seen_by(node, network_.place(n, peer_port))))
+            .append(net::format_address(network_.address_seen_by(node, network_.address_of(n, peer_port))))
             .append("\"");
     for (const fakes::Profile& p : environment_.profiles) {
         constexpr const char* effects[] = {"read_like", "idempotency_key", "non_idempotent"};
@@ -149,16 +149,16 @@
                     R"(","dedup_scope":")" + scopes[static_cast<std::size_t>(p.scope)] +
                     R"(","stream":true})";
     }
-    const net::Address discovery = network_.seen_by(node, discovery_services_.back()->address());
+    const net::Address discovery = network_.address_seen_by(node, discovery_services_.back()->address());
     std::string text = R"({"name":"n)" + std::to_string(node) + R"(","listen":")" +
-                       net::format_address(network_.place(node, client_port)) + R"(","discovery":")" +
+                       net::format_address(network_.address_of(node, client_port)) + R"(","discovery":")" +
                        net::format_address(discovery) + R"(","seed":")" +
                        std::to_string(10000000 + scenario_.seed % 1000000 * 10 + node) +
                        R"(","limits":{"sockets":)" + std::to_string(scenario_.sockets) +
                        R"(},"known":{"revision":5,"complete":)" + flag(n_known == scenario_.servers) +
                        R"(,"members":[)" + known + "]}";
     if (scenario_.peers)
-        text += R"(,"peer_listen":")" + net::format_address(network_.place(node, peer_port)) +
+        text += R"(,"peer_listen":")" + net::format_address(network_.address_of(node, peer_port)) +
                 R"(","peers":[)" + peers + "]";
     text += R"(,"settings":{"balancers":)" + std::to_string(scenario_.nodes) + R"(,"me":)" +
             std::to_string(node) + R"(,"zone":)" + std::to_string(node % 2) +
@@ -169,8 +169,9 @@
             R"("limits":{"max_setups":)" + std::to_string(scenario_.max_attempts) +
             R"(,"connect_timeout":0.25,"probing":)" + flag(scenario_.probing) + R"(,"peers":)" +
             flag(scenario_.peers) + R"(},"report":{"via":"probe","columns":["x0"]},)" +
-            R"("rules":{"stop_sending_within":3.0,"cold":)" + in_seconds(scenario_.server.cold) +
-            R"(,"cold_from":)" + std::to_string(scenario_.server.slow_start_initial_factor) + R"(,"fall":)" +
+            R"("rules":{"stop_sending_within":3.0,"cold":)" +
+            in_seconds(scenario_.server.slow_start_duration) + R"(,"cold_from":)" +
+            std::to_string(scenario_.server.slow_start_initial_factor) + R"(,"fall":)" +
             in_seconds(scenario_.server.overload_window) + R"(,"tip_multiple":)" +
             std::to_string(scenario_.server.overload_multiple) + R"(},"costs":{"probe":)" +
             std::to_string(scenario_.probe_price) + R"(,"peer":)" + std::to_string(scenario_.peer_price) +
--- a/src/simulation/fixture_faults.cpp
+++ b/src/simulation/fixture_faults.cpp
@@ -70,10 +70,10 @@
     fakes::FakeDiscovery& discovery = *discovery_services_.back();
     switch (fault.kind) {
         case K::discovery_down:
-            discovery.down(true);
+            discovery.set_down(true);
             return true;
         case K::discovery_silent:
-            discovery.silent(true);
+            discovery.set_silent(true);
             return true;
         case K::discovery_slow:
             discovery.answer_after(static_cast<Ticks>(fault.magnitude * second));
@@ -89,7 +89,7 @@
             discovery_services_.push_back(std::make_unique<fakes::FakeDiscovery>(
                 environment_, first_service_,
                 static_cast<std::uint16_t>(discovery_port + discovery_services_.size()), 1,
-                random_.part(50 + discovery_services_.size())));
+                random_.fork(50 + discovery_services_.size())));
             discovery_services_.back()->open(entries_);
             for (std::uint32_t n = 0; n < scenario_.nodes; ++n) topology_.new_file(n, file_for(n));
             return true;
@@ -143,12 +143,12 @@
 void Fixture::set_isolation(const Fault& fault, bool on) {
     const std::uint32_t last = std::min(fault.target + std::max(fault.count, 1U), scenario_.nodes);
     if (fault.kind == K::nodes_apart)
-        return topology_.datagrams().apart(fault.target, last - fault.target, on);
+        return topology_.datagrams().isolate(fault.target, last - fault.target, on);
     if (fault.kind == K::path_cut) invariants_.machine_cut(servers_[fault.second_target]->machine(), on);
     for (std::uint32_t n = fault.target; n < last; ++n) {
         if (fault.kind == K::path_cut) topology_.cut_path(n, servers_[fault.second_target]->machine(), on);
-        if (fault.kind == K::nodes_deaf) topology_.datagrams().deaf(n, on);
-        if (fault.kind == K::nodes_mute) topology_.datagrams().mute(n, on);
+        if (fault.kind == K::nodes_deaf) topology_.datagrams().block_receiving(n, on);
+        if (fault.kind == K::nodes_mute) topology_.datagrams().block_sending(n, on);
         if (fault.kind != K::nodes_cut_from_servers) continue;
         for (auto& h : servers_) topology_.cut_path(n, h->machine(), on);
         invariants_.machine_cut(n, on);  // without servers a node is excused
@@ -184,9 +184,9 @@
             invariants_.server_started(fault.target);
             return publish(fault.target, Phase::active);
         case K::discovery_down:
-            return discovery_services_.back()->down(false);
+            return discovery_services_.back()->set_down(false);
         case K::discovery_silent:
-            return discovery_services_.back()->silent(false);
+            return discovery_services_.back()->set_silent(false);
         case K::discovery_slow:
             return discovery_services_.back()->answer_after(5);
         case K::network_slow:
--- a/src/simulation/invariants_clients.cpp
+++ b/src/simulation/invariants_clients.cpp
@@ -48,11 +48,12 @@
     attempts_[record.attempt].answer = answer;
     attempts_[record.attempt].answered_at = events_.now();
     if (record.delivered_at != 0 &&
-        written_at > record.delivered_at + record.request.wait + scenario_.answer_slack &&
+        written_at > record.delivered_at + record.request.client_timeout + scenario_.answer_slack &&
         was_undisturbed(record.request.node, record.delivered_at, written_at))
-        report("answer", named(tunnel) + " was answered " +
-                             std::to_string((written_at - record.delivered_at - record.request.wait) / 10) +
-                             " ms late");
+        report("answer",
+               named(tunnel) + " was answered " +
+                   std::to_string((written_at - record.delivered_at - record.request.client_timeout) / 10) +
+                   " ms late");
     const bool ran = std::any_of(record.setups.begin(), record.setups.end(),
                                  [](const Setup& s) { return may_have_run(s.answer); });
     if (answer == Answer::up) {
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -43,7 +43,7 @@
 
 void draw_servers(RandomSource& random, fakes::ServerTraits& traits) {
     traits.cores = random.between(1.0, 3.0);
-    traits.cold = random.between(3 * second, 8 * second);
+    traits.slow_start_duration = random.between(3 * second, 8 * second);
     traits.slow_start_initial_factor = random.between(0.15, 0.5);
     traits.report_noise = random.between(0.0, 0.15);
     traits.report_interval = random.between(300 * ms, 1200 * ms);
@@ -148,7 +148,7 @@
     draw_servers(random, scenario.server);
     draw_faults(random, scenario);
     // Drawn last, apart from the rest: what is added here leaves the scenarios of all seeds as they were.
-    RandomSource later = random.part(77);
+    RandomSource later = random.fork(77);
     scenario.server.push_bytes = static_cast<std::uint32_t>(
         later.odds(0.3) ? later.between(std::int64_t{100}, std::int64_t{1500}) : 1);
     sort_faults(scenario);
--- a/src/simulation/scenario_file.cpp
+++ b/src/simulation/scenario_file.cpp
@@ -194,16 +194,16 @@
 
 void read_server(Table& table, fakes::ServerTraits& traits) {
     table.number("cores", traits.cores, 0.01, 1000);
-    table.integer("most_connections", traits.most_connections, 1, 100000);
+    table.integer("most_connections", traits.max_connections, 1, 100000);
     table.number("setup_work_ms", traits.setup_work_ms, 0, 10000);
     table.number("line_work_ms", traits.line_work_ms, 0, 10000);
     table.integer("push_bytes", traits.push_bytes, 1, 4000);
-    table.duration("cold_s", traits.cold, second, 0, longest_scenario);
+    table.duration("cold_s", traits.slow_start_duration, second, 0, longest_scenario);
     table.number("cold_from", traits.slow_start_initial_factor, 0.01, 1);
     table.number("tip_multiple", traits.overload_multiple, 1, 100);
     table.duration("report_every_s", traits.report_interval, second, 1, longest_scenario);
     table.number("report_noise", traits.report_noise, 0, 1);
-    table.number("reports_always", traits.reports_always, 0, 100);
+    table.number("reports_always", traits.fixed_reported_load, 0, 100);
 }
 
 void read_faults(const std::string& file, Table& table, Scenario& scenario) {
@@ -277,15 +277,16 @@
         << "\ndoubled = " << scenario.network.doubled
         << "\ndatagram_jitter_ms = " << in_ms(scenario.network.datagram_jitter)
         << "\n\n[host]\ncores = " << scenario.server.cores
-        << "\nmost_connections = " << scenario.server.most_connections
+        << "\nmost_connections = " << scenario.server.max_connections
         << "\nsetup_work_ms = " << scenario.server.setup_work_ms
         << "\nline_work_ms = " << scenario.server.line_work_ms
-        << "\npush_bytes = " << scenario.server.push_bytes << "\ncold_s = " << s(scenario.server.cold)
+        << "\npush_bytes = " << scenario.server.push_bytes
+        << "\ncold_s = " << s(scenario.server.slow_start_duration)
         << "\ncold_from = " << scenario.server.slow_start_initial_factor
         << "\ntip_multiple = " << scenario.server.overload_multiple
         << "\nreport_every_s = " << s(scenario.server.report_interval)
         << "\nreport_noise = " << scenario.server.report_noise
-        << "\nreports_always = " << scenario.server.reports_always << '\n';
+        << "\nreports_always = " << scenario.server.fixed_reported_load << '\n';
     for (const Fault& f : scenario.faults) {
         const FaultInfo& row = fault_info(f.kind);
         out << "\n[[fault]]\nkind = \"" << row.name << "\"\nat_s = " << s(f.start) << '\n';
--- a/src/simulation/simulated_nodes.cpp
+++ b/src/simulation/simulated_nodes.cpp
@@ -59,7 +59,7 @@
 
 void SimulatedNodes::share_listener(std::uint32_t node) {
     slots_[node].listener = std::make_unique<simnet::SharedListener>(
-        network_, network_.place(node, Fixture::client_port), backlog);
+        network_, network_.address_of(node, Fixture::client_port), backlog);
     slots_[node].local_sockets = std::make_unique<simnet::LocalSockets>(network_);
 }
 
@@ -221,11 +221,11 @@
     if (!running.process) return;
     const Process& process = *running.process;
     usage_.passes += process.passes();
-    usage_.most_descriptors = std::max(usage_.most_descriptors, process.most_held());
+    usage_.most_descriptors = std::max(usage_.most_descriptors, process.max_held());
     usage_.longest_spin = std::max(usage_.longest_spin, process.longest_spin());
-    if (process.most_held() > scenario_.sockets)
+    if (process.max_held() > scenario_.sockets)
         invariants_.report("descriptors", "node " + std::to_string(node) + " held " +
-                                              std::to_string(process.most_held()) + " of " +
+                                              std::to_string(process.max_held()) + " of " +
                                               std::to_string(scenario_.sockets));
     if (process.longest_spin() > most_spin)
         invariants_.report("spin", "node " + std::to_string(node) + " made " +
--- a/src/simulation/simulation.cpp
+++ b/src/simulation/simulation.cpp
@@ -72,7 +72,7 @@
     : scenario_(scenario),
       trace_(trace),
       random_(scenario.seed ^ 0xda71a8),
-      network_(events_, trace_, random_.part(1), scenario.network),
+      network_(events_, trace_, random_.fork(1), scenario.network),
       invariants_(scenario_, events_, network_),
       nodes_(scenario_, events_, network_, random_, invariants_, tamper) {
     fixture_ = std::make_unique<Fixture>(scenario_, events_, trace_, network_, invariants_, random_, *this);
@@ -92,7 +92,7 @@
     slot.leaving = true;
     invariants_.node_shutdown_requested(fault.target);
     nodes_.signal(fault.target, SIGTERM);
-    fixture_->front().leaves(fault.target, random_.between(second / 5, second * 2 / 5));
+    fixture_->front().schedule_removal(fault.target, random_.between(second / 5, second * 2 / 5));
     schedule(events_.now() + kill_after_leave, Kind::kill_late, index, slot.incarnation);
 }
 
@@ -115,7 +115,7 @@
         case K::node_stall:
             return stall(fault);
         case K::node_starve:
-            if (slot.current.process) slot.current.process->starve(true);
+            if (slot.current.process) slot.current.process->exhaust_descriptors(true);
             return;
         case K::node_reload:
             return nodes_.signal(fault.target, SIGHUP);
@@ -146,7 +146,7 @@
             return true;
         case K::node_starve:
             if (nodes_.slot(fault.target).current.process)
-                nodes_.slot(fault.target).current.process->starve(false);
+                nodes_.slot(fault.target).current.process->exhaust_descriptors(false);
             return true;
         case K::node_reload_broken:
             new_file(fault.target, nodes_.slot(fault.target).file);
@@ -179,7 +179,7 @@
 
 void Simulation::play_until(Ticks until) {
     while (events_.steps() < most_steps && events_.step(until)) continue;
-    events_.pass_to(until);
+    events_.advance_to(until);
     if (events_.steps() >= most_steps) invariants_.report("spin", "the scenario does not end");
 }
 
--- a/src/soak/soak_scenario.cpp
+++ b/src/soak/soak_scenario.cpp
@@ -154,7 +154,7 @@
     const bool only_restarted = scenario.odds(0.5);
     const bool at_start = scenario.odds(0.2);
 
-    RandomSource own = RandomSource(seed ^ (std::uint64_t{node} << 32 | incarnation)).part(3);
+    RandomSource own = RandomSource(seed ^ (std::uint64_t{node} << 32 | incarnation)).fork(3);
     FaultPlan plan;
     plan.seed = own.bits();
     if (clocks && own.odds(share) && (!only_restarted || incarnation > 1)) plan.wall_offset_ms = step;
--- a/tests/simnet_test.cpp
+++ b/tests/simnet_test.cpp
@@ -31,7 +31,7 @@
     void on_stream_event(simnet::End) override { ++stirs; }
     void on_connection(const net::Address& at) override {
         while (const auto e = network.accept(at)) {
-            network.own(*e, *this);
+            network.set_owner(*e, *this);
             accepted.push_back(*e);
         }
     }
@@ -39,7 +39,7 @@
     void pass(simnet::Ticks span) {
         const auto until = events.now() + span;
         while (events.step(until)) continue;
-        events.pass_to(until);
+        events.advance_to(until);
     }
     // A connection that is up: its end at a; the other is the last accepted.
     simnet::End up() {
@@ -85,7 +85,7 @@
     Wire w;
     const auto e = w.up();
     w.network.write(e, "last", true);
-    w.network.finish(e);
+    w.network.shutdown_write(e);
     w.pass(100);
     CHECK(w.read(w.accepted[0]) == "last");
     std::array<char, 8> bytes;
@@ -182,7 +182,7 @@
     CHECK(errno == EMFILE);
     held.pop_back();
     CHECK(p.connect_to(w.door()).open());
-    p.starve(true);
+    p.exhaust_descriptors(true);
     CHECK(!p.connect_to(w.door()).open());
     CHECK(errno == ENFILE);
     held.clear();
