--- a/src/fakes/admin_client.cpp
+++ b/src/fakes/admin_client.cpp
@@ -28,11 +28,11 @@
     const auto it = requests_.find(end.number());
     if (it == requests_.end()) return;
     Request& open = it->second;
-    if (environment_.network.is_up(end)) write_waiting(environment_.network, end, open.waiting);
+    if (environment_.network.is_up(end)) write_waiting(environment_.network, end, open.unsent);
     std::array<char, 2048> bytes;
     for (;;) {
         const auto got = environment_.network.read(end, bytes, true);
-        open.got.append(bytes.data(), got.bytes);
+        open.received.append(bytes.data(), got.bytes);
         if (got.bytes > 0) continue;
         if (got.ended || got.error != 0) finish(end.number(), got.ended);
         return;
@@ -49,10 +49,10 @@
     environment_.network.close(open.end);
     if (!open.callback) return;
     Answer answer{0, {}, environment_.now() - open.began};
-    const auto head = open.got.find("\r\n\r\n");
-    if (complete && head != std::string::npos && open.got.substr(0, 9) == "HTTP/1.1 ") {
-        read_whole(std::string_view(open.got).substr(9, 3), answer.status);
-        answer.body = open.got.substr(head + 4);
+    const auto head = open.received.find("\r\n\r\n");
+    if (complete && head != std::string::npos && open.received.substr(0, 9) == "HTTP/1.1 ") {
+        parse_number(std::string_view(open.received).substr(9, 3), answer.status);
+        answer.body = open.received.substr(head + 4);
     }
     open.callback(answer);
 }
--- a/src/fakes/admin_client.h
+++ b/src/fakes/admin_client.h
@@ -1,5 +1,5 @@
-// Fake of the operators: each call is one HTTP request on a connection of its own. Whether an answer was due
-// and true is for the caller to judge.
+// Fake of the operators: each call is one HTTP request on a connection of its own. The caller judges whether
+// an answer was due and correct.
 #pragma once
 
 #include <functional>
@@ -13,16 +13,17 @@
 class AdminClient final : public simnet::StreamListener, public simnet::EventTarget {
   public:
     struct Answer {
-        int status = 0;  // 0: none, or none that could be read, within a second
+        int status = 0;  // HTTP status; 0: no valid answer within a second
         std::string body;
-        Ticks took = 0;
+        Ticks took = 0;  // tenths of a ms
     };
     using Callback = std::function<void(const Answer&)>;
     AdminClient(TestEnvironment& environment, Machine machine)
         : environment_(environment), machine_(machine) {}
-    // `callback` gets the answer, or status 0 after a second. `request`: the whole HTTP request.
+    // Sends `request`, a whole HTTP request. The callback is called once, with the answer or, after a second
+    // without one, with status 0.
     void call(const net::Address& at, std::string request, Callback callback);
-    // Connections that send nothing, or half a request, and stay open for four seconds.
+    // Opens connections that send nothing or a part of a request, and stay open for four seconds.
     void open_idle(const net::Address& at, int how_many);
 
     void on_stream_event(End end) override;
@@ -32,10 +33,10 @@
   private:
     struct Request {
         End end;
-        std::string waiting, got;
+        std::string unsent, received;
         Callback callback;
         Ticks began = 0;
-        bool stays = false;
+        bool idle = false;
     };
     void finish(std::uint64_t number, bool complete);
     TestEnvironment& environment_;
--- a/src/fakes/client_lines.cpp
+++ b/src/fakes/client_lines.cpp
@@ -1,4 +1,4 @@
-// What the clients do with the lines that they receive: answers, MOVE, and lines of an open tunnel.
+// Lines that the fake clients receive: answers to their first line, MOVE, and lines of an open tunnel.
 #include <algorithm>
 #include <cstdio>
 
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-// False where no more lines of this connection are read.
+// Returns false if no more lines of this connection are to be read.
 bool FakeClients::on_line(std::uint32_t index, std::string_view text) {
     const Client& client = clients_[index];
     if (client.state == State::waiting) return take_answer(index, text);
@@ -40,10 +40,10 @@
         take_refusal(index, answer, rest);
         return false;
     }
-    char receipt[48];
-    std::snprintf(receipt, sizeof receipt, "-t%x", client.tunnel);
-    if (rest.find(receipt) == std::string_view::npos)
-        environment_.execution_log.line_corrupted(client.tunnel, "a receipt of another's", text);
+    char tunnel_suffix[48];
+    std::snprintf(tunnel_suffix, sizeof tunnel_suffix, "-t%x", client.tunnel);
+    if (rest.find(tunnel_suffix) == std::string_view::npos)
+        environment_.execution_log.line_corrupted(client.tunnel, "UP for another tunnel", text);
     open(index);
     return true;
 }
@@ -66,7 +66,7 @@
                                      token(toggle_reading, index));
 }
 
-// `rest`: what follows the word; of BUSY, in how many ms to come again.
+// rest: the line after its first word. For BUSY this is the time in ms after which the client may retry.
 void FakeClients::take_refusal(std::uint32_t index, Answer answer, std::string_view rest) {
     const Client& client = clients_[index];
     const bool busy = answer == Answer::busy;
@@ -74,7 +74,7 @@
     const bool may_repeat =
         busy || environment_.profiles[client.plan.profile].effect == Idempotency::idempotent;
     Ticks retry_after_ms = 0;
-    if (busy) read_whole(next_word(rest), retry_after_ms);
+    if (busy) parse_number(next_word(rest), retry_after_ms);
     await_close(index);
     if (!may_repeat) return transition_to(index, State::done);
     retry(index, retry_after_ms * 10);
@@ -90,26 +90,26 @@
     pause(index, random_.between(std::int64_t{200}, second / 2));
 }
 
-// A line of the server: the echo of one of the client's, or one that it sends by itself.
+// A line of the server: the echo of a line of the client (e) or a line of its own (p). Each kind is numbered.
 void FakeClients::take_line(std::uint32_t index, std::string_view text) {
     Client& client = clients_[index];
     std::string_view rest = text;
     const auto word = next_word(rest);
     std::uint32_t number = 0;
     Ticks sent = 0;
-    if ((word != "e" && word != "p") || !read_whole(next_word(rest), number) ||
-        !read_whole(next_word(rest), sent))
-        return environment_.execution_log.line_corrupted(client.tunnel, "not the server's", text);
+    if ((word != "e" && word != "p") || !parse_number(next_word(rest), number) ||
+        !parse_number(next_word(rest), sent))
+        return environment_.execution_log.line_corrupted(client.tunnel, "not a line of the server", text);
     ++tally_.lines;
     std::uint32_t& expected = word == "e" ? client.echoes_received : client.pushes_received;
-    bool& gap = word == "e" ? client.gap_echoed : client.gap_heard;
+    bool& gap = word == "e" ? client.gap_echoed : client.gap_pushed;
     if (number != expected + 1 && !(gap && number > expected))
-        environment_.execution_log.line_corrupted(client.tunnel, "out of its turn", text);
+        environment_.execution_log.line_corrupted(client.tunnel, "out of order", text);
     gap = false;
     expected = number;
     client.unechoed_since = client.echoes_received < client.lines_sent
                                 ? environment_.now()
-                                : 0;  // any line of the server counts as an answer
+                                : 0;  // any line of the server resets the silence
 }
 
 }  // namespace lemonstair::fakes
--- a/src/fakes/clients.cpp
+++ b/src/fakes/clients.cpp
@@ -8,8 +8,9 @@
 namespace {
 
 constexpr Ticks second = 10000;
-constexpr Ticks longest_silence = 70000;  // of a connection that owes lines
-// A client waits a little longer than it said, so that an answer that is late is seen.
+constexpr Ticks longest_silence = 70000;  // beyond this, a connection that owes echoes is reported
+// A client waits a little longer than the timeout it sent, so that a late answer is still seen. The node has
+// to close the connection within closing_timeout after its final answer.
 constexpr Ticks timeout_grace = 2000, closing_timeout = 12000;
 
 }  // namespace
@@ -53,7 +54,7 @@
         clients_.begin(), clients_.end(), [](const Client& client) { return client.state == State::open; }));
 }
 
-// A change of state makes the timers of the old state stale.
+// Changes the state; timers of the old state become stale.
 void FakeClients::transition_to(std::uint32_t index, State to) {
     ++clients_[index].timer_generation;
     clients_[index].state = to;
@@ -71,7 +72,7 @@
     by_end_[client.end.number()] = index;
     client.reader = {};
     client.waiting.clear();
-    transition_to(index, State::calling);
+    transition_to(index, State::connecting);
     environment_.events.schedule(
         environment_.now() + environment_.profiles[client.plan.profile].client_timeout, *this,
         token(timeout, index));
@@ -79,35 +80,36 @@
 
 void FakeClients::send_open(std::uint32_t index) {
     Client& client = clients_[index];
-    const Profile& p = environment_.profiles[client.plan.profile];
+    const Profile& profile = environment_.profiles[client.plan.profile];
     if (!client.resuming) {
         client.last_tunnel = client.tunnel;
         client.tunnel = next_tunnel_++;
         client.lines_sent = client.echoes_received = client.pushes_received = 0;
     }
     char text[256];
-    const int n = std::snprintf(
+    const int length = std::snprintf(
         text, sizeof text, "OPEN t%x %s c=%.*s,d=%lld,w=%u,h=%.4f%s%s%s", client.tunnel,
-        client.plan.key.c_str(), static_cast<int>(p.name.size()), p.name.data(),
-        static_cast<long long>(p.client_timeout / 10), static_cast<unsigned>(client.plan.load * 1e6),
+        client.plan.key.c_str(), static_cast<int>(profile.name.size()), profile.name.data(),
+        static_cast<long long>(profile.client_timeout / 10), static_cast<unsigned>(client.plan.load * 1e6),
         client.plan.load, client.attempts > 0 && !client.resuming ? ",r=1" : "",
         client.reconnecting && !client.resuming ? ",again=1" : "", client.resuming ? ",mid=1" : "");
-    std::string line(text, static_cast<std::size_t>(n));
+    std::string line(text, static_cast<std::size_t>(length));
     if (client.plan.group != 0) {
         std::snprintf(text, sizeof text, ",g=%x", client.plan.group);
         line += text;
     }
     transition_to(index, State::waiting);
     environment_.execution_log.tunnel_requested({client.tunnel, client.resuming ? 0 : client.last_tunnel,
-                                                 client.node, client.plan.profile, p.client_timeout,
+                                                 client.node, client.plan.profile, profile.client_timeout,
                                                  client.resuming, client.slow_reader, client.end});
     write(index, line + "\r\n");
     environment_.network.notify_delivered(client.end, *this, token(delivered, index));
-    environment_.events.schedule(environment_.now() + p.client_timeout + timeout_grace, *this,
+    environment_.events.schedule(environment_.now() + profile.client_timeout + timeout_grace, *this,
                                  token(timeout, index));
     if (random_.odds(behavior_.abandon_share))
-        environment_.events.schedule(environment_.now() + random_.between(std::int64_t{1}, p.client_timeout),
-                                     *this, token(abandon_due, index));
+        environment_.events.schedule(
+            environment_.now() + random_.between(std::int64_t{1}, profile.client_timeout), *this,
+            token(abandon_due, index));
 }
 
 void FakeClients::write(std::uint32_t index, std::string_view text) {
@@ -123,7 +125,7 @@
     environment_.network.close(client.end);
 }
 
-// The final answer has come: the node must close, and send no more.
+// The final answer was received: the node has to close the connection and must not send anything more.
 void FakeClients::await_close(std::uint32_t index) {
     Client& client = clients_[index];
     client.has_connection = false;
@@ -179,8 +181,8 @@
     Client& client = clients_[index];
     drain_closing(end);
     if (!client.has_connection || !(client.end == end)) return;
-    if (client.state == State::calling && environment_.network.is_up(end)) send_open(index);
-    if (client.state != State::calling && !client.waiting.empty())
+    if (client.state == State::connecting && environment_.network.is_up(end)) send_open(index);
+    if (client.state != State::connecting && !client.waiting.empty())
         write_waiting(environment_.network, end, client.waiting);
     if (client.reads) read(index);
 }
@@ -208,20 +210,20 @@
     close_connection(index);
     if (client.state == State::done || client.state == State::pausing) return;
     if (client.finished_sending) return transition_to(index, State::done);
-    // Another node is tried as long as the server keeps the connection parked.
-    if (client.state == State::calling && client.resuming &&
+    // The client tries other nodes as long as the server keeps the tunnel parked.
+    if (client.state == State::connecting && client.resuming &&
         environment_.now() - client.lost_at < environment_.parking_timeout)
         return pause(index, second / 3);
-    if (client.state == State::calling) return retry(index, 0);
+    if (client.state == State::connecting) return retry(index, 0);
     if (!client.reader.between_lines())
         environment_.execution_log.line_corrupted(client.tunnel, "cut within a line", "");
     environment_.execution_log.connection_cut(client.tunnel, by_reset,
                                               environment_.network.last_received_sent_at(client.end));
     ++tally_.cut;
     client.reconnecting = client.reconnecting || was_open;
-    // With packet passthrough the same tunnel goes on through another node.
+    // With packet passthrough, the same tunnel continues through another node.
     if (was_open && environment_.packet_passthrough && by_reset) {
-        client.resuming = client.gap_echoed = client.gap_heard = true;
+        client.resuming = client.gap_echoed = client.gap_pushed = true;
         client.lost_at = environment_.now();
         ++tally_.resumed;
         return pause(index, random_.between(std::int64_t{100}, second));
@@ -272,7 +274,7 @@
     if (client.state == State::waiting) environment_.execution_log.client_timed_out(client.tunnel);
     ++tally_.timed_out;
     close_connection(index);
-    if (client.state == State::calling && client.resuming &&
+    if (client.state == State::connecting && client.resuming &&
         environment_.now() - client.lost_at < environment_.parking_timeout)
         return pause(index, 1);
     retry(index, 0);
@@ -293,7 +295,7 @@
     environment_.events.schedule(environment_.now() + behavior_.line_interval, *this, token(send_due, index));
 }
 
-// It says that it ends, and waits for the other side's end.
+// Ends the tunnel: shuts down sending, and waits for the end from the node.
 void FakeClients::leave(std::uint32_t index) {
     Client& client = clients_[index];
     environment_.execution_log.client_left(client.tunnel);
--- a/src/fakes/clients.h
+++ b/src/fakes/clients.h
@@ -1,4 +1,5 @@
-// Fakes of the clients: each wants one connection, keeps it, loses it and comes again until its time is over.
+// Fake clients: each opens one tunnel, sends lines on it and, if it is lost, opens a new one until the time
+// of its plan is over.
 #pragma once
 
 #include <array>
@@ -13,34 +14,34 @@
 
 namespace lemonstair::fakes {
 
-// What one client wants: a tunnel for this key, during this time.
+// One client: it keeps a tunnel for this key open during this time.
 struct ClientPlan {
     std::string key;
     std::uint32_t group = 0;    // 0: none
-    std::uint32_t profile = 0;  // its place in TestEnvironment::profiles
+    std::uint32_t profile = 0;  // index in TestEnvironment::profiles
     double load = 0;            // in cores; sent to the node as an estimate
-    Ticks from = 0, until = 0;  // since the scenario's start
+    Ticks from = 0, until = 0;  // since the start of the scenario
 };
 
 // How clients behave: pauses and intervals in tenths of a ms, shares from 0 to 1.
 struct ClientBehavior {
     int max_attempts = 6;
     Ticks min_pause = 200, max_pause = 5000;
-    double abandon_share = 0;  // share of requests that the client abandons
+    double abandon_share = 0;  // of requests that the client abandons before their timeout
     double slow_reader_share = 0;
     Ticks line_interval = 20000;
 };
 
 class FakeClients final : public simnet::StreamListener, public simnet::EventTarget {
   public:
-    enum class State : std::uint8_t { away, calling, waiting, open, pausing, done };
+    enum class State : std::uint8_t { away, connecting, waiting, open, pausing, done };
     FakeClients(TestEnvironment& environment, Front& front, std::vector<Machine> machines,
                 std::vector<ClientPlan> plans, const ClientBehavior& client_behavior,
                 simnet::RandomSource random);
     void start();
-    // More clients, from now on.
+    // Adds clients after start(). None of them is a slow reader.
     void add(std::vector<ClientPlan> plans);
-    // All clients leave, and start no new connection.
+    // All clients leave and open no more connections.
     void stop_all();
     void on_stream_event(End end) override;
     void on_connection(const net::Address&) override {}
@@ -60,16 +61,16 @@
         End end;
         bool has_connection = false, slow_reader = false, reads = true, finished_sending = false,
              resuming = false, reconnecting = false;
-        bool gap_echoed = false, gap_heard = false;  // lines may be missing after a change of node
+        bool gap_echoed = false, gap_pushed = false;  // lines may be missing after a change of node
         Machine machine = 0;
         std::uint32_t node = 0;
         TunnelId tunnel = 0, last_tunnel = 0;
-        std::uint32_t timer_generation = 0;  // of timers
+        std::uint32_t timer_generation = 0;  // timers of earlier generations are stale
         int attempts = 0;
         LineReader reader;
         std::string waiting;
-        std::uint32_t lines_sent = 0, echoes_received = 0,
-                      pushes_received = 0;  // lines: sent, echoed by the server, and the server's own
+        // Echoes answer the lines of the client; pushes are the server's own lines.
+        std::uint32_t lines_sent = 0, echoes_received = 0, pushes_received = 0;
         Ticks unechoed_since = 0, reported_silence = 0, lost_at = 0;
     };
     enum Kind : std::uint64_t {
@@ -115,8 +116,8 @@
     simnet::RandomSource random_;
     std::vector<Client> clients_;
     std::unordered_map<std::uint64_t, std::uint32_t> by_end_;
-    std::unordered_map<std::uint64_t, TunnelId>
-        closing_;  // their final answer has come; more would be a fault
+    // By end: tunnels whose final answer was received; further bytes would be a fault of the node.
+    std::unordered_map<std::uint64_t, TunnelId> closing_;
     TunnelId next_tunnel_ = 1;
     Tally tally_;
 };
--- a/src/fakes/discovery.cpp
+++ b/src/fakes/discovery.cpp
@@ -10,8 +10,8 @@
 
 constexpr Ticks keepalive_interval = 20000;
 
-std::string_view name_of(DiscoveryEntry::Phase p) {
-    switch (p) {
+std::string_view name_of(DiscoveryEntry::Phase phase) {
+    switch (phase) {
         case DiscoveryEntry::Phase::active:
             return "in_service";
         case DiscoveryEntry::Phase::terminating:
@@ -24,14 +24,14 @@
 
 }  // namespace
 
-std::string entry_json(const DiscoveryEntry& l, const net::Address& at) {
+std::string entry_json(const DiscoveryEntry& entry, const net::Address& at) {
     char text[320];
     std::snprintf(text, sizeof text,
                   R"({"id":"%s","host_port":"%s","locality":"%s","cell":%u,"phase":"%.*s","size":%.2f,)"
                   R"("up_since_ms":%lld})",
-                  l.id.c_str(), net::format_address(at).c_str(), l.zone.c_str(), l.cell,
-                  static_cast<int>(name_of(l.phase).size()), name_of(l.phase).data(), l.size,
-                  static_cast<long long>(l.up_since_ms));
+                  entry.id.c_str(), net::format_address(at).c_str(), entry.zone.c_str(), entry.cell,
+                  static_cast<int>(name_of(entry.phase).size()), name_of(entry.phase).data(), entry.size,
+                  static_cast<long long>(entry.up_since_ms));
     return text;
 }
 
@@ -56,10 +56,10 @@
     environment_.note("discovery down", port_, on ? 1 : 0);
     if (!on) return environment_.network.listen(address(), *this, 256);
     environment_.network.unlisten(address());
-    for (std::uint32_t index = 0; index < calls_.size(); ++index)
-        if (!calls_[index].over) {
-            environment_.network.reset(calls_[index].end);
-            calls_[index].over = true;
+    for (std::uint32_t index = 0; index < requests_.size(); ++index)
+        if (!requests_[index].closed) {
+            environment_.network.reset(requests_[index].end);
+            requests_[index].closed = true;
         }
 }
 
@@ -67,15 +67,15 @@
     silent_ = on;
     environment_.note("discovery silent", port_, on ? 1 : 0);
     if (on) return;
-    // What was cut off stays so: those that watched must call again.
-    for (Call& call : calls_)
-        if (!call.over) environment_.network.reset(call.end), call.over = true;
+    // Connections of the silent time are not resumed: the nodes have to connect again.
+    for (Request& request : requests_)
+        if (!request.closed) environment_.network.reset(request.end), request.closed = true;
 }
 
 void FakeDiscovery::restart(std::uint64_t revision) {
     revision_ = revision;
     changed_.assign(list_.size(), revision);
-    for (std::uint32_t index = 0; index < calls_.size(); ++index) end(index);
+    for (std::uint32_t index = 0; index < requests_.size(); ++index) close(index);
 }
 
 void FakeDiscovery::retire(Ticks after) {
@@ -84,46 +84,46 @@
     environment_.events.schedule(environment_.now() + after, *this, token(retire_due, 0));
 }
 
-void FakeDiscovery::end(std::uint32_t index) {
-    if (calls_[index].over) return;
-    calls_[index].over = true;
-    environment_.network.close(calls_[index].end);
+void FakeDiscovery::close(std::uint32_t index) {
+    if (requests_[index].closed) return;
+    requests_[index].closed = true;
+    environment_.network.close(requests_[index].end);
 }
 
 void FakeDiscovery::on_connection(const net::Address& at) {
-    while (const auto e = environment_.network.accept(at)) {
-        environment_.network.set_owner(*e, *this);
-        by_end_[e->number()] = static_cast<std::uint32_t>(calls_.size());
-        calls_.emplace_back();
-        calls_.back().end = *e;
-        calls_.back().node = environment_.network.machine_of(e->other());
-        on_stream_event(*e);
+    while (const auto end = environment_.network.accept(at)) {
+        environment_.network.set_owner(*end, *this);
+        by_end_[end->number()] = static_cast<std::uint32_t>(requests_.size());
+        requests_.emplace_back();
+        requests_.back().end = *end;
+        requests_.back().node = environment_.network.machine_of(end->other());
+        on_stream_event(*end);
     }
 }
 
-void FakeDiscovery::on_stream_event(End e) {
-    const auto it = by_end_.find(e.number());
-    if (it == by_end_.end() || calls_[it->second].over) return;
+void FakeDiscovery::on_stream_event(End end) {
+    const auto it = by_end_.find(end.number());
+    if (it == by_end_.end() || requests_[it->second].closed) return;
     const std::uint32_t index = it->second;
     std::array<char, 2048> bytes;
     for (;;) {
-        Call& call = calls_[index];
-        const auto got = environment_.network.read(e, bytes, true);
-        if (got.ended || got.error != 0) return end(index);
+        Request& request = requests_[index];
+        const auto got = environment_.network.read(end, bytes, true);
+        if (got.ended || got.error != 0) return close(index);
         if (got.bytes == 0) return;
-        call.reader.feed({bytes.data(), got.bytes}, [&](std::string_view line) {
+        request.reader.feed({bytes.data(), got.bytes}, [&](std::string_view line) {
             if (line.substr(0, 4) == "GET ") {
                 const auto from = line.find("index=");
                 if (from != std::string_view::npos) {
                     std::string_view rest = line.substr(from + 6);
-                    read_whole(next_word(rest), call.known_revision);
+                    parse_number(next_word(rest), request.known_revision);
                 }
-                call.asked = true;
+                request.request_line_received = true;
             }
-            if (line.empty() && call.asked && !call.watches) {
-                call.watches = true;
+            if (line.empty() && request.request_line_received && !request.watches) {
+                request.watches = true;
                 environment_.events.schedule(environment_.now() + answer_after_, *this,
-                                             token(answer_call, index));
+                                             token(answer_request, index));
             }
             return true;
         });
@@ -135,9 +135,9 @@
     std::string text = "{\"revision\":" + std::to_string(revision_) +
                        ",\"complete\":" + (whole ? "true" : "false") + ",\"members\":[";
     bool first = true;
-    for (const std::uint32_t h : servers) {
+    for (const std::uint32_t server : servers) {
         text += first ? "" : ",";
-        text += entry_json(list_[h], environment_.network.address_seen_by(node, list_[h].at));
+        text += entry_json(list_[server], environment_.network.address_seen_by(node, list_[server].at));
         first = false;
     }
     return text + "]}";
@@ -146,30 +146,32 @@
 void FakeDiscovery::write_chunk(std::uint32_t index, std::string_view line) {
     char size[16];
     std::snprintf(size, sizeof size, "%zx\r\n", line.size() + 1);
-    environment_.network.write(calls_[index].end, std::string(size).append(line).append("\n\r\n"), true);
+    environment_.network.write(requests_[index].end, std::string(size).append(line).append("\n\r\n"), true);
 }
 
 void FakeDiscovery::answer(std::uint32_t index) {
-    Call& call = calls_[index];
-    if (call.over || silent_) return;
-    environment_.network.write(call.end, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", true);
-    if (call.known_revision == revision_) return write_chunk(index, "");
-    // After a number that this service never gave, the whole list.
-    const bool whole = call.known_revision == 0 || call.known_revision > revision_;
+    Request& request = requests_[index];
+    if (request.closed || silent_) return;
+    environment_.network.write(request.end, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n", true);
+    if (request.known_revision == revision_) return write_chunk(index, "");
+    // A revision that this service never gave out is answered with the whole list.
+    const bool whole = request.known_revision == 0 || request.known_revision > revision_;
     std::vector<std::uint32_t> servers;
-    for (std::uint32_t h = 0; h < list_.size(); ++h)
-        if (whole ? list_[h].phase != DiscoveryEntry::Phase::terminated : changed_[h] > call.known_revision)
-            servers.push_back(h);
-    write_chunk(index, list_json(call.node, whole, servers));
+    for (std::uint32_t server = 0; server < list_.size(); ++server)
+        if (whole ? list_[server].phase != DiscoveryEntry::Phase::terminated
+                  : changed_[server] > request.known_revision)
+            servers.push_back(server);
+    write_chunk(index, list_json(request.node, whole, servers));
     notify(index, servers);
 }
 
-// The execution log gets it once it has reached the node's machine.
+// Informs the execution log once the list has reached the node's machine.
 void FakeDiscovery::notify(std::uint32_t index, const std::vector<std::uint32_t>& servers) {
-    notifications_.push_back({calls_[index].node, {}});
-    for (const std::uint32_t h : servers)
-        notifications_.back().servers.emplace_back(h, list_[h].phase == DiscoveryEntry::Phase::active);
-    environment_.network.notify_delivered(calls_[index].end, *this,
+    notifications_.push_back({requests_[index].node, {}});
+    for (const std::uint32_t server : servers)
+        notifications_.back().servers.emplace_back(server,
+                                                   list_[server].phase == DiscoveryEntry::Phase::active);
+    environment_.network.notify_delivered(requests_[index].end, *this,
                                           token(delivered, notifications_.size() - 1));
 }
 
@@ -177,24 +179,25 @@
     const auto kind = static_cast<Kind>(what >> 56);
     const auto index = static_cast<std::uint32_t>(what);
     switch (kind) {
-        case answer_call:
+        case answer_request:
             return answer(index);
         case keepalive:
-            for (std::uint32_t i = 0; i < calls_.size(); ++i)
-                if (!calls_[i].over && calls_[i].watches && !silent_) write_chunk(i, "");
+            for (std::uint32_t i = 0; i < requests_.size(); ++i)
+                if (!requests_[i].closed && requests_[i].watches && !silent_) write_chunk(i, "");
             return environment_.events.schedule(environment_.now() + keepalive_interval, *this, what);
         case change_due: {
             const Change& change = pending_changes_[index];
             list_[change.server] = change.entry;
             changed_[change.server] = ++revision_;
-            environment_.note("discovery says", change.server, static_cast<std::uint64_t>(change.entry.phase),
-                              change.entry.id);
+            environment_.note("discovery change", change.server,
+                              static_cast<std::uint64_t>(change.entry.phase), change.entry.id);
             const int corrupt = std::exchange(corrupt_, 0);
-            for (std::uint32_t i = 0; i < calls_.size(); ++i) {
-                if (calls_[i].over || !calls_[i].watches || silent_) continue;
-                if (corrupt == 1) write_chunk(i, "{\"revision\":");  // the watch is given up, and comes back
+            for (std::uint32_t i = 0; i < requests_.size(); ++i) {
+                if (requests_[i].closed || !requests_[i].watches || silent_) continue;
+                if (corrupt == 1)
+                    write_chunk(i, "{\"revision\":");  // the node drops the watch and opens a new one
                 if (corrupt == 1) continue;
-                std::string text = list_json(calls_[i].node, false, {change.server});
+                std::string text = list_json(requests_[i].node, false, {change.server});
                 if (corrupt == 2)
                     text.insert(text.find('[') + 1,
                                 R"({"host_port":"10.77.0.9:8443","phase":"in_service"},)");
@@ -210,7 +213,7 @@
                                                                     active);
             return;
         case retire_due:
-            for (std::uint32_t i = 0; i < calls_.size(); ++i) end(i);
+            for (std::uint32_t i = 0; i < requests_.size(); ++i) close(i);
             return;
     }
 }
--- a/src/fakes/discovery.h
+++ b/src/fakes/discovery.h
@@ -1,4 +1,5 @@
-// Fake of the platform's discovery: lists and watches over HTTP/1.1; late, down, silent or corrupt on demand.
+// Fake of the platform's discovery service: endpoint lists and watches over HTTP/1.1. It can be made slow,
+// unreachable or silent, and to send invalid lists.
 #pragma once
 
 #include <map>
@@ -23,7 +24,7 @@
 };
 
 // The entry as JSON, for a node that reaches the server at this address.
-std::string entry_json(const DiscoveryEntry& l, const net::Address& at);
+std::string entry_json(const DiscoveryEntry& entry, const net::Address& at);
 
 class FakeDiscovery final : public simnet::StreamListener, public simnet::EventTarget {
   public:
@@ -34,19 +35,21 @@
           port_(port),
           revision_(first_revision),
           random_(random) {}
-    // Starts the service with this list.
+    // Starts the service with this list; an entry's index is the number of its server.
     void open(std::vector<DiscoveryEntry> list);
     net::Address address() const { return environment_.network.address_of(machine_, port_); }
     std::uint64_t revision() const { return revision_; }
-    // A server's entry changes; watches get it `after` from now.
+    // Replaces the entry of a server `after` from now, and sends the change to all watches.
     void change(std::uint32_t server, const DiscoveryEntry& entry, Ticks after);
 
     // ---- faults
-    void set_down(bool on);    // connections are refused, watches are reset
-    void set_silent(bool on);  // connections stay open and nothing is sent
+    void set_down(bool on);    // on: connections are refused, open ones are reset
+    void set_silent(bool on);  // on: connections stay open and nothing is sent
     void answer_after(Ticks span) { answer_after_ = span; }
-    void corrupt_next(int kind) { corrupt_ = kind; }  // 1: no list; 2: an entry without id; 3: an old list
-    // A new instance, whose revisions count from here.
+    // The next change is sent in an invalid way. 1: truncated JSON; 2: an entry without an id; 3: an empty
+    // list of an older revision before the change.
+    void corrupt_next(int kind) { corrupt_ = kind; }
+    // The service is replaced by a new instance that counts revisions from here. Watches are closed.
     void restart(std::uint64_t revision);
     // Refuses new connections, and closes the open ones `after` from now.
     void retire(Ticks after);
@@ -56,19 +59,20 @@
     void on_event(std::uint64_t token) override;
 
   private:
-    struct Call {
+    struct Request {
         End end;
         LineReader reader;
         std::uint64_t known_revision = 0;
-        bool asked = false, watches = false, over = false;
+        // watches: the whole request was received; changes are sent from now on.
+        bool request_line_received = false, watches = false, closed = false;
         Machine node = 0;
     };
-    enum Kind : std::uint64_t { answer_call, keepalive, change_due, delivered, retire_due };
+    enum Kind : std::uint64_t { answer_request, keepalive, change_due, delivered, retire_due };
     std::uint64_t token(Kind kind, std::uint64_t index) const { return std::uint64_t{kind} << 56 | index; }
     std::string list_json(Machine node, bool whole, const std::vector<std::uint32_t>& servers) const;
     void write_chunk(std::uint32_t index, std::string_view line);
     void notify(std::uint32_t index, const std::vector<std::uint32_t>& servers);
-    void end(std::uint32_t index);
+    void close(std::uint32_t index);
     void answer(std::uint32_t index);
 
     TestEnvironment& environment_;
@@ -78,7 +82,7 @@
     simnet::RandomSource random_;
     std::vector<DiscoveryEntry> list_;
     std::vector<std::uint64_t> changed_;  // by server: the revision of its last change
-    std::vector<Call> calls_;
+    std::vector<Request> requests_;
     std::unordered_map<std::uint64_t, std::uint32_t> by_end_;
     struct Change {
         std::uint32_t server;
@@ -87,9 +91,9 @@
     std::vector<Change> pending_changes_;
     struct Notification {
         Machine node;
-        std::vector<std::pair<std::uint32_t, bool>> servers;  // and whether each is in service
+        std::vector<std::pair<std::uint32_t, bool>> servers;  // the second: whether the server is in service
     };
-    std::vector<Notification> notifications_;  // on their way to nodes
+    std::vector<Notification> notifications_;  // sent to nodes, perhaps not delivered yet
     Ticks answer_after_ = 5;
     int corrupt_ = 0;
     bool down_ = false, silent_ = false, sends_keepalives_ = false;
--- a/src/fakes/environment.h
+++ b/src/fakes/environment.h
@@ -1,5 +1,5 @@
-// What all fakes of a run share: event queue, network, trace, execution log and traffic profiles; and helpers
-// for line protocols.
+// What all fakes of a run share: event queue, network, trace, execution log and traffic profiles. Also
+// helpers for line protocols.
 #pragma once
 
 #include <array>
@@ -22,19 +22,19 @@
     simnet::Trace& trace;
     ExecutionLog& execution_log;
     std::vector<Profile> profiles;
-    bool packet_passthrough = false;  // a tunnel goes on through another node when its own has died
-    Ticks parking_timeout = 60000;    // how long a server keeps such a tunnel without a connection
+    bool packet_passthrough = false;  // a tunnel continues through another node when its own has died
+    Ticks parking_timeout = 60000;    // how long a server keeps a tunnel that has lost its connection
 
     Ticks now() const { return events.now(); }
     // Since the start of the scenario.
     Ticks elapsed() const { return events.now() - events.start_time(); }
-    // Writes into the trace.
+    // Adds an entry to the trace, at the current time.
     void note(std::string_view what, std::uint64_t a, std::uint64_t b, std::string_view text = {}) {
         trace.note(elapsed(), what, a, b, text);
     }
 };
 
-// Writes as much of the queued bytes as the network takes now, and removes it.
+// Writes as many of the queued bytes as the network accepts now, and removes them from the queue.
 inline void write_waiting(simnet::Streams& network, End end, std::string& waiting) {
     while (!waiting.empty()) {
         const std::size_t n = network.write(end, waiting).bytes;
@@ -43,7 +43,7 @@
     }
 }
 
-// The next word of a line; `rest` is what follows the blank behind it.
+// Returns the first word of `rest`, and removes it and the blank after it.
 inline std::string_view next_word(std::string_view& rest) {
     const auto end = std::min(rest.find(' '), rest.size());
     const auto word = rest.substr(0, end);
@@ -51,17 +51,18 @@
     return word;
 }
 
-// False unless the whole text is one number.
+// Parses a text that is exactly one number; returns false otherwise. `into` may then have been written.
 template <class Number>
-bool read_whole(std::string_view text, Number& into, int base = 10) {
+bool parse_number(std::string_view text, Number& into, int base = 10) {
     const auto [stop, error] = std::from_chars(text.data(), text.data() + text.size(), into, base);
     return error == std::errc{} && stop == text.data() + text.size() && !text.empty();
 }
 
-// The lines of one connection as its bytes come; one without end is cut at a limit.
+// Splits the bytes of one connection into lines. An unfinished line may have at most 8192 bytes.
 class LineReader {
   public:
-    // Calls each(line without its end) for each whole line; false once a line is too long.
+    // Calls each(line) for every complete line, without its line ending. If each() returns false, the
+    // remaining bytes are discarded. Returns false once a line is too long.
     template <class Each>
     bool feed(std::string_view bytes, Each&& each) {
         text_.append(bytes);
--- a/src/fakes/execution_log.h
+++ b/src/fakes/execution_log.h
@@ -1,4 +1,5 @@
-// What the fakes see on the wire, for whoever judges it. No node has a part in it. Times are tenths of a ms.
+// Interface to which the fakes report what they see on the wire, so that it can be checked independently of
+// the nodes. Times are tenths of a ms.
 #pragma once
 
 #include <cstdint>
@@ -15,10 +16,10 @@
 // One tunnel of a client; its id on the wire is `t` and this number in hex.
 using TunnelId = std::uint32_t;
 
-// Final answer to a request, or the end of an open tunnel (move).
+// Answer to a first line; `move` ends an open tunnel.
 enum class Answer : std::uint8_t { none, up, bye, busy, error, move };
 
-// Whether a request may run twice, and how far its key is known.
+// Whether a request may run twice, and within which scope its idempotency key is known.
 enum class Idempotency : std::uint8_t { idempotent, idempotent_with_key, non_idempotent };
 enum class DeduplicationScope : std::uint8_t { all, zone, cell };
 
@@ -30,19 +31,19 @@
     Ticks latency_objective = 5000, client_timeout = 30000, window = 50000;
 };
 
-// First line that a client has sent.
+// The first line that a client has sent on a connection.
 struct TunnelRequest {
     TunnelId tunnel = 0;
     TunnelId previous = 0;  // the client's tunnel before this one; 0: its first
     std::uint32_t node = 0;
     std::uint32_t profile = 0;
-    Ticks client_timeout = 0;  // the client's timeout, as the line says
-    bool mid_flow = false;     // the tunnel is open at a server
+    Ticks client_timeout = 0;  // as sent in the line
+    bool mid_flow = false;     // an attempt to continue a tunnel that is open at a server
     bool slow_reader = false;  // the client leaves bytes unread for seconds
     End end;
 };
 
-// Callbacks of the fakes, in the order of events.
+// Callbacks of the fakes, in the order of the events.
 class ExecutionLog {
   public:
     ExecutionLog() = default;
@@ -52,19 +53,20 @@
 
     // ---- clients
     virtual void tunnel_requested(const TunnelRequest& what) = 0;
-    // The request's last byte has reached the node's machine.
+    // The last byte of the request has reached the machine of the node.
     virtual void request_delivered(TunnelId tunnel) = 0;
     virtual void request_answered(TunnelId tunnel, Answer answer, Ticks written_at) = 0;
-    // Bytes after a decline, an error or a MOVE.
+    // The client received bytes after BUSY, an error or MOVE.
     virtual void data_after_final(TunnelId tunnel, std::string_view text) = 0;
-    // The client left by itself; or its timeout and a grace period are over.
+    // The client left on its own initiative; or it gave up, a grace period after its timeout.
     virtual void client_left(TunnelId tunnel) = 0;
     virtual void client_timed_out(TunnelId tunnel) = 0;
-    // Closed or reset without a MOVE; written: when the node did it.
+    // The connection was closed or reset without MOVE. written: when the node sent the last bytes
+    // that were received.
     virtual void connection_cut(TunnelId tunnel, bool by_reset, Ticks written) = 0;
-    // An open tunnel has not answered lines for so long.
+    // Lines on an open tunnel have not been answered for this long.
     virtual void connection_silent(TunnelId tunnel, Ticks span) = 0;
-    // A misbehaving client got neither an error nor an end in time.
+    // A misbehaving client received neither an error nor an end of its connection in time.
     virtual void misbehaving_client_unanswered(std::uint32_t node, std::string_view how) = 0;
 
     // ---- servers
@@ -72,19 +74,20 @@
     virtual void setup_received(TunnelId tunnel, std::uint32_t server, End end, Ticks first,
                                 bool mid_flow) = 0;
     virtual void setup_answered(TunnelId tunnel, std::uint32_t server, Answer answer) = 0;
-    // A mid-flow tunnel came to a server that does not hold it.
+    // A mid-flow setup reached a server that does not hold its tunnel.
     virtual void mid_flow_unknown(TunnelId tunnel, std::uint32_t server) = 0;
-    // The server has ended the tunnel's connection, or its process died.
+    // The server ended the connection of the tunnel, or its process died.
     virtual void server_ended(TunnelId tunnel, std::uint32_t server) = 0;
-    virtual void server_overloaded(std::uint32_t server, double asked, double overload_limit) = 0;
+    // The server went down because its demand (in cores) was above the limit for too long in slow start.
+    virtual void server_overloaded(std::uint32_t server, double demand, double overload_limit) = 0;
     virtual void invalid_line(std::uint32_t server, std::string_view line) = 0;
 
     // ---- discovery
-    // A list with this state of the server has reached a node's machine.
+    // An endpoint list with this state of the server has reached the machine of a node.
     virtual void endpoint_state_delivered(std::uint32_t node, std::uint32_t server, bool active) = 0;
 
     // ---- both
-    // A line was lost, doubled, changed or overtaken, or was under way for too long.
+    // A line was lost, duplicated, changed or overtaken by another one. what: the kind of fault.
     virtual void line_corrupted(TunnelId tunnel, std::string_view what, std::string_view line) = 0;
 };
 
--- a/src/fakes/front.cpp
+++ b/src/fakes/front.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr Ticks check_every = 5000;
+constexpr Ticks check_interval = 5000;
 
 }  // namespace
 
@@ -34,7 +34,7 @@
     state.ping_sent = false;
     if (state.in_rotation && environment_.now() - state.answered_at > detection_delay_)
         state.in_rotation = false;
-    environment_.events.schedule(environment_.now() + check_every, *this, node);
+    environment_.events.schedule(environment_.now() + check_interval, *this, node);
 }
 
 void Front::schedule_removal(std::uint32_t node, Ticks after) {
@@ -66,7 +66,7 @@
     }
     if (state.received.find("BUSY\r\n") != std::string::npos) state.in_rotation = false;
     if (received.error != 0 && received.error != ECONNRESET) {
-        state.leaving = false;  // nobody listens: whoever comes up there next is another
+        state.leaving = false;  // nobody listens any more: the next process at this address is a new one
         state.in_rotation = state.in_rotation && environment_.now() - state.answered_at <= detection_delay_;
     }
     if (received.error != 0 || received.ended || state.received.size() >= 6) {
@@ -82,9 +82,10 @@
     for (std::uint32_t n = 0; n < nodes_.size(); ++n)
         in_rotation += nodes_[n].in_rotation && n != node ? 1 : 0;
     if (in_rotation == 0) return none;
-    auto left = static_cast<std::uint32_t>(random_.between(std::int64_t{0}, std::int64_t{in_rotation} - 1));
+    auto remaining =
+        static_cast<std::uint32_t>(random_.between(std::int64_t{0}, std::int64_t{in_rotation} - 1));
     for (std::uint32_t n = 0; n < nodes_.size(); ++n)
-        if (nodes_[n].in_rotation && n != node && left-- == 0) return n;
+        if (nodes_[n].in_rotation && n != node && remaining-- == 0) return n;
     return none;
 }
 
--- a/src/fakes/front.h
+++ b/src/fakes/front.h
@@ -1,4 +1,5 @@
-// Fake of the front load balancer that deals clients out among the nodes, by its own health checks.
+// Fake of the front load balancer, which distributes clients among the nodes according to its own health
+// checks.
 #pragma once
 
 #include <string>
@@ -10,19 +11,21 @@
 
 namespace lemonstair::fakes {
 
-// A node that answers PING is in rotation; one that has died leaves it after the detection delay.
+// A node that answers PING is in rotation. One that answers BUSY leaves the rotation at once, one that does
+// not answer leaves it after the detection delay.
 class Front final : public simnet::StreamListener, public simnet::EventTarget {
   public:
     static constexpr std::uint32_t none = 0xffffffffU;
     Front(TestEnvironment& environment, Machine machine, const std::vector<net::Address>& nodes,
           Ticks detection_delay, simnet::RandomSource random);
     void start();
-    // A random node in rotation; `none` where there is none.
+    // A random node in rotation, except `node`; `none` if there is no such node.
     std::uint32_t pick();
     std::uint32_t pick_except(std::uint32_t node);
     const net::Address& address(std::uint32_t node) const { return nodes_[node].address; }
     std::size_t size() const { return nodes_.size(); }
-    // The node shuts down: it leaves the rotation `after` from now.
+    // The node shuts down: it leaves the rotation `after` from now. It can return only after its port has
+    // refused a connection, as then the next process there is a new one.
     void schedule_removal(std::uint32_t node, Ticks after);
 
     void on_stream_event(End end) override;
--- a/src/fakes/misbehaving_clients.cpp
+++ b/src/fakes/misbehaving_clients.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr Ticks patience = 30000;
+constexpr Ticks answer_timeout = 30000;
 
 }  // namespace
 
@@ -60,7 +60,7 @@
     const std::uint32_t index = it->second;
     if (environment_.network.is_up(end) && !connections_[index].sent) {
         connections_[index].sent = true;
-        environment_.events.schedule(environment_.now() + patience, *this, index);
+        environment_.events.schedule(environment_.now() + answer_timeout, *this, index);
     }
     if (connections_[index].sent && !connections_[index].waiting.empty())
         write_waiting(environment_.network, end, connections_[index].waiting);
@@ -69,7 +69,7 @@
         const auto got = environment_.network.read(end, bytes, true);
         const std::string_view text(bytes.data(), got.bytes);
         if (text.find("UP ") != std::string_view::npos)
-            environment_.execution_log.line_corrupted(0, "a misbehaving client was served",
+            environment_.execution_log.line_corrupted(0, "a misbehaving client was answered with UP",
                                                       text.substr(0, 40));
         if (got.ended || got.error != 0 || text.find("ERR") != std::string_view::npos ||
             text.find("BUSY") != std::string_view::npos)
@@ -91,7 +91,8 @@
     if (connection.over) return;
     connection.over = true;
     environment_.network.close(connection.end);
-    environment_.execution_log.misbehaving_client_unanswered(connection.node, "no answer and no end");
+    environment_.execution_log.misbehaving_client_unanswered(
+        connection.node, "neither an answer nor an end of the connection");
 }
 
 void MisbehavingClients::stop_all() {
--- a/src/fakes/misbehaving_clients.h
+++ b/src/fakes/misbehaving_clients.h
@@ -1,4 +1,4 @@
-// Fakes of clients that break the protocol or say nothing; a node must not keep resources for them.
+// Fake clients that break the protocol or send nothing. A node must not keep resources for them.
 #pragma once
 
 #include <string>
@@ -9,12 +9,15 @@
 
 namespace lemonstair::fakes {
 
-// Each opens a connection, sends what its kind says, and expects an error or an end within 3 s.
+// Each client opens a connection, sends the bytes of its kind, and expects an error, BUSY or the end of the
+// connection within 3 s.
 class MisbehavingClients final : public simnet::StreamListener, public simnet::EventTarget {
   public:
     MisbehavingClients(TestEnvironment& environment, Front& front, Machine machine,
                        simnet::RandomSource random)
         : environment_(environment), front_(front), machine_(machine), random_(random) {}
+    // What a client sends. half: a line without its end; twice: two first lines; no_profile: an unknown
+    // traffic class; bad_wait: an invalid timeout; again: a first line without parameters.
     enum class Kind : std::uint8_t {
         garbage,
         endless,
@@ -27,7 +30,7 @@
         again
     };
     static constexpr int kinds = 9;
-    // `again`: those that are answered come once more.
+    // again: a client whose connection has ended connects once more, and perhaps again after that.
     void start(int how_many, Kind kind, bool again);
     void stop_all();
     void on_stream_event(End end) override;
--- a/src/fakes/server_connections.cpp
+++ b/src/fakes/server_connections.cpp
@@ -1,4 +1,4 @@
-// Connections of the fake server: the protocol as it speaks it, and its timers.
+// Connections of the fake server: its side of the protocol, and its timers.
 #include <algorithm>
 #include <array>
 #include <cstdio>
@@ -10,11 +10,11 @@
 namespace {
 
 constexpr Ticks second = 10000;
-constexpr Ticks push_from = 8000, push_to = 30000;
-constexpr double burst_share = 0.05;
+constexpr Ticks push_from = 8000, push_to = 30000;  // limits of the interval of pushes
+constexpr double burst_share = 0.05;                // of pushes that are several lines at once
 constexpr int burst_lines = 12;
 
-// "NAME=VALUE" of a first line's list; empty where it is not there.
+// Value of the parameter NAME in a list of NAME=VALUE, separated by commas; empty if it is missing.
 std::string_view value_of(std::string_view list, std::string_view name) {
     while (!list.empty()) {
         const auto end = std::min(list.find(','), list.size());
@@ -26,8 +26,8 @@
     return {};
 }
 
-std::string_view word_of(Answer a) {
-    switch (a) {
+std::string_view word_of(Answer answer) {
+    switch (answer) {
         case Answer::up:
             return "UP ";
         case Answer::bye:
@@ -72,7 +72,7 @@
 
 void FakeServer::read(std::uint32_t index) {
     std::array<char, 4096> bytes;
-    const std::uint32_t life = incarnation_;
+    const std::uint32_t incarnation = incarnation_;
     for (;;) {
         Connection& connection = connections_[index];
         if (connection.gone || connection.step == Step::ended) break;
@@ -82,15 +82,16 @@
         if (got.bytes > 0) {
             const bool good = connection.reader.feed(
                 {bytes.data(), got.bytes}, [&](std::string_view text) { return on_line(index, text); });
-            if (life != incarnation_) return;
+            if (incarnation != incarnation_) return;
             if (good) continue;
             environment_.network.reset(connection.end);
             connection.gone = true;
             return finish(index, false);
         }
         if (!got.ended && got.error == 0) return;
-        // The node's side is over. Where packets pass, the tunnel waits for them to come another way, unless
-        // its client has said that it ends it.
+        // The node has ended the connection. With packet passthrough, a reset does not end the tunnel: it is
+        // parked until the client continues it through another node. A regular end is the client's, and ends
+        // the tunnel.
         const bool by_reset = got.error != 0;
         if (by_reset)
             environment_.network.reset(connection.end);
@@ -103,7 +104,7 @@
         }
         return finish(index, false);
     }
-    // What comes after the final answer is discarded.
+    // Bytes after the final answer are discarded.
     if (!connections_[index].gone) {
         const auto got = environment_.network.read(connections_[index].end, bytes, true);
         if (got.ended || got.error != 0)
@@ -111,25 +112,25 @@
     }
 }
 
-// Releases the tunnel; it is logged where the server itself ended it.
-void FakeServer::finish(std::uint32_t index, bool says_so) {
+// Releases the tunnel. by_server: the server itself ended it; this is reported to the execution log.
+void FakeServer::finish(std::uint32_t index, bool by_server) {
     Connection& connection = connections_[index];
     if (connection.step == Step::open) {
         --open_count_;
         load_ = std::max(0.0, load_ - connection.load);
         if (connection.group != 0 && --groups_[connection.group] == 0) groups_.erase(connection.group);
         by_tunnel_.erase(connection.tunnel);
-        if (says_so) environment_.execution_log.server_ended(connection.tunnel, number_);
+        if (by_server) environment_.execution_log.server_ended(connection.tunnel, number_);
     }
     connection.step = Step::ended;
 }
 
-// False where no more of what came is read.
+// Returns false if the rest of the received bytes is not to be read.
 bool FakeServer::on_line(std::uint32_t index, std::string_view text) {
     const Connection& connection = connections_[index];
     if (connection.step == Step::first_line) return first_line(index, text);
     if (connection.step == Step::open) client_line(index, text);
-    return true;  // of a client that does not wait for its answer, lines are thrown away
+    return true;  // lines that a client sends before its answer are discarded
 }
 
 bool FakeServer::first_line(std::uint32_t index, std::string_view text) {
@@ -156,12 +157,13 @@
     std::string_view rest = text;
     const auto word = next_word(rest);
     std::uint32_t number = 0;
-    const bool in_turn =
-        word == "m" && read_whole(next_word(rest), number) && number == connection.lines_received + 1;
-    // A new connection of the same tunnel goes on where the client stands.
-    const bool goes_on = word == "m" && connection.mid_flow && number > connection.lines_received;
-    if (!in_turn && !goes_on)
-        return environment_.execution_log.line_corrupted(connection.tunnel, "to the host", text);
+    const bool in_order =
+        word == "m" && parse_number(next_word(rest), number) && number == connection.lines_received + 1;
+    // A new connection of the same tunnel continues at the current number of the client.
+    const bool continues = word == "m" && connection.mid_flow && number > connection.lines_received;
+    if (!in_order && !continues)
+        return environment_.execution_log.line_corrupted(connection.tunnel, "out of order at the server",
+                                                         text);
     if (connection.mid_flow && number > connection.lines_received + 1) connection.echoes_sent = number - 1;
     connection.mid_flow = false;
     connection.lines_received = number;
@@ -173,7 +175,7 @@
     std::string_view id = next_word(rest);
     next_word(rest);  // the key
     const std::string_view list = next_word(rest);
-    if (id.substr(0, 1) != "t" || !read_whole(id.substr(1), connection.tunnel, 16) || list.empty()) {
+    if (id.substr(0, 1) != "t" || !parse_number(id.substr(1), connection.tunnel, 16) || list.empty()) {
         if (id.substr(0, 1) != "r")
             environment_.execution_log.invalid_line(number_, id);  // misbehaving clients send such ids
         environment_.network.write(connection.end, "ERR\r\n", true);
@@ -183,12 +185,12 @@
     }
     connection.mid_flow = value_of(list, "mid") == "1";
     std::uint32_t millionths = 0;
-    read_whole(value_of(list, "w"), millionths);
+    parse_number(value_of(list, "w"), millionths);
     connection.load = millionths / 1e6;
-    read_whole(value_of(list, "g"), connection.group, 16);
+    parse_number(value_of(list, "g"), connection.group, 16);
     environment_.execution_log.setup_received(connection.tunnel, number_, connection.end,
                                               connection.first_byte, connection.mid_flow);
-    environment_.note("host setup", number_, connection.tunnel);
+    environment_.note("server setup", number_, connection.tunnel);
     connection.step = Step::working;
     if (connection.mid_flow) {
         const auto held = by_tunnel_.find(connection.tunnel);
@@ -213,22 +215,22 @@
         environment_.execution_log.setup_answered(connection.tunnel, number_, Answer::up);
         return true;
     }
-    const double fails_in_ms = fails_setups_ || declines_setups_ ? 0.1 : traits_.setup_work_ms;
-    environment_.events.schedule(work(fails_in_ms), *this, token(answer_setup, index));
+    const double setup_work_ms = fails_setups_ || declines_setups_ ? 0.1 : traits_.setup_work_ms;
+    environment_.events.schedule(work(setup_work_ms), *this, token(answer_setup, index));
     return true;
 }
 
 void FakeServer::answer(std::uint32_t index) {
     Connection& connection = connections_[index];
     if (connection.gone || connection.step != Step::working) return;
-    Answer a = Answer::up;
-    if (fails_setups_) a = Answer::error;
+    Answer result = Answer::up;
+    if (fails_setups_) result = Answer::error;
     if (declines_setups_ || open_count_ >= traits_.max_connections ||
         busy_until_ - environment_.now() > traits_.full_backlog)
-        a = Answer::busy;
-    environment_.execution_log.setup_answered(connection.tunnel, number_, a);
-    if (a == Answer::up) return begin(index);
-    send(index, word_of(a));
+        result = Answer::busy;
+    environment_.execution_log.setup_answered(connection.tunnel, number_, result);
+    if (result == Answer::up) return begin(index);
+    send(index, word_of(result));
     environment_.network.shutdown_write(connection.end);
     connection.step = Step::ended;
 }
@@ -249,7 +251,7 @@
     read(index);
 }
 
-// What the network does not take at once is queued.
+// Bytes that the network does not accept at once are queued.
 void FakeServer::send(std::uint32_t index, std::string_view text) {
     Connection& connection = connections_[index];
     if (connection.gone) return;
@@ -266,12 +268,12 @@
 void FakeServer::on_event(std::uint64_t what) {
     const auto kind = static_cast<Kind>(what >> 56);
     if ((what >> 40 & 0xffffU) != (incarnation_ & 0xffffU) || state_ != State::up) return;
-    const std::uint64_t place = what & 0xffffffffffU;
+    const std::uint64_t argument = what & 0xffffffffffU;
     const Ticks now = environment_.now();
-    if (hangs_ && kind != report && kind != overload_check) {  // done when it goes on, if it ever does
+    if (hangs_ && kind != report && kind != overload_check) {  // postponed until the server no longer hangs
         return environment_.events.schedule(now + second, *this, what);
     }
-    const auto index = static_cast<std::uint32_t>(place);
+    const auto index = static_cast<std::uint32_t>(argument);
     switch (kind) {
         case answer_setup:
             return answer(index);
@@ -288,7 +290,7 @@
         case overload_check:
             return check_overload();
         case probe_answer:
-            return answer_probe(static_cast<std::uint32_t>(place >> 1), (place & 1) != 0);
+            return answer_probe(static_cast<std::uint32_t>(argument >> 1), (argument & 1) != 0);
         case move_due:
             if (move_one()) environment_.events.schedule(now + move_interval_, *this, what);
             return;
@@ -304,21 +306,21 @@
     send(index, text);
 }
 
-// False where the tunnel is over: it gets no more.
+// Returns false if the tunnel has ended: no more lines are scheduled for it.
 bool FakeServer::send_pushes(std::uint32_t index) {
     Connection& connection = connections_[index];
     if (connection.step != Step::open) return false;
-    if (connection.gone) {  // parked: its client comes again soon, or never
+    if (connection.gone) {  // parked: dropped if its client has not continued it in time
         if (environment_.now() - connection.parked_since > environment_.parking_timeout) finish(index, false);
         return connection.step == Step::open;
     }
     const int n = random_.odds(burst_share) ? burst_lines : 1;
-    const std::string carries(std::max<std::size_t>(traits_.push_bytes, n > 1 ? 100 : 1), '0');
+    const std::string payload(std::max<std::size_t>(traits_.push_bytes, n > 1 ? 100 : 1), '0');
     for (int i = 0; i < n; ++i) {
         char text[64];
         std::snprintf(text, sizeof text, "p %u %lld ", ++connection.pushes_sent,
                       static_cast<long long>(environment_.now()));
-        send(index, std::string(text).append(carries).append("\r\n"));
+        send(index, std::string(text).append(payload).append("\r\n"));
     }
     if (random_.odds(0.1)) {
         char text[32];
@@ -334,7 +336,7 @@
     send(index, text);
 }
 
-// False where there is no client left to move.
+// Returns false if there is no client left to move.
 bool FakeServer::move_one() {
     for (std::uint32_t i = 0; i < connections_.size(); ++i) {
         if (connections_[i].gone || connections_[i].step != Step::open) continue;
--- a/src/simnet/datagram_faults.h
+++ b/src/simnet/datagram_faults.h
@@ -1,5 +1,5 @@
-// Faults of datagrams between nodes, by machine. Shared by the simulation and the process harness, so that a
-// scenario means the same in both.
+// Faults of the datagrams between nodes, per machine. The simulation and the process harness share them, so
+// that a scenario means the same in both.
 #pragma once
 
 #include <cstdint>
@@ -11,13 +11,15 @@
 
 class DatagramFaults {
   public:
-    double lost = 0, doubled = 0;  // shares of datagrams
-    Ticks jitter = 0;              // added to a datagram's delay, drawn: they overtake
+    double lost = 0, doubled = 0;  // shares of all datagrams, from 0 to 1
+    Ticks jitter = 0;  // upper limit of the random addition to each delay; datagrams may overtake each other
 
-    // Receives nothing from other machines; or reaches none.
+    // The machine receives no datagrams, or those that it sends are lost. Calls are counted: a machine is
+    // blocked until each fault that blocked it is over.
     void block_receiving(Machine machine, bool on) { count(receive_blocks_, machine, on); }
     void block_sending(Machine machine, bool on) { count(send_blocks_, machine, on); }
-    // The machines from one on are cut off from all others; several such cuts may overlap.
+    // Separates `how_many` machines, from `first` on, from all others. Several partitions may overlap: each
+    // has an odd number of its own, and a machine is identified by the sum of the numbers of its partitions.
     void isolate(Machine first, std::uint32_t how_many, bool on) {
         for (Machine m = first; m < first + how_many; ++m) {
             const std::uint64_t partition = (std::uint64_t{first} << 32 | how_many) * 0x9e3779b97f4a7c15U | 1;
@@ -39,7 +41,7 @@
         return it == partitions_.end() ? 0 : it->second;
     }
     Counts receive_blocks_, send_blocks_;
-    std::unordered_map<Machine, std::uint64_t> partitions_;  // 0: none
+    std::unordered_map<Machine, std::uint64_t> partitions_;  // by machine; none or 0: in no partition
 };
 
 }  // namespace lemonstair::simnet
--- a/src/simnet/event_queue.h
+++ b/src/simnet/event_queue.h
@@ -1,4 +1,5 @@
-// Event queue of a simulation: what happens when, in one order that depends on nothing but the seed.
+// Event queue of a simulation. Events are delivered by time, and those of one time in the order in which they
+// were scheduled, so that a run depends on its seed alone.
 #pragma once
 
 #include <cstdint>
@@ -12,7 +13,7 @@
 
 using net::Ticks;
 
-// Receives events; the token is the one given to schedule().
+// Receives events. The token is the one that was given to schedule().
 class EventTarget {
   public:
     EventTarget() = default;
@@ -25,31 +26,32 @@
 // Times are tenths of a ms since the Unix epoch.
 class EventQueue {
   public:
-    // Simulations begin at a fixed Unix time, which the nodes' wall clocks show.
+    // Simulations begin at this fixed Unix time, which the nodes' wall clocks show.
     static constexpr Ticks default_start_time = 17'000'000'000'000;
     EventQueue() : EventQueue(default_start_time, default_start_time) {}
     EventQueue(Ticks now, Ticks start_time) : start_time_(start_time), now_(now) {}
     Ticks start_time() const { return start_time_; }
     Ticks now() const { return now_; }
-    // Not before now. An event cannot be cancelled: the target recognises a stale one by its token.
+    // A time in the past counts as now. An event cannot be cancelled: the target has to recognise a stale
+    // event by its token.
     void schedule(Ticks when, EventTarget& target, std::uint64_t token) {
         queue_.push({when < now_ ? now_ : when, order_++, &target, token});
     }
-    // Delivers the next event; false where none is due by that time.
+    // Delivers the next event; false if none is due by `until`.
     bool step(Ticks until) {
         if (queue_.empty() || queue_.top().at > until) return false;
         const Item next = queue_.top();
         queue_.pop();
-        now_ = next.at > now_ ? next.at : now_;  // with a real clock events may be late
+        now_ = next.at > now_ ? next.at : now_;  // with a real clock, events may be late
         ++steps_;
         next.target->on_event(next.token);
         return true;
     }
-    // When the next event is due.
+    // When the next event is due; no value if none is scheduled.
     std::optional<Ticks> next() const {
         return queue_.empty() ? std::nullopt : std::optional(queue_.top().at);
     }
-    // Advances the time without an event.
+    // Advances the time without delivering events; never goes back.
     void advance_to(Ticks when) { now_ = when > now_ ? when : now_; }
     std::uint64_t steps() const { return steps_; }
 
--- a/src/simnet/local_socket.cpp
+++ b/src/simnet/local_socket.cpp
@@ -7,46 +7,48 @@
 void LocalSockets::unlisten(const std::string& name, LocalSocketListener& who) {
     const auto it = listeners_.find(name);
     if (it == listeners_.end() || it->second.who != &who) return;
-    for (const std::uint32_t line : it->second.calls) close(line, 1);
+    for (const std::uint32_t connection : it->second.pending) close(connection, 1);
     listeners_.erase(it);
 }
 
 std::uint32_t LocalSockets::connect(const std::string& name, LocalSocketListener& who) {
     const auto it = listeners_.find(name);
     if (it == listeners_.end()) return none;
-    const auto line = static_cast<std::uint32_t>(lines_.size());
-    lines_.emplace_back();
-    lines_.back().who[0] = &who;
-    it->second.calls.push_back(line);
+    const auto connection = static_cast<std::uint32_t>(connections_.size());
+    connections_.emplace_back();
+    connections_.back().who[0] = &who;
+    it->second.pending.push_back(connection);
     it->second.who->on_local_event();
-    return line;
+    return connection;
 }
 
-bool LocalSockets::called(const std::string& name, LocalSocketListener& who) const {
+bool LocalSockets::has_pending(const std::string& name, LocalSocketListener& who) const {
     const auto it = listeners_.find(name);
-    return it != listeners_.end() && it->second.who == &who && !it->second.calls.empty();
+    return it != listeners_.end() && it->second.who == &who && !it->second.pending.empty();
 }
 
 std::uint32_t LocalSockets::accept(const std::string& name, LocalSocketListener& who) {
-    if (!called(name, who)) return none;
-    auto& calls = listeners_[name].calls;
-    const std::uint32_t line = calls.front();
-    calls.pop_front();
-    lines_[line].who[1] = &who;
-    return line;
+    if (!has_pending(name, who)) return none;
+    auto& pending = listeners_[name].pending;
+    const std::uint32_t connection = pending.front();
+    pending.pop_front();
+    connections_[connection].who[1] = &who;
+    return connection;
 }
 
-// What is on its way holds the connections too.
-void LocalSockets::send(std::uint32_t line, int side, std::string_view bytes, const std::vector<End>& ends) {
-    Line& l = lines_[line];
-    if (!l.open[1 - side]) return;
+// A packet that is not received yet holds the connections in it, so that they stay open if the sender closes
+// them.
+void LocalSockets::send(std::uint32_t connection, int side, std::string_view bytes,
+                        const std::vector<End>& ends) {
+    Connection& entry = connections_[connection];
+    if (!entry.open[1 - side]) return;
     for (const End end : ends) network_.hold(end, *this);
-    l.to[1 - side].push_back({std::string(bytes), ends});
-    notify_owner(l, 1 - side);
+    entry.inbox[1 - side].push_back({std::string(bytes), ends});
+    notify_owner(entry, 1 - side);
 }
 
-LocalSockets::Packet LocalSockets::receive(std::uint32_t line, int side, StreamListener& owner) {
-    auto& packets = lines_[line].to[side];
+LocalSockets::Packet LocalSockets::receive(std::uint32_t connection, int side, StreamListener& owner) {
+    auto& packets = connections_[connection].inbox[side];
     Packet packet = std::move(packets.front());
     packets.pop_front();
     for (const End end : packet.ends) {
@@ -56,11 +58,11 @@
     return packet;
 }
 
-void LocalSockets::close(std::uint32_t line, int side) {
-    Line& l = lines_[line];
-    l.open[side] = false;
-    drop(l.to[side]);
-    notify_owner(l, 1 - side);
+void LocalSockets::close(std::uint32_t connection, int side) {
+    Connection& entry = connections_[connection];
+    entry.open[side] = false;
+    drop(entry.inbox[side]);
+    notify_owner(entry, 1 - side);
 }
 
 void LocalSockets::drop(std::deque<Packet>& packets) {
--- a/src/simnet/network.cpp
+++ b/src/simnet/network.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// A call that nobody answers is made again after 1, 3, 7 and 15 s, as TCP does; bytes after 0.2 s and
-// doubling.
+// As TCP does, a connection request without an answer is repeated 1, 3, 7, 15, 31 and 47 s after the first
+// one, and then fails. Lost bytes are sent again after 0.2 s, then after a delay that doubles up to 2 s.
 constexpr Ticks first_retry = 2000, longest_retry = 20000, connect_retry_delay = 10000;
 constexpr int max_connect_attempts = 6;
 
@@ -43,16 +43,16 @@
     listeners_[key(at)] = {&listener, backlog, {}};
 }
 
-// What waits in the queue is reset, as the kernel does.
+// Resets the connections that were not accepted yet, as the kernel does.
 void Network::unlisten(const Address& at) {
     const auto it = listeners_.find(key(at));
     if (it == listeners_.end()) return;
-    const auto waiting = std::move(it->second.waiting);
+    const auto pending = std::move(it->second.waiting);
     listeners_.erase(it);
-    for (const End end : waiting) reset(end);
+    for (const End end : pending) reset(end);
 }
 
-std::size_t Network::waiting(const Address& at) const {
+std::size_t Network::pending_connections(const Address& at) const {
     const auto it = listeners_.find(key(at));
     return it == listeners_.end() ? 0 : it->second.waiting.size();
 }
@@ -65,23 +65,23 @@
     return end;
 }
 
-void Network::hold(End end, StreamListener& also) {
+void Network::hold(End end, StreamListener& holder) {
     Side& s = at(end);
-    if (s.owner != nullptr) s.before.push_back(s.owner);
-    s.owner = &also;
-    if (s.open && !s.forgotten) also.on_stream_event(end);
+    if (s.owner != nullptr) s.other_holders.push_back(s.owner);
+    s.owner = &holder;
+    if (s.open && !s.forgotten) holder.on_stream_event(end);
 }
 
-bool Network::release(End end, StreamListener& one) {
+bool Network::release(End end, StreamListener& holder) {
     Side& s = at(end);
-    if (s.before.empty()) return false;
-    if (s.owner == &one) {
-        s.owner = s.before.back();
-        s.before.pop_back();
+    if (s.other_holders.empty()) return false;
+    if (s.owner == &holder) {
+        s.owner = s.other_holders.back();
+        s.other_holders.pop_back();
         notify_owner(end);
     } else {
-        const auto it = std::find(s.before.begin(), s.before.end(), &one);
-        if (it != s.before.end()) s.before.erase(it);
+        const auto it = std::find(s.other_holders.begin(), s.other_holders.end(), &holder);
+        if (it != s.other_holders.end()) s.other_holders.erase(it);
     }
     return true;
 }
@@ -108,14 +108,15 @@
     Side& from = s.side[0];
     if (!from.open || from.phase != Phase::connecting) return;
     const Machine to = s.side[1].machine;
-    const auto again = [&] {
+    const auto retry_later = [&] {
         if (++s.attempts > max_connect_attempts) return fail(end, ETIMEDOUT);
         later(events_.now() + (connect_retry_delay << std::min(s.attempts - 1, 4)), connect_request, end);
     };
-    if (!passes(from.machine, to)) return again();
+    if (!passes(from.machine, to)) return retry_later();
     const auto it = listeners_.find(key(s.to));
     if (it == listeners_.end()) return later(events_.now() + delay(to, from.machine), refused, end);
-    if (it->second.waiting.size() >= it->second.backlog) return again();  // the queue is full: dropped
+    if (it->second.waiting.size() >= it->second.backlog)
+        return retry_later();  // the accept queue is full: the request is dropped
     Side& there = s.side[1];
     there.phase = Phase::up;
     there.owner = it->second.listener;
@@ -147,20 +148,20 @@
     if (n > 0) return {.bytes = n};
     if (s.phase == Phase::failed)
         return s.reset_reported ? net::IoResult{.ended = true} : net::IoResult{.error = s.error};
-    return {.ended = s.end_came};
+    return {.ended = s.end_received};
 }
 
 net::IoResult Network::read(End end, std::span<char> into, bool whole) {
     Side& s = at(end);
-    const std::size_t there = std::min(into.size(), s.inbox.size() - s.head);
-    if (there == 0) {
+    const std::size_t available = std::min(into.size(), s.inbox.size() - s.head);
+    if (available == 0) {
         if (s.phase == Phase::failed && !s.reset_reported) {
             s.reset_reported = true;
             return {.error = s.error};
         }
-        return {.ended = s.end_came || s.phase == Phase::failed};
+        return {.ended = s.end_received || s.phase == Phase::failed};
     }
-    const std::size_t n = cut(conditions_.cut_reads, there, whole);
+    const std::size_t n = cut(conditions_.cut_reads, available, whole);
     std::copy_n(s.inbox.data() + s.head, n, into.data());
     s.head += n;
     if (s.head == s.inbox.size()) s.inbox.clear(), s.head = 0;
@@ -178,7 +179,7 @@
     if (s.phase == Phase::connecting) return {};
     if (s.phase == Phase::failed)
         return {.error = s.reset_reported ? EPIPE : (s.reset_reported = true, s.error)};
-    if (s.sent_end) return {.error = EPIPE};
+    if (s.end_sent) return {.error = EPIPE};
     const std::size_t left = conditions_.window > s.used ? conditions_.window - s.used : 0;
     const std::size_t fits = std::min(left, text.size());
     if (fits < text.size()) s.blocked = true;
@@ -192,78 +193,79 @@
 void Network::send_segment(End end, std::string_view bytes, bool ends) {
     Side& s = at(end);
     s.last_arrival = std::max(s.last_arrival, events_.now() + delay(s.machine, at(end.other()).machine));
-    s.under_way.push_back({s.last_arrival, events_.now(), std::string(bytes), ends});
+    s.in_flight.push_back({s.last_arrival, events_.now(), std::string(bytes), ends});
     if (!s.delivery_scheduled) {
         s.delivery_scheduled = true;
         later(s.last_arrival, deliver, end);
     }
 }
 
-// What is under way from this end comes to the other.
+// Delivers the segments from this end that are due to the other end.
 void Network::deliver_bytes(End end) {
     Side& s = at(end);
     s.delivery_scheduled = false;
     Side& there = at(end.other());
-    bool came = false;
-    while (!s.under_way.empty() && s.under_way.front().arrives <= events_.now()) {
-        if (!passes(s.machine, there.machine)) {  // lost: it is sent again, later each time
+    bool arrived = false;
+    while (!s.in_flight.empty() && s.in_flight.front().arrives_at <= events_.now()) {
+        if (!passes(s.machine, there.machine)) {  // lost: sent again, after a longer delay each time
             s.retry = std::min(longest_retry, std::max(first_retry, 2 * s.retry));
             s.delivery_scheduled = true;
             return later(events_.now() + s.retry, deliver, end);
         }
         s.retry = 0;
-        const Segment next = std::move(s.under_way.front());
-        s.under_way.pop_front();
+        const Segment next = std::move(s.in_flight.front());
+        s.in_flight.pop_front();
         trace_.note(events_.now() - events_.start_time(), next.end ? "end" : "bytes", end.number(),
                     next.bytes.size(), next.bytes);
         if (!there.open || there.forgotten) {
             if (next.end && next.bytes.empty() && !there.forgotten) continue;  // both have closed
-            s.under_way.clear();
+            s.in_flight.clear();
             return send_reset(end.other());
         }
         if (there.phase == Phase::failed) continue;
         there.phase = Phase::up;  // bytes may overtake the confirmation of the connection
         there.inbox.append(next.bytes);
-        there.last_sent_time = next.sent;
-        if (next.end) there.end_came = true;
+        there.last_sent_time = next.sent_at;
+        if (next.end) there.end_received = true;
         if (next.delivery_target != nullptr)
             events_.schedule(events_.now(), *next.delivery_target, next.token);
-        came = true;
+        arrived = true;
     }
-    if (!s.under_way.empty()) {
+    if (!s.in_flight.empty()) {
         s.delivery_scheduled = true;
-        later(std::max(s.under_way.front().arrives, events_.now() + 1), deliver, end);
+        later(std::max(s.in_flight.front().arrives_at, events_.now() + 1), deliver, end);
     }
-    if (came) notify_owner(end.other());
+    if (arrived) notify_owner(end.other());
 }
 
-// From this end's machine to the other end: it overtakes what is under way.
+// Sends a reset from the machine of this end to the other end. It overtakes segments in flight.
 void Network::send_reset(End end) {
-    later(events_.now() + delay(at(end).machine, at(end.other()).machine), reset_comes, end);
+    later(events_.now() + delay(at(end).machine, at(end.other()).machine), reset_arrives, end);
 }
 
 void Network::deliver_reset(End end) {
     Side& s = at(end);
     Side& there = at(end.other());
-    s.under_way.clear();
+    s.in_flight.clear();
     if (!passes(s.machine, there.machine) || there.phase == Phase::failed || !there.open) return;
-    there.under_way.clear();
-    // Whether what came before it can still be read differs between systems.
+    there.in_flight.clear();
+    // Systems differ in whether bytes that arrived before the reset can still be read.
     if (random_.odds(0.5)) there.inbox.clear(), there.head = 0;
     fail(end.other(), ECONNRESET);
 }
 
 void Network::shutdown_write(End end) {
     Side& s = at(end);
-    if (s.phase != Phase::up || s.sent_end) return;
-    s.sent_end = true;
+    if (s.phase != Phase::up || s.end_sent) return;
+    s.end_sent = true;
     send_segment(end, {}, true);
 }
 
 void Network::close(End end) {
     Side& s = at(end);
     if (!s.open) return;
-    if (s.phase == Phase::up && s.head < s.inbox.size()) return reset(end);  // over unread input
+    if (s.phase == Phase::up && s.head < s.inbox.size())
+        return reset(end);  // unread input: as the kernel does
     shutdown_write(end);
     s.open = false;
     s.inbox.clear(), s.head = 0;
@@ -275,19 +277,19 @@
     if (!s.open) return;
     s.open = false;
     s.inbox.clear(), s.head = 0;
-    s.under_way.clear();
+    s.in_flight.clear();
     if (s.phase == Phase::up) send_reset(end);
     s.phase = Phase::failed;
 }
 
-int Network::connected(End end) {
+int Network::connect_error(End end) {
     Side& s = at(end);
     if (s.phase != Phase::failed) return 0;
     s.reset_reported = true;
     return s.error;
 }
 
-short Network::events(End end, short wanted) const {
+short Network::poll_events(End end, short wanted) const {
     const Side& s = at(end);
     if (s.phase == Phase::connecting) return 0;
     int out = 0;
@@ -295,19 +297,19 @@
         out = POLLHUP | (s.reset_reported ? 0 : POLLERR) | (wanted & (POLLIN | POLLOUT | POLLRDHUP));
         return static_cast<short>(out);
     }
-    if (s.head < s.inbox.size() || s.end_came) out |= POLLIN;
-    if (s.end_came) out |= POLLRDHUP;
-    if (s.sent_end || s.used * 3 <= conditions_.window * 2) out |= POLLOUT;
+    if (s.head < s.inbox.size() || s.end_received) out |= POLLIN;
+    if (s.end_received) out |= POLLRDHUP;
+    if (s.end_sent || s.used * 3 <= conditions_.window * 2) out |= POLLOUT;
     out &= wanted;
-    if (s.end_came && s.sent_end) out |= POLLHUP;
+    if (s.end_received && s.end_sent) out |= POLLHUP;
     return static_cast<short>(out);
 }
 
 void Network::notify_delivered(End end, EventTarget& target, std::uint64_t token) {
-    auto& under_way = at(end).under_way;
-    if (under_way.empty()) return events_.schedule(events_.now(), target, token);
-    under_way.back().delivery_target = &target;
-    under_way.back().token = token;
+    auto& in_flight = at(end).in_flight;
+    if (in_flight.empty()) return events_.schedule(events_.now(), target, token);
+    in_flight.back().delivery_target = &target;
+    in_flight.back().token = token;
 }
 
 void Network::forget(Machine machine) {
@@ -317,7 +319,7 @@
                 side.forgotten = true;
                 side.open = false;
                 side.inbox.clear(), side.head = 0;
-                side.under_way.clear();
+                side.in_flight.clear();
                 side.owner = nullptr;
             }
     for (auto it = listeners_.begin(); it != listeners_.end();) {
@@ -336,11 +338,11 @@
         case connect_confirmed: {
             Side& s = at(end);
             if (s.phase == Phase::up && s.open) return;
-            if (s.phase == Phase::failed || !s.open) {  // nobody there any more
+            if (s.phase == Phase::failed || !s.open) {  // the connecting end was closed or has failed
                 if (at(end.other()).open && passes(s.machine, at(end.other()).machine)) send_reset(end);
                 return;
             }
-            if (!passes(at(end.other()).machine, s.machine))  // lost: it is said again
+            if (!passes(at(end.other()).machine, s.machine))  // lost: sent again
                 return later(events_.now() + connect_retry_delay, connect_confirmed, end);
             s.phase = Phase::up;
             return notify_owner(end);
@@ -350,14 +352,14 @@
             return later(events_.now() + connect_retry_delay, connect_request, end);
         case deliver:
             return deliver_bytes(end);
-        case reset_comes:
+        case reset_arrives:
             return deliver_reset(end);
         case window_opened:
             return notify_owner(end);
         case datagram: {
-            const auto place = static_cast<std::uint32_t>(token & 0xffffffffU);
-            const Datagram got = std::move(datagrams_[place]);
-            free_datagrams_.push_back(place);
+            const auto index = static_cast<std::uint32_t>(token & 0xffffffffU);
+            const Datagram got = std::move(datagrams_[index]);
+            free_datagram_slots_.push_back(index);
             if (!passes(machine_at(got.from), machine_at(got.to)) ||
                 !datagram_faults_.passes(machine_at(got.from), machine_at(got.to)))
                 return;
--- a/src/simnet/network.h
+++ b/src/simnet/network.h
@@ -1,5 +1,6 @@
-// Simulated network of machines: TCP-like streams and datagrams. Bytes are limited by windows, arrive after a
-// delay and may be cut anywhere; ends arrive in order, resets overtake. Times are tenths of a ms.
+// Simulated network of machines, with TCP-like streams and with datagrams. The bytes of a stream are limited
+// by a window, arrive in order after a delay, and reads and writes may end anywhere. The end of a stream
+// arrives after its bytes; a reset overtakes them. Times are tenths of a ms.
 #pragma once
 
 #include <cstdint>
@@ -24,10 +25,10 @@
 // Conditions of all links; times in tenths of a ms, shares from 0 to 1.
 struct NetworkConditions {
     Ticks min_delay = 1, max_delay = 20;
-    double cut_reads = 0, cut_writes = 0;  // the share of them that end at a byte drawn
-    std::size_t window = 65536;            // bytes that a stream holds in one direction
-    double lost = 0, doubled = 0;          // of datagrams
-    Ticks datagram_jitter = 0;             // added to a datagram's delay, drawn: they overtake
+    double cut_reads = 0, cut_writes = 0;  // shares of calls that are shortened at random
+    std::size_t window = 65536;            // bytes per direction that are sent and not read yet
+    double lost = 0, doubled = 0;          // shares of all datagrams
+    Ticks datagram_jitter = 0;             // upper limit of the random addition to a datagram's delay
 };
 
 class Network final : public Streams, public EventTarget {
@@ -42,42 +43,45 @@
     // ---- machines
     Machine add_machine() override;
     static Address address(Machine machine, std::uint16_t port);
-    // Nothing passes to or from the machine, until it is healed. Its processes go on.
+    // Nothing reaches or leaves the machine until it is healed. Its processes go on.
     void cut_off(Machine machine) { machines_[machine].cut = true; }
     void heal(Machine machine) { machines_[machine].cut = false; }
     bool is_cut(Machine machine) const override { return machines_[machine].cut; }
     Address address_of(Machine machine, std::uint16_t port) const override { return address(machine, port); }
     Address address_seen_by(Machine, const Address& at) const override { return at; }
-    // From one to another, nothing arrives.
+    // Nothing that `from` sends reaches `to`.
     void cut_path(Machine from, Machine to) { cut_paths_.insert(path(from, to)); }
     void heal_path(Machine from, Machine to) { cut_paths_.erase(path(from, to)); }
+    // Multiplies the delays of all that the machine sends and receives.
     void slow_by(Machine machine, double times) { machines_[machine].slow = times; }
-    // As in a reboot: the machine's connections are gone, and the peers are not told. Later segments are
-    // answered with a reset once the machine is reachable.
+    // As in a reboot: the machine loses its connections and listeners, and the peers are not notified.
+    // Segments that arrive later are answered with a reset once the machine is reachable.
     void forget(Machine machine);
     DatagramFaults& datagram_faults() { return datagram_faults_; }
 
     // ---- streams
     void listen(const Address& at, StreamListener& listener, std::size_t backlog) override;
     void unlisten(const Address& at) override;
-    // Whether nobody listens there now.
     bool is_free(const Address& at) const { return listeners_.find(key(at)) == listeners_.end(); }
-    std::size_t waiting(const Address& at) const;
+    // Connections that wait to be accepted.
+    std::size_t pending_connections(const Address& at) const;
     std::optional<End> accept(const Address& at) override;
     End connect(Machine from, const Address& to, StreamListener& owner) override;
     void set_owner(End end, StreamListener& owner) override { at(end).owner = &owner; }
-    // Several processes of a machine may hold one end; the last to take it gets its events. release() is
-    // false where no other holds it: then it has to be closed.
-    void hold(End end, StreamListener& also);
-    bool release(End end, StreamListener& one);
+    // Several processes of a machine may hold one end; the last that took hold of it receives its events.
+    // release() returns false if no other process holds the end: the caller then has to close it.
+    void hold(End end, StreamListener& holder);
+    bool release(End end, StreamListener& holder);
     net::IoResult read(End end, std::span<char> into, bool whole = false) override;
     net::IoResult peek(End end, std::span<char> into) const;
     net::IoResult write(End end, std::string_view text, bool whole = false) override;
     void shutdown_write(End end) override;
     void close(End end) override;
     void reset(End end) override;
-    int connected(End end);
-    short events(End end, short wanted) const;
+    // The error of a failed end as errno, 0 if it has not failed; counts as reporting the error.
+    int connect_error(End end);
+    // Events as poll() reports them.
+    short poll_events(End end, short wanted) const;
 
     void notify_delivered(End end, EventTarget& target, std::uint64_t token) override;
 
@@ -90,46 +94,47 @@
 
     // ---- datagrams
     void bind(const Address& at, StreamListener& listener) { bound_[key(at)] = &listener; }
-    // Nothing happens where another has bound it since.
+    // Does nothing if another listener has been bound to the address since.
     void unbind(const Address& at, const StreamListener& listener) {
         const auto it = bound_.find(key(at));
         if (it != bound_.end() && it->second == &listener) bound_.erase(it);
     }
     void send(const Address& from, const Address& to, std::span<const std::uint8_t> bytes);
-    // From now on the last datagrams of each machine are kept, so that some can come again much later.
+    // Keeps the last datagrams of each machine from now on, so that send_again() can repeat them much later.
     void keep_datagrams() { keeps_datagrams_ = true; }
-    void send_again(Machine from, std::size_t most);
+    // Sends the oldest kept datagrams of the machine again, `max_count` at most.
+    void send_again(Machine from, std::size_t max_count);
 
     void on_event(std::uint64_t token) override;
 
   private:
     enum class Phase : std::uint8_t { connecting, up, failed };
     struct Segment {
-        Ticks arrives, sent;
+        Ticks arrives_at, sent_at;
         std::string bytes;
         bool end = false;
-        EventTarget* delivery_target = nullptr;  // gets an event when it has arrived
+        EventTarget* delivery_target = nullptr;  // receives an event when the segment has arrived
         std::uint64_t token = 0;
     };
     struct Side {
         StreamListener* owner = nullptr;
-        std::vector<StreamListener*> before;  // who holds it beside the owner
+        std::vector<StreamListener*> other_holders;  // besides the owner; the last one is the next owner
         Machine machine = 0;
         Phase phase = Phase::connecting;
-        bool open = true;                 // the application holds it
-        bool forgotten = false;           // its machine knows nothing of it any more
-        bool sent_end = false;            // it has ended its sending
-        bool end_came = false;            // the other side's end came
-        bool blocked = false;             // a write here fell short
-        bool reset_reported = false;      // the error was handed out once
-        bool delivery_scheduled = false;  // an event is on the way that delivers what is under way from here
+        bool open = true;                 // not yet closed by its application
+        bool forgotten = false;           // its machine has lost it, as in a reboot
+        bool end_sent = false;            // this side has ended its sending
+        bool end_received = false;        // the end of the other side has arrived
+        bool blocked = false;             // a write did not take all bytes: the window was full
+        bool reset_reported = false;      // the error has been returned once
+        bool delivery_scheduled = false;  // a `deliver` event for in_flight is scheduled
         int error = 0;
         Ticks last_arrival = 0, last_sent_time = 0;
-        Ticks retry = 0;                // pause before what is lost is sent again
-        std::string inbox;              // came, not read
-        std::size_t head = 0;           // of the inbox
-        std::deque<Segment> under_way;  // from this side
-        std::size_t used = 0;           // bytes from this side that are not read yet
+        Ticks retry = 0;                // current retransmission delay; 0: nothing lost
+        std::string inbox;              // received, not read
+        std::size_t head = 0;           // where the unread bytes of inbox begin
+        std::deque<Segment> in_flight;  // sent by this side, not arrived
+        std::size_t used = 0;           // bytes of the window: sent by this side, not yet read by the other
     };
     struct Stream {
         Side side[2];
@@ -141,7 +146,7 @@
         std::size_t backlog = 0;
         std::deque<End> waiting;
     };
-    struct Node {
+    struct MachineState {
         bool cut = false;
         double slow = 1;
     };
@@ -154,7 +159,7 @@
         connect_confirmed,
         refused,
         deliver,
-        reset_comes,
+        reset_arrives,
         window_opened,
         datagram
     };
@@ -189,15 +194,15 @@
     RandomSource random_;
     NetworkConditions conditions_;
     DatagramFaults datagram_faults_;
-    std::vector<Node> machines_;
+    std::vector<MachineState> machines_;
     std::unordered_set<std::uint64_t> cut_paths_;
     std::deque<Stream> streams_;
     std::unordered_map<std::uint64_t, Listener> listeners_;
     std::unordered_map<std::uint64_t, StreamListener*> bound_;
-    std::vector<Datagram> datagrams_;  // under way; places are used again
-    std::vector<std::uint32_t> free_datagrams_;
+    std::vector<Datagram> datagrams_;  // in flight; free slots are reused
+    std::vector<std::uint32_t> free_datagram_slots_;
     bool keeps_datagrams_ = false;
-    std::unordered_map<Machine, std::deque<Datagram>> kept_;
+    std::unordered_map<Machine, std::deque<Datagram>> kept_;  // by sender, the oldest first
 };
 
 }  // namespace lemonstair::simnet
--- a/src/simnet/process.cpp
+++ b/src/simnet/process.cpp
@@ -52,7 +52,7 @@
     events_.schedule(when, *this, next_run_);
 }
 
-// A poll that returns early is harmless: the node polls again.
+// Runs one pass of the event loop. Waking too early is harmless: the node polls again.
 void Process::on_event(std::uint64_t token) {
     if (token != next_run_ || !pass_) return;
     next_run_ = 0;
@@ -61,10 +61,10 @@
     ready_count_ = 0;
     sleeps_until_ = events_.now();
     ++passes_;
-    const bool goes_on = pass_();
+    const bool continues = pass_();
     running_ = false;
-    if (!goes_on) return die();
-    // Busy loop: a descriptor is ready, and the pass does nothing about it.
+    if (!continues) return die();
+    // A busy loop shows in passes with a ready descriptor that do nothing about it.
     if (ready_count_ > 0 && effects_ == 0)
         longest_spin_ = std::max(longest_spin_, ++spin_);
     else
@@ -73,41 +73,43 @@
     run_at(ready_count_ > 0 ? busy_until_ : std::max(sleeps_until_, busy_until_));
 }
 
-short Process::ready(const pollfd& p) const {
-    const Slot& s = slots_[static_cast<std::size_t>(p.fd)];
+short Process::ready_events(const pollfd& polled) const {
+    const Slot& s = slots_[static_cast<std::size_t>(polled.fd)];
     switch (s.use) {
         case Use::free:
             return POLLNVAL;
         case Use::stream:
-            return network_.events(s.end, p.events);
+            return network_.poll_events(s.end, polled.events);
         case Use::local_listener:
-            return local_sockets_->called(s.name, const_cast<Process&>(*this))
-                       ? static_cast<short>(p.events & POLLIN)
+            return local_sockets_->has_pending(s.name, const_cast<Process&>(*this))
+                       ? static_cast<short>(polled.events & POLLIN)
                        : short{0};
         case Use::local_connection:
-            if (local_sockets_->has_packet(s.line, s.side)) return static_cast<short>(p.events & POLLIN);
-            return local_sockets_->over(s.line, s.side) ? short{POLLHUP} : short{0};
+            if (local_sockets_->has_packet(s.connection, s.side))
+                return static_cast<short>(polled.events & POLLIN);
+            return local_sockets_->peer_closed(s.connection, s.side) ? short{POLLHUP} : short{0};
         case Use::shared:
         case Use::listener:
-            return network_.waiting(s.at) > 0 ? static_cast<short>(p.events & POLLIN) : short{0};
+            return network_.pending_connections(s.at) > 0 ? static_cast<short>(polled.events & POLLIN)
+                                                          : short{0};
         case Use::datagrams:
-            return s.datagrams.empty() ? short{0} : static_cast<short>(p.events & POLLIN);
+            return s.datagrams.empty() ? short{0} : static_cast<short>(polled.events & POLLIN);
         case Use::signals:
-            return signals_.empty() ? short{0} : static_cast<short>(p.events & POLLIN);
+            return signals_.empty() ? short{0} : static_cast<short>(polled.events & POLLIN);
         case Use::spare:
             break;
     }
     return 0;
 }
 
-int Process::poll(std::span<pollfd> set, Ticks longest) {
+int Process::poll(std::span<pollfd> descriptors, Ticks timeout) {
     int n = 0;
-    for (pollfd& p : set) {
-        p.revents = p.fd < 0 ? short{0} : ready(p);
-        n += p.revents != 0 ? 1 : 0;
+    for (pollfd& polled : descriptors) {
+        polled.revents = polled.fd < 0 ? short{0} : ready_events(polled);
+        n += polled.revents != 0 ? 1 : 0;
     }
     ready_count_ = n;
-    if (n == 0) sleeps_until_ = events_.now() + longest;
+    if (n == 0) sleeps_until_ = events_.now() + timeout;
     return n;
 }
 
@@ -126,7 +128,7 @@
 }
 
 void Process::close(int fd) {
-    if (dead_) return;  // what it held is gone already
+    if (dead_) return;  // its descriptors are closed already
     Slot& s = slot(fd);
     assert(s.use != Use::free);
     ++effects_;
@@ -145,7 +147,7 @@
             local_sockets_->unlisten(s.name, *this);
             break;
         case Use::local_connection:
-            local_sockets_->close(s.line, s.side);
+            local_sockets_->close(s.connection, s.side);
             break;
         case Use::listener:
             network_.unlisten(s.at);
@@ -162,7 +164,7 @@
 
 net::Fd Process::listen_on(const Address& at) {
     const int fd = network_.is_free(at) ? take(Use::listener) : -1;
-    if (fd < 0) throw std::system_error(EADDRINUSE, std::generic_category(), "a socket to listen on");
+    if (fd < 0) throw std::system_error(EADDRINUSE, std::generic_category(), "cannot bind the socket");
     slot(fd).at = at;
     network_.listen(at, *this, backlog);
     return net::Fd(fd, this);
@@ -170,7 +172,7 @@
 
 net::Fd Process::bind_datagrams(const Address& at) {
     const int fd = take(Use::datagrams);
-    if (fd < 0) throw std::system_error(errno, std::generic_category(), "a socket to listen on");
+    if (fd < 0) throw std::system_error(errno, std::generic_category(), "cannot bind the socket");
     slot(fd).at = at;
     network_.bind(at, *this);
     return net::Fd(fd, this);
@@ -186,7 +188,7 @@
 
 net::Fd Process::accept(int listener) {
     const Address at = slot(listener).at;
-    if (network_.waiting(at) == 0) {
+    if (network_.pending_connections(at) == 0) {
         errno = EAGAIN;
         return net::Fd();
     }
@@ -204,7 +206,7 @@
     return fd < 0 ? net::Fd() : net::Fd(fd, this);
 }
 
-int Process::connect_error(int fd) { return network_.connected(slot(fd).end); }
+int Process::connect_error(int fd) { return network_.connect_error(slot(fd).end); }
 
 net::IoResult Process::read_some(int fd, std::span<char> into) {
     return count_effect(network_.read(slot(fd).end, into));
@@ -213,8 +215,8 @@
 net::IoResult Process::peek(int fd, std::span<char> into) { return network_.peek(slot(fd).end, into); }
 
 net::IoResult Process::discard_some(int fd) {
-    std::array<char, 1 << 14> untouched;
-    return count_effect(network_.read(slot(fd).end, untouched));
+    std::array<char, 1 << 14> unused;
+    return count_effect(network_.read(slot(fd).end, unused));
 }
 
 net::IoResult Process::write_some(int fd, std::string_view text) {
@@ -262,7 +264,7 @@
 
 net::Fd Process::inherited_listener(int fd) {
     if (fd < 0 || static_cast<std::size_t>(fd) >= slots_.size() || slot(fd).use != Use::shared)
-        throw std::system_error(EBADF, std::generic_category(), "it is no open listening TCP socket");
+        throw std::system_error(EBADF, std::generic_category(), "it is not a listening IPv4 TCP socket");
     return net::Fd(fd, this);
 }
 
@@ -275,61 +277,61 @@
 }
 
 net::Fd Process::connect_local(const std::string& name) {
-    const std::uint32_t line =
+    const std::uint32_t connection =
         local_sockets_ == nullptr ? LocalSockets::none : local_sockets_->connect(name, *this);
-    return local_connection(line, 0);
+    return local_connection(connection, 0);
 }
 
 net::Fd Process::accept_local(int listener) {
     return local_connection(local_sockets_->accept(slot(listener).name, *this), 1);
 }
 
-net::Fd Process::local_connection(std::uint32_t line, int side) {
-    if (line == LocalSockets::none) return errno = ECONNREFUSED, net::Fd();
+net::Fd Process::local_connection(std::uint32_t connection, int side) {
+    if (connection == LocalSockets::none) return errno = ECONNREFUSED, net::Fd();
     ++effects_;
     const int fd = take(Use::local_connection);
-    if (fd < 0) return local_sockets_->close(line, side), net::Fd();
-    slot(fd).line = line;
+    if (fd < 0) return local_sockets_->close(connection, side), net::Fd();
+    slot(fd).connection = connection;
     slot(fd).side = side;
     return net::Fd(fd, this);
 }
 
 net::IoResult Process::send_packet(int fd, std::string_view bytes, std::span<const int> descriptors) {
     const Slot& s = slot(fd);
-    if (local_sockets_->over(s.line, s.side)) return {.error = EPIPE};
+    if (local_sockets_->peer_closed(s.connection, s.side)) return {.error = EPIPE};
     std::vector<End> ends;
-    for (const int one : descriptors) ends.push_back(slot(one).end);
-    local_sockets_->send(s.line, s.side, bytes, ends);
+    for (const int descriptor : descriptors) ends.push_back(slot(descriptor).end);
+    local_sockets_->send(s.connection, s.side, bytes, ends);
     return count_effect({.bytes = bytes.size()});
 }
 
 net::IoResult Process::receive_packet(int fd, std::span<char> into, std::vector<net::Fd>& descriptors) {
     const Slot s = slot(fd);
-    if (!local_sockets_->has_packet(s.line, s.side)) {
-        if (local_sockets_->over(s.line, s.side)) return {.ended = true};
+    if (!local_sockets_->has_packet(s.connection, s.side)) {
+        if (local_sockets_->peer_closed(s.connection, s.side)) return {.ended = true};
         return {};
     }
-    const LocalSockets::Packet packet = local_sockets_->receive(s.line, s.side, *this);
+    const LocalSockets::Packet packet = local_sockets_->receive(s.connection, s.side, *this);
     ++effects_;
-    bool all = packet.bytes.size() <= into.size();
+    bool complete = packet.bytes.size() <= into.size();
     for (const End end : packet.ends) {
-        const int one = take(Use::stream);
-        if (one < 0) {
+        const int descriptor = take(Use::stream);
+        if (descriptor < 0) {
             if (!network_.release(end, *this)) network_.close(end);
-            all = false;
+            complete = false;
             continue;
         }
-        slot(one).end = end;
-        descriptors.emplace_back(one, this);
+        slot(descriptor).end = end;
+        descriptors.emplace_back(descriptor, this);
     }
-    if (!all) return {.error = EMSGSIZE};
+    if (!complete) return {.error = EMSGSIZE};
     std::copy(packet.bytes.begin(), packet.bytes.end(), into.begin());
     return {.bytes = packet.bytes.size()};
 }
 
 net::Fd Process::signals() {
     const int fd = take(Use::signals);
-    if (fd < 0) throw std::system_error(errno, std::generic_category(), "signals");
+    if (fd < 0) throw std::system_error(errno, std::generic_category(), "signalfd");
     return net::Fd(fd, this);
 }
 
@@ -341,10 +343,10 @@
     return number;
 }
 
-const char* Process::read_file(const std::string& path, std::size_t longest, std::string& into) {
+const char* Process::read_file(const std::string& path, std::size_t max_bytes, std::string& into) {
     const auto it = files_.find(path);
     if (it == files_.end()) return "cannot be read";
-    if (it->second.size() > longest) return "is too long";
+    if (it->second.size() > max_bytes) return "is too long";
     into = it->second;
     return nullptr;
 }
--- a/src/simnet/trace.cpp
+++ b/src/simnet/trace.cpp
@@ -10,8 +10,8 @@
 }
 
 void Trace::hash_buffered() {
-    XXH3_64bits_update(&state_, waiting_.data(), waiting_.size());
-    waiting_.clear();
+    XXH3_64bits_update(&state_, buffer_.data(), buffer_.size());
+    buffer_.clear();
 }
 
 void Trace::write(net::Ticks at, std::string_view what, std::uint64_t a, std::uint64_t b,
--- a/src/simnet/trace.h
+++ b/src/simnet/trace.h
@@ -1,5 +1,5 @@
-// Trace of a simulation: all that crossed its network, what its parts did, the nodes' logs. It is hashed as
-// it comes (xxh3), and written out as text only on demand.
+// Trace of a simulation: everything that crossed its network, the actions of its components and the logs of
+// its nodes. Each entry is hashed (xxh3) when it is noted, and written as text only on demand.
 #pragma once
 
 #define XXH_INLINE_ALL
@@ -20,28 +20,30 @@
   public:
     explicit Trace(std::ostream* out = nullptr) : out_(out) {
         XXH3_64bits_reset(&state_);
-        waiting_.reserve(chunk + 4096);
+        buffer_.reserve(chunk + 4096);
     }
-    // `at`: tenths of a ms since the start; `a` and `b`: what the event concerns.
+    // at: tenths of a ms since the start of the simulation. a, b: numbers of what the event concerns, such as
+    // a node or a stream. Writes a line of text too if the trace has an output.
     void note(net::Ticks at, std::string_view what, std::uint64_t a, std::uint64_t b,
               std::string_view text = {}) {
         const std::array<std::uint64_t, 4> head{static_cast<std::uint64_t>(at), a, b, text.size()};
         const auto* bytes = reinterpret_cast<const char*>(head.data());
-        waiting_.insert(waiting_.end(), bytes, bytes + sizeof head);
-        waiting_.insert(waiting_.end(), what.begin(), what.end());
-        waiting_.insert(waiting_.end(), text.begin(), text.end());
-        if (waiting_.size() >= chunk) hash_buffered();
+        buffer_.insert(buffer_.end(), bytes, bytes + sizeof head);
+        buffer_.insert(buffer_.end(), what.begin(), what.end());
+        buffer_.insert(buffer_.end(), text.begin(), text.end());
+        if (buffer_.size() >= chunk) hash_buffered();
         if (out_ != nullptr) write(at, what, a, b, text);
     }
+    // Hash of all entries so far.
     std::uint64_t hash();
     bool written() const { return out_ != nullptr; }
 
   private:
-    static constexpr std::size_t chunk = 1 << 15;
+    static constexpr std::size_t chunk = 1 << 15;  // bytes that are hashed at once
     void hash_buffered();
     void write(net::Ticks at, std::string_view what, std::uint64_t a, std::uint64_t b, std::string_view text);
     XXH3_state_t state_;
-    std::vector<char> waiting_;
+    std::vector<char> buffer_;
     std::ostream* out_;
 };
 
--- a/tests/simnet_test.cpp
+++ b/tests/simnet_test.cpp
@@ -1,4 +1,5 @@
-// The simulated network: streams, datagrams, machines and descriptors.
+// Tests of the simulated network and process: streams, datagrams, partitions and descriptors. They guard
+// against a simulation that behaves differently from the network and the kernel on which nodes run.
 #include <doctest/doctest.h>
 
 #include <array>
@@ -14,197 +15,203 @@
 
 namespace {
 
-// Two machines and an ear that only remembers.
-struct Wire final : simnet::StreamListener {
+// Two machines and a listener that accepts all connections and records them.
+struct NetworkFixture final : simnet::StreamListener {
     EventQueue events;
     simnet::Trace trace;
     simnet::Network network;
-    simnet::Machine a, b;
+    simnet::Machine client_machine, server_machine;
     std::vector<simnet::End> accepted;
-    std::size_t stirs = 0;
+    std::size_t stream_events = 0;
 
-    explicit Wire(const simnet::NetworkConditions& weather = {}, std::uint64_t seed = 1)
-        : network(events, trace, simnet::RandomSource(seed), weather) {
-        a = network.add_machine();
-        b = network.add_machine();
+    explicit NetworkFixture(const simnet::NetworkConditions& conditions = {}, std::uint64_t seed = 1)
+        : network(events, trace, simnet::RandomSource(seed), conditions) {
+        client_machine = network.add_machine();
+        server_machine = network.add_machine();
     }
-    void on_stream_event(simnet::End) override { ++stirs; }
+    void on_stream_event(simnet::End) override { ++stream_events; }
     void on_connection(const net::Address& at) override {
-        while (const auto e = network.accept(at)) {
-            network.set_owner(*e, *this);
-            accepted.push_back(*e);
+        while (const auto end = network.accept(at)) {
+            network.set_owner(*end, *this);
+            accepted.push_back(*end);
         }
     }
-    net::Address door() const { return simnet::Network::address(b, 80); }
-    void pass(simnet::Ticks span) {
+    net::Address listen_address() const { return simnet::Network::address(server_machine, 80); }
+    void run_for(simnet::Ticks span) {
         const auto until = events.now() + span;
         while (events.step(until)) continue;
         events.advance_to(until);
     }
-    // A connection that is up: its end at a; the other is the last accepted.
-    simnet::End up() {
-        if (network.is_free(door())) network.listen(door(), *this, 4);
-        const simnet::End e = network.connect(a, door(), *this);
-        pass(2000);
-        return e;
+    // An established connection: returns its end at the client machine; the other end is the last one in
+    // `accepted`.
+    simnet::End connect() {
+        if (network.is_free(listen_address())) network.listen(listen_address(), *this, 4);
+        const simnet::End end = network.connect(client_machine, listen_address(), *this);
+        run_for(2000);
+        return end;
     }
-    std::string read(simnet::End e) {
+    std::string read(simnet::End end) {
         std::array<char, 8192> bytes;
-        std::string all;
-        for (net::IoResult t; (t = network.read(e, bytes)).bytes > 0;) all.append(bytes.data(), t.bytes);
-        return all;
+        std::string received;
+        for (net::IoResult result; (result = network.read(end, bytes)).bytes > 0;)
+            received.append(bytes.data(), result.bytes);
+        return received;
     }
 };
 
 }  // namespace
 
 TEST_CASE("simulated streams carry all bytes in order, cut anywhere, within their window") {
-    simnet::NetworkConditions rough;
-    rough.cut_reads = rough.cut_writes = 0.9;
-    rough.window = 4096;
+    simnet::NetworkConditions conditions;
+    conditions.cut_reads = conditions.cut_writes = 0.9;
+    conditions.window = 4096;
     for (std::uint64_t seed = 1; seed < 20; ++seed) {
-        Wire w(rough, seed);
-        const auto e = w.up();
-        REQUIRE(w.accepted.size() == 1);
-        std::string said, heard;
-        for (int i = 0; i < 3000; ++i) said += std::to_string(i) + " ";
-        std::size_t out = 0, at_once = 0;
-        for (int turn = 0; turn < 100000 && heard.size() < said.size(); ++turn) {
-            const auto n = w.network.write(e, std::string_view(said).substr(out)).bytes;
-            out += n;
-            at_once = std::max(at_once, out - heard.size());
-            w.pass(5);
-            heard += w.read(w.accepted[0]);
+        NetworkFixture fixture(conditions, seed);
+        const auto end = fixture.connect();
+        REQUIRE(fixture.accepted.size() == 1);
+        std::string sent, received;
+        for (int i = 0; i < 3000; ++i) sent += std::to_string(i) + " ";
+        std::size_t written = 0, most_in_flight = 0;
+        for (int step = 0; step < 100000 && received.size() < sent.size(); ++step) {
+            const auto accepted_bytes =
+                fixture.network.write(end, std::string_view(sent).substr(written)).bytes;
+            written += accepted_bytes;
+            most_in_flight = std::max(most_in_flight, written - received.size());
+            fixture.run_for(5);
+            received += fixture.read(fixture.accepted[0]);
         }
-        CHECK(heard == said);
-        CHECK(at_once <= 4096);
+        CHECK(received == sent);
+        CHECK(most_in_flight <= 4096);
     }
 }
 
 TEST_CASE("an end follows the last byte; a close with unread input and a dead process cause resets") {
-    Wire w;
-    const auto e = w.up();
-    w.network.write(e, "last", true);
-    w.network.shutdown_write(e);
-    w.pass(100);
-    CHECK(w.read(w.accepted[0]) == "last");
+    NetworkFixture fixture;
+    const auto end = fixture.connect();
+    fixture.network.write(end, "last", true);
+    fixture.network.shutdown_write(end);
+    fixture.run_for(100);
+    CHECK(fixture.read(fixture.accepted[0]) == "last");
     std::array<char, 8> bytes;
-    CHECK(w.network.read(w.accepted[0], bytes).ended);
-    const auto f = w.up();
-    w.network.write(f, "unread", true);
-    w.pass(100);
-    w.network.close(w.accepted[1]);
-    w.pass(100);
-    CHECK(w.network.read(f, bytes).error == ECONNRESET);
-    CHECK(w.network.read(f, bytes).ended);
-    CHECK(w.network.write(f, "x").error == EPIPE);
+    CHECK(fixture.network.read(fixture.accepted[0], bytes).ended);
+    const auto second = fixture.connect();
+    fixture.network.write(second, "unread", true);
+    fixture.run_for(100);
+    fixture.network.close(fixture.accepted[1]);
+    fixture.run_for(100);
+    CHECK(fixture.network.read(second, bytes).error == ECONNRESET);
+    CHECK(fixture.network.read(second, bytes).ended);
+    CHECK(fixture.network.write(second, "x").error == EPIPE);
 }
 
 TEST_CASE("a machine that is partitioned sends nothing; lost data arrives after the partition or is reset") {
-    Wire w;
-    const auto e = w.up(), gone = w.up();
-    w.network.cut_off(w.b);
-    w.network.write(e, "late", true);
-    const auto never = w.network.connect(w.a, w.door(), w);
-    w.pass(30000);
-    CHECK(w.read(w.accepted[0]).empty());
-    CHECK(!w.network.is_up(never));
-    CHECK(w.network.events(e, POLLIN) == 0);
-    w.network.heal(w.b);
-    w.pass(50000);
-    CHECK(w.read(w.accepted[0]) == "late");
-    CHECK(w.network.is_up(never));
-    w.network.forget(w.b);
-    w.network.write(gone, "anybody?", true);
-    w.pass(100);
-    CHECK((w.network.events(gone, POLLIN) & POLLERR) != 0);
+    NetworkFixture fixture;
+    const auto end = fixture.connect(), forgotten = fixture.connect();
+    fixture.network.cut_off(fixture.server_machine);
+    fixture.network.write(end, "late", true);
+    const auto unconnected =
+        fixture.network.connect(fixture.client_machine, fixture.listen_address(), fixture);
+    fixture.run_for(30000);
+    CHECK(fixture.read(fixture.accepted[0]).empty());
+    CHECK(!fixture.network.is_up(unconnected));
+    CHECK(fixture.network.poll_events(end, POLLIN) == 0);
+    fixture.network.heal(fixture.server_machine);
+    fixture.run_for(50000);
+    CHECK(fixture.read(fixture.accepted[0]) == "late");
+    CHECK(fixture.network.is_up(unconnected));
+    fixture.network.forget(fixture.server_machine);
+    fixture.network.write(forgotten, "lost", true);
+    fixture.run_for(100);
+    CHECK((fixture.network.poll_events(forgotten, POLLIN) & POLLERR) != 0);
 }
 
 TEST_CASE("connections are refused where nobody listens, and wait where the queue is full") {
-    Wire w;
-    struct Deaf final : simnet::StreamListener {
+    NetworkFixture fixture;
+    struct IgnoringListener final : simnet::StreamListener {
         void on_stream_event(simnet::End) override {}
         void on_connection(const net::Address&) override {}
-    } deaf;
-    const auto e = w.network.connect(w.a, w.door(), w);
-    w.pass(100);
-    CHECK(w.network.connected(e) == ECONNREFUSED);
-    w.network.listen(w.door(), deaf, 1);
-    const auto first = w.network.connect(w.a, w.door(), w);
-    w.pass(100);
-    const auto second = w.network.connect(w.a, w.door(), w);
-    w.pass(5000);
-    CHECK(w.network.is_up(first));
-    CHECK(!w.network.is_up(second));
-    CHECK(w.network.accept(w.door()).has_value());
-    w.pass(40000);
-    CHECK(w.network.is_up(second));
+    } listener;
+    const auto end = fixture.network.connect(fixture.client_machine, fixture.listen_address(), fixture);
+    fixture.run_for(100);
+    CHECK(fixture.network.connect_error(end) == ECONNREFUSED);
+    fixture.network.listen(fixture.listen_address(), listener, 1);
+    const auto first = fixture.network.connect(fixture.client_machine, fixture.listen_address(), fixture);
+    fixture.run_for(100);
+    const auto second = fixture.network.connect(fixture.client_machine, fixture.listen_address(), fixture);
+    fixture.run_for(5000);
+    CHECK(fixture.network.is_up(first));
+    CHECK(!fixture.network.is_up(second));
+    CHECK(fixture.network.accept(fixture.listen_address()).has_value());
+    fixture.run_for(40000);
+    CHECK(fixture.network.is_up(second));
 }
 
 TEST_CASE(
     "datagrams are lost, duplicated and reordered as the network conditions say, never across a partition") {
-    simnet::NetworkConditions rough;
-    rough.lost = 0.3;
-    rough.doubled = 0.3;
-    rough.datagram_jitter = 1000;
-    Wire w(rough);
-    struct Post final : simnet::StreamListener {
-        std::vector<int> got;
+    simnet::NetworkConditions conditions;
+    conditions.lost = 0.3;
+    conditions.doubled = 0.3;
+    conditions.datagram_jitter = 1000;
+    NetworkFixture fixture(conditions);
+    struct DatagramRecorder final : simnet::StreamListener {
+        std::vector<int> received;
         void on_stream_event(simnet::End) override {}
         void on_connection(const net::Address&) override {}
         void on_datagram(const net::Address&, const net::Address&,
                          std::span<const std::uint8_t> bytes) override {
-            got.push_back(bytes[0]);
+            received.push_back(bytes[0]);
         }
-    } post;
-    const auto from = simnet::Network::address(w.a, 9), to = simnet::Network::address(w.b, 9);
-    w.network.bind(to, post);
-    for (std::uint8_t i = 0; i < 200; ++i) w.network.send(from, to, {&i, 1});
-    w.pass(5000);
-    CHECK((post.got.size() > 120 && post.got.size() < 260));
-    CHECK(!std::is_sorted(post.got.begin(), post.got.end()));
-    const auto before = post.got.size();
-    w.network.cut_off(w.b);
-    for (std::uint8_t i = 0; i < 50; ++i) w.network.send(from, to, {&i, 1});
-    w.pass(5000);
-    CHECK(post.got.size() == before);
+    } recorder;
+    const auto from = simnet::Network::address(fixture.client_machine, 9),
+               to = simnet::Network::address(fixture.server_machine, 9);
+    fixture.network.bind(to, recorder);
+    for (std::uint8_t i = 0; i < 200; ++i) fixture.network.send(from, to, {&i, 1});
+    fixture.run_for(5000);
+    CHECK((recorder.received.size() > 120 && recorder.received.size() < 260));
+    CHECK(!std::is_sorted(recorder.received.begin(), recorder.received.end()));
+    const auto received_before = recorder.received.size();
+    fixture.network.cut_off(fixture.server_machine);
+    for (std::uint8_t i = 0; i < 50; ++i) fixture.network.send(from, to, {&i, 1});
+    fixture.run_for(5000);
+    CHECK(recorder.received.size() == received_before);
 }
 
 TEST_CASE("a simulated process has no more descriptors than it is granted, and is told so as by the kernel") {
-    Wire w;
-    w.network.listen(w.door(), w, 100);
-    simnet::Process p(w.events, w.network, w.a, {0, 1, 8});
-    std::vector<net::Fd> held;
-    held.reserve(5);
-    for (int i = 0; i < 5; ++i) held.push_back(p.connect_to(w.door()));
-    CHECK(held.back().open());
-    CHECK(!p.connect_to(w.door()).open());
+    NetworkFixture fixture;
+    fixture.network.listen(fixture.listen_address(), fixture, 100);
+    simnet::Process process(fixture.events, fixture.network, fixture.client_machine, {0, 1, 8});
+    std::vector<net::Fd> descriptors;
+    descriptors.reserve(5);
+    for (int i = 0; i < 5; ++i) descriptors.push_back(process.connect_to(fixture.listen_address()));
+    CHECK(descriptors.back().open());
+    CHECK(!process.connect_to(fixture.listen_address()).open());
     CHECK(errno == EMFILE);
-    held.pop_back();
-    CHECK(p.connect_to(w.door()).open());
-    p.exhaust_descriptors(true);
-    CHECK(!p.connect_to(w.door()).open());
+    descriptors.pop_back();
+    CHECK(process.connect_to(fixture.listen_address()).open());
+    process.exhaust_descriptors(true);
+    CHECK(!process.connect_to(fixture.listen_address()).open());
     CHECK(errno == ENFILE);
-    held.clear();
-    CHECK(p.held() == 3);
+    descriptors.clear();
+    CHECK(process.held() == 3);
 }
 
 TEST_CASE("an event loop that spins on an unhandled event is detected, one that waits is not") {
     for (const bool reads : {false, true}) {
-        Wire w;
-        w.network.listen(w.door(), w, 4);
-        simnet::Process p(w.events, w.network, w.a, {0, 1, 16});
-        const net::Fd fd = p.connect_to(w.door());
+        NetworkFixture fixture;
+        fixture.network.listen(fixture.listen_address(), fixture, 4);
+        simnet::Process process(fixture.events, fixture.network, fixture.client_machine, {0, 1, 16});
+        const net::Fd fd = process.connect_to(fixture.listen_address());
         std::array<char, 64> bytes;
-        p.start([&] {
-            pollfd one{fd.get(), POLLIN, 0};
-            if (p.poll({&one, 1}, 10000) > 0 && reads) p.read_some(fd.get(), bytes);
+        process.start([&] {
+            pollfd polled{fd.get(), POLLIN, 0};
+            if (process.poll({&polled, 1}, 10000) > 0 && reads) process.read_some(fd.get(), bytes);
             return true;
         });
-        w.pass(1000);
-        REQUIRE(w.accepted.size() == 1);
-        for (int i = 0; i < 100; ++i) w.network.write(w.accepted[0], "line\r\n", true), w.pass(50);
-        CHECK((p.longest_spin() > 1000) == !reads);
-        CHECK(p.longest_spin() != 1);
+        fixture.run_for(1000);
+        REQUIRE(fixture.accepted.size() == 1);
+        for (int i = 0; i < 100; ++i)
+            fixture.network.write(fixture.accepted[0], "line\r\n", true), fixture.run_for(50);
+        CHECK((process.longest_spin() > 1000) == !reads);
+        CHECK(process.longest_spin() != 1);
     }
 }
--- a/tests/simulation_test.cpp
+++ b/tests/simulation_test.cpp
@@ -186,7 +186,7 @@
 TEST_CASE("a reset while bytes wait in both directions") {
     std::string trace;
     play_file("reset_while_bytes_wait", &trace);
-    CHECK(count(trace, "host hangs") == 2);
+    CHECK(count(trace, "server hangs") == 2);
 }
 
 TEST_CASE("more ring neighbours restart than a chain is long, before a refresh") {
