--- a/src/fakes/admin_client.h
+++ b/src/fakes/admin_client.h
@@ -10,6 +10,7 @@
 
 namespace lemonstair::fakes {
 
+// Sends the requests from one machine, any number at the same time.
 class AdminClient final : public simnet::StreamListener, public simnet::EventTarget {
   public:
     struct Answer {
--- a/src/fakes/clients.cpp
+++ b/src/fakes/clients.cpp
@@ -231,17 +231,17 @@
     retry(index, 0);
 }
 
-void FakeClients::on_event(std::uint64_t what) {
-    const auto kind = static_cast<Kind>(what >> 56);
+void FakeClients::on_event(std::uint64_t event) {
+    const auto kind = static_cast<Kind>(event >> 56);
     if (kind == close_due) {
-        const std::uint64_t number = what & 0xffffffffffffffU;
+        const std::uint64_t number = event & 0xffffffffffffffU;
         const End end{static_cast<std::uint32_t>(number >> 1), static_cast<std::uint8_t>(number & 1)};
         if (closing_.erase(number) > 0) environment_.network.close(end);
         return;
     }
-    const auto index = static_cast<std::uint32_t>(what);
+    const auto index = static_cast<std::uint32_t>(event);
     Client& client = clients_[index];
-    if ((what >> 32 & 0xffffffU) != (client.timer_generation & 0xffffffU)) return;
+    if ((event >> 32 & 0xffffffU) != (client.timer_generation & 0xffffffU)) return;
     switch (kind) {
         case close_due:
             return;
--- a/src/fakes/clients.h
+++ b/src/fakes/clients.h
@@ -27,13 +27,15 @@
 struct ClientBehavior {
     int max_attempts = 6;
     Ticks min_pause = 200, max_pause = 5000;
-    double abandon_share = 0;  // of requests that the client abandons before their timeout
+    double abandon_share = 0;  // requests that the client abandons before their timeout
     double slow_reader_share = 0;
     Ticks line_interval = 20000;
 };
 
+// All clients of a run. What they send and receive is reported to the execution log.
 class FakeClients final : public simnet::StreamListener, public simnet::EventTarget {
   public:
+    // waiting: the first line was sent and is not answered; pausing: before the next attempt.
     enum class State : std::uint8_t { away, connecting, waiting, open, pausing, done };
     FakeClients(TestEnvironment& environment, Front& front, std::vector<Machine> machines,
                 std::vector<ClientPlan> plans, const ClientBehavior& client_behavior,
@@ -47,6 +49,7 @@
     void on_connection(const net::Address&) override {}
     void on_event(std::uint64_t token) override;
 
+    // Counts of events since the start of the run.
     struct Tally {
         std::uint64_t opened = 0, declined = 0, failed = 0, timed_out = 0, moved = 0, cut = 0, resumed = 0,
                       lines = 0;
--- a/src/fakes/discovery.cpp
+++ b/src/fakes/discovery.cpp
@@ -175,16 +175,16 @@
                                           token(delivered, notifications_.size() - 1));
 }
 
-void FakeDiscovery::on_event(std::uint64_t what) {
-    const auto kind = static_cast<Kind>(what >> 56);
-    const auto index = static_cast<std::uint32_t>(what);
+void FakeDiscovery::on_event(std::uint64_t event) {
+    const auto kind = static_cast<Kind>(event >> 56);
+    const auto index = static_cast<std::uint32_t>(event);
     switch (kind) {
         case answer_request:
             return answer(index);
         case keepalive:
             for (std::uint32_t i = 0; i < requests_.size(); ++i)
                 if (!requests_[i].closed && requests_[i].watches && !silent_) write_chunk(i, "");
-            return environment_.events.schedule(environment_.now() + keepalive_interval, *this, what);
+            return environment_.events.schedule(environment_.now() + keepalive_interval, *this, event);
         case change_due: {
             const Change& change = pending_changes_[index];
             list_[change.server] = change.entry;
--- a/src/fakes/discovery.h
+++ b/src/fakes/discovery.h
@@ -26,6 +26,7 @@
 // The entry as JSON, for a node that reaches the server at this address.
 std::string entry_json(const DiscoveryEntry& entry, const net::Address& at);
 
+// One instance of the service. Its lists and changes reach the nodes over the network.
 class FakeDiscovery final : public simnet::StreamListener, public simnet::EventTarget {
   public:
     FakeDiscovery(TestEnvironment& environment, Machine machine, std::uint16_t port,
@@ -45,6 +46,7 @@
     // ---- faults
     void set_down(bool on);    // on: connections are refused, open ones are reset
     void set_silent(bool on);  // on: connections stay open and nothing is sent
+    // How long after a request its answer is sent.
     void answer_after(Ticks span) { answer_after_ = span; }
     // The next change is sent in an invalid way. 1: truncated JSON; 2: an entry without an id; 3: an empty
     // list of an older revision before the change.
--- a/src/fakes/server.h
+++ b/src/fakes/server.h
@@ -32,8 +32,10 @@
     Ticks full_backlog = 10000;  // queued work beyond which setups are declined
 };
 
+// A server on one machine. Each start() begins a new incarnation; events of earlier ones are ignored.
 class FakeServer final : public simnet::StreamListener, public simnet::EventTarget {
   public:
+    // overloaded: it went down because of overload during slow start.
     enum class State : std::uint8_t { down, up, overloaded };
 
     FakeServer(TestEnvironment& environment, std::uint32_t number, Machine machine,
@@ -63,10 +65,13 @@
     bool answers() const { return state_ == State::up && !hangs_ && !environment_.network.is_cut(machine_); }
 
     // ---- faults
+    // Divides the capacity by this factor.
     void slow_down(double times) { slowdown_ = times; }
     void fail_setups(bool on) { fails_setups_ = on; }
     void decline_setups(bool on) { declines_setups_ = on; }
+    // The server keeps its connections but neither reads nor answers.
     void hang(bool on);
+    // Resets this share of the open tunnels, drawn at random.
     void reset_some(double share);
     // Sends MOVE to its clients, evenly spread over the duration.
     void move_clients(Ticks within);
@@ -79,8 +84,8 @@
 
   private:
     enum class Step : std::uint8_t { first_line, working, open, ended };
-    // With packet passthrough, a tunnel whose connection was reset is parked here until its client continues
-    // it.
+    // A connection from a node. With packet passthrough, a tunnel whose connection was reset is parked here
+    // until its client continues it.
     struct Connection {
         End end;
         Step step = Step::first_line;
--- a/src/fakes/server_connections.cpp
+++ b/src/fakes/server_connections.cpp
@@ -90,8 +90,8 @@
         }
         if (!got.ended && got.error == 0) return;
         // The node has ended the connection. With packet passthrough, a reset does not end the tunnel: it is
-        // parked until the client continues it through another node. A regular end is the client's, and ends
-        // the tunnel.
+        // parked until the client continues it through another node. An orderly end comes from the
+        // client and ends the tunnel.
         const bool by_reset = got.error != 0;
         if (by_reset)
             environment_.network.reset(connection.end);
@@ -130,7 +130,7 @@
     const Connection& connection = connections_[index];
     if (connection.step == Step::first_line) return first_line(index, text);
     if (connection.step == Step::open) client_line(index, text);
-    return true;  // lines that a client sends before its answer are discarded
+    return true;  // lines that a client sends before it has its answer are discarded
 }
 
 bool FakeServer::first_line(std::uint32_t index, std::string_view text) {
@@ -265,13 +265,13 @@
     connection.waiting.erase(0, environment_.network.write(connection.end, connection.waiting, true).bytes);
 }
 
-void FakeServer::on_event(std::uint64_t what) {
-    const auto kind = static_cast<Kind>(what >> 56);
-    if ((what >> 40 & 0xffffU) != (incarnation_ & 0xffffU) || state_ != State::up) return;
-    const std::uint64_t argument = what & 0xffffffffffU;
+void FakeServer::on_event(std::uint64_t event) {
+    const auto kind = static_cast<Kind>(event >> 56);
+    if ((event >> 40 & 0xffffU) != (incarnation_ & 0xffffU) || state_ != State::up) return;
+    const std::uint64_t argument = event & 0xffffffffffU;
     const Ticks now = environment_.now();
     if (hangs_ && kind != report && kind != overload_check) {  // postponed until the server no longer hangs
-        return environment_.events.schedule(now + second, *this, what);
+        return environment_.events.schedule(now + second, *this, event);
     }
     const auto index = static_cast<std::uint32_t>(argument);
     switch (kind) {
@@ -281,18 +281,18 @@
             return send_echo(index);
         case push:
             if (send_pushes(index))
-                environment_.events.schedule(now + random_.between(push_from, push_to), *this, what);
+                environment_.events.schedule(now + random_.between(push_from, push_to), *this, event);
             return;
         case report:
             reported_ = demand() / capacity() * (1 + traits_.report_noise * (2 * random_.unit() - 1));
             if (traits_.fixed_reported_load > 0) reported_ = traits_.fixed_reported_load;
-            return environment_.events.schedule(now + traits_.report_interval, *this, what);
+            return environment_.events.schedule(now + traits_.report_interval, *this, event);
         case overload_check:
             return check_overload();
         case probe_answer:
             return answer_probe(static_cast<std::uint32_t>(argument >> 1), (argument & 1) != 0);
         case move_due:
-            if (move_one()) environment_.events.schedule(now + move_interval_, *this, what);
+            if (move_one()) environment_.events.schedule(now + move_interval_, *this, event);
             return;
     }
 }
--- a/src/simnet/event_queue.h
+++ b/src/simnet/event_queue.h
@@ -53,6 +53,7 @@
     }
     // Advances the time without delivering events; never goes back.
     void advance_to(Ticks when) { now_ = when > now_ ? when : now_; }
+    // Events delivered so far.
     std::uint64_t steps() const { return steps_; }
 
   private:
--- a/src/simnet/network.cpp
+++ b/src/simnet/network.cpp
@@ -167,6 +167,7 @@
     if (s.head == s.inbox.size()) s.inbox.clear(), s.head = 0;
     Side& peer = at(end.other());
     peer.used -= n;
+    // As with the kernel, a blocked writer is woken once a third of the window is free.
     if (peer.blocked && peer.used * 3 <= conditions_.window * 2) {
         peer.blocked = false;
         later(events_.now() + delay(s.machine, peer.machine), window_opened, end.other());
--- a/src/simnet/network.h
+++ b/src/simnet/network.h
@@ -31,6 +31,7 @@
     Ticks datagram_jitter = 0;             // upper limit of the random addition to a datagram's delay
 };
 
+// Deterministic for a given seed and order of calls. Errors are the errno values that the kernel would give.
 class Network final : public Streams, public EventTarget {
   public:
     Network(EventQueue& events, Trace& trace, RandomSource random, const NetworkConditions& conditions)
@@ -52,7 +53,8 @@
     // Nothing that `from` sends reaches `to`.
     void cut_path(Machine from, Machine to) { cut_paths_.insert(path(from, to)); }
     void heal_path(Machine from, Machine to) { cut_paths_.erase(path(from, to)); }
-    // Multiplies the delays of all that the machine sends and receives.
+    // Multiplies the delays of all that the machine sends and receives. Between two slow machines, the larger
+    // factor applies.
     void slow_by(Machine machine, double times) { machines_[machine].slow = times; }
     // As in a reboot: the machine loses its connections and listeners, and the peers are not notified.
     // Segments that arrive later are answered with a reset once the machine is reachable.
@@ -147,8 +149,8 @@
         std::deque<End> waiting;
     };
     struct MachineState {
-        bool cut = false;
-        double slow = 1;
+        bool cut = false;  // partitioned from all others
+        double slow = 1;   // factor of its delays
     };
     struct Datagram {
         Address from, to;
--- a/src/simnet/process.h
+++ b/src/simnet/process.h
@@ -158,7 +158,8 @@
     std::uint64_t next_run_ = 0;  // token of the pass that is scheduled; 0: none
     std::uint64_t runs_ = 0, passes_ = 0;
     Ticks run_due_ = 0, busy_until_ = 0, sleeps_until_ = 0;
-    int ready_count_ = 0;
+    int ready_count_ = 0;  // descriptors that the last poll() found ready
+    // Calls of the current pass that changed something, and consecutive passes that should have and did not.
     std::size_t effects_ = 0, spin_ = 0, longest_spin_ = 0;
 };
 
--- a/src/simnet/trace.h
+++ b/src/simnet/trace.h
@@ -16,6 +16,7 @@
 
 namespace lemonstair::simnet {
 
+// Two runs with the same hash had the same entries in the same order.
 class Trace {
   public:
     explicit Trace(std::ostream* out = nullptr) : out_(out) {
@@ -36,6 +37,7 @@
     }
     // Hash of all entries so far.
     std::uint64_t hash();
+    // Whether entries are written as text too.
     bool written() const { return out_ != nullptr; }
 
   private:
