--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -43,7 +43,7 @@
 
 void draw_servers(RandomSource& random, fakes::ServerTraits& traits) {
     traits.cores = random.between(1.0, 3.0);
-    traits.cold = random.between(3 * second, 8 * second);
+    traits.slow_start_duration = random.between(3 * second, 8 * second);
     traits.slow_start_initial_factor = random.between(0.15, 0.5);
     traits.report_noise = random.between(0.0, 0.15);
     traits.report_interval = random.between(300 * ms, 1200 * ms);
@@ -150,7 +150,7 @@
     draw_faults(random, scenario);
     // Drawn from a generator of its own, so that draws added here do not change the rest of a seed's
     // scenario.
-    RandomSource later = random.part(77);
+    RandomSource later = random.fork(77);
     scenario.server.push_bytes = static_cast<std::uint32_t>(
         later.odds(0.3) ? later.between(std::int64_t{100}, std::int64_t{1500}) : 1);
     sort_faults(scenario);
--- a/tests/simulation_test.cpp
+++ b/tests/simulation_test.cpp
@@ -194,7 +194,7 @@
 TEST_CASE("a server resets connections while bytes wait in both directions") {
     std::string trace;
     play_file("reset_while_bytes_wait", &trace);
-    CHECK(count(trace, "host hangs") == 2);
+    CHECK(count(trace, "server hangs") == 2);
 }
 
 TEST_CASE("more ring neighbours than a chain has nodes restart before a refresh") {
