--- a/src/simulation/invariants_clients.cpp
+++ b/src/simulation/invariants_clients.cpp
@@ -53,7 +53,7 @@
         report("answer",
                named(tunnel) + " got its answer " +
                    std::to_string((written_at - record.delivered_at - record.request.client_timeout) / 10) +
-                   " ms after its client_timeout was over");
+                   " ms after its wait was over");
     const bool ran = std::any_of(record.setups.begin(), record.setups.end(),
                                  [](const Setup& s) { return may_have_run(s.answer); });
     if (answer == Answer::up) {
