--- a/src/tunnel/acceptor.cpp
+++ b/src/tunnel/acceptor.cpp
@@ -16,6 +16,8 @@
 
 namespace {
 
+// After a client could not be accepted, how long until the next try. A pause is logged only if the previous
+// one began longer ago than min_pause_log_interval.
 constexpr Ticks accept_pause = 200, min_pause_log_interval = 50 * accept_pause;
 // How long a client may take to send its request.
 constexpr Ticks request_timeout = 25000, request_timeout_after_check = 10000;
@@ -219,7 +221,7 @@
     if (!parsed || begins_command(input.substr(input.find('\n') + 1)) ||
         !claim_id(tunnel, parsed->id, parsed->request.mid_flow)) {
         registry_.log.debug() << "request line of a client rejected: malformed, followed by another command, "
-                                 "or its id is in use";
+                                 "or its id is or was in use; closing with an error";
         completion_.reject_protocol_error(id);
         return LineResult::left_stage;
     }
@@ -256,9 +258,10 @@
     return true;
 }
 
-// Returns false if the id belongs to a tunnel that is open or was open recently: the endpoint would take both
-// for the same tunnel. A mid-flow request may reuse the id of a recently open tunnel, and also that of an
-// admitted tunnel whose client has disconnected without this process having handled it yet.
+// Stores the hash of the id in the tunnel. Returns false if the id belongs to an admitted tunnel or to one
+// that was open recently: the endpoint would take both for the same tunnel. A mid-flow request may reuse the
+// id of a recently open tunnel, and also that of an admitted tunnel whose client has disconnected without
+// this process having handled it yet.
 bool Acceptor::claim_id(Tunnel& tunnel, std::string_view id, bool mid_flow) {
     tunnel.id_hash = hash_text(id) | 1;
     const std::uint32_t index = registry_.by_id_hash.find(tunnel.id_hash);
--- a/src/tunnel/attempt.cpp
+++ b/src/tunnel/attempt.cpp
@@ -153,8 +153,8 @@
     registry_.set_state_deadline(id, tunnel, tunnel.attempt_deadline);
 }
 
-// Checks the invariant that bytes are written only while the attempt policy allows it, by the time after the
-// write.
+// Checks the invariant that bytes are written only while the attempt policy allows it. The clock is read
+// after the write.
 void AttemptRunner::check_write_allowed(TunnelId id) {
     const Tunnel& tunnel = *registry_.find(id);
     if (!tunnel.tracked) return;
--- a/src/tunnel/attempt.h
+++ b/src/tunnel/attempt.h
@@ -22,8 +22,8 @@
     // For a tunnel that is already open at its endpoint: repeats the attempt there, without asking the
     // balancer, until one succeeds or the deadline has passed.
     void resume(TunnelId id);
-    // Limits the deadline of all tunnels that wait for an answer, now or later: the process may be killed
-    // after `deadline`.
+    // Limits the deadline of all tunnels that wait for an answer, now or later, to `deadline`: the process
+    // may be killed after it.
     void set_answer_deadline(Ticks deadline);
     void on_tunnel_ready(TunnelId id, Side side, short events);
     void on_tunnel_timer(TunnelId id);
--- a/src/tunnel/completion.cpp
+++ b/src/tunnel/completion.cpp
@@ -21,6 +21,7 @@
 constexpr std::uint32_t max_discarded_bytes = 1 << 20;
 // A connection counts as idle after this time.
 constexpr Ticks min_idle_reading = 200, min_idle_closing = 2000;
+// An eviction is logged only if the previous one was longer ago than this.
 constexpr Ticks min_eviction_log_interval = 10000;
 
 }  // namespace
--- a/src/tunnel/completion.h
+++ b/src/tunnel/completion.h
@@ -12,9 +12,10 @@
 class Completion {
   public:
     explicit Completion(TunnelRegistry& registry) : registry_(registry) {}
-    // Final answers to a waiting client. reject: nothing was done, and the client may retry, after
-    // `retry_after` unless that is 0. fail: the request may have been executed.
+    // Final answer to a waiting client: nothing was done, and it may retry. `retry_after`: after how
+    // long; less than 1 ms: no time is named.
     void reject(TunnelId id, Ticks retry_after);
+    // Final answer to a waiting client: the request has failed, and may have been executed.
     void fail(TunnelId id);
     // The client has not sent a complete request in time. It is rejected; if it has sent a readiness check,
     // the connection is closed without an answer.
--- a/src/tunnel/descriptor_budget.h
+++ b/src/tunnel/descriptor_budget.h
@@ -22,8 +22,8 @@
     std::size_t granted() const {
         return config_.max_descriptors > sibling_held_ ? config_.max_descriptors - sibling_held_ : 0;
     }
-    // Whether at most `margin` descriptors are left, not counting those that the sibling may take. The
-    // descriptors outside the loop are part of the margin.
+    // Whether at most `margin` of the granted descriptors are neither held by the event loop nor left free
+    // for the sibling. Those outside the loop are not counted as held, so `margin` must include them.
     bool is_low(std::size_t margin) const {
         return loop_.descriptors() + sibling_reserve_ + margin >= granted();
     }
--- a/src/tunnel/endpoint_monitor.cpp
+++ b/src/tunnel/endpoint_monitor.cpp
@@ -9,7 +9,7 @@
 // Clients send a line every few seconds, and a healthy endpoint answers at once. A tunnel has stalled if the
 // endpoint has sent no line for `stalled_after` and the client has waited for one for half of that time.
 constexpr Ticks stalled_after = 60000, stalled_unanswered_for = 30000;
-// An endpoint is reported much earlier if it has sent no line on any of its tunnels.
+// An endpoint that has sent no line on any of its tunnels is reported much earlier.
 constexpr Ticks unresponsive_after = 5000;
 constexpr Ticks min_slow_report_interval = 10000;
 // An answer is slow if it takes longer than the strictest message latency objective divided by
--- a/src/tunnel/endpoint_monitor.h
+++ b/src/tunnel/endpoint_monitor.h
@@ -28,11 +28,11 @@
         Ticks slow_reported_at = 0;
         bool reported_slow = false;
     };
-    // The two longest waits of an endpoint's tunnels, counting only waits that began after the endpoint's
-    // last line on any tunnel.
+    // The two longest waits for a line among an endpoint's tunnels. A wait does not count if the endpoint has
+    // sent a line on any tunnel since it began.
     struct Waits {
         Ticks longest = 0, second_longest = 0;
-        int open_tunnels = 0;
+        int open_tunnels = 0;  // also those whose client does not wait
     };
     Activity& activity_of(std::uint32_t endpoint_index);
     void add_wait(TunnelId id, const Tunnel& tunnel);
--- a/src/tunnel/relay.cpp
+++ b/src/tunnel/relay.cpp
@@ -102,7 +102,7 @@
             scan_client_bytes(tunnel, {data, got.bytes});
         else
             scan_endpoint_bytes(id, {data, got.bytes});
-        // Bytes after the current line are dropped: they belong to a line that the migration would cut off.
+        // The beginning of the next line is dropped: the migration would cut that line off.
         if (tunnel.state == TunnelState::migrating && direction.partial_line_bytes < got.bytes) {
             direction.buffer.remove_suffix(direction.partial_line_bytes);
             direction.partial_line_bytes = 0;
@@ -252,7 +252,7 @@
     Tunnel& tunnel = *registry_.find(id);
     if (registry_.loop.now() < tunnel.state_deadline) return;
     if (tunnel.state == TunnelState::migrating && !tunnel.migration_forced) {
-        // The client's current line has not ended in time: no longer wait for it.
+        // From now on the migration waits only for the end of the endpoint's line, not of the client's.
         tunnel.migration_forced = true;
         registry_.set_state_deadline(id, tunnel, registry_.loop.now() + migration_wait());
         return update(id);
@@ -276,7 +276,7 @@
     Tunnel& tunnel = *registry_.find(id);
     const bool ending = tunnel.downstream.source_ended || tunnel.upstream.source_ended;
     if (tunnel.state != TunnelState::open || ending) return;
-    // A migration is forced because the endpoint does not respond.
+    // A forced migration is not attributed to the client: its cause is an endpoint that does not respond.
     if (!tunnel.migration_forced) attribute_end_to_client(tunnel);
     registry_.transition_to(id, TunnelState::migrating);
     registry_.set_state_deadline(id, tunnel, registry_.loop.now() + migration_wait());
--- a/src/tunnel/relay.h
+++ b/src/tunnel/relay.h
@@ -15,7 +15,7 @@
   public:
     Relay(TunnelRegistry& registry, Completion& completion)
         : registry_(registry), completion_(completion), monitor_(registry) {}
-    // The endpoint has opened the tunnel. Its answer, and what it sent after it, is in the downstream buffer.
+    // The endpoint has opened the tunnel. Its answer and the bytes after it are in the downstream buffer.
     void begin(TunnelId id);
     // For a tunnel that was received from another process, or could not be transferred to it.
     void resume(TunnelId id);
--- a/src/tunnel/request_line.cpp
+++ b/src/tunnel/request_line.cpp
@@ -36,7 +36,7 @@
 struct Parameters {
     const std::vector<std::string>& traffic_classes;
     RequestLine& line;
-    double wait_ms = -1;
+    double wait_ms = -1;  // -1: not given
     bool has_traffic_class = false;
 
     // Returns false if a known parameter has an invalid value; unknown ones are ignored.
--- a/src/tunnel/tunnel.h
+++ b/src/tunnel/tunnel.h
@@ -80,7 +80,8 @@
                                     // descriptors to serve it
     bool tracked = false;           // the balancer keeps state for this tunnel
     bool not_transferable = false;  // the other process of this node could not take it over
-    bool migration_forced = false;  // the endpoint does not respond: the migration does not wait for it
+    bool migration_forced = false;  // the endpoint does not respond, or a line does not end: the client is
+                                    // migrated even if its line has not reached the endpoint completely
 };
 
 }  // namespace lemonstair::tunnel
