--- a/src/node/config_reloader.cpp
+++ b/src/node/config_reloader.cpp
@@ -27,8 +27,8 @@
 }
 
 void ConfigReloader::on_timer(std::uint64_t) {
-    if (retry_at_ == 0 || loop_.now() < retry_at_)
-        return;  // outdated: a later SIGHUP has restarted the retries
+    // A later SIGHUP may have ended or restarted the retries; then this timer is outdated.
+    if (retry_at_ == 0 || loop_.now() < retry_at_) return;
     retry_at_ = 0;
     if (!try_reload(Attempt::retry)) schedule_retry();
 }
@@ -42,7 +42,8 @@
         if (attempt == Attempt::first)
             log_.error() << "configuration reload failed, the old configuration stays in force: "
                          << error.what();
-        log_.debug() << "configuration reload will be retried: " << error.what();
+        log_.debug() << "configuration cannot be read, retried for a few seconds after SIGHUP: "
+                     << error.what();
         return false;
     }
     on_reloaded_(restart_keys);
--- a/src/node/deferred_actions.h
+++ b/src/node/deferred_actions.h
@@ -14,7 +14,7 @@
 
 namespace lemonstair::node {
 
-// Deferred are attempts, final answers, migrations, health checks and list requests. Timers, gossip and log
+// Attempts, final answers, migrations, health checks and list requests are deferred. Timers, gossip and log
 // lines cannot call back into the balancer and are executed at once.
 class DeferredActions final : public BalancerDelegate {
   public:
--- a/src/node/endpoint_list_client.h
+++ b/src/node/endpoint_list_client.h
@@ -24,6 +24,7 @@
     // Opens the watch if discovery sends updates by itself. If it must be polled, the balancer requests each
     // call.
     void open_if_notified();
+    // Opens the watch if this process is the one that calls discovery.
     void open_if_owner();
     bool is_open() const { return watch_.is_open(); }
     void stop() { watch_.stop(); }
--- a/src/node/node.cpp
+++ b/src/node/node.cpp
@@ -72,7 +72,7 @@
       drain_(
           stages_, [this] { return is_handed_over(); }, [this] { transition_to(Phase::stopped); }),
       config_reloader_(loop_, config_, log_, std::move(read_config),
-                       [this](const std::string& unchanged_keys) { on_config_reloaded(unchanged_keys); }),
+                       [this](const std::string& restart_keys) { on_config_reloaded(restart_keys); }),
       signals_(loop_, system.signals(), POLLIN, *this, 0) {
     open_listeners();
     loop_.schedule(loop_.now() + check_endpoints_interval, *this, check_endpoints_timer);
