--- a/tests/client_disconnect_test.cpp
+++ b/tests/client_disconnect_test.cpp
@@ -1,6 +1,7 @@
 // Clients that disconnect while the node is still working on their request: from then on nothing is sent to a
-// server for them. Each test makes the disconnect and the event that would lead to a write ready before the
-// node's next pass, in either order.
+// server for them. In each test the disconnect and the event that would lead to a write are both ready before
+// the node's next pass. The tests that use client_in_slot check both orders in which that pass may handle
+// them.
 #include <doctest/doctest.h>
 
 #include <array>
--- a/tests/graceful_shutdown_test.cpp
+++ b/tests/graceful_shutdown_test.cpp
@@ -50,7 +50,7 @@
     CHECK(mid_line.client.has_received("MOVE\r\n"));
 }
 
-TEST_CASE("an attempt that outlasts the graceful shutdown is answered before SIGKILL") {
+TEST_CASE("a client whose attempt outlasts the graceful shutdown is answered before SIGKILL") {
     for (const char* mode : {"pass", "proxy"}) {
         NodeFixture fixture({.mode = mode, .client_timeout = "6"});
         TestConnection client = fixture.connect_client("OPEN 1 k c=chat,d=6000\r\n");
@@ -68,6 +68,7 @@
                         silent.push_back(std::move(attempt));
                 return client.is_closed() && late.is_closed();
             },
+            // SIGKILL comes after 3.7 s: client timeouts count for at most 3 s, and the grace is 0.7 s.
             3650 - ms_since(signalled));
         CHECK(client.has_received("\r\n"));
         CHECK(late.has_received("\r\n"));
@@ -84,7 +85,8 @@
         std::raise(SIGTERM);
         REQUIRE(fixture.run_until([&] { return ms_since(signalled) >= 400; }, 2000));
         const std::string line = fixture.open_line();
-        // All timers are due in the next pass, and its poll finds no event. The line arrives after that poll.
+        // In the next pass no client waits for an answer and all timers are due, so the node would exit. The
+        // poll of that pass finds no event; the line arrives after it.
         stall(400);
         fixture.kernel.after_poll = [&] {
             if (!accepted) client = fixture.connect_client();
@@ -104,6 +106,7 @@
     NodeFixture fixture({.mode = "proxy", .admin = true});
     REQUIRE(fixture.post("/healthcheck/fail").find(" 200 ") != std::string::npos);
     const auto drained = Clock::now();
+    // Later than the 4 s in which a drain has to migrate all clients.
     REQUIRE(fixture.run_until([&] { return ms_since(drained) >= 4100; }, 6000));
     TestConnection client = fixture.connect_client(fixture.open_line()), server = fixture.accept_attempt();
     server.send("UP r\r\n");
--- a/tests/node_fixture.h
+++ b/tests/node_fixture.h
@@ -91,8 +91,8 @@
     }
 };
 
-// The kernel, with injected faults. With `shared`, several nodes run alternately in one thread, so no poll
-// lasts longer than 1 ms.
+// The kernel, with injected faults. With `shared`, several nodes run alternately in one thread: no poll lasts
+// longer than 1 ms, so that none delays the others.
 struct FaultyKernel final : net::Kernel {
     bool shared = false;
     // Runs once, after the next poll has returned: the current pass does not see its effects.
@@ -155,7 +155,7 @@
         bool admin = false;                // with an admin server
         bool inherits_listener = false;    // the node is started with the listening socket for clients
         std::string client_timeout = "3";  // in s
-        std::string drain_grace = "3";     // in s
+        std::string drain_grace = "3";     // of endpoints that drain, in s
         std::string slow_start = "";       // more keys of the rules, as JSON
     };
     TestListener server_a, server_b, discovery;
@@ -170,7 +170,7 @@
     std::unique_ptr<node::Node> node, next;  // next: the new process in a hot restart
     bool running = true, next_running = false;
     int requests_made = 0;
-    int failing_reads = 0;  // so many of the next reloads fail
+    int failing_reads = 0;  // this many of the next reloads fail
 
     NodeFixture() : NodeFixture(Options{}) {}
     explicit NodeFixture(const Options& options, Ticks clock_ahead = 0,
--- a/tests/node_input_test.cpp
+++ b/tests/node_input_test.cpp
@@ -106,7 +106,7 @@
     incomplete.shutdown_write();
     CHECK(fixture.run_until([&] { return incomplete.is_closed(); }));
     TestConnection client = fixture.connect_client(fixture.open_line());
-    // An answer that does not end within the longest line counts as a failure, and the other server is tried.
+    // An answer longer than the longest line counts as a failure, and the other server is tried.
     fixture.accept_attempt().send(endless);
     TestConnection other_server = fixture.accept_attempt();
     other_server.send("UP r\r\n");
