--- a/src/discovery/endpoint_directory.h
+++ b/src/discovery/endpoint_directory.h
@@ -35,7 +35,7 @@
         std::string id, zone;
         std::uint32_t cell = 0;
         double size = 1;
-        // Within one incarnation an endpoint goes from active to draining to removed, never back.
+        /// Within one incarnation an endpoint goes from active to draining to removed, never back.
         bool is_superseded_by(EndpointState new_state, std::int64_t new_started_unix_ms) const {
             if (new_started_unix_ms != started_unix_ms) return new_started_unix_ms > started_unix_ms;
             return new_state > state;
@@ -44,28 +44,28 @@
     EndpointDirectory(const std::vector<std::string>& zone_names, log::Log& log)
         : zone_names_(zone_names), log_(log) {}
 
-    // Applies a complete list or a list of changes and passes it to the balancer. Logs an error and returns
-    // false where the value is not a list. Malformed entries of a list are logged and skipped.
+    /// Applies a complete list or a list of changes and passes it to the balancer. Logs an error and returns
+    /// false where the value is not a list. Malformed entries of a list are logged and skipped.
     bool apply(const json::Value& list, Balancer& balancer, ListSource source, Ticks now);
-    // Applies a list that another process of this node wrote with to_json(). `clock_shift` is how far this
-    // process's clock is ahead of the other's.
+    /// Applies a list that another process of this node wrote with to_json(). `clock_shift` is how far this
+    /// process's clock is ahead of the other's.
     bool apply_inherited(const json::Value& list, Balancer& balancer, Ticks clock_shift, Ticks now);
-    // Discovery reported that nothing has changed.
+    /// Discovery reported that nothing has changed.
     void confirm_current(Ticks now) {
         if (current_at_) current_at_ = now;
     }
-    // A complete list of all known endpoints, removed ones included, in the format of discovery.
+    /// A complete list of all known endpoints, removed ones included, in the format of discovery.
     std::string to_json() const;
-    // The revision of the last list; 0: none is known.
+    /// The revision of the last list; 0: none is known.
     std::uint64_t revision() const { return revision_.value_or(0); }
-    // Called when the address of discovery changes. Another service numbers its lists independently, so its
-    // first list is new whatever its revision.
+    /// Called when the address of discovery changes. Another service numbers its lists independently, so its
+    /// first list is new whatever its revision.
     void reset_revision() {
         revision_.reset();
         highest_revision_ = 0;
     }
-    // The index of an endpoint by its number or id; `none` where it is not known. An index stays valid for
-    // the lifetime of the directory.
+    /// The index of an endpoint by its number or id; `none` where it is not known. An index stays valid for
+    /// the lifetime of the directory.
     std::uint32_t index_of(std::uint32_t number) const { return index_by_number_.find(number); }
     std::uint32_t index_of(std::string_view id) const;
     const DiscoveredEndpoint& operator[](std::uint32_t index) const { return endpoints_[index]; }
--- a/src/discovery/http_lines.h
+++ b/src/discovery/http_lines.h
@@ -12,9 +12,9 @@
 
 class HttpLineParser {
   public:
-    // Parses the next bytes and calls on_line for each complete line of the body, empty ones included,
-    // without its line end. Returns false once the response is invalid: its status is not 200, its framing is
-    // wrong, or a line or the headers exceed a limit.
+    /// Parses the next bytes and calls on_line for each complete line of the body, empty ones included,
+    /// without its line end. Returns false once the response is invalid: its status is not 200, its framing
+    /// is wrong, or a line or the headers exceed a limit.
     template <class OnLine>
     bool feed(std::string_view bytes, OnLine&& on_line) {
         while (!bytes.empty() && state_ != State::invalid && state_ != State::end) {
@@ -25,9 +25,9 @@
         }
         return state_ != State::invalid;
     }
-    // The body has ended. A body that is not chunked ends only with its connection, which is not seen here.
+    /// The body has ended. A body that is not chunked ends only with its connection, which is not seen here.
     bool at_end() const { return state_ == State::end; }
-    // Prepares for the response to another request.
+    /// Prepares for the response to another request.
     void reset() { *this = HttpLineParser(); }
 
   private:
--- a/src/discovery/watch.h
+++ b/src/discovery/watch.h
@@ -23,13 +23,13 @@
     WatchListener(const WatchListener&) = delete;
     WatchListener& operator=(const WatchListener&) = delete;
     virtual ~WatchListener() = default;
-    // Returns false where the value is not an endpoint list; the watch is then lost.
+    /// Returns false where the value is not an endpoint list; the watch is then lost.
     virtual bool on_list(const json::Value& list) = 0;
-    // The response began with an empty line: the list has not changed since the requested revision.
+    /// The response began with an empty line: the list has not changed since the requested revision.
     virtual void on_unchanged() = 0;
-    // Called at each empty line: the list received last is still current.
+    /// Called at each empty line: the list received last is still current.
     virtual void on_still_current() = 0;
-    // The watch has ended and has to be opened again. Not called after stop() or redirect().
+    /// The watch has ended and has to be opened again. Not called after stop() or redirect().
     virtual void on_watch_lost() = 0;
 };
 
@@ -44,12 +44,12 @@
           listener_(listener),
           log_(log),
           counters_(counters) {}
-    // Requests the changes after a revision; 0 requests a complete list. Does nothing where the watch is
-    // open.
+    /// Requests the changes after a revision; 0 requests a complete list. Does nothing where the watch is
+    /// open.
     void open(std::uint64_t after_revision);
     void stop() { close(); }
     bool is_open() const { return phase_ != Phase::closed; }
-    // Sets the address of discovery and ends the watch on the old one. Returns false where it is the same.
+    /// Sets the address of discovery and ends the watch on the old one. Returns false where it is the same.
     bool redirect(const net::Address& discovery);
 
     void on_ready(std::uint64_t token, short events) override;
--- a/src/health_check/health_checker.h
+++ b/src/health_check/health_checker.h
@@ -24,8 +24,8 @@
     Listener(const Listener&) = delete;
     Listener& operator=(const Listener&) = delete;
     virtual ~Listener() = default;
-    // Called once for each check, with the endpoint's number, and the duration in tenths of a millisecond.
-    // Fields of `report` that the endpoint did not report are NaN.
+    /// Called once for each check, with the endpoint's number, and the duration in tenths of a millisecond.
+    /// Fields of `report` that the endpoint did not report are NaN.
     virtual void on_health_check(std::uint32_t number, Outcome outcome, Ticks duration,
                                  const LoadReport& report) = 0;
 };
@@ -42,11 +42,11 @@
           config_(config),
           counters_(counters) {}
     std::size_t open_connections() const { return open_connections_; }
-    // Starts a check of the endpoint with this number. Does nothing where the endpoint is unknown or a check
-    // of it is under way.
+    /// Starts a check of the endpoint with this number. Does nothing where the endpoint is unknown or a check
+    /// of it is under way.
     void check(std::uint32_t number);
-    // Called when another process of this node takes over the checks. Closes idle connections, and reports
-    // the checks that wait for a descriptor as Outcome::not_sent.
+    /// Called when another process of this node takes over the checks. Closes idle connections, and reports
+    /// the checks that wait for a descriptor as Outcome::not_sent.
     void stop();
     void on_ready(std::uint64_t token, short events) override;
     void on_timer(std::uint64_t token) override;
--- a/src/http/request.h
+++ b/src/http/request.h
@@ -23,15 +23,15 @@
 class Request {
   public:
     static constexpr std::size_t max_head_bytes = 8192, max_body_bytes = 4096, max_fields = 64;
-    // Parses the next bytes. Bytes after the end of the request, or after an error, are ignored.
+    /// Parses the next bytes. Bytes after the end of the request, or after an error, are ignored.
     void feed(std::string_view bytes);
-    // The head and the body have been received. Never true together with an error.
+    /// The head and the body have been received. Never true together with an error.
     bool is_complete() const { return part_ == Part::complete; }
     RequestError error() const { return error_; }
-    // No byte has been received yet.
+    /// No byte has been received yet.
     bool is_empty() const { return head_bytes_ == 0; }
     std::string_view method() const { return std::string_view(method_); }
-    // The path of the request target, without the query.
+    /// The path of the request target, without the query.
     std::string_view path() const { return std::string_view(path_); }
 
   private:
--- a/src/json/json.h
+++ b/src/json/json.h
@@ -25,9 +25,9 @@
 /// A parsed text. Reused for the next text, it keeps its memory.
 class Document {
   public:
-    // Returns false where the text is not exactly one JSON value; the document is then empty.
+    /// Returns false where the text is not exactly one JSON value; the document is then empty.
     bool parse(std::string_view text);
-    // A null value where the document is empty.
+    /// A null value where the document is empty.
     Value root() const;
 
   private:
@@ -51,21 +51,22 @@
     explicit Value(const char* context) : context_(context) {}
     Value(const Document& document, std::uint32_t index, const char* context = "")
         : document_(&document), index_(index), context_(context) {}
-    // The same value with `context` at the beginning of its error messages. `context` must outlive the value.
+    /// The same value with `context` at the beginning of its error messages. `context` must outlive the
+    /// value.
     Value with_context(const char* context) const {
         Value value = *this;
         value.context_ = context;
         return value;
     }
-    // The same value, for a field that must stay secret: its error messages do not show the field's value.
+    /// The same value, for a field that must stay secret: its error messages do not show the field's value.
     Value without_shown_values() const {
         Value value = *this;
         value.shows_values_ = false;
         return value;
     }
     Type type() const { return document_ == nullptr ? Type::null : item().type; }
-    // The characters of a text (unescaped), a number or a boolean; empty for a list and an object. Must not
-    // be called on a null value.
+    /// The characters of a text (unescaped), a number or a boolean; empty for a list and an object. Must not
+    /// be called on a null value.
     std::string_view raw() const { return item().raw; }
 
     bool has(std::string_view name) const { return find(name).type() != Type::null; }
@@ -86,13 +87,13 @@
     std::string_view text(std::string_view name, std::string_view fallback) const {
         return has(name) ? text(name) : fallback;
     }
-    // A boolean; false where the field is missing.
+    /// A boolean; false where the field is missing.
     bool flag(std::string_view name) const;
-    // A nested object; a null value where the field is missing, all fields of which are missing too.
+    /// A nested object; a null value where the field is missing, all fields of which are missing too.
     Value object(std::string_view name) const {
         return has(name) ? require(name, Type::object, "an object") : Value(context_);
     }
-    // Calls on_member for each member of a nested list; for none where the field is missing.
+    /// Calls on_member for each member of a nested list; for none where the field is missing.
     template <class OnMember>
     void for_each(std::string_view name, OnMember&& on_member) const {
         if (!has(name)) return;
@@ -100,17 +101,17 @@
         for (std::uint32_t i = list.index_ + 1; i < list.item().next; i = document_->items_[i].next)
             on_member(Value(*document_, i, context_));
     }
-    // Calls on_field with the name and the value of each field; for none where this is not an object.
+    /// Calls on_field with the name and the value of each field; for none where this is not an object.
     template <class OnField>
     void for_each_field(OnField&& on_field) const {
         if (type() != Type::object) return;
         for (std::uint32_t i = index_ + 1; i < item().next; i = document_->items_[i + 1].next)
             on_field(document_->items_[i].raw, Value(*document_, i + 1, context_));
     }
-    // This value as a number; NaN where it is not a number, or out of the range of a double.
+    /// This value as a number; NaN where it is not a number, or out of the range of a double.
     double as_number() const;
-    // Throws Malformed with the message "CONTEXT: field 'NAME' PROBLEM", followed by an excerpt of the
-    // field's value where that is a text, a number or a boolean.
+    /// Throws Malformed with the message "CONTEXT: field 'NAME' PROBLEM", followed by an excerpt of the
+    /// field's value where that is a text, a number or a boolean.
     [[noreturn]] void fail(std::string_view name, std::string_view problem) const;
 
   private:
--- a/src/log/log.h
+++ b/src/log/log.h
@@ -24,7 +24,7 @@
     Sink(const Sink&) = delete;
     Sink& operator=(const Sink&) = delete;
     virtual ~Sink() = default;
-    // Writes as much of the text as is possible without blocking, and returns the number of bytes written.
+    /// Writes as much of the text as is possible without blocking, and returns the number of bytes written.
     virtual std::size_t write(std::string_view text) = 0;
 };
 
@@ -43,9 +43,9 @@
 class LineBuffer final : public std::streambuf {
   public:
     explicit LineBuffer(Sink& sink) : sink_(sink) {}
-    // Queues the current line, or drops it where the queue is full, and writes what the sink accepts.
+    /// Queues the current line, or drops it where the queue is full, and writes what the sink accepts.
     void end_line();
-    // Writes as many of the queued bytes as the sink accepts now.
+    /// Writes as many of the queued bytes as the sink accepts now.
     void flush();
 
   protected:
@@ -63,10 +63,10 @@
 class Log {
   public:
     Log(Level max_level, Sink& sink) : max_level_(max_level), buffer_(sink), out_(&buffer_) {}
-    // A line, which ends when this object is destroyed.
+    /// A line, which ends when this object is destroyed.
     class Line {
       public:
-        // A null log discards the line.
+        /// A null log discards the line.
         explicit Line(Log* log) : log_(log) {}
         Line(const Line&) = delete;
         Line& operator=(const Line&) = delete;
--- a/src/node/config_reloader.h
+++ b/src/node/config_reloader.h
@@ -1,6 +1,6 @@
-// Reloads the configuration on SIGHUP. If the file cannot be read or is invalid, the reload is retried for
-// some time, since the file may still be being written. Until it succeeds the old configuration stays in
-// force.
+/// Reloads the configuration on SIGHUP. If the file cannot be read or is invalid, the reload is retried for
+/// some time, since the file may still be being written. Until it succeeds the old configuration stays in
+/// force.
 #pragma once
 
 #include <functional>
@@ -14,10 +14,10 @@
 
 class ConfigReloader final : public net::EventHandler {
   public:
-    // Throws json::Malformed, whose text names the invalid key.
+    /// Throws json::Malformed, whose text names the invalid key.
     using Read = std::function<config::NodeConfig()>;
-    // Called when the new configuration is in force, with the changed keys that take effect only after a
-    // restart.
+    /// Called when the new configuration is in force, with the changed keys that take effect only after a
+    /// restart.
     using OnReloaded = std::function<void(const std::string& restart_keys)>;
     ConfigReloader(net::EventLoop& loop, config::NodeConfig& config, log::Log& log, Read read,
                    OnReloaded on_reloaded)
@@ -27,7 +27,7 @@
           read_(std::move(read)),
           on_reloaded_(std::move(on_reloaded)) {}
     void reload();
-    // For a SIGHUP before there is a balancer: notes the reload, and reload_deferred() performs it.
+    /// For a SIGHUP before there is a balancer: notes the reload, and reload_deferred() performs it.
     void defer() { deferred_ = true; }
     void reload_deferred();
     void on_ready(std::uint64_t, short) override {}
--- a/src/node/deferred_actions.h
+++ b/src/node/deferred_actions.h
@@ -1,5 +1,5 @@
-// Keeps the balancer's decisions until the call into the balancer has returned. If they were executed at
-// once, an attempt that fails immediately would call the balancer from within its own call.
+/// Keeps the balancer's decisions until the call into the balancer has returned. If they were executed at
+/// once, an attempt that fails immediately would call the balancer from within its own call.
 #pragma once
 
 #include <cstdint>
@@ -14,8 +14,8 @@
 
 namespace lemonstair::node {
 
-// Attempts, final answers, migrations, health checks and list requests are deferred. Timers, gossip and log
-// lines cannot call back into the balancer and are executed at once.
+/// Attempts, final answers, migrations, health checks and list requests are deferred. Timers, gossip and log
+/// lines cannot call back into the balancer and are executed at once.
 class DeferredActions final : public BalancerDelegate {
   public:
     enum class Kind : std::uint8_t {
@@ -34,14 +34,14 @@
     };
     DeferredActions(net::EventLoop& loop, PeerLink& peers, log::Log& log, metrics::ResourceCounters& counters)
         : loop_(loop), peers_(peers), log_(log), counters_(counters) {}
-    // To be called before a balancer is created: from now on the timers of the previous one are ignored.
+    /// To be called before a balancer is created: from now on the timers of the previous one are ignored.
     void retire_balancer() {
         if (!timer_targets_.empty()) timer_targets_.back()->balancer = nullptr;
         timer_targets_.push_back(std::make_unique<TimerTarget>(loop_));
     }
-    // The balancer that receives the timers set since the last retire_balancer().
+    /// The balancer that receives the timers set since the last retire_balancer().
     void set_balancer(Balancer& balancer) { timer_targets_.back()->balancer = &balancer; }
-    // Calls execute(action) for each action in order, including those that are added meanwhile.
+    /// Calls execute(action) for each action in order, including those that are added meanwhile.
     template <class Execute>
     void run_all(Execute&& execute) {
         for (std::size_t i = 0; i < actions_.size(); ++i) {
--- a/src/node/drain_schedule.h
+++ b/src/node/drain_schedule.h
@@ -1,6 +1,6 @@
-// The deadlines of the steps of a graceful drain, in ticks (0.1 ms) since its start. All of them are derived
-// here, from the shutdown protocol of the platform and the longest client timeout in the settings: the
-// shorter the client timeouts, the sooner the process is killed.
+/// The deadlines of the steps of a graceful drain, in ticks (0.1 ms) since its start. All of them are derived
+/// here, from the shutdown protocol of the platform and the longest client timeout in the settings: the
+/// shorter the client timeouts, the sooner the process is killed.
 #pragma once
 
 #include <algorithm>
@@ -10,16 +10,16 @@
 namespace lemonstair::node {
 
 struct DrainSchedule {
-    // SIGKILL follows SIGTERM after the longest client timeout, of which at most max_client_deadline counts,
-    // plus the grace.
+    /// SIGKILL follows SIGTERM after the longest client timeout, of which at most max_client_deadline counts,
+    /// plus the grace.
     static constexpr Ticks max_client_deadline = 30000, kill_grace = 7000;
-    // In a drain by operators, a connection that is not migrated by then counts as lost.
+    /// In a drain by operators, a connection that is not migrated by then counts as lost.
     static constexpr Ticks drain_limit = 40000;
-    // New clients still arrive for up to 0.4 s. They are migrated with the others, spread over some time so
-    // that they do not all reconnect at once.
+    /// New clients still arrive for up to 0.4 s. They are migrated with the others, spread over some time so
+    /// that they do not all reconnect at once.
     static constexpr Ticks migrate_from = 5000, max_migration = 10000;
-    // Reserved at the end: for final lines to reach the clients, and for tunnels whose current line does not
-    // end.
+    /// Reserved at the end: for final lines to reach the clients, and for tunnels whose current line does not
+    /// end.
     static constexpr Ticks reserve_for_answers = 2500, reserve_for_stuck_lines = 1000;
     static constexpr Ticks check_interval = 500;
 
--- a/src/node/endpoint_list_client.h
+++ b/src/node/endpoint_list_client.h
@@ -1,5 +1,5 @@
-// Follows the endpoint list of discovery: keeps a watch open, passes its updates to the endpoint directory
-// and the balancer, and reopens a lost watch with exponential backoff.
+/// Follows the endpoint list of discovery: keeps a watch open, passes its updates to the endpoint directory
+/// and the balancer, and reopens a lost watch with exponential backoff.
 #pragma once
 
 #include <functional>
@@ -16,23 +16,23 @@
 
 class EndpointListClient final : public net::EventHandler, discovery::WatchListener {
   public:
-    // `owns_node`: returns whether this process, of the two in a hot restart, is the one that calls
-    // discovery.
+    /// `owns_node`: returns whether this process, of the two in a hot restart, is the one that calls
+    /// discovery.
     EndpointListClient(tunnel::TunnelRegistry& registry, std::function<bool()> owns_node);
-    // Opens the watch unless it is open or being opened.
+    /// Opens the watch unless it is open or being opened.
     void open() { watch_.open(registry_.endpoints.revision()); }
-    // Opens the watch if discovery sends updates by itself. If it must be polled, the balancer requests each
-    // call.
+    /// Opens the watch if discovery sends updates by itself. If it must be polled, the balancer requests each
+    /// call.
     void open_if_notified();
-    // Opens the watch if this process is the one that calls discovery.
+    /// Opens the watch if this process is the one that calls discovery.
     void open_if_owner();
     bool is_open() const { return watch_.is_open(); }
     void stop() { watch_.stop(); }
-    // Applies a new configuration: if discovery has moved, closes the old watch and returns true.
+    /// Applies a new configuration: if discovery has moved, closes the old watch and returns true.
     bool follow_config();
-    // After a reload: opens a watch at once, without backoff from earlier failures. An open one stays open.
+    /// After a reload: opens a watch at once, without backoff from earlier failures. An open one stays open.
     void reopen();
-    // Tells the balancer what has happened to the endpoint list, without changing its entries.
+    /// Tells the balancer what has happened to the endpoint list, without changing its entries.
     void notify_balancer(EndpointListKind kind);
 
     void on_ready(std::uint64_t, short) override {}
--- a/src/node/node.h
+++ b/src/node/node.h
@@ -1,4 +1,4 @@
-// The node: owns its components, connects them, and leads them through the phases from start to exit.
+/// The node: owns its components, connects them, and leads them through the phases from start to exit.
 #pragma once
 
 #include <cstdint>
@@ -23,24 +23,25 @@
 
 namespace lemonstair::node {
 
-// drained: operators have sent the clients to other nodes; the node serves again when they request it.
+/// drained: operators have sent the clients to other nodes; the node serves again when they request it.
 enum class Phase : std::uint8_t { starting, serving, drained, shutting_down, stopped };
 
-// The name shown to operators and in log lines; differs from the enum value's name for the last two.
+/// The name shown to operators and in log lines; differs from the enum value's name for the last two.
 std::string_view name_of(Phase phase);
 
 class Node final : health_check::Listener, admin::AdminHandler, hot_restart::Delegate, net::EventHandler {
   public:
-    // `initial_endpoints`: the configuration's endpoint list; ignored unless it is a JSON object. Throws
-    // json::Malformed, whose text names the key, if the node cannot listen on an address.
+    /// `initial_endpoints`: the configuration's endpoint list; ignored unless it is a JSON object. Throws
+    /// json::Malformed, whose text names the key, if the node cannot listen on an address.
     Node(net::System& system, config::NodeConfig config, const json::Value& initial_endpoints, log::Log& log,
          ConfigReloader::Read read_config, BalancerRunner::Factory make_balancer = Balancer::start);
-    // Runs until the node has stopped.
+    /// Runs until the node has stopped.
     void run();
-    // Runs one pass of the event loop. Returns false once the node has stopped.
+    /// Runs one pass of the event loop. Returns false once the node has stopped.
     bool run_once();
 
-    // What the node uses now. A node without connections uses only its periodic timers and a few descriptors.
+    /// What the node uses now. A node without connections uses only its periodic timers and a few
+    /// descriptors.
     struct ResourceUsage {
         std::size_t tunnels, buffers, timers, admin_connections, descriptors;
     };
--- a/src/node/status_log.h
+++ b/src/node/status_log.h
@@ -1,4 +1,4 @@
-// The node's periodic log lines: tunnel totals every 10 s, and the resources used in each second.
+/// The node's periodic log lines: tunnel totals every 10 s, and the resources used in each second.
 #pragma once
 
 #include "health_check/health_checker.h"
--- a/src/peer/codec.h
+++ b/src/peer/codec.h
@@ -31,32 +31,32 @@
 class MessageHandler {
   public:
     virtual ~MessageHandler() = default;
-    // The record of a tunnel: the endpoint that serves its key.
+    /// The record of a tunnel: the endpoint that serves its key.
     virtual void on_record(std::uint64_t key, std::uint32_t endpoint_id, std::int64_t stamp,
                            std::uint32_t group, double load) = 0;
-    // Asks for the record of a key; the reply tells whether the node knows one.
+    /// Asks for the record of a key; the reply tells whether the node knows one.
     virtual void on_lookup(std::uint64_t key) = 0;
     virtual void on_lookup_reply(std::uint64_t key, bool known, std::uint32_t endpoint_id,
                                  std::int64_t stamp) = 0;
-    // The sender has just started and holds no records yet.
+    /// The sender has just started and holds no records yet.
     virtual void on_node_started() = 0;
     virtual void on_peer_down(std::uint32_t node) = 0;
-    // The load that the sender itself has placed on an endpoint.
+    /// The load that the sender itself has placed on an endpoint.
     virtual void on_load_total(std::uint32_t endpoint_id, bool healthy, double load) = 0;
-    // How an attempt of the sender at an endpoint ended.
+    /// How an attempt of the sender at an endpoint ended.
     virtual void on_outcome(std::uint32_t endpoint_id, std::uint8_t outcome_code) = 0;
-    // The load and health of an endpoint that the sender reports for all nodes.
+    /// The load and health of an endpoint that the sender reports for all nodes.
     virtual void on_load_report(std::uint32_t endpoint_id, bool healthy, double load) = 0;
-    // New tunnels of the group are to be placed on this endpoint.
+    /// New tunnels of the group are to be placed on this endpoint.
     virtual void on_affinity_target(std::uint32_t group, std::uint32_t endpoint_id) = 0;
-    // A node in `zone` has placed a tunnel of the group in another zone.
+    /// A node in `zone` has placed a tunnel of the group in another zone.
     virtual void on_cross_zone(std::uint32_t group, std::uint32_t zone) = 0;
-    // Request and grant of one unit of an endpoint's quota for a slot of time (src/quota). `slot` holds the
-    // low 32 bits of the slot's number.
+    /// Request and grant of one unit of an endpoint's quota for a slot of time (src/quota). `slot` holds the
+    /// low 32 bits of the slot's number.
     virtual void on_lease_request(std::uint32_t endpoint_id, std::uint32_t slot) = 0;
     virtual void on_lease_grant(std::uint32_t endpoint_id, std::uint32_t slot) = 0;
-    // One node, or two, observed that an endpoint failed (src/failure_detector). `observed_at` holds the low
-    // 32 bits of the time; a `second_observer` of 65535 means that there is none.
+    /// One node, or two, observed that an endpoint failed (src/failure_detector). `observed_at` holds the low
+    /// 32 bits of the time; a `second_observer` of 65535 means that there is none.
     virtual void on_endpoint_failure(std::uint32_t endpoint_id, std::uint32_t observed_at,
                                      std::uint32_t observer, std::uint32_t second_observer) = 0;
 };
--- a/src/tunnel/acceptor.h
+++ b/src/tunnel/acceptor.h
@@ -1,4 +1,4 @@
-// Accepts clients, reads the request line of each, and answers readiness checks.
+/// Accepts clients, reads the request line of each, and answers readiness checks.
 #pragma once
 
 #include <string_view>
@@ -10,20 +10,20 @@
 
 namespace lemonstair::tunnel {
 
-// The stage for TunnelState::reading_request.
+/// The stage for TunnelState::reading_request.
 class Acceptor final : public net::EventHandler {
   public:
     Acceptor(TunnelRegistry& registry, Admission& admission, Completion& completion)
         : registry_(registry), admission_(admission), completion_(completion) {}
-    // Listens on a socket of its own, or on one that the platform passed to the process. Both throw
-    // std::system_error if that fails.
+    /// Listens on a socket of its own, or on one that the platform passed to the process. Both throw
+    /// std::system_error if that fails.
     void listen_on(const net::Address& address) { listen_on(registry_.loop.system().listen_on(address)); }
     void listen_on(int inherited) { listen_on(registry_.loop.system().inherited_listener(inherited)); }
-    // Clients that are not accepted stay in the listener's queue, for this process or another one of the
-    // node.
+    /// Clients that are not accepted stay in the listener's queue, for this process or another one of the
+    /// node.
     void set_accepting(bool accepting);
-    // What would be left unanswered if the process exited now. Accepts the clients in the listener's queue
-    // first.
+    /// What would be left unanswered if the process exited now. Accepts the clients in the listener's queue
+    /// first.
     attempt_policy::Obligations outstanding_work();
 
     void on_ready(std::uint64_t, short) override { static_cast<void>(accept_pending()); }
--- a/src/tunnel/attempt.h
+++ b/src/tunnel/attempt.h
@@ -1,4 +1,4 @@
-// Attempts to open a tunnel at an endpoint: connects, writes the request line and reads the answer.
+/// Attempts to open a tunnel at an endpoint: connects, writes the request line and reads the answer.
 #pragma once
 
 #include <string_view>
@@ -10,20 +10,20 @@
 
 namespace lemonstair::tunnel {
 
-// The stage for the states from awaiting_placement to awaiting_answer. An attempt either opens the tunnel or
-// fails; the balancer is told and decides what happens after a failure.
+/// The stage for the states from awaiting_placement to awaiting_answer. An attempt either opens the tunnel or
+/// fails; the balancer is told and decides what happens after a failure.
 class AttemptRunner {
   public:
     AttemptRunner(TunnelRegistry& registry, Completion& completion, Relay& relay)
         : registry_(registry), completion_(completion), relay_(relay) {}
-    // Starts an attempt. `endpoint_index`: index in the endpoint directory. `max_wait`: how long to wait for
-    // the endpoint's answer; 0: until the client's deadline.
+    /// Starts an attempt. `endpoint_index`: index in the endpoint directory. `max_wait`: how long to wait for
+    /// the endpoint's answer; 0: until the client's deadline.
     void start(TunnelId id, std::uint32_t endpoint_index, Ticks max_wait);
-    // For a tunnel that is already open at its endpoint: repeats the attempt there, without asking the
-    // balancer, until one succeeds or the deadline has passed.
+    /// For a tunnel that is already open at its endpoint: repeats the attempt there, without asking the
+    /// balancer, until one succeeds or the deadline has passed.
     void resume(TunnelId id);
-    // Limits the deadline of all tunnels that wait for an answer, now or later, to `deadline`: the process
-    // may be killed after it.
+    /// Limits the deadline of all tunnels that wait for an answer, now or later, to `deadline`: the process
+    /// may be killed after it.
     void set_answer_deadline(Ticks deadline);
     void on_tunnel_ready(TunnelId id, Side side, short events);
     void on_tunnel_timer(TunnelId id);
--- a/src/tunnel/completion.h
+++ b/src/tunnel/completion.h
@@ -1,5 +1,5 @@
-// The last stage of a tunnel: its final answer, the orderly close of both connections, and the report of its
-// end to the balancer.
+/// The last stage of a tunnel: its final answer, the orderly close of both connections, and the report of its
+/// end to the balancer.
 #pragma once
 
 #include <string_view>
@@ -8,34 +8,34 @@
 
 namespace lemonstair::tunnel {
 
-// The stage for TunnelState::closing. Its functions may be called from any other stage.
+/// The stage for TunnelState::closing. Its functions may be called from any other stage.
 class Completion {
   public:
     explicit Completion(TunnelRegistry& registry) : registry_(registry) {}
-    // Final answer to a waiting client: nothing was done, and it may retry. `retry_after`: after how
-    // long; less than 1 ms: no time is named.
+    /// Final answer to a waiting client: nothing was done, and it may retry. `retry_after`: after how
+    /// long; less than 1 ms: no time is named.
     void reject(TunnelId id, Ticks retry_after);
-    // Final answer to a waiting client: the request has failed, and may have been executed.
+    /// Final answer to a waiting client: the request has failed, and may have been executed.
     void fail(TunnelId id);
-    // The client has not sent a complete request in time. It is rejected; if it has sent a readiness check,
-    // the connection is closed without an answer.
+    /// The client has not sent a complete request in time. It is rejected; if it has sent a readiness check,
+    /// the connection is closed without an answer.
     void expire_request(TunnelId id);
-    // The client disconnected while it waited for its answer.
+    /// The client disconnected while it waited for its answer.
     void on_client_disconnected(TunnelId id);
-    // The client violated the protocol: closes the tunnel with an error.
+    /// The client violated the protocol: closes the tunnel with an error.
     void reject_protocol_error(TunnelId id);
-    // Closes the connection that has been idle for longest: one that waits for its request, or else one that
-    // is closing. Returns false if there is none that has been idle for a minimum time.
+    /// Closes the connection that has been idle for longest: one that waits for its request, or else one that
+    /// is closing. Returns false if there is none that has been idle for a minimum time.
     bool evict_idle_connection();
-    // Reports the end of an open tunnel to the balancer, once.
+    /// Reports the end of an open tunnel to the balancer, once.
     void report_end(TunnelId id, Outcome outcome);
-    // Writes the final line, then closes gracefully.
+    /// Writes the final line, then closes gracefully.
     void send_final_line(TunnelId id, std::string_view line);
-    // To be called when all bytes are written: shuts down both connections for writing, then discards input
-    // until the peers have closed. Closing with unread input would send a reset, which can overtake the last
-    // line.
+    /// To be called when all bytes are written: shuts down both connections for writing, then discards input
+    /// until the peers have closed. Closing with unread input would send a reset, which can overtake the last
+    /// line.
     void close_gracefully(TunnelId id);
-    // Closes both connections at once.
+    /// Closes both connections at once.
     void close_now(TunnelId id);
     void on_tunnel_ready(TunnelId id, Side side, short events);
     void on_tunnel_timer(TunnelId id);
--- a/src/tunnel/endpoint_monitor.h
+++ b/src/tunnel/endpoint_monitor.h
@@ -1,5 +1,5 @@
-// Monitors how endpoints answer on open tunnels: reports slow answers and unresponsive endpoints to the
-// balancer, and finds tunnels that no longer get answers.
+/// Monitors how endpoints answer on open tunnels: reports slow answers and unresponsive endpoints to the
+/// balancer, and finds tunnels that no longer get answers.
 #pragma once
 
 #include <vector>
@@ -8,18 +8,18 @@
 
 namespace lemonstair::tunnel {
 
-// Endpoints are identified by their index in the endpoint directory.
+/// Endpoints are identified by their index in the endpoint directory.
 class EndpointMonitor {
   public:
     explicit EndpointMonitor(TunnelRegistry& registry);
-    // The endpoint has just sent a line that is not a load report.
+    /// The endpoint has just sent a line that is not a load report.
     void on_line(std::uint32_t endpoint_index);
-    // The process that transferred a tunnel to this one had received a line on it at `line_at`.
+    /// The process that transferred a tunnel to this one had received a line on it at `line_at`.
     void on_transferred_line(std::uint32_t endpoint_index, Ticks line_at);
-    // The endpoint has answered a line of the client after `took`.
+    /// The endpoint has answered a line of the client after `took`.
     void on_answer(TunnelId id, std::uint32_t endpoint_index, Ticks took);
-    // To be called several times a second: reports unresponsive endpoints to the balancer and returns the
-    // open tunnels that have stalled. The list is valid until the next call.
+    /// To be called several times a second: reports unresponsive endpoints to the balancer and returns the
+    /// open tunnels that have stalled. The list is valid until the next call.
     const std::vector<TunnelId>& check();
 
   private:
--- a/src/tunnel/relay.h
+++ b/src/tunnel/relay.h
@@ -1,5 +1,5 @@
-// Relays the bytes of open tunnels in both directions, tracks the lines that they consist of, and migrates
-// clients.
+/// Relays the bytes of open tunnels in both directions, tracks the lines that they consist of, and migrates
+/// clients.
 #pragma once
 
 #include <string_view>
@@ -10,19 +10,19 @@
 
 namespace lemonstair::tunnel {
 
-// The stage for TunnelState::open and TunnelState::migrating.
+/// The stage for TunnelState::open and TunnelState::migrating.
 class Relay {
   public:
     Relay(TunnelRegistry& registry, Completion& completion)
         : registry_(registry), completion_(completion), monitor_(registry) {}
-    // The endpoint has opened the tunnel. Its answer and the bytes after it are in the downstream buffer.
+    /// The endpoint has opened the tunnel. Its answer and the bytes after it are in the downstream buffer.
     void begin(TunnelId id);
-    // For a tunnel that was received from another process, or could not be transferred to it.
+    /// For a tunnel that was received from another process, or could not be transferred to it.
     void resume(TunnelId id);
-    // Tells the client to reconnect elsewhere, as soon as both directions are at the end of a line.
+    /// Tells the client to reconnect elsewhere, as soon as both directions are at the end of a line.
     void migrate(TunnelId id);
-    // To be called several times a second: reports unresponsive endpoints, and migrates the clients of
-    // stalled tunnels.
+    /// To be called several times a second: reports unresponsive endpoints, and migrates the clients of
+    /// stalled tunnels.
     void check_endpoints();
     void on_tunnel_ready(TunnelId id, Side side, short events);
     void on_tunnel_timer(TunnelId id);
--- a/src/tunnel/stages.h
+++ b/src/tunnel/stages.h
@@ -1,5 +1,5 @@
-// The stages that a tunnel passes through, and the dispatch of socket events and timers to the stage that is
-// responsible for the tunnel's current state.
+/// The stages that a tunnel passes through, and the dispatch of socket events and timers to the stage that is
+/// responsible for the tunnel's current state.
 #pragma once
 
 #include "tunnel/acceptor.h"
@@ -13,8 +13,8 @@
 
 namespace lemonstair::tunnel {
 
-// Owns the registry and all stages. The token of an event is the tunnel's id and, in its lowest bit, the side
-// whose socket is ready.
+/// Owns the registry and all stages. The token of an event is the tunnel's id and, in its lowest bit, the
+/// side whose socket is ready.
 class TunnelStages final : public net::EventHandler {
   public:
     TunnelStages(net::EventLoop& loop, const config::NodeConfig& config,
--- a/src/tunnel/tunnel.h
+++ b/src/tunnel/tunnel.h
@@ -1,5 +1,5 @@
-// One tunnel: the connections of a client and of an endpoint, the bytes buffered between them, and the state
-// of the tunnel.
+/// One tunnel: the connections of a client and of an endpoint, the bytes buffered between them, and the state
+/// of the tunnel.
 #pragma once
 
 #include <array>
@@ -13,7 +13,7 @@
 
 namespace lemonstair::tunnel {
 
-// The states of a tunnel. Only TunnelRegistry::transition_to changes them.
+/// The states of a tunnel. Only TunnelRegistry::transition_to changes them.
 enum class TunnelState : std::uint8_t {
     free,                // the slot is not in use
     reading_request,     // waits for the client's request line
@@ -28,21 +28,21 @@
     closing              // the final line is being written, or was written and the peers have not closed yet
 };
 
-// The name in log lines, which tools/tunnel_ledger.py parses.
+/// The name in log lines, which tools/tunnel_ledger.py parses.
 std::string_view name_of(TunnelState state);
 
-// Whether the client has sent its request and has no final answer yet.
+/// Whether the client has sent its request and has no final answer yet.
 constexpr bool awaits_answer(TunnelState state) {
     return state == TunnelState::awaiting_placement || state == TunnelState::connecting ||
            state == TunnelState::sending_request || state == TunnelState::awaiting_answer;
 }
 
-// Whether an attempt at an endpoint is in progress.
+/// Whether an attempt at an endpoint is in progress.
 constexpr bool has_attempt(TunnelState state) {
     return awaits_answer(state) && state != TunnelState::awaiting_placement;
 }
 
-// One direction of a tunnel: from its source, whose bytes are read, to its target.
+/// One direction of a tunnel: from its source, whose bytes are read, to its target.
 struct Direction {
     net::Buffer buffer;                    // read from the source, not yet written to the target
     std::uint32_t partial_line_bytes = 0;  // of the current line, read so far; 0: at the end of a line
@@ -50,7 +50,7 @@
     bool end_forwarded = false;            // the target's connection was shut down for writing
 };
 
-// Times are on the event loop's clock; 0 stands for "none".
+/// Times are on the event loop's clock; 0 stands for "none".
 struct Tunnel {
     net::Socket client, endpoint;
     net::Buffer request_buffer;      // the request line and the bytes after it, until the tunnel opens
--- a/src/tunnel/tunnel_registry.h
+++ b/src/tunnel/tunnel_registry.h
@@ -1,6 +1,6 @@
-// The registry of all tunnels of this process, and the context that their stages share: event loop, buffers,
-// balancer, endpoint directory and counters. All state changes go through transition_to, which checks and
-// counts them.
+/// The registry of all tunnels of this process, and the context that their stages share: event loop, buffers,
+/// balancer, endpoint directory and counters. All state changes go through transition_to, which checks and
+/// counts them.
 #pragma once
 
 #include <array>
@@ -22,16 +22,16 @@
 
 namespace lemonstair::tunnel {
 
-// The id of a tunnel: its slot in the low 32 bits, and above it the serial number of the slot's use, so that
-// a late event of one tunnel never reaches the next tunnel in the slot. The balancer uses the same id.
+/// The id of a tunnel: its slot in the low 32 bits, and above it the serial number of the slot's use, so that
+/// a late event of one tunnel never reaches the next tunnel in the slot. The balancer uses the same id.
 using TunnelId = std::uint64_t;
 enum class Side : std::uint8_t { client, endpoint };
 
-// A client is accepted for rejection if there are no descriptors to serve it: it is only told that the node
-// is full.
+/// A client is accepted for rejection if there are no descriptors to serve it: it is only told that the node
+/// is full.
 enum class AcceptedFor : std::uint8_t { service, rejection };
 
-// Totals since the start of this process.
+/// Totals since the start of this process.
 struct TunnelTotals {
     std::uint64_t accepted = 0;         // requests that were read
     std::uint64_t opened = 0;           // attempts that an endpoint accepted
@@ -44,11 +44,11 @@
     std::uint64_t evicted = 0;          // idle connections closed to free their descriptors
 };
 
-// Members that the stages use directly are public; the counts follow from the state changes.
+/// Members that the stages use directly are public; the counts follow from the state changes.
 class TunnelRegistry {
   public:
     static constexpr Ticks no_deadline = std::numeric_limits<Ticks>::max() / 4;
-    // Value in `by_id_hash`: the id belongs to a tunnel that was open recently.
+    /// Value in `by_id_hash`: the id belongs to a tunnel that was open recently.
     static constexpr std::uint32_t recently_closed = IdIndex::none - 1;
 
     TunnelRegistry(net::EventLoop& event_loop, net::EventHandler& handler,
@@ -66,46 +66,46 @@
     TunnelId id_of(std::uint32_t index) const {
         return TunnelId{tunnels.generation(index) & 0x7fffffffU} << 32 | index;
     }
-    // Null if the tunnel no longer exists.
+    /// Null if the tunnel no longer exists.
     Tunnel* find(TunnelId id) {
         const auto index = static_cast<std::uint32_t>(id);
         return tunnels.in_use(index) && id_of(index) == id ? &tunnels[index] : nullptr;
     }
-    // Adds a tunnel for an accepted client. Its state is still `free`: the caller must call transition_to
-    // next.
+    /// Adds a tunnel for an accepted client. Its state is still `free`: the caller must call transition_to
+    /// next.
     TunnelId add(net::Fd client, AcceptedFor purpose);
-    // Calls visit(index, tunnel) for each tunnel, in the order of slots.
+    /// Calls visit(index, tunnel) for each tunnel, in the order of slots.
     template <class Visit>
     void for_each(Visit&& visit) {
         for (std::uint32_t index = 0; index < tunnels.slot_count(); ++index)
             if (tunnels.in_use(index)) visit(index, tunnels[index]);
     }
-    // Wraps a descriptor of a tunnel; its events go to the stage for the tunnel's state.
+    /// Wraps a descriptor of a tunnel; its events go to the stage for the tunnel's state.
     net::Socket make_socket(TunnelId id, Side side, net::Fd fd, short events) {
         return {loop, std::move(fd), events, event_handler, id << 1 | static_cast<std::uint64_t>(side)};
     }
-    // The balancer, with its clock set to the loop's time.
+    /// The balancer, with its clock set to the loop's time.
     Balancer& balancer_now() {
         balancer->set_time(loop.now());
         return *balancer;
     }
-    // Calls the tunnel's stage at `deadline`. Timers cannot be cancelled: a stage recognizes an outdated one
-    // by comparing the time with state_deadline.
+    /// Calls the tunnel's stage at `deadline`. Timers cannot be cancelled: a stage recognizes an outdated one
+    /// by comparing the time with state_deadline.
     void set_state_deadline(TunnelId id, Tunnel& tunnel, Ticks deadline) {
         tunnel.state_deadline = deadline;
         loop.schedule(deadline, event_handler, id << 1);
     }
     void transition_to(TunnelId id, TunnelState to);
-    // Counts and logs the violation of an invariant.
+    /// Counts and logs the violation of an invariant.
     void report_violation(metrics::Invariant rule, TunnelId id, std::string_view detail);
-    // Whether the client has closed its sending side or its connection; asks the system.
+    /// Whether the client has closed its sending side or its connection; asks the system.
     bool client_disconnected(const Tunnel& tunnel) const;
-    // If descriptors have become free, turns a tunnel that was accepted only for rejection into one that is
-    // served. Returns false if none are free.
+    /// If descriptors have become free, turns a tunnel that was accepted only for rejection into one that is
+    /// served. Returns false if none are free.
     bool try_serve_reject_only(Tunnel& tunnel);
 
     std::size_t tunnel_count() const { return tunnel_count_; }
-    // Tunnels from their complete request to their final line.
+    /// Tunnels from their complete request to their final line.
     std::size_t admitted_count() const { return admitted_count_; }
     std::size_t closing_count() const { return closing_count_; }
     std::size_t reading_request_count() const { return tunnel_count_ - admitted_count_ - closing_count_; }
--- a/src/tunnel/wire_protocol.h
+++ b/src/tunnel/wire_protocol.h
@@ -1,5 +1,5 @@
-// The line protocol of clients and endpoints: its keywords, and the types that they are parsed into. No other
-// file of this module contains a keyword of the protocol.
+/// The line protocol of clients and endpoints: its keywords, and the types that they are parsed into. No
+/// other file of this module contains a keyword of the protocol.
 #pragma once
 
 #include <charconv>
@@ -10,7 +10,7 @@
 
 namespace lemonstair::tunnel::wire {
 
-// The longest line that either side may send, in bytes without the line end.
+/// The longest line that either side may send, in bytes without the line end.
 constexpr std::size_t longest_line = 4096;
 constexpr std::string_view line_end = "\r\n";
 
@@ -31,7 +31,7 @@
 constexpr std::string_view expected_load = "h";
 constexpr std::string_view flag_set = "1";
 }  // namespace parameter
-// The start of the parameter that is rewritten for the endpoint.
+/// The start of the parameter that is rewritten for the endpoint.
 constexpr std::string_view wait_prefix = "d=";
 
 // To the client. After rejected_prefix comes the time, in ms, after which it may retry.
@@ -41,12 +41,12 @@
 constexpr std::string_view failed_line = "ERR\r\n";
 constexpr std::string_view migrate_line = "MOVE\r\n";
 
-// Whether a line consists of this word, or of this word, a space and more text.
+/// Whether a line consists of this word, or of this word, a space and more text.
 constexpr bool has_word(std::string_view line, std::string_view word) {
     return line.substr(0, word.size()) == word && (line.size() == word.size() || line[word.size()] == ' ');
 }
 
-// The endpoint's first line: its answer to the request.
+/// The endpoint's first line: its answer to the request.
 enum class Answer : std::uint8_t { opened, finished, overloaded, migrate, error, unknown };
 
 constexpr Answer read_answer(std::string_view line) {
@@ -58,7 +58,7 @@
     return Answer::unknown;
 }
 
-// The kinds of lines that an endpoint sends on an open tunnel.
+/// The kinds of lines that an endpoint sends on an open tunnel.
 enum class Message : std::uint8_t { load, finished, migrate, other };
 
 constexpr std::string_view load_prefix = "LOAD ";
@@ -70,7 +70,7 @@
     return Message::other;
 }
 
-// The load in a Message::load, in millionths of a standard core; nullopt unless it is a finite number >= 0.
+/// The load in a Message::load, in millionths of a standard core; nullopt unless it is a finite number >= 0.
 inline std::optional<double> read_load(std::string_view line) {
     double load = 0;
     const char* end = line.data() + line.size();
