--- a/src/simulation/fault_catalogue.cpp
+++ b/src/simulation/fault_catalogue.cpp
@@ -30,7 +30,7 @@
         {K::node_upgrade_fails, "node_upgrade_fails", Target::node, true, false, false,
          "like node_upgrade, but the new process dies for_s after its start"},
         {K::node_drain, "node_drain", Target::node, true, false, false,
-         "operators drain the node, and end the drain 4 s and for_s later"},
+         "operators drain the node, and end the drain 4 s + for_s later"},
         {K::node_idle_connections, "node_callers", Target::node, false, false, true,
          "`count` connections to the admin address stay open with no request or half of one"},
     };
--- a/src/simulation/invariants.cpp
+++ b/src/simulation/invariants.cpp
@@ -32,7 +32,7 @@
 
 void Invariants::judge_bounds() {
     for (std::uint32_t h = 0; h < scenario_.servers; ++h) {
-        std::string who = "server h";
+        std::string who = "server ";
         who += std::to_string(h);
         const double spent = ledger_.most_of_budget(h, scenario_.server.overload_window);
         if (scenario_.max_budget_share > 0 && spent > scenario_.max_budget_share)
--- a/src/simulation/invariants.h
+++ b/src/simulation/invariants.h
@@ -61,12 +61,14 @@
     void report(std::string rule, std::string what);
 
     const std::vector<Violation>& broken() const { return broken_; }
-    // Counts of events, regardless of violations.
+    // Counts of events, regardless of violations: requests that reached a node (taken) and the answers that
+    // they got, setups that servers received, mid-flow requests (resumed), mid-flow setups at a server that
+    // does not hold the tunnel (not_held), and connections that were closed or reset without MOVE (cut).
     struct Tally {
         std::uint64_t taken = 0, opened = 0, declined = 0, failed = 0, setups = 0, setups_failed = 0,
                       resumed = 0, not_held = 0, cut = 0,
                       orphaned = 0,  // tunnels still without an answer when their node ended
-            raced = 0;  // setups without an answer when their node was notified that the server drains
+            raced = 0;  // setups without an answer when their node was notified that the server is inactive
     };
     const Tally& tally() const { return tally_; }
     // Whether any server is idle; called when a tunnel is declined.
@@ -130,6 +132,7 @@
         NodeEnd how = NodeEnd::killed;
         Ticks leaving_since = 0;
     };
+    // A node: its processes, what disturbed it, and what discovery told it.
     struct Node {
         std::vector<Incarnation> incarnations;
         std::vector<std::pair<Ticks, Ticks>> stalls;
@@ -138,6 +141,7 @@
         std::vector<Ticks>
             inactive_since;  // by server: since when the node knows it to be inactive; 0: active
     };
+    // A server: its last start, and whether it hangs or when it last ceased to.
     struct Server {
         Ticks started_at = 0, silent_until = 0;
         bool silent = false;
--- a/src/simulation/invariants_operators.cpp
+++ b/src/simulation/invariants_operators.cpp
@@ -39,8 +39,9 @@
     }
 }
 
-// Counts must be right within 1% or 3 and may be half a second old. Tunnels that changed their state less
-// than 0.6 s ago, and clients that left less than 4.5 s ago, may be counted or not.
+// Counts must be right within 3 or 1%, whichever is more (open tunnels: 10%), and may be half a second old.
+// Tunnels that changed their state less than 0.6 s ago, and clients that left less than 4.5 s ago, may be
+// counted or not.
 void Invariants::judge_metrics(std::uint32_t node, const std::string& body, Ticks since, bool mixed) {
     constexpr Ticks max_age = 6000, end_grace = 45000;
     const Ticks now = events_.now();
@@ -50,8 +51,8 @@
         if (reported < seen - missing - slack || reported > seen + more + slack)
             report("figures", "node " + std::to_string(node) + " reports " + std::to_string(reported) + " " +
                                   std::string(what) + ", clients and servers saw " + std::to_string(seen) +
-                                  " (up to " + std::to_string(missing) + " less or " + std::to_string(more) +
-                                  " more are allowed)");
+                                  " (" + std::to_string(missing) + " fewer or " + std::to_string(more) +
+                                  " more are allowed, with a tolerance of " + std::to_string(slack) + ")");
     };
     long open = 0, open_missing = 0, open_more = 0, received = 0;
     for (const TunnelRecord& record : tunnels_by_id_) {
--- a/src/simulation/invariants_servers.cpp
+++ b/src/simulation/invariants_servers.cpp
@@ -21,7 +21,7 @@
 // An attempt must not begin once the client has closed its connection.
 void Invariants::judge_late_attempt(const TunnelRecord& record, std::uint32_t server, simnet::Machine node,
                                     Ticks sent) {
-    constexpr Ticks allowed = 1000;
+    constexpr Ticks allowed = 1000;  // until the node has noticed that the client closed
     if (record.left_at == 0 || sent <= record.left_at + allowed + margin) return;
     // A server that hung meanwhile read the setup late, so that its time of sending is not known.
     if (servers_[server].silent || servers_[server].silent_until >= record.requested_at) return;
@@ -57,7 +57,8 @@
     TunnelRecord& record = record_of(tunnel);
     ++tally_.setups;
     if (record.state == State::unknown)
-        return report("line", named(tunnel) + " was sent to a server but no client asked for it");
+        return report("line", named(tunnel) + " was sent to server " + std::to_string(server) +
+                                  " but no client asked for it");
     const simnet::Machine node = network_.machine_of(end.other());
     if (!mid_flow) {
         // A server that hung may read a setup long after the node gave it up: that one is no longer pending.
@@ -72,7 +73,7 @@
         if (since != 0 && first > since + drain_grace + margin && was_undisturbed(node, since, events_.now()))
             report("drain", named(tunnel) + " went to server " + std::to_string(server) + " " +
                                 std::to_string((first - since) / 10) +
-                                " ms after its node was told that the server drains");
+                                " ms after its node was told that the server drains or has stopped");
     }
     record.setups.push_back({server, end, first});
     // A node that has not been notified of the server's start cannot know that it is in slow start.
--- a/src/simulation/main.cpp
+++ b/src/simulation/main.cpp
@@ -152,10 +152,9 @@
     std::cout << "seed " << v.seed << " trace " << hex(v.hash) << ", " << seconds(v.simulated)
               << " simulated seconds, " << v.steps << " steps\n  tunnels: accepted " << v.tally.taken
               << ", opened " << v.tally.opened << ", declined " << v.tally.declined << ", closed with error "
-              << v.tally.failed << "; setups " << v.tally.setups << "; mid-flow " << v.tally.resumed
-              << ", of which " << v.tally.not_held
-              << " setups went to a server that does not hold the tunnel; clients moved " << v.clients.moved
-              << "\n";
+              << v.tally.failed << "; setups " << v.tally.setups << "; mid-flow requests " << v.tally.resumed
+              << ", mid-flow setups at a server that does not hold the tunnel " << v.tally.not_held
+              << "; clients moved " << v.clients.moved << "\n";
     if (v.broken.empty()) std::cout << "all rules kept\n";
     print_violations(v, 50);
     return v.broken.empty() ? exit_rules_kept : exit_rule_broken;
--- a/src/simulation/scenario_file.cpp
+++ b/src/simulation/scenario_file.cpp
@@ -36,7 +36,7 @@
         const toml::node* at = find(key);
         if (at == nullptr) return;
         const auto value = at->value<double>();
-        if (!at->is_number() || !value || !std::isfinite(*value)) fail(key, "is not a number");
+        if (!at->is_number() || !value || !std::isfinite(*value)) fail(key, "is not a finite number");
         if (*value < 0 && least >= 0) fail(key, "is " + shown(*value) + ", expected no negative number");
         if (*value < least || *value > most)
             fail(key, "is " + shown(*value) + ", expected " + shown(least) + " to " + shown(most));
--- a/src/simulation/simulated_nodes.cpp
+++ b/src/simulation/simulated_nodes.cpp
@@ -259,7 +259,7 @@
                                                     std::to_string(most));
         };
         check(clients, allowed, " connections to clients");
-        check(calls, scenario_.servers + 1, " connections to servers");
+        check(calls, scenario_.servers + 1, " connections to servers and discovery");
         check(holds.tunnels, allowed, " tunnels");
         check(holds.buffers, allowed, " buffers");
         // A tunnel leaves at most two timers behind, which expire within its client's timeout.
--- a/src/simulation/simulated_nodes.h
+++ b/src/simulation/simulated_nodes.h
@@ -47,6 +47,7 @@
     bool runs() const { return current.process && current.process->runs(); }
 };
 
+// Owns all nodes of a simulation.
 class SimulatedNodes {
   public:
     // Passes of all processes together, and the largest values of any; part of the verdict.
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -39,7 +39,7 @@
         text_.append(s);
         return *this;
     }
-    Reply& whole(std::uint64_t n) {
+    Reply& number(std::uint64_t n) {
         std::array<char, 24> digits;
         const auto end = std::to_chars(digits.data(), digits.data() + digits.size(), n).ptr;
         text_.append(digits.data(), end);
@@ -47,7 +47,7 @@
     }
     Reply& seconds(Ticks t) {
         if (t < 0) t = 0;
-        whole(static_cast<std::uint64_t>(t / 10000)).raw(".");
+        number(static_cast<std::uint64_t>(t / 10000)).raw(".");
         const auto part = static_cast<unsigned>(t % 10000);
         for (unsigned unit = 1000; unit > 0; unit /= 10)
             text_.push_back(static_cast<char>('0' + part / unit % 10));
@@ -88,11 +88,11 @@
   public:
     Instance(std::uint64_t who, Reply& out) : who_(who), out_(out) {}
     void start_attempt(std::uint64_t tunnel, std::uint32_t endpoint, Ticks max_wait) override {
-        begin_action("CallOut").raw(",\"ticket\":").whole(tunnel).raw(",\"host\":").whole(endpoint);
+        begin_action("CallOut").raw(",\"ticket\":").number(tunnel).raw(",\"host\":").number(endpoint);
         out_.raw(",\"max_wait\":").seconds(max_wait).raw("}}\n");
     }
     void reject(std::uint64_t tunnel, Ticks retry_after) override {
-        begin_action("SayNo").raw(",\"ticket\":").whole(tunnel);
+        begin_action("SayNo").raw(",\"ticket\":").number(tunnel);
         if (retry_after > 0) out_.raw(",\"not_before_for\":").seconds(retry_after);
         out_.raw("}}\n");
     }
@@ -101,10 +101,10 @@
     void check_health(std::uint32_t endpoint) override { write_action("Touch", "host", endpoint); }
     void request_endpoint_list() override { begin_action("StreamChanges").raw(",\"active\":true}}\n"); }
     void set_timer(Ticks at, std::uint64_t label) override {
-        begin_action("WakeMe").raw(",\"at\":").seconds(at).raw(",\"label\":\"").whole(label).raw("\"}}\n");
+        begin_action("WakeMe").raw(",\"at\":").seconds(at).raw(",\"label\":\"").number(label).raw("\"}}\n");
     }
     void send_gossip(std::uint32_t node, std::span<const std::uint8_t> bytes) override {
-        begin_action("Notify").raw(",\"to\":").whole(node).raw(",\"raw\":").hex(bytes).raw("}}\n");
+        begin_action("Notify").raw(",\"to\":").number(node).raw(",\"raw\":").hex(bytes).raw("}}\n");
     }
     void broadcast_gossip(std::span<const std::uint8_t> bytes) override {
         begin_action("Notify").raw(",\"to\":\"all\",\"raw\":").hex(bytes).raw("}}\n");
@@ -118,10 +118,10 @@
 
   private:
     Reply& begin_action(std::string_view name) {
-        return out_.raw("{\"").raw(name).raw("\":{\"who\":").whole(who_);
+        return out_.raw("{\"").raw(name).raw("\":{\"who\":").number(who_);
     }
     void write_action(std::string_view name, std::string_view field, std::uint64_t value) {
-        begin_action(name).raw(",\"").raw(field).raw("\":").whole(value).raw("}}\n");
+        begin_action(name).raw(",\"").raw(field).raw("\":").number(value).raw("}}\n");
     }
     std::uint64_t who_;
     Reply& out_;
@@ -274,7 +274,7 @@
     }
     lemonstair::TunnelRequest decode_request(std::uint64_t who, const Value& fields) {
         if (fields.uint64("qos") >= instances_[who]->traffic_classes)
-            throw Malformed("field 'qos' is " + std::to_string(fields.uint64("qos")) +
+            throw Malformed(name_ + ": field 'qos' is " + std::to_string(fields.uint64("qos")) +
                             ", expected the index of a profile");
         // Bit 0: field 'expected' holds the expected load; bit 3: mid-flow; bit 4: reconnect.
         const auto bits = fields.uint64("bitmap", 0);
--- a/tests/simulation_test.cpp
+++ b/tests/simulation_test.cpp
@@ -143,7 +143,7 @@
 TEST_CASE("where each half of the nodes reaches only half of the servers, few accept the others' reports") {
     std::string trace;
     CHECK(play_file("two_sides_see_other_hosts", &trace).broken.empty());
-    // Of 96 possible ejections: 12 nodes on each side, times the 4 servers that only the other side reaches.
+    // 96 ejections are possible: by 12 nodes on each of 2 sides, of the 4 servers that the side cannot reach.
     CHECK(count(trace, "unresponsive to other nodes") <= 24);
 }
 
