--- a/src/simulation/fault_injector.h
+++ b/src/simulation/fault_injector.h
@@ -30,7 +30,7 @@
   public:
     FaultInjector(const Scenario& scenario, simnet::EventQueue& events, Fixture& fixture, NodeFaults& nodes)
         : scenario_(scenario), events_(events), fixture_(fixture), nodes_(nodes) {}
-    // Schedules the start and the end of every fault. No fault lasts longer than the scenario.
+    // Schedules the start and the end of every fault, the end no later than that of the scenario.
     void schedule_all();
     void on_event(std::uint64_t token) override;
 
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -104,7 +104,8 @@
     return fault;
 }
 
-// The kinds that draw_scenario draws.
+// The kinds that draw_scenario draws. Actions of operators are added by draw_operated_scenario; faults of
+// several nodes at once are only in scenario files.
 std::vector<const FaultInfo*> plain_faults() {
     std::vector<const FaultInfo*> plain;
     for (const FaultInfo& info : fault_catalogue())
--- a/src/simulation/simulated_nodes.cpp
+++ b/src/simulation/simulated_nodes.cpp
@@ -149,7 +149,7 @@
     if (current + previous <= scenario_.sockets) return;
     invariants_.report("descriptors", "both processes of node " + std::to_string(node) + " held " +
                                           std::to_string(current) + " and " + std::to_string(previous) +
-                                          " descriptors, the limit of both is " +
+                                          " descriptors, the limit for both together is " +
                                           std::to_string(scenario_.sockets));
 }
 
