--- a/src/simulation/fault_catalogue.h
+++ b/src/simulation/fault_catalogue.h
@@ -12,6 +12,7 @@
 
 using simnet::Ticks;
 
+// Some kinds have another name in scenario files: FaultInfo::name.
 enum class FaultKind : std::uint8_t {
     node_kill,
     node_leave,
--- a/src/simulation/invariants_clients.cpp
+++ b/src/simulation/invariants_clients.cpp
@@ -10,9 +10,9 @@
 using fakes::Answer;
 
 constexpr Ticks second = 10000;
-constexpr Ticks margin = 500;  // 50 ms more on each time limit, for transport over sockets
-constexpr Ticks end_forwarding_limit = 10000;
-constexpr Ticks shutdown_grace = 37000;  // from SIGTERM to SIGKILL
+constexpr Ticks margin = 500;                  // 50 ms more on each time limit, for transport over sockets
+constexpr Ticks end_forwarding_limit = 10000;  // of rule end_late
+constexpr Ticks shutdown_grace = 37000;        // from SIGTERM to SIGKILL
 
 bool may_have_run(Answer a) { return a != Answer::busy; }
 
--- a/src/simulation/ledger.h
+++ b/src/simulation/ledger.h
@@ -10,6 +10,7 @@
 
 namespace lemonstair::simulation {
 
+// The setups of one run, by server, and the number of declined tunnels.
 class Ledger {
   public:
     using Ticks = simnet::Ticks;
--- a/tests/simulation_faults_test.cpp
+++ b/tests/simulation_faults_test.cpp
@@ -21,7 +21,8 @@
         std::vector<std::string> rules;  // one of these must be broken first
         // First seed to try; later than 1 where the run with sanitizers would take too long.
         std::uint64_t from = 1;
-        // A stale record does harm only if its client was placed twice and a node ended after that.
+        // Most faults that the shrunk scenario may contain. A stale record needs one more: it does harm only
+        // if its client was placed twice and a node ended after that.
         std::size_t most_faults = 2;
         std::uint64_t last = 500;  // last seed to try
         bool operated = false;
