--- a/src/simulation/simulated_nodes.cpp
+++ b/src/simulation/simulated_nodes.cpp
@@ -149,7 +149,7 @@
     if (current + previous <= scenario_.sockets) return;
     invariants_.report("descriptors", "both processes of node " + std::to_string(node) + " held " +
                                           std::to_string(current) + " and " + std::to_string(previous) +
-                                          " descriptors, the limit of both is " +
+                                          " descriptors, the limit for both together is " +
                                           std::to_string(scenario_.sockets));
 }
 
@@ -259,7 +259,7 @@
                                                     std::to_string(most));
         };
         check(clients, allowed, " connections to clients");
-        check(calls, scenario_.servers + 1, " connections to servers");
+        check(calls, scenario_.servers + 1, " connections to servers and discovery");
         check(holds.tunnels, allowed, " tunnels");
         check(holds.buffers, allowed, " buffers");
         // A tunnel leaves at most two timers behind, which expire within its client's timeout.
