--- a/src/fakes/admin_client.cpp
+++ b/src/fakes/admin_client.cpp
@@ -28,7 +28,7 @@
     const auto it = requests_.find(end.number());
     if (it == requests_.end()) return;
     Request& open = it->second;
-    if (environment_.network.is_up(end)) write_waiting(environment_.network, end, open.unsent);
+    if (environment_.network.is_up(end)) write_unsent(environment_.network, end, open.unsent);
     std::array<char, 2048> bytes;
     for (;;) {
         const auto got = environment_.network.read(end, bytes, true);
--- a/src/fakes/client_lines.cpp
+++ b/src/fakes/client_lines.cpp
@@ -109,7 +109,7 @@
     expected = number;
     client.unechoed_since = client.echoes_received < client.lines_sent
                                 ? environment_.now()
-                                : 0;  // any line of the server resets the silence
+                                : 0;  // any line of the server ends a silence
 }
 
 }  // namespace lemonstair::fakes
--- a/src/fakes/clients.cpp
+++ b/src/fakes/clients.cpp
@@ -9,8 +9,8 @@
 
 constexpr Ticks second = 10000;
 constexpr Ticks longest_silence = 70000;  // beyond this, a connection that owes echoes is reported
-// A client waits a little longer than the timeout it sent, so that a late answer is still seen. The node has
-// to close the connection within closing_timeout after its final answer.
+// A client waits a little longer than the timeout it sent, so that a late answer is still seen. After a final
+// answer it waits for the node to close the connection, and closes it itself after closing_timeout.
 constexpr Ticks timeout_grace = 2000, closing_timeout = 12000;
 
 }  // namespace
@@ -71,7 +71,7 @@
     client.reads = true;
     by_end_[client.end.number()] = index;
     client.reader = {};
-    client.waiting.clear();
+    client.unsent.clear();
     transition_to(index, State::connecting);
     environment_.events.schedule(
         environment_.now() + environment_.profiles[client.plan.profile].client_timeout, *this,
@@ -114,8 +114,8 @@
 
 void FakeClients::write(std::uint32_t index, std::string_view text) {
     Client& client = clients_[index];
-    client.waiting.append(text);
-    write_waiting(environment_.network, client.end, client.waiting);
+    client.unsent.append(text);
+    write_unsent(environment_.network, client.end, client.unsent);
 }
 
 void FakeClients::close_connection(std::uint32_t index) {
@@ -125,7 +125,7 @@
     environment_.network.close(client.end);
 }
 
-// The final answer was received: the node has to close the connection and must not send anything more.
+// The final answer was received: waits for the node to close the connection. Further bytes are reported.
 void FakeClients::await_close(std::uint32_t index) {
     Client& client = clients_[index];
     client.has_connection = false;
@@ -182,8 +182,8 @@
     drain_closing(end);
     if (!client.has_connection || !(client.end == end)) return;
     if (client.state == State::connecting && environment_.network.is_up(end)) send_open(index);
-    if (client.state != State::connecting && !client.waiting.empty())
-        write_waiting(environment_.network, end, client.waiting);
+    if (client.state != State::connecting && !client.unsent.empty())
+        write_unsent(environment_.network, end, client.unsent);
     if (client.reads) read(index);
 }
 
--- a/src/fakes/clients.h
+++ b/src/fakes/clients.h
@@ -49,7 +49,9 @@
     void on_connection(const net::Address&) override {}
     void on_event(std::uint64_t token) override;
 
-    // Counts of events since the start of the run.
+    // Counts of events since the start of the run. declined: answered with BUSY; failed: with another
+    // refusal; cut: connections that ended without a final answer; resumed: tunnels of these that continue
+    // through another node.
     struct Tally {
         std::uint64_t opened = 0, declined = 0, failed = 0, timed_out = 0, moved = 0, cut = 0, resumed = 0,
                       lines = 0;
@@ -71,7 +73,7 @@
         std::uint32_t timer_generation = 0;  // timers of earlier generations are stale
         int attempts = 0;
         LineReader reader;
-        std::string waiting;
+        std::string unsent;
         // Echoes answer the lines of the client; pushes are the server's own lines.
         std::uint32_t lines_sent = 0, echoes_received = 0, pushes_received = 0;
         Ticks unechoed_since = 0, reported_silence = 0, lost_at = 0;
@@ -119,7 +121,7 @@
     simnet::RandomSource random_;
     std::vector<Client> clients_;
     std::unordered_map<std::uint64_t, std::uint32_t> by_end_;
-    // By end: tunnels whose final answer was received; further bytes would be a fault of the node.
+    // By number of the end: tunnels whose final answer was received. Further bytes are a fault of the node.
     std::unordered_map<std::uint64_t, TunnelId> closing_;
     TunnelId next_tunnel_ = 1;
     Tally tally_;
--- a/src/fakes/discovery.h
+++ b/src/fakes/discovery.h
@@ -44,14 +44,16 @@
     void change(std::uint32_t server, const DiscoveryEntry& entry, Ticks after);
 
     // ---- faults
-    void set_down(bool on);    // on: connections are refused, open ones are reset
-    void set_silent(bool on);  // on: connections stay open and nothing is sent
+    // on: new connections are refused, open ones are reset.
+    void set_down(bool on);
+    // on: connections stay open and nothing is sent; off: the connections that are open then are reset.
+    void set_silent(bool on);
     // How long after a request its answer is sent.
     void answer_after(Ticks span) { answer_after_ = span; }
     // The next change is sent in an invalid way. 1: truncated JSON; 2: an entry without an id; 3: an empty
     // list of an older revision before the change.
     void corrupt_next(int kind) { corrupt_ = kind; }
-    // The service is replaced by a new instance that counts revisions from here. Watches are closed.
+    // The service is replaced by a new instance that counts revisions from here. Open connections are closed.
     void restart(std::uint64_t revision);
     // Refuses new connections, and closes the open ones `after` from now.
     void retire(Ticks after);
--- a/src/fakes/environment.h
+++ b/src/fakes/environment.h
@@ -35,11 +35,11 @@
 };
 
 // Writes as many of the queued bytes as the network accepts now, and removes them from the queue.
-inline void write_waiting(simnet::Streams& network, End end, std::string& waiting) {
-    while (!waiting.empty()) {
-        const std::size_t n = network.write(end, waiting).bytes;
+inline void write_unsent(simnet::Streams& network, End end, std::string& unsent) {
+    while (!unsent.empty()) {
+        const std::size_t n = network.write(end, unsent).bytes;
         if (n == 0) return;
-        waiting.erase(0, n);
+        unsent.erase(0, n);
     }
 }
 
--- a/src/fakes/execution_log.h
+++ b/src/fakes/execution_log.h
@@ -16,7 +16,7 @@
 // One tunnel of a client; its id on the wire is `t` and this number in hex.
 using TunnelId = std::uint32_t;
 
-// Answer to a first line; `move` ends an open tunnel.
+// Answer to a first line (none: no answer yet). move is not an answer: it ends an open tunnel.
 enum class Answer : std::uint8_t { none, up, bye, busy, error, move };
 
 // Whether a request may run twice, and within which scope its idempotency key is known.
@@ -55,24 +55,27 @@
     virtual void tunnel_requested(const TunnelRequest& what) = 0;
     // The last byte of the request has reached the machine of the node.
     virtual void request_delivered(TunnelId tunnel) = 0;
+    // Also called for MOVE on an open tunnel. written_at: when the node sent the answer.
     virtual void request_answered(TunnelId tunnel, Answer answer, Ticks written_at) = 0;
-    // The client received bytes after BUSY, an error or MOVE.
+    // The client received bytes after a final answer, which is BYE, BUSY, an error or MOVE.
     virtual void data_after_final(TunnelId tunnel, std::string_view text) = 0;
-    // The client left on its own initiative; or it gave up, a grace period after its timeout.
+    // The client left on its own initiative.
     virtual void client_left(TunnelId tunnel) = 0;
+    // The client gave up: it had no answer a grace period after its timeout.
     virtual void client_timed_out(TunnelId tunnel) = 0;
     // The connection was closed or reset without MOVE. written: when the node sent the last bytes
     // that were received.
     virtual void connection_cut(TunnelId tunnel, bool by_reset, Ticks written) = 0;
     // Lines on an open tunnel have not been answered for this long.
     virtual void connection_silent(TunnelId tunnel, Ticks span) = 0;
-    // A misbehaving client received neither an error nor an end of its connection in time.
+    // A misbehaving client received neither an error or BUSY nor the end of its connection in time.
     virtual void misbehaving_client_unanswered(std::uint32_t node, std::string_view how) = 0;
 
     // ---- servers
     // A complete first line; its first byte was sent at `first`.
     virtual void setup_received(TunnelId tunnel, std::uint32_t server, End end, Ticks first,
                                 bool mid_flow) = 0;
+    // The server has decided on its answer to a setup. The answer itself may still be queued.
     virtual void setup_answered(TunnelId tunnel, std::uint32_t server, Answer answer) = 0;
     // A mid-flow setup reached a server that does not hold its tunnel.
     virtual void mid_flow_unknown(TunnelId tunnel, std::uint32_t server) = 0;
@@ -80,6 +83,7 @@
     virtual void server_ended(TunnelId tunnel, std::uint32_t server) = 0;
     // The server went down because its demand (in cores) was above the limit for too long in slow start.
     virtual void server_overloaded(std::uint32_t server, double demand, double overload_limit) = 0;
+    // The server received a first line that is not valid in its protocol.
     virtual void invalid_line(std::uint32_t server, std::string_view line) = 0;
 
     // ---- discovery
--- a/src/fakes/misbehaving_clients.cpp
+++ b/src/fakes/misbehaving_clients.cpp
@@ -62,8 +62,8 @@
         connections_[index].sent = true;
         environment_.events.schedule(environment_.now() + answer_timeout, *this, index);
     }
-    if (connections_[index].sent && !connections_[index].waiting.empty())
-        write_waiting(environment_.network, end, connections_[index].waiting);
+    if (connections_[index].sent && !connections_[index].unsent.empty())
+        write_unsent(environment_.network, end, connections_[index].unsent);
     std::array<char, 512> bytes;
     for (;;) {
         const auto got = environment_.network.read(end, bytes, true);
--- a/src/fakes/misbehaving_clients.h
+++ b/src/fakes/misbehaving_clients.h
@@ -16,8 +16,10 @@
     MisbehavingClients(TestEnvironment& environment, Front& front, Machine machine,
                        simnet::RandomSource random)
         : environment_(environment), front_(front), machine_(machine), random_(random) {}
-    // What a client sends. half: a line without its end; twice: two first lines; no_profile: an unknown
-    // traffic class; bad_wait: an invalid timeout; again: a first line without parameters.
+    // What a client sends. garbage: a line that is no request; endless: many bytes without a line ending;
+    // half: a first line without its end; twice: two first lines; no_profile: an unknown traffic class;
+    // bad_wait: an invalid timeout; pings: many PING lines; silent: nothing; again: a first line without
+    // parameters.
     enum class Kind : std::uint8_t {
         garbage,
         endless,
@@ -43,7 +45,7 @@
         Kind kind;
         bool sent = false, over = false, again = false;
         std::uint32_t node;
-        std::string waiting;
+        std::string unsent;
     };
     void connect(Kind kind, bool again);
     void end(std::uint32_t index);
--- a/src/fakes/server.h
+++ b/src/fakes/server.h
@@ -98,7 +98,7 @@
         double load = 0;
         // Echoes answer the lines of the client; pushes are the server's own lines.
         std::uint32_t lines_received = 0, echoes_sent = 0, pushes_sent = 0;
-        std::string waiting;  // bytes that the network has not accepted yet
+        std::string unsent;  // bytes that the network has not accepted yet
     };
     enum Kind : std::uint64_t { answer_setup, echo, push, report, move_due, overload_check, probe_answer };
     std::uint64_t token(Kind kind, std::uint64_t at) const {
@@ -117,7 +117,7 @@
     void answer(std::uint32_t index);
     void begin(std::uint32_t index);
     void send(std::uint32_t index, std::string_view text);
-    void send_waiting(std::uint32_t index);
+    void send_unsent(std::uint32_t index);
     void finish(std::uint32_t index, bool by_server);
     double capacity() const;
     double slow_start_factor() const;
--- a/src/fakes/server_connections.cpp
+++ b/src/fakes/server_connections.cpp
@@ -66,7 +66,7 @@
     const auto it = by_end_.find(end.number());
     if (it == by_end_.end()) return;
     const std::uint32_t index = it->second;
-    if (!connections_[index].waiting.empty()) send_waiting(index);
+    if (!connections_[index].unsent.empty()) send_unsent(index);
     if (!hangs_ && !connections_[index].gone) read(index);
 }
 
@@ -242,10 +242,10 @@
     load_ += connection.load;
     if (connection.group != 0) ++groups_[connection.group];
     by_tunnel_[connection.tunnel] = index;
-    char receipt[64];
-    std::snprintf(receipt, sizeof receipt, "UP h%u-t%x\r\nLOAD %u\r\n", number_, connection.tunnel,
+    char answer_lines[64];
+    std::snprintf(answer_lines, sizeof answer_lines, "UP h%u-t%x\r\nLOAD %u\r\n", number_, connection.tunnel,
                   static_cast<unsigned>(connection.load * 1e6));
-    send(index, receipt);
+    send(index, answer_lines);
     environment_.events.schedule(environment_.now() + random_.between(push_from, push_to), *this,
                                  token(push, index));
     read(index);
@@ -255,14 +255,14 @@
 void FakeServer::send(std::uint32_t index, std::string_view text) {
     Connection& connection = connections_[index];
     if (connection.gone) return;
-    connection.waiting.append(text);
-    send_waiting(index);
+    connection.unsent.append(text);
+    send_unsent(index);
 }
 
-void FakeServer::send_waiting(std::uint32_t index) {
+void FakeServer::send_unsent(std::uint32_t index) {
     Connection& connection = connections_[index];
     if (connection.gone || hangs_) return;
-    connection.waiting.erase(0, environment_.network.write(connection.end, connection.waiting, true).bytes);
+    connection.unsent.erase(0, environment_.network.write(connection.end, connection.unsent, true).bytes);
 }
 
 void FakeServer::on_event(std::uint64_t event) {
--- a/src/simnet/network.cpp
+++ b/src/simnet/network.cpp
@@ -22,11 +22,11 @@
 }
 
 Address Network::address(Machine machine, std::uint16_t port) {
-    Address a;
-    a.socket_address.sin_family = AF_INET;
-    a.socket_address.sin_addr.s_addr = htonl(0x0a4d0000U | machine);
-    a.socket_address.sin_port = htons(port);
-    return a;
+    Address result;
+    result.socket_address.sin_family = AF_INET;
+    result.socket_address.sin_addr.s_addr = htonl(0x0a4d0000U | machine);
+    result.socket_address.sin_port = htons(port);
+    return result;
 }
 
 Machine Network::machine_at(const Address& at) { return ntohl(at.socket_address.sin_addr.s_addr) & 0xffffU; }
@@ -47,41 +47,41 @@
 void Network::unlisten(const Address& at) {
     const auto it = listeners_.find(key(at));
     if (it == listeners_.end()) return;
-    const auto pending = std::move(it->second.waiting);
+    const auto pending = std::move(it->second.pending);
     listeners_.erase(it);
     for (const End end : pending) reset(end);
 }
 
 std::size_t Network::pending_connections(const Address& at) const {
     const auto it = listeners_.find(key(at));
-    return it == listeners_.end() ? 0 : it->second.waiting.size();
+    return it == listeners_.end() ? 0 : it->second.pending.size();
 }
 
 std::optional<End> Network::accept(const Address& at) {
     const auto it = listeners_.find(key(at));
-    if (it == listeners_.end() || it->second.waiting.empty()) return std::nullopt;
-    const End end = it->second.waiting.front();
-    it->second.waiting.pop_front();
+    if (it == listeners_.end() || it->second.pending.empty()) return std::nullopt;
+    const End end = it->second.pending.front();
+    it->second.pending.pop_front();
     return end;
 }
 
 void Network::hold(End end, StreamListener& holder) {
-    Side& s = at(end);
-    if (s.owner != nullptr) s.other_holders.push_back(s.owner);
-    s.owner = &holder;
-    if (s.open && !s.forgotten) holder.on_stream_event(end);
+    Side& side = at(end);
+    if (side.owner != nullptr) side.other_holders.push_back(side.owner);
+    side.owner = &holder;
+    if (side.open && !side.forgotten) holder.on_stream_event(end);
 }
 
 bool Network::release(End end, StreamListener& holder) {
-    Side& s = at(end);
-    if (s.other_holders.empty()) return false;
-    if (s.owner == &holder) {
-        s.owner = s.other_holders.back();
-        s.other_holders.pop_back();
+    Side& side = at(end);
+    if (side.other_holders.empty()) return false;
+    if (side.owner == &holder) {
+        side.owner = side.other_holders.back();
+        side.other_holders.pop_back();
         notify_owner(end);
     } else {
-        const auto it = std::find(s.other_holders.begin(), s.other_holders.end(), &holder);
-        if (it != s.other_holders.end()) s.other_holders.erase(it);
+        const auto it = std::find(side.other_holders.begin(), side.other_holders.end(), &holder);
+        if (it != side.other_holders.end()) side.other_holders.erase(it);
     }
     return true;
 }
@@ -89,138 +89,140 @@
 End Network::connect(Machine from, const Address& to, StreamListener& owner) {
     const End end{static_cast<std::uint32_t>(streams_.size()), 0};
     streams_.emplace_back();
-    Stream& s = streams_.back();
-    s.to = to;
-    s.side[0].owner = &owner;
-    s.side[0].machine = from;
-    s.side[1].machine = machine_at(to);
-    if (s.side[1].machine >= machines_.size()) {
-        s.side[1].machine = from;
+    Stream& stream = streams_.back();
+    stream.to = to;
+    stream.side[0].owner = &owner;
+    stream.side[0].machine = from;
+    stream.side[1].machine = machine_at(to);
+    if (stream.side[1].machine >= machines_.size()) {
+        stream.side[1].machine = from;
         later(events_.now() + 1, refused, end);
     } else {
-        later(events_.now() + delay(from, s.side[1].machine), connect_request, end);
+        later(events_.now() + delay(from, stream.side[1].machine), connect_request, end);
     }
     return end;
 }
 
 void Network::on_connect_request(End end) {
-    Stream& s = streams_[end.stream];
-    Side& from = s.side[0];
+    Stream& stream = streams_[end.stream];
+    Side& from = stream.side[0];
     if (!from.open || from.phase != Phase::connecting) return;
-    const Machine to = s.side[1].machine;
+    const Machine to = stream.side[1].machine;
     const auto retry_later = [&] {
-        if (++s.attempts > max_connect_attempts) return fail(end, ETIMEDOUT);
-        later(events_.now() + (connect_retry_delay << std::min(s.attempts - 1, 4)), connect_request, end);
+        if (++stream.attempts > max_connect_attempts) return fail(end, ETIMEDOUT);
+        later(events_.now() + (connect_retry_delay << std::min(stream.attempts - 1, 4)), connect_request,
+              end);
     };
     if (!passes(from.machine, to)) return retry_later();
-    const auto it = listeners_.find(key(s.to));
+    const auto it = listeners_.find(key(stream.to));
     if (it == listeners_.end()) return later(events_.now() + delay(to, from.machine), refused, end);
-    if (it->second.waiting.size() >= it->second.backlog)
+    if (it->second.pending.size() >= it->second.backlog)
         return retry_later();  // the accept queue is full: the request is dropped
-    Side& there = s.side[1];
+    Side& there = stream.side[1];
     there.phase = Phase::up;
     there.owner = it->second.listener;
-    it->second.waiting.push_back(end.other());
+    it->second.pending.push_back(end.other());
     trace_.note(events_.now() - events_.start_time(), "call", end.stream, to);
     later(events_.now() + delay(to, from.machine), connect_confirmed, end);
-    it->second.listener->on_connection(s.to);
+    it->second.listener->on_connection(stream.to);
 }
 
 void Network::fail(End end, int error) {
-    Side& s = at(end);
-    if (s.phase == Phase::failed || !s.open) return;
-    s.phase = Phase::failed;
-    s.error = error;
+    Side& side = at(end);
+    if (side.phase == Phase::failed || !side.open) return;
+    side.phase = Phase::failed;
+    side.error = error;
     trace_.note(events_.now() - events_.start_time(), "fail", end.number(),
                 static_cast<std::uint64_t>(error));
     notify_owner(end);
 }
 
 void Network::notify_owner(End end) {
-    const Side& s = at(end);
-    if (s.open && !s.forgotten && s.owner != nullptr) s.owner->on_stream_event(end);
+    const Side& side = at(end);
+    if (side.open && !side.forgotten && side.owner != nullptr) side.owner->on_stream_event(end);
 }
 
 net::IoResult Network::peek(End end, std::span<char> into) const {
-    const Side& s = at(end);
-    const std::size_t n = std::min(into.size(), s.inbox.size() - s.head);
-    std::copy_n(s.inbox.data() + s.head, n, into.data());
+    const Side& side = at(end);
+    const std::size_t n = std::min(into.size(), side.inbox.size() - side.head);
+    std::copy_n(side.inbox.data() + side.head, n, into.data());
     if (n > 0) return {.bytes = n};
-    if (s.phase == Phase::failed)
-        return s.reset_reported ? net::IoResult{.ended = true} : net::IoResult{.error = s.error};
-    return {.ended = s.end_received};
+    if (side.phase == Phase::failed)
+        return side.reset_reported ? net::IoResult{.ended = true} : net::IoResult{.error = side.error};
+    return {.ended = side.end_received};
 }
 
 net::IoResult Network::read(End end, std::span<char> into, bool whole) {
-    Side& s = at(end);
-    const std::size_t available = std::min(into.size(), s.inbox.size() - s.head);
+    Side& side = at(end);
+    const std::size_t available = std::min(into.size(), side.inbox.size() - side.head);
     if (available == 0) {
-        if (s.phase == Phase::failed && !s.reset_reported) {
-            s.reset_reported = true;
-            return {.error = s.error};
+        if (side.phase == Phase::failed && !side.reset_reported) {
+            side.reset_reported = true;
+            return {.error = side.error};
         }
-        return {.ended = s.end_received || s.phase == Phase::failed};
+        return {.ended = side.end_received || side.phase == Phase::failed};
     }
     const std::size_t n = cut(conditions_.cut_reads, available, whole);
-    std::copy_n(s.inbox.data() + s.head, n, into.data());
-    s.head += n;
-    if (s.head == s.inbox.size()) s.inbox.clear(), s.head = 0;
+    std::copy_n(side.inbox.data() + side.head, n, into.data());
+    side.head += n;
+    if (side.head == side.inbox.size()) side.inbox.clear(), side.head = 0;
     Side& peer = at(end.other());
     peer.used -= n;
     // As with the kernel, a blocked writer is woken once a third of the window is free.
     if (peer.blocked && peer.used * 3 <= conditions_.window * 2) {
         peer.blocked = false;
-        later(events_.now() + delay(s.machine, peer.machine), window_opened, end.other());
+        later(events_.now() + delay(side.machine, peer.machine), window_opened, end.other());
     }
     return {.bytes = n};
 }
 
 net::IoResult Network::write(End end, std::string_view text, bool whole) {
-    Side& s = at(end);
-    if (s.phase == Phase::connecting) return {};
-    if (s.phase == Phase::failed)
-        return {.error = s.reset_reported ? EPIPE : (s.reset_reported = true, s.error)};
-    if (s.end_sent) return {.error = EPIPE};
-    const std::size_t left = conditions_.window > s.used ? conditions_.window - s.used : 0;
+    Side& side = at(end);
+    if (side.phase == Phase::connecting) return {};
+    if (side.phase == Phase::failed)
+        return {.error = side.reset_reported ? EPIPE : (side.reset_reported = true, side.error)};
+    if (side.end_sent) return {.error = EPIPE};
+    const std::size_t left = conditions_.window > side.used ? conditions_.window - side.used : 0;
     const std::size_t fits = std::min(left, text.size());
-    if (fits < text.size()) s.blocked = true;
+    if (fits < text.size()) side.blocked = true;
     if (fits == 0) return {};
     const std::size_t n = cut(conditions_.cut_writes, fits, whole);
-    s.used += n;
+    side.used += n;
     send_segment(end, text.substr(0, n), false);
     return {.bytes = n};
 }
 
 void Network::send_segment(End end, std::string_view bytes, bool ends) {
-    Side& s = at(end);
-    s.last_arrival = std::max(s.last_arrival, events_.now() + delay(s.machine, at(end.other()).machine));
-    s.in_flight.push_back({s.last_arrival, events_.now(), std::string(bytes), ends});
-    if (!s.delivery_scheduled) {
-        s.delivery_scheduled = true;
-        later(s.last_arrival, deliver, end);
+    Side& side = at(end);
+    side.last_arrival =
+        std::max(side.last_arrival, events_.now() + delay(side.machine, at(end.other()).machine));
+    side.in_flight.push_back({side.last_arrival, events_.now(), std::string(bytes), ends});
+    if (!side.delivery_scheduled) {
+        side.delivery_scheduled = true;
+        later(side.last_arrival, deliver, end);
     }
 }
 
 // Delivers the segments from this end that are due to the other end.
 void Network::deliver_bytes(End end) {
-    Side& s = at(end);
-    s.delivery_scheduled = false;
+    Side& side = at(end);
+    side.delivery_scheduled = false;
     Side& there = at(end.other());
     bool arrived = false;
-    while (!s.in_flight.empty() && s.in_flight.front().arrives_at <= events_.now()) {
-        if (!passes(s.machine, there.machine)) {  // lost: sent again, after a longer delay each time
-            s.retry = std::min(longest_retry, std::max(first_retry, 2 * s.retry));
-            s.delivery_scheduled = true;
-            return later(events_.now() + s.retry, deliver, end);
+    while (!side.in_flight.empty() && side.in_flight.front().arrives_at <= events_.now()) {
+        if (!passes(side.machine, there.machine)) {  // lost: sent again, after a longer delay each time
+            side.retry = std::min(longest_retry, std::max(first_retry, 2 * side.retry));
+            side.delivery_scheduled = true;
+            return later(events_.now() + side.retry, deliver, end);
         }
-        s.retry = 0;
-        const Segment next = std::move(s.in_flight.front());
-        s.in_flight.pop_front();
+        side.retry = 0;
+        const Segment next = std::move(side.in_flight.front());
+        side.in_flight.pop_front();
         trace_.note(events_.now() - events_.start_time(), next.end ? "end" : "bytes", end.number(),
                     next.bytes.size(), next.bytes);
         if (!there.open || there.forgotten) {
             if (next.end && next.bytes.empty() && !there.forgotten) continue;  // both have closed
-            s.in_flight.clear();
+            side.in_flight.clear();
             return send_reset(end.other());
         }
         if (there.phase == Phase::failed) continue;
@@ -232,9 +234,9 @@
             events_.schedule(events_.now(), *next.delivery_target, next.token);
         arrived = true;
     }
-    if (!s.in_flight.empty()) {
-        s.delivery_scheduled = true;
-        later(std::max(s.in_flight.front().arrives_at, events_.now() + 1), deliver, end);
+    if (!side.in_flight.empty()) {
+        side.delivery_scheduled = true;
+        later(std::max(side.in_flight.front().arrives_at, events_.now() + 1), deliver, end);
     }
     if (arrived) notify_owner(end.other());
 }
@@ -245,10 +247,10 @@
 }
 
 void Network::deliver_reset(End end) {
-    Side& s = at(end);
+    Side& side = at(end);
     Side& there = at(end.other());
-    s.in_flight.clear();
-    if (!passes(s.machine, there.machine) || there.phase == Phase::failed || !there.open) return;
+    side.in_flight.clear();
+    if (!passes(side.machine, there.machine) || there.phase == Phase::failed || !there.open) return;
     there.in_flight.clear();
     // Systems differ in whether bytes that arrived before the reset can still be read.
     if (random_.odds(0.5)) there.inbox.clear(), there.head = 0;
@@ -256,53 +258,53 @@
 }
 
 void Network::shutdown_write(End end) {
-    Side& s = at(end);
-    if (s.phase != Phase::up || s.end_sent) return;
-    s.end_sent = true;
+    Side& side = at(end);
+    if (side.phase != Phase::up || side.end_sent) return;
+    side.end_sent = true;
     send_segment(end, {}, true);
 }
 
 void Network::close(End end) {
-    Side& s = at(end);
-    if (!s.open) return;
-    if (s.phase == Phase::up && s.head < s.inbox.size())
-        return reset(end);  // unread input: as the kernel does
+    Side& side = at(end);
+    if (!side.open) return;
+    if (side.phase == Phase::up && side.head < side.inbox.size())
+        return reset(end);  // as the kernel does if input is unread
     shutdown_write(end);
-    s.open = false;
-    s.inbox.clear(), s.head = 0;
-    if (s.phase == Phase::connecting) s.phase = Phase::failed;
+    side.open = false;
+    side.inbox.clear(), side.head = 0;
+    if (side.phase == Phase::connecting) side.phase = Phase::failed;
 }
 
 void Network::reset(End end) {
-    Side& s = at(end);
-    if (!s.open) return;
-    s.open = false;
-    s.inbox.clear(), s.head = 0;
-    s.in_flight.clear();
-    if (s.phase == Phase::up) send_reset(end);
-    s.phase = Phase::failed;
+    Side& side = at(end);
+    if (!side.open) return;
+    side.open = false;
+    side.inbox.clear(), side.head = 0;
+    side.in_flight.clear();
+    if (side.phase == Phase::up) send_reset(end);
+    side.phase = Phase::failed;
 }
 
 int Network::connect_error(End end) {
-    Side& s = at(end);
-    if (s.phase != Phase::failed) return 0;
-    s.reset_reported = true;
-    return s.error;
+    Side& side = at(end);
+    if (side.phase != Phase::failed) return 0;
+    side.reset_reported = true;
+    return side.error;
 }
 
 short Network::poll_events(End end, short wanted) const {
-    const Side& s = at(end);
-    if (s.phase == Phase::connecting) return 0;
+    const Side& side = at(end);
+    if (side.phase == Phase::connecting) return 0;
     int out = 0;
-    if (s.phase == Phase::failed) {
-        out = POLLHUP | (s.reset_reported ? 0 : POLLERR) | (wanted & (POLLIN | POLLOUT | POLLRDHUP));
+    if (side.phase == Phase::failed) {
+        out = POLLHUP | (side.reset_reported ? 0 : POLLERR) | (wanted & (POLLIN | POLLOUT | POLLRDHUP));
         return static_cast<short>(out);
     }
-    if (s.head < s.inbox.size() || s.end_received) out |= POLLIN;
-    if (s.end_received) out |= POLLRDHUP;
-    if (s.end_sent || s.used * 3 <= conditions_.window * 2) out |= POLLOUT;
+    if (side.head < side.inbox.size() || side.end_received) out |= POLLIN;
+    if (side.end_received) out |= POLLRDHUP;
+    if (side.end_sent || side.used * 3 <= conditions_.window * 2) out |= POLLOUT;
     out &= wanted;
-    if (s.end_received && s.end_sent) out |= POLLHUP;
+    if (side.end_received && side.end_sent) out |= POLLHUP;
     return static_cast<short>(out);
 }
 
@@ -314,8 +316,8 @@
 }
 
 void Network::forget(Machine machine) {
-    for (auto& s : streams_)
-        for (Side& side : s.side)
+    for (auto& stream : streams_)
+        for (Side& side : stream.side)
             if (side.machine == machine && side.open) {
                 side.forgotten = true;
                 side.open = false;
@@ -337,15 +339,15 @@
         case connect_request:
             return on_connect_request(end);
         case connect_confirmed: {
-            Side& s = at(end);
-            if (s.phase == Phase::up && s.open) return;
-            if (s.phase == Phase::failed || !s.open) {  // the connecting end was closed or has failed
-                if (at(end.other()).open && passes(s.machine, at(end.other()).machine)) send_reset(end);
+            Side& side = at(end);
+            if (side.phase == Phase::up && side.open) return;
+            if (side.phase == Phase::failed || !side.open) {  // the connecting end was closed or has failed
+                if (at(end.other()).open && passes(side.machine, at(end.other()).machine)) send_reset(end);
                 return;
             }
-            if (!passes(at(end.other()).machine, s.machine))  // lost: sent again
+            if (!passes(at(end.other()).machine, side.machine))  // lost: sent again
                 return later(events_.now() + connect_retry_delay, connect_confirmed, end);
-            s.phase = Phase::up;
+            side.phase = Phase::up;
             return notify_owner(end);
         }
         case refused:
@@ -359,16 +361,16 @@
             return notify_owner(end);
         case datagram: {
             const auto index = static_cast<std::uint32_t>(token & 0xffffffffU);
-            const Datagram got = std::move(datagrams_[index]);
+            const Datagram received = std::move(datagrams_[index]);
             free_datagram_slots_.push_back(index);
-            if (!passes(machine_at(got.from), machine_at(got.to)) ||
-                !datagram_faults_.passes(machine_at(got.from), machine_at(got.to)))
+            if (!passes(machine_at(received.from), machine_at(received.to)) ||
+                !datagram_faults_.passes(machine_at(received.from), machine_at(received.to)))
                 return;
-            trace_.note(events_.now() - events_.start_time(), "datagram", machine_at(got.from),
-                        machine_at(got.to),
-                        {reinterpret_cast<const char*>(got.bytes.data()), got.bytes.size()});
-            const auto it = bound_.find(key(got.to));
-            if (it != bound_.end()) it->second->on_datagram(got.to, got.from, got.bytes);
+            trace_.note(events_.now() - events_.start_time(), "datagram", machine_at(received.from),
+                        machine_at(received.to),
+                        {reinterpret_cast<const char*>(received.bytes.data()), received.bytes.size()});
+            const auto it = bound_.find(key(received.to));
+            if (it != bound_.end()) it->second->on_datagram(received.to, received.from, received.bytes);
             return;
         }
     }
--- a/src/simnet/network.h
+++ b/src/simnet/network.h
@@ -80,7 +80,8 @@
     void shutdown_write(End end) override;
     void close(End end) override;
     void reset(End end) override;
-    // The error of a failed end as errno, 0 if it has not failed; counts as reporting the error.
+    // The errno value of a failed end; 0 if it has not failed. The error then counts as reported: read() and
+    // write() do not return it again.
     int connect_error(End end);
     // Events as poll() reports them.
     short poll_events(End end, short wanted) const;
@@ -146,7 +147,7 @@
     struct Listener {
         StreamListener* listener = nullptr;
         std::size_t backlog = 0;
-        std::deque<End> waiting;
+        std::deque<End> pending;  // connected, not accepted
     };
     struct MachineState {
         bool cut = false;  // partitioned from all others
--- a/src/simnet/process.cpp
+++ b/src/simnet/process.cpp
@@ -74,26 +74,26 @@
 }
 
 short Process::ready_events(const pollfd& polled) const {
-    const Slot& s = slots_[static_cast<std::size_t>(polled.fd)];
-    switch (s.use) {
+    const Slot& entry = slots_[static_cast<std::size_t>(polled.fd)];
+    switch (entry.use) {
         case Use::free:
             return POLLNVAL;
         case Use::stream:
-            return network_.poll_events(s.end, polled.events);
+            return network_.poll_events(entry.end, polled.events);
         case Use::local_listener:
-            return local_sockets_->has_pending(s.name, const_cast<Process&>(*this))
+            return local_sockets_->has_pending(entry.name, const_cast<Process&>(*this))
                        ? static_cast<short>(polled.events & POLLIN)
                        : short{0};
         case Use::local_connection:
-            if (local_sockets_->has_packet(s.connection, s.side))
+            if (local_sockets_->has_packet(entry.connection, entry.side))
                 return static_cast<short>(polled.events & POLLIN);
-            return local_sockets_->peer_closed(s.connection, s.side) ? short{POLLHUP} : short{0};
+            return local_sockets_->peer_closed(entry.connection, entry.side) ? short{POLLHUP} : short{0};
         case Use::shared:
         case Use::listener:
-            return network_.pending_connections(s.at) > 0 ? static_cast<short>(polled.events & POLLIN)
-                                                          : short{0};
+            return network_.pending_connections(entry.at) > 0 ? static_cast<short>(polled.events & POLLIN)
+                                                              : short{0};
         case Use::datagrams:
-            return s.datagrams.empty() ? short{0} : static_cast<short>(polled.events & POLLIN);
+            return entry.datagrams.empty() ? short{0} : static_cast<short>(polled.events & POLLIN);
         case Use::signals:
             return signals_.empty() ? short{0} : static_cast<short>(polled.events & POLLIN);
         case Use::spare:
@@ -129,36 +129,36 @@
 
 void Process::close(int fd) {
     if (dead_) return;  // its descriptors are closed already
-    Slot& s = slot(fd);
-    assert(s.use != Use::free);
+    Slot& entry = slot(fd);
+    assert(entry.use != Use::free);
     ++effects_;
-    switch (s.use) {
+    switch (entry.use) {
         case Use::stream:
-            if (network_.release(s.end, *this)) break;
-            if (s.resets)
-                network_.reset(s.end);
+            if (network_.release(entry.end, *this)) break;
+            if (entry.resets)
+                network_.reset(entry.end);
             else
-                network_.close(s.end);
+                network_.close(entry.end);
             break;
         case Use::shared:
             shared_->remove(*this);
             break;
         case Use::local_listener:
-            local_sockets_->unlisten(s.name, *this);
+            local_sockets_->unlisten(entry.name, *this);
             break;
         case Use::local_connection:
-            local_sockets_->close(s.connection, s.side);
+            local_sockets_->close(entry.connection, entry.side);
             break;
         case Use::listener:
-            network_.unlisten(s.at);
+            network_.unlisten(entry.at);
             break;
         case Use::datagrams:
-            network_.unbind(s.at, *this);
+            network_.unbind(entry.at, *this);
             break;
         default:
             break;
     }
-    s = {};
+    entry = {};
     --held_;
 }
 
@@ -233,9 +233,9 @@
 }
 
 void Process::on_datagram(const Address& at, const Address& from, std::span<const std::uint8_t> bytes) {
-    for (Slot& s : slots_)
-        if (s.use == Use::datagrams && s.at == at && s.datagrams.size() < max_queued_datagrams)
-            s.datagrams.emplace_back(from, std::vector<std::uint8_t>(bytes.begin(), bytes.end()));
+    for (Slot& entry : slots_)
+        if (entry.use == Use::datagrams && entry.at == at && entry.datagrams.size() < max_queued_datagrams)
+            entry.datagrams.emplace_back(from, std::vector<std::uint8_t>(bytes.begin(), bytes.end()));
     wake();
 }
 
@@ -297,21 +297,21 @@
 }
 
 net::IoResult Process::send_packet(int fd, std::string_view bytes, std::span<const int> descriptors) {
-    const Slot& s = slot(fd);
-    if (local_sockets_->peer_closed(s.connection, s.side)) return {.error = EPIPE};
+    const Slot& entry = slot(fd);
+    if (local_sockets_->peer_closed(entry.connection, entry.side)) return {.error = EPIPE};
     std::vector<End> ends;
     for (const int descriptor : descriptors) ends.push_back(slot(descriptor).end);
-    local_sockets_->send(s.connection, s.side, bytes, ends);
+    local_sockets_->send(entry.connection, entry.side, bytes, ends);
     return count_effect({.bytes = bytes.size()});
 }
 
 net::IoResult Process::receive_packet(int fd, std::span<char> into, std::vector<net::Fd>& descriptors) {
-    const Slot s = slot(fd);
-    if (!local_sockets_->has_packet(s.connection, s.side)) {
-        if (local_sockets_->peer_closed(s.connection, s.side)) return {.ended = true};
+    const Slot entry = slot(fd);
+    if (!local_sockets_->has_packet(entry.connection, entry.side)) {
+        if (local_sockets_->peer_closed(entry.connection, entry.side)) return {.ended = true};
         return {};
     }
-    const LocalSockets::Packet packet = local_sockets_->receive(s.connection, s.side, *this);
+    const LocalSockets::Packet packet = local_sockets_->receive(entry.connection, entry.side, *this);
     ++effects_;
     bool complete = packet.bytes.size() <= into.size();
     for (const End end : packet.ends) {
--- a/src/simnet/process.h
+++ b/src/simnet/process.h
@@ -41,9 +41,9 @@
 
     // ---- faults
     void signal(int number);
-    // No pass of the event loop is run for this long.
+    // No pass of the event loop begins for this long.
     void stall(Ticks span);
-    // The system has no free descriptors other than those that this process closes.
+    // on: from now on the system has no free descriptors other than those that this process closes.
     void exhaust_descriptors(bool on) { descriptor_limit_now_ = on ? held_ : traits_.descriptors; }
     // Contents of the files that it can read, by path.
     std::map<std::string, std::string>& files() { return files_; }
@@ -51,10 +51,12 @@
     // listening socket. inherit() returns the descriptor of the socket.
     void attach_local_sockets(LocalSockets& local_sockets) { local_sockets_ = &local_sockets; }
     int inherit(SharedListener& listener);
-    // The process dies: its connections are reset, unless the machine has lost them already.
+    // The process dies: its connections are reset, except those that another process holds too or that the
+    // machine has lost already.
     void die();
 
     // ---- for the invariants
+    // Open descriptors now, and the most so far; the three standard descriptors are counted.
     std::size_t held() const { return held_; }
     std::size_t max_held() const { return max_held_; }
     // The largest number of consecutive passes with a ready descriptor that did nothing about it.
@@ -153,7 +155,7 @@
     std::deque<int> signals_;
     std::map<std::string, std::string> files_;
     bool running_ = false, dead_ = false;
-    std::size_t held_ = 3, max_held_ = 3;  // with the three standard descriptors
+    std::size_t held_ = 3, max_held_ = 3;  // the three standard descriptors are counted
     std::size_t descriptor_limit_now_ = traits_.descriptors;
     std::uint64_t next_run_ = 0;  // token of the pass that is scheduled; 0: none
     std::uint64_t runs_ = 0, passes_ = 0;
--- a/src/simnet/random_source.h
+++ b/src/simnet/random_source.h
@@ -8,6 +8,7 @@
 
 namespace lemonstair::simnet {
 
+// Draws from one engine: equal seeds and equal calls give equal numbers.
 class RandomSource {
   public:
     explicit RandomSource(std::uint64_t seed) : engine_(seed) {}
