--- a/tests/simnet_test.cpp
+++ b/tests/simnet_test.cpp
@@ -85,7 +85,7 @@
     }
 }
 
-TEST_CASE("an end follows the last byte; a close with unread input and a dead process cause resets") {
+TEST_CASE("the end of a stream follows its last byte; a close with unread input causes a reset") {
     NetworkFixture fixture;
     const auto end = fixture.connect();
     fixture.network.write(end, "last", true);
@@ -176,7 +176,8 @@
     CHECK(recorder.received.size() == received_before);
 }
 
-TEST_CASE("a simulated process has no more descriptors than it is granted, and is told so as by the kernel") {
+TEST_CASE(
+    "a simulated process opens no more descriptors than its limit and gets the errno values of the kernel") {
     NetworkFixture fixture;
     fixture.network.listen(fixture.listen_address(), fixture, 100);
     simnet::Process process(fixture.events, fixture.network, fixture.client_machine, {0, 1, 8});
